--- a/internal/claims/manager.go
+++ b/internal/claims/manager.go
@@ -1,4 +1,4 @@
-// Package claims drives the claim protocol of internal/core/claim for the
+// Package claims drives the claim protocol of internal/mesh/core/claim for the
 // service beside a node: it asks the voters, answers as a voter, and changes the
 // voter set through the platform when nodes come and go.
 package claims
@@ -11,11 +11,11 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/landingmast/landingmast/internal/core/bundle"
-	"github.com/landingmast/landingmast/internal/core/claim"
-	"github.com/landingmast/landingmast/internal/core/outcome"
 	"github.com/landingmast/landingmast/internal/dataplane"
 	"github.com/landingmast/landingmast/internal/explain"
+	"github.com/landingmast/landingmast/internal/mesh/core/bundle"
+	"github.com/landingmast/landingmast/internal/mesh/core/claim"
+	"github.com/landingmast/landingmast/internal/mesh/core/outcome"
 	"github.com/landingmast/landingmast/internal/platform"
 	"github.com/landingmast/landingmast/internal/telemetry"
 	"github.com/landingmast/landingmast/internal/wire"
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -1,6 +1,6 @@
 // Package config reads the settings of one landingmastd process: what it is,
 // where it listens, whom it trusts. What the mesh wants is in the bundle
-// (internal/core/bundle). docs/CONFIGURATION.md is checked against the structs.
+// (internal/mesh/core/bundle). docs/CONFIGURATION.md is checked against the structs.
 package config
 
 import (
@@ -12,8 +12,8 @@
 	"strings"
 	"time"
 
-	"github.com/landingmast/landingmast/internal/core/bundle"
 	"github.com/landingmast/landingmast/internal/failure"
+	"github.com/landingmast/landingmast/internal/mesh/core/bundle"
 	"go.yaml.in/yaml/v3"
 )
 
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -10,9 +10,9 @@
 	"strings"
 	"time"
 
-	"github.com/landingmast/landingmast/internal/core/bundle"
-	"github.com/landingmast/landingmast/internal/core/claim"
 	"github.com/landingmast/landingmast/internal/failure"
+	"github.com/landingmast/landingmast/internal/mesh/core/bundle"
+	"github.com/landingmast/landingmast/internal/mesh/core/claim"
 	"github.com/landingmast/landingmast/internal/telemetry"
 	"github.com/landingmast/landingmast/internal/wire"
 )
--- a/internal/dataplane/attempt.go
+++ b/internal/dataplane/attempt.go
@@ -9,11 +9,11 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/landingmast/landingmast/internal/core/admission"
-	"github.com/landingmast/landingmast/internal/core/outcome"
-	"github.com/landingmast/landingmast/internal/core/retry"
-	"github.com/landingmast/landingmast/internal/core/routing"
 	"github.com/landingmast/landingmast/internal/failure"
+	"github.com/landingmast/landingmast/internal/mesh/core/admission"
+	"github.com/landingmast/landingmast/internal/mesh/core/outcome"
+	"github.com/landingmast/landingmast/internal/mesh/core/retry"
+	"github.com/landingmast/landingmast/internal/mesh/core/routing"
 	"github.com/landingmast/landingmast/internal/wire"
 )
 
--- a/internal/dataplane/call.go
+++ b/internal/dataplane/call.go
@@ -6,8 +6,8 @@
 	"sync"
 	"time"
 
-	"github.com/landingmast/landingmast/internal/core/admission"
-	"github.com/landingmast/landingmast/internal/core/limiter"
+	"github.com/landingmast/landingmast/internal/mesh/core/admission"
+	"github.com/landingmast/landingmast/internal/mesh/core/limiter"
 )
 
 // callContext is what the node knows of one call while it serves it. The target
--- a/internal/dataplane/credits.go
+++ b/internal/dataplane/credits.go
@@ -3,7 +3,7 @@
 import (
 	"sync"
 
-	"github.com/landingmast/landingmast/internal/core/retry"
+	"github.com/landingmast/landingmast/internal/mesh/core/retry"
 )
 
 // credits drives the ledger of retry credits of one call, which may make several
--- a/internal/dataplane/errors.go
+++ b/internal/dataplane/errors.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"github.com/juju/errors"
-	"github.com/landingmast/landingmast/internal/core/outcome"
+	"github.com/landingmast/landingmast/internal/mesh/core/outcome"
 )
 
 // Causes for which a call is cut short.
--- a/internal/dataplane/gate.go
+++ b/internal/dataplane/gate.go
@@ -5,10 +5,10 @@
 	"sync"
 	"time"
 
-	"github.com/landingmast/landingmast/internal/core/admission"
-	gatecore "github.com/landingmast/landingmast/internal/core/gate"
-	"github.com/landingmast/landingmast/internal/core/limiter"
-	"github.com/landingmast/landingmast/internal/core/outcome"
+	"github.com/landingmast/landingmast/internal/mesh/core/admission"
+	gatecore "github.com/landingmast/landingmast/internal/mesh/core/gate"
+	"github.com/landingmast/landingmast/internal/mesh/core/limiter"
+	"github.com/landingmast/landingmast/internal/mesh/core/outcome"
 	"github.com/landingmast/landingmast/internal/telemetry"
 )
 
--- a/internal/dataplane/gate_test.go
+++ b/internal/dataplane/gate_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"github.com/landingmast/landingmast/internal/core/limiter"
+	"github.com/landingmast/landingmast/internal/mesh/core/limiter"
 	"github.com/landingmast/landingmast/internal/telemetry"
 	. "github.com/onsi/gomega"
 )
--- a/internal/dataplane/plane.go
+++ b/internal/dataplane/plane.go
@@ -13,10 +13,10 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/landingmast/landingmast/internal/core/bundle"
-	"github.com/landingmast/landingmast/internal/core/claim"
-	"github.com/landingmast/landingmast/internal/core/outcome"
 	"github.com/landingmast/landingmast/internal/explain"
+	"github.com/landingmast/landingmast/internal/mesh/core/bundle"
+	"github.com/landingmast/landingmast/internal/mesh/core/claim"
+	"github.com/landingmast/landingmast/internal/mesh/core/outcome"
 	"github.com/landingmast/landingmast/internal/telemetry"
 	"github.com/landingmast/landingmast/internal/wire"
 )
--- a/internal/dataplane/refusal.go
+++ b/internal/dataplane/refusal.go
@@ -7,7 +7,7 @@
 	"strconv"
 	"time"
 
-	"github.com/landingmast/landingmast/internal/core/outcome"
+	"github.com/landingmast/landingmast/internal/mesh/core/outcome"
 	"github.com/landingmast/landingmast/internal/wire"
 )
 
--- a/internal/dataplane/router.go
+++ b/internal/dataplane/router.go
@@ -5,9 +5,9 @@
 	"sync"
 	"time"
 
-	"github.com/landingmast/landingmast/internal/core/bundle"
-	"github.com/landingmast/landingmast/internal/core/outcome"
-	"github.com/landingmast/landingmast/internal/core/routing"
+	"github.com/landingmast/landingmast/internal/mesh/core/bundle"
+	"github.com/landingmast/landingmast/internal/mesh/core/outcome"
+	"github.com/landingmast/landingmast/internal/mesh/core/routing"
 )
 
 // RouteState is one target as routing sees it.
--- a/internal/lab/cluster/cluster.go
+++ b/internal/lab/cluster/cluster.go
@@ -17,9 +17,9 @@
 	"time"
 
 	"github.com/landingmast/landingmast/internal/config"
-	"github.com/landingmast/landingmast/internal/core/bundle"
 	"github.com/landingmast/landingmast/internal/lab/deployment"
 	"github.com/landingmast/landingmast/internal/lab/load"
+	"github.com/landingmast/landingmast/internal/mesh/core/bundle"
 	"github.com/landingmast/landingmast/internal/security"
 	"go.yaml.in/yaml/v3"
 )
--- a/internal/lab/deployment/deployment.go
+++ b/internal/lab/deployment/deployment.go
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"github.com/landingmast/landingmast/internal/core/bundle"
+	"github.com/landingmast/landingmast/internal/mesh/core/bundle"
 )
 
 // Deployment is one mesh.
--- a/internal/lab/deployment/meshes.go
+++ b/internal/lab/deployment/meshes.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/landingmast/landingmast/internal/core/bundle"
+	"github.com/landingmast/landingmast/internal/mesh/core/bundle"
 )
 
 const (
--- a/internal/lab/emulator/outbound.go
+++ b/internal/lab/emulator/outbound.go
@@ -4,12 +4,12 @@
 	"strconv"
 	"time"
 
-	"github.com/landingmast/landingmast/internal/core/admission"
-	"github.com/landingmast/landingmast/internal/core/bundle"
-	"github.com/landingmast/landingmast/internal/core/outcome"
-	"github.com/landingmast/landingmast/internal/core/retry"
-	"github.com/landingmast/landingmast/internal/core/routing"
 	"github.com/landingmast/landingmast/internal/lab/deployment"
+	"github.com/landingmast/landingmast/internal/mesh/core/admission"
+	"github.com/landingmast/landingmast/internal/mesh/core/bundle"
+	"github.com/landingmast/landingmast/internal/mesh/core/outcome"
+	"github.com/landingmast/landingmast/internal/mesh/core/retry"
+	"github.com/landingmast/landingmast/internal/mesh/core/routing"
 )
 
 // baselineRetries is what each hop of the baseline tries again.
--- a/internal/lab/emulator/world.go
+++ b/internal/lab/emulator/world.go
@@ -6,15 +6,15 @@
 	"sort"
 	"time"
 
-	"github.com/landingmast/landingmast/internal/core/admission"
-	"github.com/landingmast/landingmast/internal/core/bundle"
-	"github.com/landingmast/landingmast/internal/core/gate"
-	"github.com/landingmast/landingmast/internal/core/limiter"
-	"github.com/landingmast/landingmast/internal/core/outcome"
-	"github.com/landingmast/landingmast/internal/core/retry"
-	"github.com/landingmast/landingmast/internal/core/routing"
 	"github.com/landingmast/landingmast/internal/lab/deployment"
 	"github.com/landingmast/landingmast/internal/lab/virtualtime"
+	"github.com/landingmast/landingmast/internal/mesh/core/admission"
+	"github.com/landingmast/landingmast/internal/mesh/core/bundle"
+	"github.com/landingmast/landingmast/internal/mesh/core/gate"
+	"github.com/landingmast/landingmast/internal/mesh/core/limiter"
+	"github.com/landingmast/landingmast/internal/mesh/core/outcome"
+	"github.com/landingmast/landingmast/internal/mesh/core/retry"
+	"github.com/landingmast/landingmast/internal/mesh/core/routing"
 )
 
 // world is one emulated deployment.
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -10,9 +10,9 @@
 	"sort"
 	"time"
 
-	"github.com/landingmast/landingmast/internal/core/bundle"
 	"github.com/landingmast/landingmast/internal/failure"
 	"github.com/landingmast/landingmast/internal/lab/deployment"
+	"github.com/landingmast/landingmast/internal/mesh/core/bundle"
 	"go.yaml.in/yaml/v3"
 )
 
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -6,9 +6,9 @@
 	"testing"
 	"time"
 
-	"github.com/landingmast/landingmast/internal/core/bundle"
 	"github.com/landingmast/landingmast/internal/failure"
 	"github.com/landingmast/landingmast/internal/lab/emulator"
+	"github.com/landingmast/landingmast/internal/mesh/core/bundle"
 	. "github.com/onsi/gomega"
 )
 
--- a/internal/lab/faults/faults.go
+++ b/internal/lab/faults/faults.go
@@ -12,12 +12,12 @@
 	"time"
 
 	"github.com/landingmast/landingmast/internal/adminapi"
-	"github.com/landingmast/landingmast/internal/core/bundle"
 	"github.com/landingmast/landingmast/internal/failure"
 	"github.com/landingmast/landingmast/internal/lab/check"
 	"github.com/landingmast/landingmast/internal/lab/cluster"
 	"github.com/landingmast/landingmast/internal/lab/load"
 	"github.com/landingmast/landingmast/internal/lab/standin"
+	"github.com/landingmast/landingmast/internal/mesh/core/bundle"
 )
 
 // Kind names a fault.
--- a/internal/lab/scaffold/scaffold.go
+++ b/internal/lab/scaffold/scaffold.go
@@ -12,8 +12,8 @@
 	"time"
 
 	"github.com/landingmast/landingmast/internal/config"
-	"github.com/landingmast/landingmast/internal/core/bundle"
 	"github.com/landingmast/landingmast/internal/lab/deployment"
+	"github.com/landingmast/landingmast/internal/mesh/core/bundle"
 	"go.yaml.in/yaml/v3"
 )
 
--- a/internal/lab/scaffold/scaffold_test.go
+++ b/internal/lab/scaffold/scaffold_test.go
@@ -6,8 +6,8 @@
 	"testing"
 
 	"github.com/landingmast/landingmast/internal/config"
-	"github.com/landingmast/landingmast/internal/core/bundle"
 	"github.com/landingmast/landingmast/internal/lab/deployment"
+	"github.com/landingmast/landingmast/internal/mesh/core/bundle"
 	. "github.com/onsi/gomega"
 )
 
--- a/internal/core/gate/gate.go
+++ b/internal/mesh/core/gate/gate.go
@@ -7,9 +7,9 @@
 import (
 	"time"
 
-	"github.com/landingmast/landingmast/internal/core/admission"
-	"github.com/landingmast/landingmast/internal/core/limiter"
-	"github.com/landingmast/landingmast/internal/core/outcome"
+	"github.com/landingmast/landingmast/internal/mesh/core/admission"
+	"github.com/landingmast/landingmast/internal/mesh/core/limiter"
+	"github.com/landingmast/landingmast/internal/mesh/core/outcome"
 )
 
 // Config sets a gate.
--- a/internal/core/limiter/limiter.go
+++ b/internal/mesh/core/limiter/limiter.go
@@ -7,7 +7,7 @@
 	"sort"
 	"time"
 
-	"github.com/landingmast/landingmast/internal/core/outcome"
+	"github.com/landingmast/landingmast/internal/mesh/core/outcome"
 )
 
 // Call is one call that wants a slot of the target.
--- a/internal/core/limiter/limiter_test.go
+++ b/internal/mesh/core/limiter/limiter_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"github.com/landingmast/landingmast/internal/core/outcome"
+	"github.com/landingmast/landingmast/internal/mesh/core/outcome"
 	. "github.com/onsi/gomega"
 	"pgregory.net/rapid"
 )
--- a/internal/core/retry/retry.go
+++ b/internal/mesh/core/retry/retry.go
@@ -6,7 +6,7 @@
 // anywhere in the chain is at most the number that the entry gave.
 package retry
 
-import "github.com/landingmast/landingmast/internal/core/outcome"
+import "github.com/landingmast/landingmast/internal/mesh/core/outcome"
 
 // Ledger holds the credits of one call at one hop. It is not safe for concurrent
 // use; a driver whose calls make several deeper calls at a time locks it, and its
--- a/internal/core/retry/retry_test.go
+++ b/internal/mesh/core/retry/retry_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"github.com/landingmast/landingmast/internal/core/outcome"
+	"github.com/landingmast/landingmast/internal/mesh/core/outcome"
 	. "github.com/onsi/gomega"
 	"pgregory.net/rapid"
 )
--- a/internal/core/routing/route.go
+++ b/internal/mesh/core/routing/route.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"github.com/landingmast/landingmast/internal/core/admission"
-	"github.com/landingmast/landingmast/internal/core/outcome"
+	"github.com/landingmast/landingmast/internal/mesh/core/admission"
+	"github.com/landingmast/landingmast/internal/mesh/core/outcome"
 )
 
 // Route is one node's way to one service: its balancer, and for each request
--- a/internal/core/routing/routing.go
+++ b/internal/mesh/core/routing/routing.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"github.com/cespare/xxhash/v2"
-	"github.com/landingmast/landingmast/internal/core/admission"
-	"github.com/landingmast/landingmast/internal/core/outcome"
+	"github.com/landingmast/landingmast/internal/mesh/core/admission"
+	"github.com/landingmast/landingmast/internal/mesh/core/outcome"
 )
 
 // Config sets the balancer.
--- a/internal/core/routing/routing_test.go
+++ b/internal/mesh/core/routing/routing_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"github.com/landingmast/landingmast/internal/core/admission"
-	"github.com/landingmast/landingmast/internal/core/outcome"
+	"github.com/landingmast/landingmast/internal/mesh/core/admission"
+	"github.com/landingmast/landingmast/internal/mesh/core/outcome"
 	. "github.com/onsi/gomega"
 )
 
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -12,7 +12,7 @@
 
 	"github.com/landingmast/landingmast/gen/admin"
 	adminserver "github.com/landingmast/landingmast/gen/http/admin/server"
-	"github.com/landingmast/landingmast/internal/core/bundle"
+	"github.com/landingmast/landingmast/internal/mesh/core/bundle"
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 	dto "github.com/prometheus/client_model/go"
 	goahttp "goa.design/goa/v3/http"
--- a/internal/node/mesh_test.go
+++ b/internal/node/mesh_test.go
@@ -18,8 +18,8 @@
 
 	"github.com/landingmast/landingmast/internal/adminapi"
 	"github.com/landingmast/landingmast/internal/config"
-	"github.com/landingmast/landingmast/internal/core/bundle"
 	"github.com/landingmast/landingmast/internal/lab/standin"
+	"github.com/landingmast/landingmast/internal/mesh/core/bundle"
 	"github.com/landingmast/landingmast/internal/node"
 	"github.com/landingmast/landingmast/internal/platform"
 	"github.com/landingmast/landingmast/internal/roll"
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -14,9 +14,9 @@
 	"time"
 
 	"github.com/landingmast/landingmast/internal/control"
-	"github.com/landingmast/landingmast/internal/core/bundle"
 	"github.com/landingmast/landingmast/internal/failure"
 	"github.com/landingmast/landingmast/internal/lab/standin"
+	"github.com/landingmast/landingmast/internal/mesh/core/bundle"
 	"github.com/landingmast/landingmast/internal/platform"
 	"github.com/landingmast/landingmast/internal/roll"
 	"github.com/landingmast/landingmast/internal/security"
--- a/internal/node/peer.go
+++ b/internal/node/peer.go
@@ -5,9 +5,9 @@
 	"encoding/json"
 	stdlog "log"
 
-	"github.com/landingmast/landingmast/internal/core/bundle"
-	"github.com/landingmast/landingmast/internal/core/claim"
 	"github.com/landingmast/landingmast/internal/failure"
+	"github.com/landingmast/landingmast/internal/mesh/core/bundle"
+	"github.com/landingmast/landingmast/internal/mesh/core/claim"
 	"github.com/landingmast/landingmast/internal/wire"
 	"github.com/sirupsen/logrus"
 )
--- a/internal/node/spread.go
+++ b/internal/node/spread.go
@@ -7,9 +7,9 @@
 	"sync"
 	"time"
 
-	"github.com/landingmast/landingmast/internal/core/bundle"
-	"github.com/landingmast/landingmast/internal/core/dissemination"
 	"github.com/landingmast/landingmast/internal/failure"
+	"github.com/landingmast/landingmast/internal/mesh/core/bundle"
+	"github.com/landingmast/landingmast/internal/mesh/core/dissemination"
 	"github.com/landingmast/landingmast/internal/platform"
 	"github.com/landingmast/landingmast/internal/wire"
 )
--- a/internal/operator/bundle.go
+++ b/internal/operator/bundle.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"github.com/alecthomas/kingpin/v2"
-	"github.com/landingmast/landingmast/internal/core/bundle"
 	"github.com/landingmast/landingmast/internal/failure"
+	"github.com/landingmast/landingmast/internal/mesh/core/bundle"
 	"github.com/landingmast/landingmast/internal/platform"
 	"github.com/landingmast/landingmast/internal/roll"
 	"github.com/landingmast/landingmast/internal/security"
--- a/internal/platform/record.go
+++ b/internal/platform/record.go
@@ -7,8 +7,8 @@
 	"io"
 	"time"
 
-	"github.com/landingmast/landingmast/internal/core/bundle"
 	"github.com/landingmast/landingmast/internal/failure"
+	"github.com/landingmast/landingmast/internal/mesh/core/bundle"
 )
 
 // ReleaseRecord is what stands under ReleaseKey.
--- a/internal/sidecar/settings/settings.go
+++ b/internal/sidecar/settings/settings.go
@@ -9,8 +9,8 @@
 	"strings"
 	"time"
 
-	"github.com/landingmast/landingmast/internal/core/bundle"
 	"github.com/landingmast/landingmast/internal/failure"
+	"github.com/landingmast/landingmast/internal/mesh/core/bundle"
 	"go.yaml.in/yaml/v3"
 )
 
--- a/internal/wire/control.go
+++ b/internal/wire/control.go
@@ -1,8 +1,8 @@
 package wire
 
 import (
-	"github.com/landingmast/landingmast/internal/core/bundle"
-	"github.com/landingmast/landingmast/internal/core/claim"
+	"github.com/landingmast/landingmast/internal/mesh/core/bundle"
+	"github.com/landingmast/landingmast/internal/mesh/core/claim"
 )
 
 // Topic names one of the documents that are spread to every node.
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -3,8 +3,8 @@
 import (
 	"testing"
 
-	"github.com/landingmast/landingmast/internal/core/bundle"
-	"github.com/landingmast/landingmast/internal/core/claim"
+	"github.com/landingmast/landingmast/internal/mesh/core/bundle"
+	"github.com/landingmast/landingmast/internal/mesh/core/claim"
 	. "github.com/onsi/gomega"
 )
 
--- a/spec/claim.pml
+++ b/spec/claim.pml
@@ -1,5 +1,5 @@
 /*
- * Specification of the claim protocol of internal/core/claim for one key.
+ * Specification of the claim protocol of internal/mesh/core/claim for one key.
  *
  * Three nodes of one service. Each run of a node (an incarnation) may propose
  * itself as the key's executor, and runs the request if it is chosen. Voters of
