--- a/cmd/landingmast/main.go
+++ b/cmd/landingmast/main.go
@@ -11,7 +11,7 @@
 
 	"github.com/alecthomas/kingpin/v2"
 	"github.com/landingmast/landingmast/internal/failure"
-	"github.com/landingmast/landingmast/internal/node"
+	"github.com/landingmast/landingmast/internal/mesh/node"
 	"github.com/landingmast/landingmast/internal/operator"
 	"github.com/landingmast/landingmast/internal/store"
 	"github.com/landingmast/landingmast/platform"
--- a/cmd/landingmastd/main.go
+++ b/cmd/landingmastd/main.go
@@ -11,9 +11,9 @@
 	"syscall"
 
 	"github.com/alecthomas/kingpin/v2"
-	"github.com/landingmast/landingmast/internal/config"
 	"github.com/landingmast/landingmast/internal/failure"
-	"github.com/landingmast/landingmast/internal/node"
+	"github.com/landingmast/landingmast/internal/mesh/config"
+	"github.com/landingmast/landingmast/internal/mesh/node"
 )
 
 // Exit codes; docs/OPERATIONS.md lists them.
--- a/internal/lab/cluster/cluster.go
+++ b/internal/lab/cluster/cluster.go
@@ -16,11 +16,11 @@
 	"syscall"
 	"time"
 
-	"github.com/landingmast/landingmast/internal/config"
 	"github.com/landingmast/landingmast/internal/lab/deployment"
 	"github.com/landingmast/landingmast/internal/lab/load"
+	"github.com/landingmast/landingmast/internal/mesh/config"
 	"github.com/landingmast/landingmast/internal/mesh/core/bundle"
-	"github.com/landingmast/landingmast/internal/security"
+	"github.com/landingmast/landingmast/internal/mesh/security"
 	"go.yaml.in/yaml/v3"
 )
 
--- a/internal/lab/cluster/steer.go
+++ b/internal/lab/cluster/steer.go
@@ -10,8 +10,8 @@
 
 	"github.com/landingmast/landingmast/internal/lab/standin"
 	"github.com/landingmast/landingmast/internal/mesh/core/bundle"
-	"github.com/landingmast/landingmast/internal/platform"
-	"github.com/landingmast/landingmast/internal/roll"
+	"github.com/landingmast/landingmast/internal/mesh/platform"
+	"github.com/landingmast/landingmast/internal/mesh/roll"
 )
 
 // Bundle gives a copy of the deployment's bundle at a version.
--- a/internal/lab/demo/demo.go
+++ b/internal/lab/demo/demo.go
@@ -10,10 +10,10 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/landingmast/landingmast/gen/admin"
-	"github.com/landingmast/landingmast/internal/adminapi"
 	"github.com/landingmast/landingmast/internal/lab/check"
 	"github.com/landingmast/landingmast/internal/lab/cluster"
 	"github.com/landingmast/landingmast/internal/lab/load"
+	"github.com/landingmast/landingmast/internal/mesh/adminapi"
 )
 
 // Options set a demo.
--- a/internal/lab/faults/faults.go
+++ b/internal/lab/faults/faults.go
@@ -11,12 +11,12 @@
 	"syscall"
 	"time"
 
-	"github.com/landingmast/landingmast/internal/adminapi"
 	"github.com/landingmast/landingmast/internal/failure"
 	"github.com/landingmast/landingmast/internal/lab/check"
 	"github.com/landingmast/landingmast/internal/lab/cluster"
 	"github.com/landingmast/landingmast/internal/lab/load"
 	"github.com/landingmast/landingmast/internal/lab/standin"
+	"github.com/landingmast/landingmast/internal/mesh/adminapi"
 	"github.com/landingmast/landingmast/internal/mesh/core/bundle"
 )
 
--- a/internal/lab/faults/faults_test.go
+++ b/internal/lab/faults/faults_test.go
@@ -10,12 +10,12 @@
 	"testing"
 	"time"
 
-	"github.com/landingmast/landingmast/internal/adminapi"
 	"github.com/landingmast/landingmast/internal/lab/check"
 	"github.com/landingmast/landingmast/internal/lab/cluster"
 	"github.com/landingmast/landingmast/internal/lab/deployment"
 	"github.com/landingmast/landingmast/internal/lab/load"
 	"github.com/landingmast/landingmast/internal/lab/standin"
+	"github.com/landingmast/landingmast/internal/mesh/adminapi"
 	"github.com/landingmast/landingmast/internal/mesh/core/bundle"
 	. "github.com/onsi/gomega"
 )
--- a/internal/lab/scaffold/scaffold.go
+++ b/internal/lab/scaffold/scaffold.go
@@ -11,8 +11,8 @@
 	"strings"
 	"time"
 
-	"github.com/landingmast/landingmast/internal/config"
 	"github.com/landingmast/landingmast/internal/lab/deployment"
+	"github.com/landingmast/landingmast/internal/mesh/config"
 	"github.com/landingmast/landingmast/internal/mesh/core/bundle"
 	"go.yaml.in/yaml/v3"
 )
--- a/internal/lab/scaffold/scaffold_test.go
+++ b/internal/lab/scaffold/scaffold_test.go
@@ -5,8 +5,8 @@
 	"path/filepath"
 	"testing"
 
-	"github.com/landingmast/landingmast/internal/config"
 	"github.com/landingmast/landingmast/internal/lab/deployment"
+	"github.com/landingmast/landingmast/internal/mesh/config"
 	"github.com/landingmast/landingmast/internal/mesh/core/bundle"
 	. "github.com/onsi/gomega"
 )
--- a/internal/control/control.go
+++ b/internal/mesh/control/control.go
@@ -13,7 +13,7 @@
 	"github.com/landingmast/landingmast/internal/failure"
 	"github.com/landingmast/landingmast/internal/mesh/core/bundle"
 	"github.com/landingmast/landingmast/internal/mesh/core/claim"
-	"github.com/landingmast/landingmast/internal/telemetry"
+	"github.com/landingmast/landingmast/internal/mesh/telemetry"
 	"github.com/landingmast/landingmast/internal/wire"
 )
 
--- a/internal/mesh/core/limiter/limiter_test.go
+++ b/internal/mesh/core/limiter/limiter_test.go
@@ -35,7 +35,7 @@
 }
 
 // A chain that comes back to a target waited for the slot that it held itself until
-// its time was up. Found by a run of internal/node under load: a chain of eight calls
+// its time was up. Found by a run of internal/mesh/node under load: a chain of eight calls
 // over two services was answered "not run, queue_timeout" (cold limit of 4).
 func TestChainDoesNotWaitForItself(t *testing.T) {
 	deeper := func(id uint64, chain string, depth int) Call {
--- a/internal/dataplane/gate.go
+++ b/internal/mesh/dataplane/gate.go
@@ -9,7 +9,7 @@
 	gatecore "github.com/landingmast/landingmast/internal/mesh/core/gate"
 	"github.com/landingmast/landingmast/internal/mesh/core/limiter"
 	"github.com/landingmast/landingmast/internal/mesh/core/outcome"
-	"github.com/landingmast/landingmast/internal/telemetry"
+	"github.com/landingmast/landingmast/internal/mesh/telemetry"
 )
 
 // gate drives the gate of the target beside the node: calls wait on channels, a
--- a/internal/dataplane/gate_test.go
+++ b/internal/mesh/dataplane/gate_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"github.com/landingmast/landingmast/internal/mesh/core/limiter"
-	"github.com/landingmast/landingmast/internal/telemetry"
+	"github.com/landingmast/landingmast/internal/mesh/telemetry"
 	. "github.com/onsi/gomega"
 )
 
--- a/internal/dataplane/ingress.go
+++ b/internal/mesh/dataplane/ingress.go
@@ -11,11 +11,11 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/landingmast/landingmast/internal/explain"
 	"github.com/landingmast/landingmast/internal/mesh/core/admission"
 	"github.com/landingmast/landingmast/internal/mesh/core/claim"
 	"github.com/landingmast/landingmast/internal/mesh/core/limiter"
 	"github.com/landingmast/landingmast/internal/mesh/core/outcome"
+	"github.com/landingmast/landingmast/internal/mesh/explain"
 	"github.com/landingmast/landingmast/internal/wire"
 )
 
--- a/internal/dataplane/outbound.go
+++ b/internal/mesh/dataplane/outbound.go
@@ -8,13 +8,13 @@
 	"strconv"
 	"time"
 
-	"github.com/landingmast/landingmast/internal/explain"
 	"github.com/landingmast/landingmast/internal/failure"
 	"github.com/landingmast/landingmast/internal/mesh/core/admission"
 	"github.com/landingmast/landingmast/internal/mesh/core/bundle"
 	"github.com/landingmast/landingmast/internal/mesh/core/outcome"
 	"github.com/landingmast/landingmast/internal/mesh/core/retry"
 	"github.com/landingmast/landingmast/internal/mesh/core/routing"
+	"github.com/landingmast/landingmast/internal/mesh/explain"
 	"github.com/landingmast/landingmast/internal/wire"
 )
 
--- a/internal/dataplane/plane.go
+++ b/internal/mesh/dataplane/plane.go
@@ -13,11 +13,11 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/landingmast/landingmast/internal/explain"
 	"github.com/landingmast/landingmast/internal/mesh/core/bundle"
 	"github.com/landingmast/landingmast/internal/mesh/core/claim"
 	"github.com/landingmast/landingmast/internal/mesh/core/outcome"
-	"github.com/landingmast/landingmast/internal/telemetry"
+	"github.com/landingmast/landingmast/internal/mesh/explain"
+	"github.com/landingmast/landingmast/internal/mesh/telemetry"
 	"github.com/landingmast/landingmast/internal/wire"
 )
 
--- a/internal/platform/consul_test.go
+++ b/internal/mesh/platform/consul_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/landingmast/landingmast/internal/failure"
 	"github.com/landingmast/landingmast/internal/lab/standin"
-	"github.com/landingmast/landingmast/internal/platform"
+	"github.com/landingmast/landingmast/internal/mesh/platform"
 	. "github.com/onsi/gomega"
 )
 
--- a/internal/roll/roll.go
+++ b/internal/mesh/roll/roll.go
@@ -11,7 +11,7 @@
 
 	"github.com/landingmast/landingmast/internal/failure"
 	"github.com/landingmast/landingmast/internal/mesh/core/bundle"
-	"github.com/landingmast/landingmast/internal/platform"
+	"github.com/landingmast/landingmast/internal/mesh/platform"
 )
 
 const (
--- a/internal/telemetry/telemetry.go
+++ b/internal/mesh/telemetry/telemetry.go
@@ -5,7 +5,7 @@
 import (
 	"io"
 
-	"github.com/landingmast/landingmast/internal/config"
+	"github.com/landingmast/landingmast/internal/mesh/config"
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/sirupsen/logrus"
 )
--- a/internal/operator/bundle.go
+++ b/internal/operator/bundle.go
@@ -11,9 +11,9 @@
 	"github.com/alecthomas/kingpin/v2"
 	"github.com/landingmast/landingmast/internal/failure"
 	"github.com/landingmast/landingmast/internal/mesh/core/bundle"
-	"github.com/landingmast/landingmast/internal/platform"
-	"github.com/landingmast/landingmast/internal/roll"
-	"github.com/landingmast/landingmast/internal/security"
+	"github.com/landingmast/landingmast/internal/mesh/platform"
+	"github.com/landingmast/landingmast/internal/mesh/roll"
+	"github.com/landingmast/landingmast/internal/mesh/security"
 )
 
 func (s *shell) registerBundle() {
--- a/internal/operator/keys.go
+++ b/internal/operator/keys.go
@@ -7,7 +7,7 @@
 	"text/tabwriter"
 
 	"github.com/landingmast/landingmast/internal/failure"
-	"github.com/landingmast/landingmast/internal/security"
+	"github.com/landingmast/landingmast/internal/mesh/security"
 )
 
 func (s *shell) registerKeys() {
--- a/internal/operator/nodes.go
+++ b/internal/operator/nodes.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"github.com/landingmast/landingmast/gen/admin"
-	"github.com/landingmast/landingmast/internal/adminapi"
+	"github.com/landingmast/landingmast/internal/mesh/adminapi"
 )
 
 func (s *shell) registerNodes() {
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -9,8 +9,8 @@
 	"text/tabwriter"
 
 	"github.com/alecthomas/kingpin/v2"
-	"github.com/landingmast/landingmast/internal/adminapi"
 	"github.com/landingmast/landingmast/internal/failure"
+	"github.com/landingmast/landingmast/internal/mesh/adminapi"
 )
 
 // Command runs one command.
