--- a/cmd/landingmast-lab/bench.go
+++ b/cmd/landingmast-lab/bench.go
@@ -6,8 +6,8 @@
 	"os"
 
 	"github.com/alecthomas/kingpin/v2"
-	"github.com/landingmast/landingmast/internal/lab/bench"
-	"github.com/landingmast/landingmast/internal/lab/cluster"
+	"github.com/landingmast/landingmast/internal/mesh/lab/bench"
+	"github.com/landingmast/landingmast/internal/mesh/lab/cluster"
 )
 
 func registerBench(application *kingpin.Application) (string, func(context.Context) error) {
--- a/cmd/landingmast-lab/demo.go
+++ b/cmd/landingmast-lab/demo.go
@@ -10,9 +10,9 @@
 	"time"
 
 	"github.com/alecthomas/kingpin/v2"
-	"github.com/landingmast/landingmast/internal/lab/cluster"
-	"github.com/landingmast/landingmast/internal/lab/demo"
-	"github.com/landingmast/landingmast/internal/lab/deployment"
+	"github.com/landingmast/landingmast/internal/mesh/lab/cluster"
+	"github.com/landingmast/landingmast/internal/mesh/lab/demo"
+	"github.com/landingmast/landingmast/internal/mesh/lab/deployment"
 )
 
 func registerDemo(application *kingpin.Application) (string, func(context.Context) error) {
--- a/cmd/landingmast-lab/examples.go
+++ b/cmd/landingmast-lab/examples.go
@@ -7,8 +7,8 @@
 	"path/filepath"
 
 	"github.com/alecthomas/kingpin/v2"
-	"github.com/landingmast/landingmast/internal/lab/deployment"
-	"github.com/landingmast/landingmast/internal/lab/scaffold"
+	"github.com/landingmast/landingmast/internal/mesh/lab/deployment"
+	"github.com/landingmast/landingmast/internal/mesh/lab/scaffold"
 )
 
 func registerExamples(application *kingpin.Application) (string, func(context.Context) error) {
--- a/cmd/landingmast-lab/experiments.go
+++ b/cmd/landingmast-lab/experiments.go
@@ -9,9 +9,9 @@
 	"time"
 
 	"github.com/alecthomas/kingpin/v2"
-	"github.com/landingmast/landingmast/internal/lab/cluster"
-	"github.com/landingmast/landingmast/internal/lab/emulator"
-	"github.com/landingmast/landingmast/internal/lab/experiment"
+	"github.com/landingmast/landingmast/internal/mesh/lab/cluster"
+	"github.com/landingmast/landingmast/internal/mesh/lab/emulator"
+	"github.com/landingmast/landingmast/internal/mesh/lab/experiment"
 )
 
 func registerExperiments(application *kingpin.Application) (string, func(context.Context) error) {
--- a/cmd/landingmast-lab/faults.go
+++ b/cmd/landingmast-lab/faults.go
@@ -10,9 +10,9 @@
 	"text/tabwriter"
 
 	"github.com/alecthomas/kingpin/v2"
-	"github.com/landingmast/landingmast/internal/lab/cluster"
-	"github.com/landingmast/landingmast/internal/lab/deployment"
-	"github.com/landingmast/landingmast/internal/lab/faults"
+	"github.com/landingmast/landingmast/internal/mesh/lab/cluster"
+	"github.com/landingmast/landingmast/internal/mesh/lab/deployment"
+	"github.com/landingmast/landingmast/internal/mesh/lab/faults"
 )
 
 func registerFaults(application *kingpin.Application) (string, func(context.Context) error) {
--- a/cmd/landingmast-lab/main.go
+++ b/cmd/landingmast-lab/main.go
@@ -12,8 +12,8 @@
 	"syscall"
 
 	"github.com/alecthomas/kingpin/v2"
-	"github.com/landingmast/landingmast/internal/lab/deployment"
-	"github.com/landingmast/landingmast/internal/lab/standin"
+	"github.com/landingmast/landingmast/internal/mesh/lab/deployment"
+	"github.com/landingmast/landingmast/internal/mesh/lab/standin"
 )
 
 func main() {
--- a/cmd/landingmast/main_test.go
+++ b/cmd/landingmast/main_test.go
@@ -9,7 +9,7 @@
 	"strings"
 	"testing"
 
-	"github.com/landingmast/landingmast/internal/lab/standin"
+	"github.com/landingmast/landingmast/internal/mesh/lab/standin"
 	. "github.com/onsi/gomega"
 )
 
--- a/internal/lab/bench/bench.go
+++ b/internal/mesh/lab/bench/bench.go
@@ -10,9 +10,9 @@
 	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
-	"github.com/landingmast/landingmast/internal/lab/cluster"
-	"github.com/landingmast/landingmast/internal/lab/deployment"
-	"github.com/landingmast/landingmast/internal/lab/load"
+	"github.com/landingmast/landingmast/internal/mesh/lab/cluster"
+	"github.com/landingmast/landingmast/internal/mesh/lab/deployment"
+	"github.com/landingmast/landingmast/internal/mesh/lab/load"
 )
 
 // Options set a bench.
--- a/internal/lab/check/check.go
+++ b/internal/mesh/lab/check/check.go
@@ -6,9 +6,9 @@
 	"sort"
 	"strings"
 
-	"github.com/landingmast/landingmast/internal/lab/deployment"
-	"github.com/landingmast/landingmast/internal/lab/load"
-	"github.com/landingmast/landingmast/internal/lab/standin"
+	"github.com/landingmast/landingmast/internal/mesh/lab/deployment"
+	"github.com/landingmast/landingmast/internal/mesh/lab/load"
+	"github.com/landingmast/landingmast/internal/mesh/lab/standin"
 )
 
 // Check is one checked statement.
--- a/internal/lab/cluster/cluster.go
+++ b/internal/mesh/lab/cluster/cluster.go
@@ -16,10 +16,10 @@
 	"syscall"
 	"time"
 
-	"github.com/landingmast/landingmast/internal/lab/deployment"
-	"github.com/landingmast/landingmast/internal/lab/load"
 	"github.com/landingmast/landingmast/internal/mesh/config"
 	"github.com/landingmast/landingmast/internal/mesh/core/bundle"
+	"github.com/landingmast/landingmast/internal/mesh/lab/deployment"
+	"github.com/landingmast/landingmast/internal/mesh/lab/load"
 	"github.com/landingmast/landingmast/internal/mesh/security"
 	"go.yaml.in/yaml/v3"
 )
--- a/internal/lab/cluster/steer.go
+++ b/internal/mesh/lab/cluster/steer.go
@@ -8,8 +8,8 @@
 	"net/http"
 	"time"
 
-	"github.com/landingmast/landingmast/internal/lab/standin"
 	"github.com/landingmast/landingmast/internal/mesh/core/bundle"
+	"github.com/landingmast/landingmast/internal/mesh/lab/standin"
 	"github.com/landingmast/landingmast/internal/mesh/platform"
 	"github.com/landingmast/landingmast/internal/mesh/roll"
 )
--- a/internal/lab/demo/demo.go
+++ b/internal/mesh/lab/demo/demo.go
@@ -10,10 +10,10 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/landingmast/landingmast/gen/admin"
-	"github.com/landingmast/landingmast/internal/lab/check"
-	"github.com/landingmast/landingmast/internal/lab/cluster"
-	"github.com/landingmast/landingmast/internal/lab/load"
 	"github.com/landingmast/landingmast/internal/mesh/adminapi"
+	"github.com/landingmast/landingmast/internal/mesh/lab/check"
+	"github.com/landingmast/landingmast/internal/mesh/lab/cluster"
+	"github.com/landingmast/landingmast/internal/mesh/lab/load"
 )
 
 // Options set a demo.
--- a/internal/lab/emulator/backend.go
+++ b/internal/mesh/lab/emulator/backend.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"github.com/landingmast/landingmast/internal/lab/deployment"
-	"github.com/landingmast/landingmast/internal/lab/standin"
+	"github.com/landingmast/landingmast/internal/mesh/lab/deployment"
+	"github.com/landingmast/landingmast/internal/mesh/lab/standin"
 )
 
 // backend models a back end: slots, a first-in first-out queue that sheds when it
@@ -52,7 +52,7 @@
 	backendReset
 )
 
-// Behaviour of the stand-in back ends, the same as in internal/lab/standin.
+// Behaviour of the stand-in back ends, the same as in internal/mesh/lab/standin.
 const (
 	coldFor        = 2 * time.Second
 	coldFactor     = 2.0
--- a/internal/lab/emulator/callers.go
+++ b/internal/mesh/lab/emulator/callers.go
@@ -4,11 +4,11 @@
 	"strconv"
 	"time"
 
-	"github.com/landingmast/landingmast/internal/lab/deployment"
 	"github.com/landingmast/landingmast/internal/mesh/core/bundle"
 	"github.com/landingmast/landingmast/internal/mesh/core/limiter"
 	"github.com/landingmast/landingmast/internal/mesh/core/outcome"
 	"github.com/landingmast/landingmast/internal/mesh/core/retry"
+	"github.com/landingmast/landingmast/internal/mesh/lab/deployment"
 )
 
 // userRequest is what a user wants; a caller may send it several times.
--- a/internal/lab/emulator/outbound.go
+++ b/internal/mesh/lab/emulator/outbound.go
@@ -4,12 +4,12 @@
 	"strconv"
 	"time"
 
-	"github.com/landingmast/landingmast/internal/lab/deployment"
 	"github.com/landingmast/landingmast/internal/mesh/core/admission"
 	"github.com/landingmast/landingmast/internal/mesh/core/bundle"
 	"github.com/landingmast/landingmast/internal/mesh/core/outcome"
 	"github.com/landingmast/landingmast/internal/mesh/core/retry"
 	"github.com/landingmast/landingmast/internal/mesh/core/routing"
+	"github.com/landingmast/landingmast/internal/mesh/lab/deployment"
 )
 
 // baselineRetries is what each hop of the baseline tries again.
--- a/internal/lab/emulator/run.go
+++ b/internal/mesh/lab/emulator/run.go
@@ -4,7 +4,7 @@
 	"sort"
 	"time"
 
-	"github.com/landingmast/landingmast/internal/lab/deployment"
+	"github.com/landingmast/landingmast/internal/mesh/lab/deployment"
 )
 
 // Plan is what happens in a run. All times are virtual.
--- a/internal/lab/emulator/stats.go
+++ b/internal/mesh/lab/emulator/stats.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/landingmast/landingmast/internal/lab/deployment"
+	"github.com/landingmast/landingmast/internal/mesh/lab/deployment"
 )
 
 // Stats are the counts of a run.
--- a/internal/lab/emulator/world.go
+++ b/internal/mesh/lab/emulator/world.go
@@ -6,8 +6,6 @@
 	"sort"
 	"time"
 
-	"github.com/landingmast/landingmast/internal/lab/deployment"
-	"github.com/landingmast/landingmast/internal/lab/virtualtime"
 	"github.com/landingmast/landingmast/internal/mesh/core/admission"
 	"github.com/landingmast/landingmast/internal/mesh/core/bundle"
 	"github.com/landingmast/landingmast/internal/mesh/core/gate"
@@ -15,6 +13,8 @@
 	"github.com/landingmast/landingmast/internal/mesh/core/outcome"
 	"github.com/landingmast/landingmast/internal/mesh/core/retry"
 	"github.com/landingmast/landingmast/internal/mesh/core/routing"
+	"github.com/landingmast/landingmast/internal/mesh/lab/deployment"
+	"github.com/landingmast/landingmast/internal/mesh/lab/virtualtime"
 )
 
 // world is one emulated deployment.
--- a/internal/lab/experiment/emulated.go
+++ b/internal/mesh/lab/experiment/emulated.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"github.com/landingmast/landingmast/internal/lab/deployment"
-	"github.com/landingmast/landingmast/internal/lab/emulator"
+	"github.com/landingmast/landingmast/internal/mesh/lab/deployment"
+	"github.com/landingmast/landingmast/internal/mesh/lab/emulator"
 )
 
 // Emulate runs an experiment in virtual time with one variant and one seed.
--- a/internal/lab/experiment/experiment.go
+++ b/internal/mesh/lab/experiment/experiment.go
@@ -11,8 +11,8 @@
 	"time"
 
 	"github.com/landingmast/landingmast/internal/failure"
-	"github.com/landingmast/landingmast/internal/lab/deployment"
 	"github.com/landingmast/landingmast/internal/mesh/core/bundle"
+	"github.com/landingmast/landingmast/internal/mesh/lab/deployment"
 	"go.yaml.in/yaml/v3"
 )
 
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/mesh/lab/experiment/experiment_test.go
@@ -7,12 +7,12 @@
 	"time"
 
 	"github.com/landingmast/landingmast/internal/failure"
-	"github.com/landingmast/landingmast/internal/lab/emulator"
 	"github.com/landingmast/landingmast/internal/mesh/core/bundle"
+	"github.com/landingmast/landingmast/internal/mesh/lab/emulator"
 	. "github.com/onsi/gomega"
 )
 
-const folder = "../../../experiments"
+const folder = "../../../../experiments"
 
 func named(t *testing.T, name string) *Experiment {
 	t.Helper()
--- a/internal/lab/experiment/measure.go
+++ b/internal/mesh/lab/experiment/measure.go
@@ -4,7 +4,7 @@
 	"sort"
 	"time"
 
-	"github.com/landingmast/landingmast/internal/lab/emulator"
+	"github.com/landingmast/landingmast/internal/mesh/lab/emulator"
 )
 
 // Measure is what one run of one variant came to.
--- a/internal/lab/experiment/possible.go
+++ b/internal/mesh/lab/experiment/possible.go
@@ -4,7 +4,7 @@
 	"sort"
 	"time"
 
-	"github.com/landingmast/landingmast/internal/lab/deployment"
+	"github.com/landingmast/landingmast/internal/mesh/lab/deployment"
 )
 
 // demand is what is asked of a deployment at one time, and what it has.
--- a/internal/lab/experiment/real.go
+++ b/internal/mesh/lab/experiment/real.go
@@ -8,11 +8,11 @@
 	"syscall"
 	"time"
 
-	"github.com/landingmast/landingmast/internal/lab/cluster"
-	"github.com/landingmast/landingmast/internal/lab/deployment"
-	"github.com/landingmast/landingmast/internal/lab/emulator"
-	"github.com/landingmast/landingmast/internal/lab/load"
-	"github.com/landingmast/landingmast/internal/lab/standin"
+	"github.com/landingmast/landingmast/internal/mesh/lab/cluster"
+	"github.com/landingmast/landingmast/internal/mesh/lab/deployment"
+	"github.com/landingmast/landingmast/internal/mesh/lab/emulator"
+	"github.com/landingmast/landingmast/internal/mesh/lab/load"
+	"github.com/landingmast/landingmast/internal/mesh/lab/standin"
 )
 
 // RealScale is the factor by which back ends are slower and rates lower in runs
--- a/internal/lab/experiment/report.go
+++ b/internal/mesh/lab/experiment/report.go
@@ -13,7 +13,7 @@
 	"sync"
 	"text/tabwriter"
 
-	"github.com/landingmast/landingmast/internal/lab/emulator"
+	"github.com/landingmast/landingmast/internal/mesh/lab/emulator"
 	"gonum.org/v1/plot"
 	"gonum.org/v1/plot/plotter"
 	"gonum.org/v1/plot/vg"
--- a/internal/lab/faults/faults.go
+++ b/internal/mesh/lab/faults/faults.go
@@ -12,12 +12,12 @@
 	"time"
 
 	"github.com/landingmast/landingmast/internal/failure"
-	"github.com/landingmast/landingmast/internal/lab/check"
-	"github.com/landingmast/landingmast/internal/lab/cluster"
-	"github.com/landingmast/landingmast/internal/lab/load"
-	"github.com/landingmast/landingmast/internal/lab/standin"
 	"github.com/landingmast/landingmast/internal/mesh/adminapi"
 	"github.com/landingmast/landingmast/internal/mesh/core/bundle"
+	"github.com/landingmast/landingmast/internal/mesh/lab/check"
+	"github.com/landingmast/landingmast/internal/mesh/lab/cluster"
+	"github.com/landingmast/landingmast/internal/mesh/lab/load"
+	"github.com/landingmast/landingmast/internal/mesh/lab/standin"
 )
 
 // Kind names a fault.
--- a/internal/lab/faults/judge.go
+++ b/internal/mesh/lab/faults/judge.go
@@ -8,9 +8,9 @@
 	"time"
 
 	"github.com/anishathalye/porcupine"
-	"github.com/landingmast/landingmast/internal/lab/check"
-	"github.com/landingmast/landingmast/internal/lab/load"
 	"github.com/landingmast/landingmast/internal/mesh/adminapi"
+	"github.com/landingmast/landingmast/internal/mesh/lab/check"
+	"github.com/landingmast/landingmast/internal/mesh/lab/load"
 )
 
 const (
--- a/internal/lab/load/load.go
+++ b/internal/mesh/lab/load/load.go
@@ -15,8 +15,8 @@
 	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
-	"github.com/landingmast/landingmast/internal/lab/deployment"
-	"github.com/landingmast/landingmast/internal/lab/standin"
+	"github.com/landingmast/landingmast/internal/mesh/lab/deployment"
+	"github.com/landingmast/landingmast/internal/mesh/lab/standin"
 )
 
 // Answer is what one sending of a request came to, as its caller saw it.
--- a/internal/lab/scaffold/scaffold.go
+++ b/internal/mesh/lab/scaffold/scaffold.go
@@ -11,9 +11,9 @@
 	"strings"
 	"time"
 
-	"github.com/landingmast/landingmast/internal/lab/deployment"
 	"github.com/landingmast/landingmast/internal/mesh/config"
 	"github.com/landingmast/landingmast/internal/mesh/core/bundle"
+	"github.com/landingmast/landingmast/internal/mesh/lab/deployment"
 	"go.yaml.in/yaml/v3"
 )
 
--- a/internal/lab/scaffold/scaffold_test.go
+++ b/internal/mesh/lab/scaffold/scaffold_test.go
@@ -5,9 +5,9 @@
 	"path/filepath"
 	"testing"
 
-	"github.com/landingmast/landingmast/internal/lab/deployment"
 	"github.com/landingmast/landingmast/internal/mesh/config"
 	"github.com/landingmast/landingmast/internal/mesh/core/bundle"
+	"github.com/landingmast/landingmast/internal/mesh/lab/deployment"
 	. "github.com/onsi/gomega"
 )
 
@@ -17,7 +17,7 @@
 		files, err := Examples(d)
 		g.Expect(err).NotTo(HaveOccurred())
 		for path, data := range files {
-			committed, err := os.ReadFile(filepath.Join("..", "..", "..", "examples", path))
+			committed, err := os.ReadFile(filepath.Join("..", "..", "..", "..", "examples", path))
 			g.Expect(err).NotTo(HaveOccurred(), "remedy: make examples")
 			g.Expect(string(committed)).To(Equal(string(data)), path+": remedy: make examples")
 			if filepath.Base(path) == "bundle.yaml" {
--- a/internal/lab/standin/backend.go
+++ b/internal/mesh/lab/standin/backend.go
@@ -16,7 +16,7 @@
 	"time"
 
 	"github.com/cespare/xxhash/v2"
-	"github.com/landingmast/landingmast/internal/lab/deployment"
+	"github.com/landingmast/landingmast/internal/mesh/lab/deployment"
 )
 
 // Headers between stand-in back ends and callers.
--- a/internal/mesh/node/mesh_test.go
+++ b/internal/mesh/node/mesh_test.go
@@ -16,10 +16,10 @@
 	"testing"
 	"time"
 
-	"github.com/landingmast/landingmast/internal/lab/standin"
 	"github.com/landingmast/landingmast/internal/mesh/adminapi"
 	"github.com/landingmast/landingmast/internal/mesh/config"
 	"github.com/landingmast/landingmast/internal/mesh/core/bundle"
+	"github.com/landingmast/landingmast/internal/mesh/lab/standin"
 	"github.com/landingmast/landingmast/internal/mesh/node"
 	"github.com/landingmast/landingmast/internal/mesh/platform"
 	"github.com/landingmast/landingmast/internal/mesh/roll"
--- a/internal/mesh/node/node_test.go
+++ b/internal/mesh/node/node_test.go
@@ -14,9 +14,9 @@
 	"time"
 
 	"github.com/landingmast/landingmast/internal/failure"
-	"github.com/landingmast/landingmast/internal/lab/standin"
 	"github.com/landingmast/landingmast/internal/mesh/control"
 	"github.com/landingmast/landingmast/internal/mesh/core/bundle"
+	"github.com/landingmast/landingmast/internal/mesh/lab/standin"
 	"github.com/landingmast/landingmast/internal/mesh/platform"
 	"github.com/landingmast/landingmast/internal/mesh/roll"
 	"github.com/landingmast/landingmast/internal/mesh/security"
--- a/internal/mesh/platform/consul_test.go
+++ b/internal/mesh/platform/consul_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"github.com/landingmast/landingmast/internal/failure"
-	"github.com/landingmast/landingmast/internal/lab/standin"
+	"github.com/landingmast/landingmast/internal/mesh/lab/standin"
 	"github.com/landingmast/landingmast/internal/mesh/platform"
 	. "github.com/onsi/gomega"
 )
--- a/internal/reference/reference.go
+++ b/internal/reference/reference.go
@@ -27,7 +27,7 @@
 	{"Settings of a node", "One file for each `landingmastd`, named with `--settings`; `--log-level` goes before it, `--check` only checks. Unknown keys, values without their unit, unusable addresses and double names are refused at start with the key and the remedy (exit code 2). Complete files: examples/.", "internal/mesh/config/settings.go", "Settings"},
 	{"Settings of a sidecar node", "One file for each `landingmastd sidecar`; on the users' platform it is filled from deploy/settings.yaml. Checked like the settings above at start, and again when the file changes, with SIGHUP or without: a changed file that is refused is logged and the one before stays in force. `node`, `zone`, `listen`, `store` and `first_start` count at a start only. See docs/SIDECAR.md.", "internal/sidecar/settings/settings.go", "Settings"},
 	{"Bundle", "The operators' intent; one file for a mesh. Spans are written with their unit, e.g. `250ms`. `landingmast bundle check` checks one.", "internal/mesh/core/bundle/bundle.go", "Bundle"},
-	{"Experiment", "Read by `landingmast-lab experiments` and `emulate`; files in experiments/.", "internal/lab/experiment/experiment.go", "Experiment"},
+	{"Experiment", "Read by `landingmast-lab experiments` and `emulate`; files in experiments/.", "internal/mesh/lab/experiment/experiment.go", "Experiment"},
 }
 
 // Page gives the text of docs/CONFIGURATION.md for the tree at root.
