--- a/internal/wire/wire.go
+++ b/internal/codec/codec.go
@@ -1,9 +1,10 @@
-// Package wire holds the messages between landingmastd processes and their Avro
-// codec. Every message begins with the fingerprint of the schema that it was
-// written with, so that processes of two versions run side by side: a reader
-// that knows the writer's schema resolves it into its own, and fields that are
-// new have defaults. docs/PROTOCOL.md lists the messages.
-package wire
+// Package codec writes and reads the Avro messages between landingmastd processes;
+// the messages themselves stand in internal/wire (sidecar) and internal/mesh/wire.
+// Every message begins with the fingerprint of the schema that it was written with,
+// so that processes of two versions run side by side: a reader that knows the
+// writer's schema resolves it into its own, and fields that are new have defaults.
+// It owns no state; codecs are made once, at the start, and are safe for concurrent use.
+package codec
 
 import (
 	"encoding/base64"
@@ -14,8 +15,8 @@
 	"github.com/landingmast/landingmast/internal/failure"
 )
 
-// ProtocolVersion is the version of the node protocol that this program speaks.
-const ProtocolVersion = 1
+// MaxHeader bounds the messages that travel in headers, in bytes.
+const MaxHeader = 8 << 10
 
 // fingerprintBytes precede every message.
 const fingerprintBytes = 8
@@ -28,10 +29,10 @@
 	maximum     int
 }
 
-// NewCodec makes the codec of a message with its current schema and the older
+// New makes the codec of a message with its current schema and the older
 // ones that are still understood. maximum bounds a message, in bytes. A schema
 // that cannot be parsed is a fault of the program.
-func NewCodec[Message any](maximum int, current string, older ...string) *Codec[Message] {
+func New[Message any](maximum int, current string, older ...string) *Codec[Message] {
 	schema := avro.MustParse(current)
 	codec := &Codec[Message]{schema: schema, fingerprint: xxhash.Sum64String(schema.String()), maximum: maximum}
 	codec.readers = map[uint64]avro.Schema{codec.fingerprint: schema}
--- a/internal/mesh/claims/manager.go
+++ b/internal/mesh/claims/manager.go
@@ -18,7 +18,7 @@
 	"github.com/landingmast/landingmast/internal/mesh/explain"
 	"github.com/landingmast/landingmast/internal/mesh/platform"
 	"github.com/landingmast/landingmast/internal/mesh/telemetry"
-	"github.com/landingmast/landingmast/internal/wire"
+	"github.com/landingmast/landingmast/internal/mesh/wire"
 	"github.com/sirupsen/logrus"
 )
 
--- a/internal/mesh/claims/reconfigure.go
+++ b/internal/mesh/claims/reconfigure.go
@@ -13,7 +13,7 @@
 	"github.com/landingmast/landingmast/internal/mesh/core/bundle"
 	"github.com/landingmast/landingmast/internal/mesh/core/claim"
 	"github.com/landingmast/landingmast/internal/mesh/platform"
-	"github.com/landingmast/landingmast/internal/wire"
+	"github.com/landingmast/landingmast/internal/mesh/wire"
 )
 
 // Run keeps the voter set of the service in step with its nodes until ctx ends.
--- a/internal/mesh/control/control.go
+++ b/internal/mesh/control/control.go
@@ -10,11 +10,13 @@
 	"strings"
 	"time"
 
+	"github.com/landingmast/landingmast/internal/codec"
+
 	"github.com/landingmast/landingmast/internal/failure"
 	"github.com/landingmast/landingmast/internal/mesh/core/bundle"
 	"github.com/landingmast/landingmast/internal/mesh/core/claim"
 	"github.com/landingmast/landingmast/internal/mesh/telemetry"
-	"github.com/landingmast/landingmast/internal/wire"
+	"github.com/landingmast/landingmast/internal/mesh/wire"
 )
 
 // Paths of the messages.
@@ -69,7 +71,7 @@
 }
 
 // serve makes the handler of one message: decode, handle, encode.
-func serve[Request, Reply any](metrics *telemetry.Metrics, path string, in *wire.Codec[Request], out *wire.Codec[Reply], handle func(*Request) (*Reply, error)) http.Handler {
+func serve[Request, Reply any](metrics *telemetry.Metrics, path string, in *codec.Codec[Request], out *codec.Codec[Reply], handle func(*Request) (*Reply, error)) http.Handler {
 	name := strings.TrimPrefix(path, prefix)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
@@ -120,7 +122,7 @@
 	return &Client{transport: transport, metrics: metrics}
 }
 
-func send[Request, Reply any](ctx context.Context, c *Client, address, path string, in *wire.Codec[Request], out *wire.Codec[Reply], message *Request) (*Reply, error) {
+func send[Request, Reply any](ctx context.Context, c *Client, address, path string, in *codec.Codec[Request], out *codec.Codec[Reply], message *Request) (*Reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, slowTimeout)
 	defer cancel()
 	data, err := in.Encode(message)
--- a/internal/mesh/dataplane/attempt.go
+++ b/internal/mesh/dataplane/attempt.go
@@ -14,7 +14,7 @@
 	"github.com/landingmast/landingmast/internal/mesh/core/outcome"
 	"github.com/landingmast/landingmast/internal/mesh/core/retry"
 	"github.com/landingmast/landingmast/internal/mesh/core/routing"
-	"github.com/landingmast/landingmast/internal/wire"
+	"github.com/landingmast/landingmast/internal/mesh/wire"
 )
 
 // attempt is one try to have a call served by one target's node.
--- a/internal/mesh/dataplane/headers.go
+++ b/internal/mesh/dataplane/headers.go
@@ -5,7 +5,7 @@
 	"net/http"
 	"strings"
 
-	"github.com/landingmast/landingmast/internal/wire"
+	"github.com/landingmast/landingmast/internal/mesh/wire"
 )
 
 // hopByHop are the headers that belong to one connection (RFC 9110, 7.6.1).
--- a/internal/mesh/dataplane/ingress.go
+++ b/internal/mesh/dataplane/ingress.go
@@ -16,7 +16,7 @@
 	"github.com/landingmast/landingmast/internal/mesh/core/limiter"
 	"github.com/landingmast/landingmast/internal/mesh/core/outcome"
 	"github.com/landingmast/landingmast/internal/mesh/explain"
-	"github.com/landingmast/landingmast/internal/wire"
+	"github.com/landingmast/landingmast/internal/mesh/wire"
 )
 
 // ingressCall is a call from another node to the target beside this one.
--- a/internal/mesh/dataplane/outbound.go
+++ b/internal/mesh/dataplane/outbound.go
@@ -15,7 +15,7 @@
 	"github.com/landingmast/landingmast/internal/mesh/core/retry"
 	"github.com/landingmast/landingmast/internal/mesh/core/routing"
 	"github.com/landingmast/landingmast/internal/mesh/explain"
-	"github.com/landingmast/landingmast/internal/wire"
+	"github.com/landingmast/landingmast/internal/mesh/wire"
 )
 
 // outboundCall is a call on its way out: from an outside caller or from the
--- a/internal/mesh/dataplane/plane.go
+++ b/internal/mesh/dataplane/plane.go
@@ -18,7 +18,7 @@
 	"github.com/landingmast/landingmast/internal/mesh/core/outcome"
 	"github.com/landingmast/landingmast/internal/mesh/explain"
 	"github.com/landingmast/landingmast/internal/mesh/telemetry"
-	"github.com/landingmast/landingmast/internal/wire"
+	"github.com/landingmast/landingmast/internal/mesh/wire"
 )
 
 // Side is the part that the node plays in a call.
--- a/internal/mesh/dataplane/refusal.go
+++ b/internal/mesh/dataplane/refusal.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"github.com/landingmast/landingmast/internal/mesh/core/outcome"
-	"github.com/landingmast/landingmast/internal/wire"
+	"github.com/landingmast/landingmast/internal/mesh/wire"
 )
 
 // refusal is a final answer that is not the target's own.
--- a/internal/mesh/node/node_test.go
+++ b/internal/mesh/node/node_test.go
@@ -21,7 +21,7 @@
 	"github.com/landingmast/landingmast/internal/mesh/roll"
 	"github.com/landingmast/landingmast/internal/mesh/security"
 	"github.com/landingmast/landingmast/internal/mesh/telemetry"
-	"github.com/landingmast/landingmast/internal/wire"
+	"github.com/landingmast/landingmast/internal/mesh/wire"
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 )
--- a/internal/mesh/node/peer.go
+++ b/internal/mesh/node/peer.go
@@ -8,7 +8,7 @@
 	"github.com/landingmast/landingmast/internal/failure"
 	"github.com/landingmast/landingmast/internal/mesh/core/bundle"
 	"github.com/landingmast/landingmast/internal/mesh/core/claim"
-	"github.com/landingmast/landingmast/internal/wire"
+	"github.com/landingmast/landingmast/internal/mesh/wire"
 	"github.com/sirupsen/logrus"
 )
 
--- a/internal/mesh/node/spread.go
+++ b/internal/mesh/node/spread.go
@@ -11,7 +11,7 @@
 	"github.com/landingmast/landingmast/internal/mesh/core/bundle"
 	"github.com/landingmast/landingmast/internal/mesh/core/dissemination"
 	"github.com/landingmast/landingmast/internal/mesh/platform"
-	"github.com/landingmast/landingmast/internal/wire"
+	"github.com/landingmast/landingmast/internal/mesh/wire"
 )
 
 // machineList is what is known of the platform's machine list.
--- a/internal/wire/call.go
+++ b/internal/mesh/wire/call.go
@@ -1,5 +1,13 @@
+// Package wire holds the messages between nodes of the mesh mode: those that travel
+// with a call and those of control (bundles, claims, machines). docs/PROTOCOL.md
+// lists them.
 package wire
 
+import "github.com/landingmast/landingmast/internal/codec"
+
+// ProtocolVersion is the version of the node protocol that this program speaks.
+const ProtocolVersion = 1
+
 // Names of the headers between nodes. Callers cannot set them: entries and
 // egress ports strip every header with the prefix.
 const (
@@ -75,12 +83,9 @@
 {"name":"digest","type":"long"},{"name":"broken","type":"boolean","default":false}]}`
 )
 
-// maxHeaderMessage bounds the messages that travel in headers, in bytes.
-const maxHeaderMessage = 8 << 10
-
 // Codecs of the messages that travel with calls.
 var (
-	CallCodec   = NewCodec[Call](maxHeaderMessage, callSchema)
-	ResultCodec = NewCodec[Result](maxHeaderMessage, resultSchema)
-	EndCodec    = NewCodec[End](maxHeaderMessage, endSchema)
+	CallCodec   = codec.New[Call](codec.MaxHeader, callSchema)
+	ResultCodec = codec.New[Result](codec.MaxHeader, resultSchema)
+	EndCodec    = codec.New[End](codec.MaxHeader, endSchema)
 )
--- a/internal/wire/control.go
+++ b/internal/mesh/wire/control.go
@@ -1,6 +1,7 @@
 package wire
 
 import (
+	"github.com/landingmast/landingmast/internal/codec"
 	"github.com/landingmast/landingmast/internal/mesh/core/bundle"
 	"github.com/landingmast/landingmast/internal/mesh/core/claim"
 )
@@ -113,16 +114,16 @@
 
 // Codecs of the control messages.
 var (
-	TellCodec      = NewCodec[Tell](maxSmallMessage, tellSchema)
-	FetchCodec     = NewCodec[Fetch](maxSmallMessage, fetchSchema)
-	MachinesCodec  = NewCodec[Machines](maxLargeMessage, machinesSchema)
-	QueryCodec     = NewCodec[Query](maxSmallMessage, querySchema)
-	JSONCodec      = NewCodec[JSON](maxLargeMessage, jsonSchema)
-	ReleaseCodec   = NewCodec[bundle.Release](maxLargeMessage, releaseSchema)
-	VoteCodec      = NewCodec[Vote](maxSmallMessage, voteSchema)
-	ReplyCodec     = NewCodec[claim.Reply](maxSmallMessage, replySchema)
-	SealCodec      = NewCodec[SealRequest](maxSmallMessage, sealSchema)
-	SealReplyCodec = NewCodec[SealReply](maxLargeMessage, sealReplySchema)
-	InstallCodec   = NewCodec[InstallRequest](maxLargeMessage, installSchema)
-	NoticeCodec    = NewCodec[VoterSetNotice](maxLargeMessage, noticeSchema)
+	TellCodec      = codec.New[Tell](maxSmallMessage, tellSchema)
+	FetchCodec     = codec.New[Fetch](maxSmallMessage, fetchSchema)
+	MachinesCodec  = codec.New[Machines](maxLargeMessage, machinesSchema)
+	QueryCodec     = codec.New[Query](maxSmallMessage, querySchema)
+	JSONCodec      = codec.New[JSON](maxLargeMessage, jsonSchema)
+	ReleaseCodec   = codec.New[bundle.Release](maxLargeMessage, releaseSchema)
+	VoteCodec      = codec.New[Vote](maxSmallMessage, voteSchema)
+	ReplyCodec     = codec.New[claim.Reply](maxSmallMessage, replySchema)
+	SealCodec      = codec.New[SealRequest](maxSmallMessage, sealSchema)
+	SealReplyCodec = codec.New[SealReply](maxLargeMessage, sealReplySchema)
+	InstallCodec   = codec.New[InstallRequest](maxLargeMessage, installSchema)
+	NoticeCodec    = codec.New[VoterSetNotice](maxLargeMessage, noticeSchema)
 )
--- a/internal/wire/wire_test.go
+++ b/internal/mesh/wire/wire_test.go
@@ -3,6 +3,8 @@
 import (
 	"testing"
 
+	"github.com/landingmast/landingmast/internal/codec"
+
 	"github.com/landingmast/landingmast/internal/mesh/core/bundle"
 	"github.com/landingmast/landingmast/internal/mesh/core/claim"
 	. "github.com/onsi/gomega"
@@ -30,8 +32,8 @@
 func TestOlderWriterIsRead(t *testing.T) {
 	g := NewWithT(t)
 	older := `{"type":"record","name":"Query","fields":[]}`
-	reader := NewCodec[Query](100, querySchema, older)
-	writer := NewCodec[struct{}](100, older)
+	reader := codec.New[Query](100, querySchema, older)
+	writer := codec.New[struct{}](100, older)
 	data, err := writer.Encode(&struct{}{})
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(reader.Decode(data)).To(Equal(&Query{}))
@@ -55,9 +57,5 @@
 		_, _ = ReleaseCodec.Decode(data)
 		_, _ = VoteCodec.Decode(data)
 		_, _ = InstallCodec.Decode(data)
-		_, _ = NewsCodec.Decode(data)
-		_, _ = WaitsCodec.Decode(data)
-		_, _ = PongCodec.Decode(data)
-		_, _ = CrashesCodec.Decode(data)
 	})
 }
--- a/internal/sidecar/exchange_test.go
+++ b/internal/sidecar/exchange_test.go
@@ -11,6 +11,8 @@
 	"sync/atomic"
 	"testing"
 
+	"github.com/landingmast/landingmast/internal/codec"
+
 	"github.com/landingmast/landingmast/internal/wire"
 	. "github.com/onsi/gomega"
 )
@@ -90,7 +92,7 @@
 	g := NewWithT(t)
 	here, _, _ := countedNode(t, "here")
 	fill(here, 0, 10)
-	old := wire.NewCodec[wire.Exchange](4<<20, wire.ExchangeSchema1)
+	old := codec.New[wire.Exchange](4<<20, wire.ExchangeSchema1)
 	var told *wire.Exchange
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		data, _ := io.ReadAll(r.Body)
--- a/internal/wire/crashes.go
+++ b/internal/wire/crashes.go
@@ -1,6 +1,10 @@
 package wire
 
-import "github.com/landingmast/landingmast/internal/core/crashes"
+import (
+	"github.com/landingmast/landingmast/internal/core/crashes"
+
+	"github.com/landingmast/landingmast/internal/codec"
+)
 
 // CrashEvidence is that a target ended while it ran a request.
 type CrashEvidence struct {
@@ -34,7 +38,7 @@
 {"name":"cleared","type":"boolean"},{"name":"alone","type":"boolean","default":false}]}},"default":[]},{"name":"asks","type":"boolean","default":false}]}`
 
 // CrashesCodec writes and reads Crashes.
-var CrashesCodec = NewCodec[Crashes](maxExchange, crashesSchema)
+var CrashesCodec = codec.New[Crashes](maxExchange, crashesSchema)
 
 // CrashForms writes evidence in the form of messages.
 func CrashForms(evidence []crashes.Evidence) []CrashEvidence {
--- a/internal/wire/sidecar.go
+++ b/internal/wire/sidecar.go
@@ -1,6 +1,13 @@
+// Package wire holds the messages between sidecar nodes and what they keep in the
+// store. The names on the wire stay as they are: nodes of the release before read them.
+// docs/PROTOCOL.md lists the messages.
 package wire
 
-import "time"
+import (
+	"time"
+
+	"github.com/landingmast/landingmast/internal/codec"
+)
 
 // Names of the headers between sidecar nodes.
 const (
@@ -288,15 +295,15 @@
 
 // Codecs of the messages between sidecar nodes.
 var (
-	SidecarCallCodec   = NewCodec[SidecarCall](maxHeaderMessage, sidecarCallSchema)
-	SidecarResultCodec = NewCodec[SidecarResult](maxHeaderMessage, sidecarResultSchema)
-	ExchangeCodec      = NewCodec[Exchange](maxExchange, exchangeSchema, ExchangeSchema1, ExchangeSchema2)
-	NewsCodec          = NewCodec[News](maxExchange, newsSchema)
-	WaitsCodec         = NewCodec[Waits](maxHeaderMessage, waitsSchema)
-	PongCodec          = NewCodec[Pong](maxHeaderMessage, pongSchema)
-	NodeRecordCodec    = NewCodec[NodeRecord](maxHeaderMessage, nodeRecordSchema)
-	FreshnessCodec     = NewCodec[Freshness](maxExchange, freshnessSchema)
-	KeeperRecordCodec  = NewCodec[KeeperRecord](maxExchange, keeperRecordSchema)
-	QuotaAskCodec      = NewCodec[QuotaAsk](maxExchange, quotaAskSchema)
-	QuotaAnswerCodec   = NewCodec[QuotaAnswer](maxExchange, quotaAnswerSchema)
+	SidecarCallCodec   = codec.New[SidecarCall](codec.MaxHeader, sidecarCallSchema)
+	SidecarResultCodec = codec.New[SidecarResult](codec.MaxHeader, sidecarResultSchema)
+	ExchangeCodec      = codec.New[Exchange](maxExchange, exchangeSchema, ExchangeSchema1, ExchangeSchema2)
+	NewsCodec          = codec.New[News](maxExchange, newsSchema)
+	WaitsCodec         = codec.New[Waits](codec.MaxHeader, waitsSchema)
+	PongCodec          = codec.New[Pong](codec.MaxHeader, pongSchema)
+	NodeRecordCodec    = codec.New[NodeRecord](codec.MaxHeader, nodeRecordSchema)
+	FreshnessCodec     = codec.New[Freshness](maxExchange, freshnessSchema)
+	KeeperRecordCodec  = codec.New[KeeperRecord](maxExchange, keeperRecordSchema)
+	QuotaAskCodec      = codec.New[QuotaAsk](maxExchange, quotaAskSchema)
+	QuotaAnswerCodec   = codec.New[QuotaAnswer](maxExchange, quotaAnswerSchema)
 )
--- a/internal/wire/sidecar_test.go
+++ b/internal/wire/sidecar_test.go
@@ -4,6 +4,8 @@
 	"testing"
 	"time"
 
+	"github.com/landingmast/landingmast/internal/codec"
+
 	. "github.com/onsi/gomega"
 )
 
@@ -33,7 +35,7 @@
 	for _, tc := range []struct{ name, schema string }{{"all records at once", ExchangeSchema1}, {"without its sender", ExchangeSchema2}} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
-			data, err := NewCodec[Exchange](maxExchange, tc.schema).Encode(&Exchange{Digest: 4, Version: 2, From: "lost"})
+			data, err := codec.New[Exchange](maxExchange, tc.schema).Encode(&Exchange{Digest: 4, Version: 2, From: "lost"})
 			g.Expect(err).NotTo(HaveOccurred())
 			read, err := ExchangeCodec.Decode(data)
 			g.Expect(err).NotTo(HaveOccurred())
@@ -53,3 +55,17 @@
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(read.Below[0].Wait).To(BeZero())
 }
+
+func FuzzDecodeMessages(f *testing.F) {
+	for _, seed := range [][]byte{nil, {1, 2, 3}, []byte("0123456789abcdef")} {
+		f.Add(seed)
+	}
+	data, _ := NewsCodec.Encode(&News{From: "10.1.0.2:8003"})
+	f.Add(data)
+	f.Fuzz(func(t *testing.T, data []byte) {
+		_, _ = NewsCodec.Decode(data)
+		_, _ = WaitsCodec.Decode(data)
+		_, _ = PongCodec.Decode(data)
+		_, _ = CrashesCodec.Decode(data)
+	})
+}
