--- a/internal/mesh/config/settings.go
+++ b/internal/mesh/config/settings.go
@@ -12,6 +12,8 @@
 	"strings"
 	"time"
 
+	"github.com/landingmast/landingmast/internal/units"
+
 	"github.com/landingmast/landingmast/internal/failure"
 	"github.com/landingmast/landingmast/internal/mesh/core/bundle"
 	"go.yaml.in/yaml/v3"
@@ -67,7 +69,7 @@
 	// Address of the key-value service, IP:port; empty runs without it.
 	Address string `yaml:"address"`
 	// Timeout of one request; default 1s.
-	Timeout bundle.Duration `yaml:"timeout"`
+	Timeout units.Duration `yaml:"timeout"`
 }
 
 // TLS names the PEM files for mutual TLS between nodes. They are read again
@@ -133,7 +135,7 @@
 		s.Target.Connections = DefaultConnections
 	}
 	if s.Platform.Timeout == 0 {
-		s.Platform.Timeout = bundle.Duration(DefaultPlatformTimeout)
+		s.Platform.Timeout = units.Duration(DefaultPlatformTimeout)
 	}
 	if s.Log.Level == "" {
 		s.Log.Level = "info"
--- a/internal/mesh/core/bundle/bundle.go
+++ b/internal/mesh/core/bundle/bundle.go
@@ -5,7 +5,8 @@
 
 import (
 	"strings"
-	"time"
+
+	"github.com/landingmast/landingmast/internal/units"
 )
 
 // Execution says how often a request of a class may run.
@@ -29,9 +30,6 @@
 	Leaving TargetState = "leaving"
 )
 
-// Duration is a time span that must be written with its unit, e.g. 250ms.
-type Duration time.Duration
-
 // Bundle is the whole intent of one mesh at one version.
 type Bundle struct {
 	// Mesh names the mesh; nodes take bundles of their own mesh only.
@@ -105,7 +103,7 @@
 	// Retries bounds the retries of one user request over the whole chain.
 	Retries int `yaml:"retries" json:"retries"`
 	// Deadline bounds the whole request, e.g. 2s.
-	Deadline Duration `yaml:"deadline" json:"deadline"`
+	Deadline units.Duration `yaml:"deadline" json:"deadline"`
 }
 
 // DefaultKeyHeader is the header that carries the key unless a class says otherwise.
--- a/internal/mesh/core/bundle/parse.go
+++ b/internal/mesh/core/bundle/parse.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"encoding/json"
 	"net/netip"
 	"strings"
 	"time"
@@ -175,33 +174,3 @@
 	}
 	return nil
 }
-
-// UnmarshalYAML reads a span with its unit; a bare number is refused.
-func (d *Duration) UnmarshalYAML(value *yaml.Node) error {
-	span, err := time.ParseDuration(value.Value)
-	if err != nil {
-		return failure.New(failure.BadInput, "write a number with its unit, e.g. 250ms or 2s", "line %d: %q is no time span", value.Line, value.Value)
-	}
-	*d = Duration(span)
-	return nil
-}
-
-// MarshalYAML writes the span with its unit.
-func (d Duration) MarshalYAML() (any, error) { return time.Duration(d).String(), nil }
-
-// MarshalJSON writes the span with its unit.
-func (d Duration) MarshalJSON() ([]byte, error) { return json.Marshal(time.Duration(d).String()) }
-
-// UnmarshalJSON reads a span with its unit.
-func (d *Duration) UnmarshalJSON(data []byte) error {
-	var text string
-	if err := json.Unmarshal(data, &text); err != nil {
-		return failure.Wrap(err, failure.BadInput, "write a string such as \"2s\"", "time span cannot be read")
-	}
-	span, err := time.ParseDuration(text)
-	if err != nil {
-		return failure.Wrap(err, failure.BadInput, "write a number with its unit, e.g. 250ms", "time span cannot be read")
-	}
-	*d = Duration(span)
-	return nil
-}
--- a/internal/mesh/lab/cluster/cluster.go
+++ b/internal/mesh/lab/cluster/cluster.go
@@ -16,6 +16,8 @@
 	"syscall"
 	"time"
 
+	"github.com/landingmast/landingmast/internal/units"
+
 	"github.com/landingmast/landingmast/internal/mesh/config"
 	"github.com/landingmast/landingmast/internal/mesh/core/bundle"
 	"github.com/landingmast/landingmast/internal/mesh/lab/deployment"
@@ -169,7 +171,7 @@
 	settings := &config.Settings{
 		Node: process.Name, Mesh: c.Deployment.Mesh, Zone: node.Zone,
 		Listen:   config.Listen{Callers: process.Callers, Peers: process.Peers, Admin: process.Admin},
-		Platform: config.Platform{Address: c.PlatformAddr, Timeout: bundle.Duration(500 * time.Millisecond)},
+		Platform: config.Platform{Address: c.PlatformAddr, Timeout: units.Duration(500 * time.Millisecond)},
 		TLS:      config.TLS{Certificate: c.path(process.Name + ".crt"), Key: c.path(process.Name + ".key"), Authorities: c.path("authority.pem")},
 		Signers:  []config.Signer{{Name: c.SignerName, PublicKey: base64.StdEncoding.EncodeToString(public)}},
 		Log:      config.Log{Level: "info", Format: "json"},
--- a/internal/mesh/lab/deployment/meshes.go
+++ b/internal/mesh/lab/deployment/meshes.go
@@ -3,6 +3,8 @@
 import (
 	"time"
 
+	"github.com/landingmast/landingmast/internal/units"
+
 	"github.com/landingmast/landingmast/internal/mesh/core/bundle"
 )
 
@@ -14,7 +16,7 @@
 func class(name, service, method, path, importance string, execution bundle.Execution, retries int, deadline time.Duration) bundle.Class {
 	made := bundle.Class{
 		Name: name, Service: service, Method: method, Path: path, Importance: importance, Execution: execution, Retries: retries,
-		Deadline: bundle.Duration(deadline),
+		Deadline: units.Duration(deadline),
 	}
 	if execution == bundle.AtMostOnce {
 		made.KeyHeader = bundle.DefaultKeyHeader
--- a/internal/mesh/lab/experiment/experiment.go
+++ b/internal/mesh/lab/experiment/experiment.go
@@ -10,8 +10,9 @@
 	"sort"
 	"time"
 
+	"github.com/landingmast/landingmast/internal/units"
+
 	"github.com/landingmast/landingmast/internal/failure"
-	"github.com/landingmast/landingmast/internal/mesh/core/bundle"
 	"github.com/landingmast/landingmast/internal/mesh/lab/deployment"
 	"go.yaml.in/yaml/v3"
 )
@@ -27,13 +28,13 @@
 	// Seeds of the runs; each is one run of every variant.
 	Seeds []uint64 `yaml:"seeds"`
 	// Length of the traffic.
-	Length bundle.Duration `yaml:"length"`
+	Length units.Duration `yaml:"length"`
 	// Load is the rate of new user requests as a share of the capacity.
 	Load float64 `yaml:"load"`
 	// Resend is how often a caller sends a failed request again.
 	Resend int `yaml:"resend"`
 	// Backoff is a caller's pause before that.
-	Backoff bundle.Duration `yaml:"backoff"`
+	Backoff units.Duration `yaml:"backoff"`
 	// Mix replaces shares of the deployment's mix, by class.
 	Mix map[string]float64 `yaml:"mix"`
 	// Events are what happens meanwhile.
@@ -46,8 +47,8 @@
 	// rolling_restart or restart.
 	Kind string `yaml:"kind"`
 	// Begin and end of the event, from the begin of the run.
-	At    bundle.Duration `yaml:"at"`
-	Until bundle.Duration `yaml:"until"`
+	At    units.Duration `yaml:"at"`
+	Until units.Duration `yaml:"until"`
 	// Where it happens; what does not apply is left out.
 	Service string `yaml:"service"`
 	Target  string `yaml:"target"`
@@ -55,8 +56,8 @@
 	// Factor of a slowdown or surge; share of requests reset.
 	Factor float64 `yaml:"factor"`
 	// Resend and Backoff of the callers meanwhile.
-	Resend  int             `yaml:"resend"`
-	Backoff bundle.Duration `yaml:"backoff"`
+	Resend  int            `yaml:"resend"`
+	Backoff units.Duration `yaml:"backoff"`
 	// Mix of the traffic meanwhile, by class.
 	Mix map[string]float64 `yaml:"mix"`
 }
--- a/internal/mesh/lab/experiment/experiment_test.go
+++ b/internal/mesh/lab/experiment/experiment_test.go
@@ -6,8 +6,9 @@
 	"testing"
 	"time"
 
+	"github.com/landingmast/landingmast/internal/units"
+
 	"github.com/landingmast/landingmast/internal/failure"
-	"github.com/landingmast/landingmast/internal/mesh/core/bundle"
 	"github.com/landingmast/landingmast/internal/mesh/lab/emulator"
 	. "github.com/onsi/gomega"
 )
@@ -32,7 +33,7 @@
 // shorter cuts an experiment down for the quick tests.
 func shorter(e *Experiment, length time.Duration) *Experiment {
 	short := *e
-	short.Length = bundle.Duration(length)
+	short.Length = units.Duration(length)
 	return &short
 }
 
--- a/internal/mesh/lab/faults/faults.go
+++ b/internal/mesh/lab/faults/faults.go
@@ -11,9 +11,10 @@
 	"syscall"
 	"time"
 
+	"github.com/landingmast/landingmast/internal/units"
+
 	"github.com/landingmast/landingmast/internal/failure"
 	"github.com/landingmast/landingmast/internal/mesh/adminapi"
-	"github.com/landingmast/landingmast/internal/mesh/core/bundle"
 	"github.com/landingmast/landingmast/internal/mesh/lab/check"
 	"github.com/landingmast/landingmast/internal/mesh/lab/cluster"
 	"github.com/landingmast/landingmast/internal/mesh/lab/load"
@@ -244,7 +245,7 @@
 	for operator := range 2 {
 		go func() {
 			wanted := i.cluster.Bundle(version)
-			wanted.Classes[operator].Deadline += bundle.Duration(time.Millisecond * time.Duration(version))
+			wanted.Classes[operator].Deadline += units.Duration(time.Millisecond * time.Duration(version))
 			_, err := i.cluster.Roll(ctx, wanted)
 			outcomes <- outcome{err}
 		}()
--- a/internal/mesh/lab/scaffold/scaffold.go
+++ b/internal/mesh/lab/scaffold/scaffold.go
@@ -11,6 +11,8 @@
 	"strings"
 	"time"
 
+	"github.com/landingmast/landingmast/internal/units"
+
 	"github.com/landingmast/landingmast/internal/mesh/config"
 	"github.com/landingmast/landingmast/internal/mesh/core/bundle"
 	"github.com/landingmast/landingmast/internal/mesh/lab/deployment"
@@ -91,7 +93,7 @@
 	settings := &config.Settings{
 		Node: node.Name, Mesh: d.Mesh, Zone: node.Zone,
 		Listen:   config.Listen{Peers: l.peers(node.Name), Admin: l.address(node.Name, 1)},
-		Platform: config.Platform{Address: "127.0.0.1:8500", Timeout: bundle.Duration(time.Second)},
+		Platform: config.Platform{Address: "127.0.0.1:8500", Timeout: units.Duration(time.Second)},
 		TLS:      config.TLS{Certificate: "keys/" + node.Name + ".crt", Key: "keys/" + node.Name + ".key", Authorities: "keys/authority.crt"},
 		Signers:  []config.Signer{{Name: "operator-1", PublicKey: examplePublicKey()}},
 		Log:      config.Log{Level: "info", Format: "json"},
--- a/internal/mesh/node/mesh_test.go
+++ b/internal/mesh/node/mesh_test.go
@@ -16,6 +16,8 @@
 	"testing"
 	"time"
 
+	"github.com/landingmast/landingmast/internal/units"
+
 	"github.com/landingmast/landingmast/internal/mesh/adminapi"
 	"github.com/landingmast/landingmast/internal/mesh/config"
 	"github.com/landingmast/landingmast/internal/mesh/core/bundle"
@@ -84,9 +86,9 @@
 	m.bundle = &bundle.Bundle{Mesh: "test", Version: 1, Levels: []string{"critical", "normal", "bulk"}, MaxDepth: 8, UserHeader: "X-User", Services: []bundle.Service{
 		{Name: "front", Shed: &bundle.ShedSignal{Status: 503, Header: "X-Shed"}}, {Name: "back"},
 	}, Classes: []bundle.Class{
-		{Name: "once", Service: "front", Method: "POST", Path: "/once", Importance: "critical", Execution: bundle.AtMostOnce, KeyHeader: bundle.DefaultKeyHeader, Retries: 2, Deadline: bundle.Duration(5 * time.Second)},
-		{Name: "read", Service: "front", Path: "/", Importance: "normal", Execution: bundle.Repeatable, Retries: 2, Deadline: bundle.Duration(5 * time.Second)},
-		{Name: "lookup", Service: "back", Path: "/", Importance: "bulk", Execution: bundle.Repeatable, Retries: 2, Deadline: bundle.Duration(5 * time.Second)},
+		{Name: "once", Service: "front", Method: "POST", Path: "/once", Importance: "critical", Execution: bundle.AtMostOnce, KeyHeader: bundle.DefaultKeyHeader, Retries: 2, Deadline: units.Duration(5 * time.Second)},
+		{Name: "read", Service: "front", Path: "/", Importance: "normal", Execution: bundle.Repeatable, Retries: 2, Deadline: units.Duration(5 * time.Second)},
+		{Name: "lookup", Service: "back", Path: "/", Importance: "bulk", Execution: bundle.Repeatable, Retries: 2, Deadline: units.Duration(5 * time.Second)},
 	}}
 	front := func(w http.ResponseWriter, r *http.Request) { m.front(w, r) }
 	back := func(w http.ResponseWriter, r *http.Request) { m.back(w, r) }
@@ -134,7 +136,7 @@
 		Expect(os.WriteFile(m.path(name+".key"), pair.Key, 0o600)).To(Succeed())
 		settings.TLS = config.TLS{Certificate: m.path(name + ".crt"), Key: m.path(name + ".key"), Authorities: m.path("authority.pem")}
 		settings.Signers = []config.Signer{{Name: "op", PublicKey: base64.StdEncoding.EncodeToString(m.public)}}
-		settings.Platform = config.Platform{Address: m.storeAddr, Timeout: bundle.Duration(time.Second)}
+		settings.Platform = config.Platform{Address: m.storeAddr, Timeout: units.Duration(time.Second)}
 		for other, peer := range m.settings {
 			if other != name {
 				settings.Peers = append(settings.Peers, peer.Listen.Peers)
--- a/internal/sidecar/settings/settings.go
+++ b/internal/sidecar/settings/settings.go
@@ -9,8 +9,9 @@
 	"strings"
 	"time"
 
+	"github.com/landingmast/landingmast/internal/units"
+
 	"github.com/landingmast/landingmast/internal/failure"
-	"github.com/landingmast/landingmast/internal/mesh/core/bundle"
 	"go.yaml.in/yaml/v3"
 )
 
@@ -67,7 +68,7 @@
 	// Address of the service, IP:port; empty: no store.
 	Address string `yaml:"address"`
 	// Lease is how long the record of a silent node lasts; default 30s.
-	Lease bundle.Duration `yaml:"lease"`
+	Lease units.Duration `yaml:"lease"`
 	// ReadsPerSecond is how many reading calls all nodes together may make; 0: not known.
 	ReadsPerSecond float64 `yaml:"reads_per_second"`
 }
@@ -75,9 +76,9 @@
 // Bounds are times that the operators promise.
 type Bounds struct {
 	// Drain is how long after the acknowledgement a leaving target may get new work; default 2s.
-	Drain bundle.Duration `yaml:"drain"`
+	Drain units.Duration `yaml:"drain"`
 	// Grace is the time between SIGTERM and SIGKILL; default 6s.
-	Grace bundle.Duration `yaml:"grace"`
+	Grace units.Duration `yaml:"grace"`
 }
 
 // Retries bounds repeated requests over all nodes.
@@ -87,7 +88,7 @@
 	// Allowance is the number of repeats in a window besides; default 50.
 	Allowance float64 `yaml:"allowance"`
 	// Window is the sliding window; default 10s.
-	Window bundle.Duration `yaml:"window"`
+	Window units.Duration `yaml:"window"`
 }
 
 // Keys bounds how long a key counts that was taken away.
@@ -95,7 +96,7 @@
 	// FailClosed has requests with keys refused while the node cannot prove that its configuration is fresh; default false.
 	FailClosed bool `yaml:"fail_closed"`
 	// Revoke is the age from which a configuration is not fresh; default 5s.
-	Revoke bundle.Duration `yaml:"revoke"`
+	Revoke units.Duration `yaml:"revoke"`
 }
 
 // Bound gives the age from which a configuration is too old to believe a key; 0: none.
@@ -110,7 +111,7 @@
 // (rate x window + burst) x (1 + overshoot) + slack run.
 type Quotas struct {
 	// Window is the sliding window; default 5s.
-	Window bundle.Duration `yaml:"window"`
+	Window units.Duration `yaml:"window"`
 	// Overshoot is the share beyond a limit that is borne; default 0.1.
 	Overshoot float64 `yaml:"overshoot"`
 	// Slack is the number of requests beyond it that is borne; default 20.
@@ -164,9 +165,9 @@
 	return settings, settings.Validate()
 }
 
-func orDefault(value *bundle.Duration, otherwise time.Duration) {
+func orDefault(value *units.Duration, otherwise time.Duration) {
 	if *value == 0 {
-		*value = bundle.Duration(otherwise)
+		*value = units.Duration(otherwise)
 	}
 }
 
@@ -231,7 +232,7 @@
 func (s *Settings) validateNumbers() error {
 	for _, span := range []struct {
 		key   string
-		value bundle.Duration
+		value units.Duration
 	}{
 		{"store.lease", s.Store.Lease},
 		{"bounds.drain", s.Bounds.Drain},
