--- a/platform/standin/crash_test.go
+++ b/internal/testbed/fleet/crash_test.go
@@ -1,4 +1,4 @@
-package standin
+package fleet
 
 import (
 	"math/rand/v2"
--- a/platform/standin/soak_test.go
+++ b/internal/testbed/fleet/soak_test.go
@@ -1,4 +1,4 @@
-package standin
+package fleet
 
 import (
 	"context"
@@ -36,7 +36,7 @@
 // connections, requests that end their targets. Clients keep using open connections.
 func TestSoak(t *testing.T) {
 	daemon := filepath.Join(t.TempDir(), "landingmastd")
-	if output, err := exec.Command("go", "build", "-o", daemon, "../../cmd/landingmastd").CombinedOutput(); err != nil {
+	if output, err := exec.Command("go", "build", "-o", daemon, "../../../cmd/landingmastd").CombinedOutput(); err != nil {
 		t.Fatalf("landingmastd cannot be built: %v\n%s", err, output)
 	}
 	for run := range *soakRuns {
--- a/platform/standin/soakrun_test.go
+++ b/internal/testbed/fleet/soakrun_test.go
@@ -1,4 +1,4 @@
-package standin
+package fleet
 
 import (
 	"bufio"
--- a/platform/standin/store_test.go
+++ b/internal/testbed/fleet/store_test.go
@@ -1,7 +1,7 @@
-// Package standin holds stand-ins of the users' platform for tests: its metadata
+// Package fleet plays whole fleets of sidecar nodes. It holds stand-ins of the users' platform for tests: its metadata
 // store, targets, clients, and a judge of what they saw. They are written from the
 // users' pages and speak over any net.Listener.
-package standin
+package fleet
 
 import (
 	"encoding/base64"
