--- a/internal/sidecar/answer.go
+++ b/internal/sidecar/answer.go
@@ -8,6 +8,8 @@
 	"strconv"
 	"time"
 
+	"github.com/landingmast/landingmast/internal/core/outcome"
+
 	"github.com/landingmast/landingmast/internal/wire"
 )
 
@@ -23,7 +25,7 @@
 		header.Set("Content-Length", strconv.Itoa(len(given.body)))
 		x.writer.WriteHeader(given.status)
 		_, _ = x.writer.Write(given.body)
-		x.ended(given.status, reasonNone, 0)
+		x.ended(given.status, outcome.ReasonNone, 0)
 		return
 	}
 	if given.length >= 0 {
@@ -31,10 +33,10 @@
 	}
 	x.writer.WriteHeader(given.status)
 	if _, err := io.Copy(x.writer, given.stream); err != nil {
-		x.ended(0, reasonLost, 0)
+		x.ended(0, outcome.ReasonLost, 0)
 		panic(http.ErrAbortHandler)
 	}
-	x.ended(given.status, reasonNone, 0)
+	x.ended(given.status, outcome.ReasonNone, 0)
 }
 
 // Times after which a refused sender may come back.
@@ -52,7 +54,7 @@
 		x.parent.add([]wire.Need{{Service: x.service, Calls: 1, Occupancy: -1, Wait: x.hold}})
 	}
 	if x.request.Context().Err() != nil {
-		x.ended(0, reasonCancelled, 0)
+		x.ended(0, outcome.ReasonCancelled, 0)
 		panic(http.ErrAbortHandler)
 	}
 	switch {
@@ -60,7 +62,7 @@
 		x.node.quotas.giveBack(x.holder)
 		x.refuse(http.StatusServiceUnavailable, last.reason, comeBackAfter(last.reason))
 	case ctx.Err() != nil || x.left(ctx) <= 0:
-		x.refuse(http.StatusGatewayTimeout, reasonTimeout, 0)
+		x.refuse(http.StatusGatewayTimeout, outcome.ReasonTimeout, 0)
 	default:
 		x.refuse(http.StatusBadGateway, last.reason, 0)
 	}
@@ -68,8 +70,8 @@
 
 // comeBackAfter is when the sender of a request that was not run may come back; 0: it is not
 // invited to.
-func comeBackAfter(reason Reason) time.Duration {
-	if reason == reasonEndsTargets {
+func comeBackAfter(reason outcome.Reason) time.Duration {
+	if reason == outcome.ReasonEndsTargets {
 		return 0
 	}
 	return jittered(overloadRetryAfter)
@@ -80,7 +82,7 @@
 }
 
 // refuse writes an answer of the node's own.
-func (x *exchange) refuse(status int, reason Reason, retryAfter time.Duration) {
+func (x *exchange) refuse(status int, reason outcome.Reason, retryAfter time.Duration) {
 	header := x.writer.Header()
 	if x.id != "" {
 		header.Set(x.node.options.Headers.RequestID, x.id)
--- a/internal/sidecar/egress.go
+++ b/internal/sidecar/egress.go
@@ -7,6 +7,8 @@
 	"strings"
 	"time"
 
+	"github.com/landingmast/landingmast/internal/core/outcome"
+
 	"github.com/juju/errors"
 	"github.com/landingmast/landingmast/internal/core/intent"
 	"github.com/landingmast/landingmast/internal/sidecar/eventlog"
@@ -74,18 +76,18 @@
 	x.intent = e.node.intent.Load()
 	switch {
 	case refused && !isCall:
-		x.refuse(http.StatusServiceUnavailable, reasonStopping, unreadyRetryAfter)
+		x.refuse(http.StatusServiceUnavailable, outcome.ReasonStopping, unreadyRetryAfter)
 		return
 	case x.intent == nil:
-		x.refuse(http.StatusServiceUnavailable, reasonNoIntent, unreadyRetryAfter)
+		x.refuse(http.StatusServiceUnavailable, outcome.ReasonNoIntent, unreadyRetryAfter)
 		return
 	case x.id == "":
-		x.refuse(http.StatusBadRequest, reasonBadMessage, 0)
+		x.refuse(http.StatusBadRequest, outcome.ReasonBadMessage, 0)
 		return
 	}
 	x.route = x.intent.Match(r.Host, pathOf(r))
 	if x.route == nil {
-		x.refuse(http.StatusNotFound, reasonNoRoute, 0)
+		x.refuse(http.StatusNotFound, outcome.ReasonNoRoute, 0)
 		return
 	}
 	x.hold = x.holdTime()
@@ -151,10 +153,10 @@
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
-		x.refuse(http.StatusRequestEntityTooLarge, reasonBodyTooLarge, 0)
+		x.refuse(http.StatusRequestEntityTooLarge, outcome.ReasonBodyTooLarge, 0)
 		return
 	case err != nil:
-		x.refuse(http.StatusRequestTimeout, reasonCancelled, 0)
+		x.refuse(http.StatusRequestTimeout, outcome.ReasonCancelled, 0)
 		return
 	}
 	x.body = body
@@ -164,7 +166,7 @@
 	}
 	verdict := x.heldBack()
 	if verdict.refused {
-		x.refuse(http.StatusServiceUnavailable, reasonEndsTargets, 0)
+		x.refuse(http.StatusServiceUnavailable, outcome.ReasonEndsTargets, 0)
 		return
 	}
 	if x.trial = verdict.trial != nil; x.trial {
@@ -177,7 +179,7 @@
 	x.granted = x.node.countRequest(x.route, x.service, x.grantedAbove())
 	if !x.admitted() {
 		x.node.quotas.giveBack(x.holder)
-		x.refuse(http.StatusServiceUnavailable, reasonSheds, comeBack(x.clientTime()))
+		x.refuse(http.StatusServiceUnavailable, outcome.ReasonSheds, comeBack(x.clientTime()))
 		return
 	}
 	if x.parent == nil {
@@ -258,7 +260,7 @@
 	if x.parent != nil {
 		x.parent.add(needs)
 	}
-	x.node.overload.learn(x.route, needs, answer.outcome == Answered && answer.status < http.StatusBadRequest)
+	x.node.overload.learn(x.route, needs, answer.outcome == outcome.Answered && answer.status < http.StatusBadRequest)
 }
 
 // callSeparator stands between the id of a request and the part of its own that a call
--- a/internal/sidecar/ended.go
+++ b/internal/sidecar/ended.go
@@ -7,6 +7,8 @@
 	"syscall"
 	"time"
 
+	"github.com/landingmast/landingmast/internal/core/outcome"
+
 	"github.com/juju/errors"
 	"github.com/landingmast/landingmast/internal/core/crashes"
 	"github.com/landingmast/landingmast/internal/sidecar/eventlog"
@@ -167,14 +169,14 @@
 
 // lost sorts a run whose connection broke: the target may have ended, or have lost this one
 // answer.
-func (i *ingress) lost(gate *gate, one *arrival) Reason {
+func (i *ingress) lost(gate *gate, one *arrival) outcome.Reason {
 	now := i.node.now()
 	gate.endings.add(now, one.unanswered(now+lostKeep))
 	if !gate.endings.ask(gate.links.Listens) {
-		return reasonLost
+		return outcome.ReasonLost
 	}
 	i.targetEnded(gate)
-	return reasonTargetEnded
+	return outcome.ReasonTargetEnded
 }
 
 // senderLeft keeps a run whose sender no longer waits: the target may still be at it.
--- a/internal/sidecar/headers.go
+++ b/internal/sidecar/headers.go
@@ -9,6 +9,8 @@
 	"net/http"
 	"strings"
 
+	"github.com/landingmast/landingmast/internal/core/outcome"
+
 	"github.com/landingmast/landingmast/internal/wire"
 )
 
@@ -76,7 +78,7 @@
 // restore gives an answer the id of its request, which the node that asked knows. A node
 // of the release before sends it.
 func (h Headers) restore(answer *reply, call *wire.SidecarCall) {
-	if h.RequestID != "" && answer.outcome == Answered && answer.header.Get(h.RequestID) == "" {
+	if h.RequestID != "" && answer.outcome == outcome.Answered && answer.header.Get(h.RequestID) == "" {
 		answer.header.Set(h.RequestID, call.RequestID)
 	}
 }
--- a/internal/sidecar/headers_test.go
+++ b/internal/sidecar/headers_test.go
@@ -4,6 +4,8 @@
 	"net/http"
 	"testing"
 
+	"github.com/landingmast/landingmast/internal/core/outcome"
+
 	"github.com/landingmast/landingmast/internal/wire"
 	. "github.com/onsi/gomega"
 )
@@ -25,9 +27,9 @@
 		answer *reply
 		want   []string
 	}{
-		{"left out", &reply{outcome: Answered, header: http.Header{}}, []string{"a.1"}},
-		{"sent by the release before", &reply{outcome: Answered, header: http.Header{"X-Id": {"a.1"}}}, []string{"a.1"}},
-		{"no answer", &reply{outcome: NotRun, header: http.Header{}}, nil},
+		{"left out", &reply{outcome: outcome.Answered, header: http.Header{}}, []string{"a.1"}},
+		{"sent by the release before", &reply{outcome: outcome.Answered, header: http.Header{"X-Id": {"a.1"}}}, []string{"a.1"}},
+		{"no answer", &reply{outcome: outcome.NotRun, header: http.Header{}}, nil},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
@@ -40,7 +42,7 @@
 // A reply that may run once is kept for a sender that asks again, with all its headers.
 func TestReplyWithoutAHeaderLeavesTheKeptOneAsItIs(t *testing.T) {
 	g := NewWithT(t)
-	kept := &reply{outcome: Answered, header: http.Header{"X-Id": {"a"}, "X-Other": {"b"}}}
+	kept := &reply{outcome: outcome.Answered, header: http.Header{"X-Id": {"a"}, "X-Other": {"b"}}}
 	g.Expect(kept.without("X-Id").header).To(Equal(http.Header{"X-Other": {"b"}}))
 	g.Expect(kept.header).To(HaveKey("X-Id"))
 	g.Expect(kept.without("X-None")).To(BeIdenticalTo(kept))
--- a/internal/sidecar/identity.go
+++ b/internal/sidecar/identity.go
@@ -4,6 +4,8 @@
 	"net/http"
 	"strings"
 
+	"github.com/landingmast/landingmast/internal/core/outcome"
+
 	"github.com/landingmast/landingmast/internal/sidecar/settings"
 )
 
@@ -51,7 +53,7 @@
 		return x.identifyWithoutKey()
 	}
 	if !x.fresh {
-		x.refuse(http.StatusServiceUnavailable, reasonStale, unreadyRetryAfter)
+		x.refuse(http.StatusServiceUnavailable, outcome.ReasonStale, unreadyRetryAfter)
 		return false
 	}
 	x.holder = x.intent.Holder(key)
@@ -86,7 +88,7 @@
 	case !x.intent.NeedsKey(x.route):
 		return true
 	case strings.Contains(x.id, callSeparator):
-		x.refuse(http.StatusServiceUnavailable, reasonOrphan, unreadyRetryAfter)
+		x.refuse(http.StatusServiceUnavailable, outcome.ReasonOrphan, unreadyRetryAfter)
 	default:
 		x.refuseKey()
 	}
@@ -95,5 +97,5 @@
 
 func (x *exchange) refuseKey() {
 	x.writer.Header().Set("WWW-Authenticate", x.node.options.Headers.KeyScheme)
-	x.refuse(http.StatusUnauthorized, reasonUnknownKey, 0)
+	x.refuse(http.StatusUnauthorized, outcome.ReasonUnknownKey, 0)
 }
--- a/internal/sidecar/ingress.go
+++ b/internal/sidecar/ingress.go
@@ -9,6 +9,8 @@
 	"sync"
 	"time"
 
+	"github.com/landingmast/landingmast/internal/core/outcome"
+
 	"github.com/landingmast/landingmast/internal/core/slots"
 	"github.com/landingmast/landingmast/internal/wire"
 )
@@ -105,12 +107,12 @@
 	end, refused := i.node.begin(w, i.node.planned.leaving.Load(), &i.node.planned.closed)
 	defer end()
 	if refused {
-		i.write(w, notRun(reasonStopping))
+		i.write(w, notRun(outcome.ReasonStopping))
 		return
 	}
 	call, err := wire.SidecarCallCodec.DecodeHeader(r.Header.Get(wire.HeaderSidecarCall))
 	if err != nil {
-		i.write(w, notRun(reasonBadMessage))
+		i.write(w, notRun(outcome.ReasonBadMessage))
 		return
 	}
 	call.Granted = grantedBy(r.Header)
@@ -121,7 +123,7 @@
 	defer cancel()
 	body, err := receive(r)
 	if err != nil {
-		i.write(w, notRun(reasonCancelled))
+		i.write(w, notRun(outcome.ReasonCancelled))
 		return
 	}
 	answer := i.serve(ctx, call, endToEnd(r.Header), body)
@@ -192,7 +194,7 @@
 func (i *ingress) serve(ctx context.Context, call *wire.SidecarCall, header http.Header, body *payload) *reply {
 	switch {
 	case call.Incarnation != "" && call.Incarnation != i.node.incarnation:
-		return notRun(reasonIncarnation)
+		return notRun(outcome.ReasonIncarnation)
 	case call.Repeatable || call.Key == "":
 		return i.admit(ctx, call, header, body, nil)
 	default:
@@ -232,18 +234,18 @@
 	gate, call := i.node.target.current(), one.call
 	switch {
 	case gate == nil:
-		return notRun(reasonNoTarget)
+		return notRun(outcome.ReasonNoTarget)
 	case gate.service != call.Service:
-		return notRun(reasonWrongService)
+		return notRun(outcome.ReasonWrongService)
 	}
 	one.instance = gate.instance
 	held := i.node.heldBack
 	switch {
 	case !held.maySend(&one.printed):
-		return notRun(reasonEndsTargets)
+		return notRun(outcome.ReasonEndsTargets)
 	case held.suspected(&one.printed):
 		if !gate.endings.alone(ctx) {
-			return notRun(reasonSuspectWaits)
+			return notRun(outcome.ReasonSuspectWaits)
 		}
 		if one.alone = held.suspected(&one.printed); one.alone {
 			defer gate.endings.notAlone()
@@ -259,13 +261,13 @@
 	case !decision.Send && ctx.Err() != nil:
 		answer = notRun(endOf(ctx))
 	case !decision.Send:
-		answer = notRun(Reason(decision.Reason))
+		answer = notRun(outcome.Reason(decision.Reason))
 	case maySend != nil && !maySend():
 		gate.leave(id, false)
-		answer = notRun(reasonFenced)
+		answer = notRun(outcome.ReasonFenced)
 	case !held.maySend(&one.printed): // by what was heard while it waited
 		gate.leave(id, false)
-		answer = notRun(reasonEndsTargets)
+		answer = notRun(outcome.ReasonEndsTargets)
 	default:
 		answer = i.run(ctx, gate, id, one, header)
 	}
@@ -281,10 +283,10 @@
 	i.running.add(call.RequestID, request)
 	answer := i.exchange(ctx, gate, one, header)
 	i.running.remove(call.RequestID, request)
-	learn := answer.outcome == Answered
+	learn := answer.outcome == outcome.Answered
 	if answer.stream == nil {
 		gate.leave(id, learn)
-		if answer.outcome == Answered {
+		if answer.outcome == outcome.Answered {
 			i.node.heldBack.endedWell(&one.printed)
 		}
 	} else {
--- a/internal/sidecar/ingress_test.go
+++ b/internal/sidecar/ingress_test.go
@@ -6,6 +6,8 @@
 	"testing/synctest"
 	"time"
 
+	"github.com/landingmast/landingmast/internal/core/outcome"
+
 	. "github.com/onsi/gomega"
 )
 
@@ -17,12 +19,12 @@
 	for _, tc := range []struct {
 		name  string
 		close time.Duration // when the sender closes
-		want  Reason
+		want  outcome.Reason
 	}{
-		{"gives up early", whole / 2, reasonCancelled},
-		{"gives up shortly before", whole - 2*closeMargin, reasonCancelled},
-		{"closes as its time is up", whole - time.Millisecond, reasonTimeout},
-		{"stays", 2 * whole, reasonTimeout},
+		{"gives up early", whole / 2, outcome.ReasonCancelled},
+		{"gives up shortly before", whole - 2*closeMargin, outcome.ReasonCancelled},
+		{"closes as its time is up", whole - time.Millisecond, outcome.ReasonTimeout},
+		{"stays", 2 * whole, outcome.ReasonTimeout},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/sidecar/judge.go
+++ b/internal/sidecar/judge.go
@@ -7,6 +7,8 @@
 	"strconv"
 	"time"
 
+	"github.com/landingmast/landingmast/internal/core/outcome"
+
 	"github.com/juju/errors"
 	"github.com/landingmast/landingmast/internal/sidecar/targetlink"
 )
@@ -16,7 +18,7 @@
 	names, call, body := i.node.options.Headers, one.call, one.body
 	remaining := one.left(ctx, i.node.now()).Milliseconds()
 	if remaining < 1 {
-		return notRun(reasonTimeout)
+		return notRun(outcome.ReasonTimeout)
 	}
 	header.Set(names.RequestID, call.RequestID)
 	header.Set(names.Deadline, strconv.FormatInt(remaining, 10))
@@ -39,12 +41,12 @@
 	switch {
 	case errors.Is(err, targetlink.ErrNotSent):
 		i.unreachable(gate, err)
-		return notRun(reasonUnreachable)
+		return notRun(outcome.ReasonUnreachable)
 	case ctx.Err() != nil:
 		i.senderLeft(gate, one)
 		return unknown(endOf(ctx))
 	case errors.Is(err, targetlink.ErrSpoiled):
-		return unknown(reasonSpoiled)
+		return unknown(outcome.ReasonSpoiled)
 	default:
 		return unknown(i.lost(gate, one))
 	}
@@ -53,12 +55,12 @@
 // endOf tells the end of a request's time from the end of its sender's interest.
 // The sender counts the same time and may close its connection a little before the
 // time is up here.
-func endOf(ctx context.Context) Reason {
+func endOf(ctx context.Context) outcome.Reason {
 	deadline, bounded := ctx.Deadline()
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) || bounded && time.Until(deadline) < closeMargin {
-		return reasonTimeout
+		return outcome.ReasonTimeout
 	}
-	return reasonCancelled
+	return outcome.ReasonCancelled
 }
 
 // closeMargin is how long before the end of a request's time a close of its
@@ -71,10 +73,10 @@
 	if answer.Status == http.StatusMisdirectedRequest || answer.Header.Get(names.NotRun) != "" {
 		_, _ = io.Copy(io.Discard, io.LimitReader(answer.Body, keepBytes))
 		_ = answer.Body.Close()
-		declined := notRun(reasonTargetShed)
+		declined := notRun(outcome.ReasonTargetShed)
 		declined.arrived = true
 		if answer.Status == http.StatusMisdirectedRequest {
-			declined.reason = reasonMisdirected
+			declined.reason = outcome.ReasonMisdirected
 			if other := answer.Header.Get(names.Instance); other != "" && other != gate.instance {
 				i.node.target.replaced(gate.instance)
 			}
@@ -83,7 +85,7 @@
 	}
 	if answer.Header.Get(names.Signature) == "" && answer.Status < http.StatusBadRequest || answer.Header.Get("Content-Encoding") != "" {
 		_ = answer.Body.Close()
-		return unknown(reasonSpoiled)
+		return unknown(outcome.ReasonSpoiled)
 	}
 	data, rest, err := readWhole(answer.Body, answer.Length)
 	if err != nil {
@@ -93,7 +95,7 @@
 		}
 		return unknown(i.lost(gate, one))
 	}
-	given := &reply{outcome: Answered, reason: reasonNone, arrived: true, status: answer.Status, header: endToEnd(answer.Header), body: data, length: answer.Length}
+	given := &reply{outcome: outcome.Answered, reason: outcome.ReasonNone, arrived: true, status: answer.Status, header: endToEnd(answer.Header), body: data, length: answer.Length}
 	if rest == nil {
 		_ = answer.Body.Close()
 		return given
--- a/internal/sidecar/limits.go
+++ b/internal/sidecar/limits.go
@@ -3,6 +3,8 @@
 import (
 	"net/http"
 
+	"github.com/landingmast/landingmast/internal/core/outcome"
+
 	"github.com/landingmast/landingmast/internal/core/intent"
 )
 
@@ -13,14 +15,14 @@
 // refusedBySize gives the status with which a request is refused that is larger
 // than the operators allow; 0 when it is not. A body that does not tell its length
 // is bounded while it is read.
-func refusedBySize(r *http.Request, limits intent.Limits) (status int, reason Reason) {
+func refusedBySize(r *http.Request, limits intent.Limits) (status int, reason outcome.Reason) {
 	switch {
 	case limits.MaxBodyBytes > 0 && r.ContentLength > limits.MaxBodyBytes:
-		return http.StatusRequestEntityTooLarge, reasonBodyTooLarge
+		return http.StatusRequestEntityTooLarge, outcome.ReasonBodyTooLarge
 	case limits.MaxHeaderBytes > 0 && headSize(r) > limits.MaxHeaderBytes+headerSlack:
-		return http.StatusRequestHeaderFieldsTooLarge, reasonHeadTooLarge
+		return http.StatusRequestHeaderFieldsTooLarge, outcome.ReasonHeadTooLarge
 	}
-	return 0, reasonNone
+	return 0, outcome.ReasonNone
 }
 
 // headSize is the size of a request's line and header fields, in bytes.
--- a/internal/sidecar/observe.go
+++ b/internal/sidecar/observe.go
@@ -7,6 +7,8 @@
 	"sync"
 	"time"
 
+	"github.com/landingmast/landingmast/internal/core/outcome"
+
 	"github.com/juju/errors"
 	"github.com/landingmast/landingmast/internal/sidecar/eventlog"
 	"github.com/landingmast/landingmast/internal/sidecar/metrics"
@@ -159,7 +161,7 @@
 }
 
 // ended notes the end of a request that began here.
-func (x *exchange) ended(status int, reason Reason, retryAfter time.Duration) {
+func (x *exchange) ended(status int, reason outcome.Reason, retryAfter time.Duration) {
 	x.status = status
 	took := x.node.now() - x.started
 	outcome := outcomeOf(status, reason)
@@ -191,11 +193,11 @@
 	x.node.events.Add(event, weight)
 }
 
-func outcomeOf(status int, reason Reason) string {
+func outcomeOf(status int, reason outcome.Reason) string {
 	switch {
 	case status == 0:
 		return "left"
-	case reason != reasonNone && (status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests):
+	case reason != outcome.ReasonNone && (status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests):
 		return "refused"
 	case status >= http.StatusBadRequest:
 		return "failed"
@@ -212,7 +214,7 @@
 		i.node.metrics.Held.Observe((took - waited).Seconds())
 	}
 	weight := eventlog.Success
-	if answer.outcome != Answered || answer.status >= http.StatusInternalServerError {
+	if answer.outcome != outcome.Answered || answer.status >= http.StatusInternalServerError {
 		weight = eventlog.Failure
 	}
 	if !i.node.events.Wants(eventlog.Run{}.Kind(), weight) {
--- a/internal/sidecar/once.go
+++ b/internal/sidecar/once.go
@@ -6,6 +6,8 @@
 	"sync"
 	"time"
 
+	"github.com/landingmast/landingmast/internal/core/outcome"
+
 	"github.com/landingmast/landingmast/internal/core/fence"
 	"github.com/landingmast/landingmast/internal/sidecar/eventlog"
 	"github.com/landingmast/landingmast/internal/wire"
@@ -55,7 +57,7 @@
 	run := &onceRun{done: make(chan struct{}), asked: make(chan struct{}), cancel: cancel}
 	if !o.arrive(call.Key, run) {
 		cancel()
-		return notRun(reasonFenced)
+		return notRun(outcome.ReasonFenced)
 	}
 	go o.run(detached, call, header, body, run)
 	select {
@@ -70,7 +72,7 @@
 // serveStream runs a request whose body cannot be kept: its end is the sender's.
 func (o *onceGate) serveStream(ctx context.Context, call *wire.SidecarCall, header http.Header, body *payload) *reply {
 	if !o.arrive(call.Key, nil) {
-		return notRun(reasonFenced)
+		return notRun(outcome.ReasonFenced)
 	}
 	return o.ingress.admit(ctx, call, header, body, func() bool { return o.send(call.Key) })
 }
@@ -147,15 +149,15 @@
 	o.mutex.Unlock()
 	switch {
 	case state == fence.Fenced:
-		return notRun(reasonFenced)
+		return notRun(outcome.ReasonFenced)
 	case run == nil:
-		return unknown(reasonLost)
+		return unknown(outcome.ReasonLost)
 	}
 	run.once.Do(func() { close(run.asked) })
 	select {
 	case <-run.done:
 		if run.reply.stream != nil {
-			return unknown(reasonLost) // it was read by the connection that broke
+			return unknown(outcome.ReasonLost) // it was read by the connection that broke
 		}
 		return run.reply
 	case <-ctx.Done():
@@ -167,11 +169,11 @@
 func (o *onceGate) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	call, err := wire.SidecarCallCodec.DecodeHeader(r.Header.Get(wire.HeaderSidecarCall))
 	if err != nil {
-		o.ingress.write(w, unknown(reasonBadMessage))
+		o.ingress.write(w, unknown(outcome.ReasonBadMessage))
 		return
 	}
 	if call.Incarnation != o.ingress.node.incarnation {
-		o.ingress.write(w, unknown(reasonIncarnation))
+		o.ingress.write(w, unknown(outcome.ReasonIncarnation))
 		return
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), time.Duration(call.Remaining)*time.Microsecond)
--- a/internal/sidecar/peers.go
+++ b/internal/sidecar/peers.go
@@ -12,6 +12,8 @@
 	"sync/atomic"
 	"time"
 
+	"github.com/landingmast/landingmast/internal/core/outcome"
+
 	"github.com/landingmast/landingmast/internal/failure"
 	"github.com/landingmast/landingmast/internal/wire"
 )
@@ -70,7 +72,7 @@
 func (p *peerClient) call(ctx context.Context, address string, call *wire.SidecarCall, header http.Header, body *payload) *reply {
 	head, err := wire.SidecarCallCodec.EncodeHeader(call)
 	if err != nil {
-		return notRun(reasonBadMessage)
+		return notRun(outcome.ReasonBadMessage)
 	}
 	request := (&http.Request{
 		Method: http.MethodPost, URL: &url.URL{Scheme: "http", Host: address, Path: callPath}, Host: address,
@@ -140,7 +142,7 @@
 func (p *peerClient) settle(ctx context.Context, address string, call *wire.SidecarCall) *reply {
 	head, err := wire.SidecarCallCodec.EncodeHeader(call)
 	if err != nil {
-		return unknown(reasonBadMessage)
+		return unknown(outcome.ReasonBadMessage)
 	}
 	request := &http.Request{
 		Method: http.MethodPost, URL: &url.URL{Scheme: "http", Host: address, Path: settlePath}, Host: address,
@@ -151,7 +153,7 @@
 		if ctx.Err() != nil {
 			return unknown(endOf(ctx))
 		}
-		return unknown(reasonLost)
+		return unknown(outcome.ReasonLost)
 	}
 	answer := readReply(ctx, response)
 	p.names.restore(answer, call)
@@ -164,11 +166,11 @@
 	case !connected && ctx.Err() != nil:
 		return notRun(endOf(ctx))
 	case !connected:
-		return notRun(reasonUnreachable)
+		return notRun(outcome.ReasonUnreachable)
 	case ctx.Err() != nil:
 		return unknown(endOf(ctx))
 	default:
-		return unknown(reasonLost)
+		return unknown(outcome.ReasonLost)
 	}
 }
 
@@ -177,14 +179,14 @@
 	result, err := wire.SidecarResultCodec.DecodeHeader(response.Header.Get(wire.HeaderSidecarResult))
 	if err != nil {
 		_ = response.Body.Close()
-		return unknown(reasonBadMessage)
+		return unknown(outcome.ReasonBadMessage)
 	}
 	answer := replyOf(result)
 	answer.takeWaits(response.Header.Get(wire.HeaderSidecarWaits))
 	data, rest, err := readWhole(response.Body, response.ContentLength)
 	if err != nil {
 		_ = response.Body.Close()
-		lost := unknown(reasonLost)
+		lost := unknown(outcome.ReasonLost)
 		if ctx.Err() != nil {
 			lost.reason = endOf(ctx)
 		}
--- a/internal/sidecar/quotas.go
+++ b/internal/sidecar/quotas.go
@@ -9,6 +9,8 @@
 	"sync/atomic"
 	"time"
 
+	"github.com/landingmast/landingmast/internal/core/outcome"
+
 	"github.com/landingmast/landingmast/internal/core/intent"
 	"github.com/landingmast/landingmast/internal/core/quota"
 	"github.com/landingmast/landingmast/internal/store"
@@ -117,10 +119,10 @@
 	}
 	spent, comeBack := q.refusal(x.holder, x.clientTime()/comeBackShareOfQuota)
 	if spent {
-		x.refuse(http.StatusTooManyRequests, reasonQuota, comeBack)
+		x.refuse(http.StatusTooManyRequests, outcome.ReasonQuota, comeBack)
 		return false
 	}
-	x.refuse(http.StatusServiceUnavailable, reasonNoAllowance, jittered(noAllowanceRetryAfter))
+	x.refuse(http.StatusServiceUnavailable, outcome.ReasonNoAllowance, jittered(noAllowanceRetryAfter))
 	return false
 }
 
--- a/internal/sidecar/reply.go
+++ b/internal/sidecar/reply.go
@@ -5,62 +5,16 @@
 	"net/http"
 	"time"
 
+	"github.com/landingmast/landingmast/internal/core/outcome"
+
 	"github.com/landingmast/landingmast/internal/core/slots"
 	"github.com/landingmast/landingmast/internal/wire"
 )
 
-// Outcome is how the sending of a request ended, as far as it can be proved.
-type Outcome string
-
-// The outcomes.
-const (
-	// Answered means that the target gave its whole answer.
-	Answered Outcome = "answered"
-	// NotRun means that the target did not run the request and never will.
-	NotRun Outcome = "not_run"
-	// Unknown means that the request may have run.
-	Unknown Outcome = "unknown"
-)
-
-// Reason says why a sending ended as it did; a fixed word for logs and metrics.
-type Reason string
-
-// The reasons besides those of package slots.
-const (
-	reasonNone         Reason = "none"
-	reasonNoIntent     Reason = "no_configuration"
-	reasonNoRoute      Reason = "no_route"
-	reasonNoTarget     Reason = "no_target"
-	reasonWrongService Reason = "wrong_service"  // another service's target stands there
-	reasonIncarnation  Reason = "node_restarted" // the node there is another process
-	reasonUnreachable  Reason = "unreachable"    // no connection
-	reasonTargetShed   Reason = "target_shed"    // the target declined
-	reasonMisdirected  Reason = "misdirected"    // another target has the address
-	reasonEndsTargets  Reason = "ends_targets"   // held back: targets ended that ran it
-	reasonSuspectWaits Reason = "suspect_waits"  // no target would take it alone in time
-	reasonLost         Reason = "lost"           // connection broke, answer missing
-	reasonTargetEnded  Reason = "target_ended"   // the target ended while it ran the request
-	reasonSpoiled      Reason = "spoiled"        // bytes that are no answer
-	reasonTimeout      Reason = "timeout"        // time of the request was up
-	reasonCancelled    Reason = "cancelled"      // nobody waits any more
-	reasonBadMessage   Reason = "bad_message"    // node protocol not understood
-	reasonSilent       Reason = "silent"         // the node there gives no sign of life
-	reasonSheds        Reason = "overload"       // refused where the chain starts
-	reasonFenced       Reason = "fenced"         // never sent, on the word of the gate
-	reasonStopping     Reason = "stopping"
-	reasonBodyTooLarge Reason = "body_too_large" // for the operators' limits
-	reasonHeadTooLarge Reason = "head_too_large"
-	reasonUnknownKey   Reason = "unknown_key"         // no tenant holds the key, or none came
-	reasonStale        Reason = "stale_configuration" // not confirmed lately enough to trust a key
-	reasonOrphan       Reason = "parent_gone"         // a call whose request is not at the target
-	reasonQuota        Reason = "over_quota"          // the tenant's limit over all nodes is reached
-	reasonNoAllowance  Reason = "no_allowance"        // nobody could be asked for a part of the limit
-)
-
 // reply is what became of one sending of a request.
 type reply struct {
-	outcome     Outcome
-	reason      Reason
+	outcome     outcome.Outcome
+	reason      outcome.Reason
 	arrived     bool // the request reached the target
 	status      int
 	header      http.Header
@@ -74,8 +28,11 @@
 	waited      time.Duration // for a slot of the target
 }
 
-func notRun(reason Reason) *reply  { return &reply{outcome: NotRun, reason: reason} }
-func unknown(reason Reason) *reply { return &reply{outcome: Unknown, reason: reason, arrived: true} }
+func notRun(reason outcome.Reason) *reply { return &reply{outcome: outcome.NotRun, reason: reason} }
+
+func unknown(reason outcome.Reason) *reply {
+	return &reply{outcome: outcome.Unknown, reason: reason, arrived: true}
+}
 
 // bytes is the size of the answer's body; -1: unknown.
 func (r *reply) bytes() int64 {
@@ -104,15 +61,15 @@
 // (tried and given up, docs/incidents/inc-d364.md).
 func (r *reply) wasted() bool {
 	switch r.reason {
-	case reasonLost, reasonTargetEnded, reasonSpoiled:
-		return r.outcome == Unknown
+	case outcome.ReasonLost, outcome.ReasonTargetEnded, outcome.ReasonSpoiled:
+		return r.outcome == outcome.Unknown
 	}
 	return false
 }
 
 // full tells that the gate had no room in time.
 func (r *reply) full() bool {
-	if r.reason == reasonSuspectWaits {
+	if r.reason == outcome.ReasonSuspectWaits {
 		return true
 	}
 	switch slots.Reason(r.reason) {
@@ -191,7 +148,7 @@
 // replyOf reads the head of a reply.
 func replyOf(result *wire.SidecarResult) *reply {
 	return &reply{
-		outcome: Outcome(result.Outcome), reason: Reason(result.Reason), arrived: result.Arrived, status: result.Status,
+		outcome: outcome.Outcome(result.Outcome), reason: outcome.Reason(result.Reason), arrived: result.Arrived, status: result.Status,
 		length: result.Length, incarnation: result.Incarnation, version: uint64(max(result.Version, 0)), needs: result.Below,
 		load: slots.Load{Slots: result.Slots, Running: result.Running, Waiting: result.Waiting, Hold: time.Duration(result.Hold) * time.Microsecond},
 	}
--- a/internal/sidecar/routes.go
+++ b/internal/sidecar/routes.go
@@ -5,6 +5,8 @@
 	"sync"
 	"time"
 
+	"github.com/landingmast/landingmast/internal/core/outcome"
+
 	"github.com/landingmast/landingmast/internal/core/balancer"
 	"github.com/landingmast/landingmast/internal/core/repeats"
 	"github.com/landingmast/landingmast/internal/core/slots"
@@ -127,13 +129,13 @@
 	switch {
 	case answer.wasted():
 		s.balancer.Lost(now, c.endpoint)
-	case answer.outcome == Answered:
+	case answer.outcome == outcome.Answered:
 		s.balancer.Answered(now, c.endpoint, c.class, answer.bytes(), answer.unwaited(now-c.sent))
 	}
 	switch answer.reason {
-	case reasonUnreachable, reasonSilent:
+	case outcome.ReasonUnreachable, outcome.ReasonSilent:
 		s.balancer.Suspect(now, c.endpoint)
-	case Reason(slots.ReasonDraining), reasonNoTarget, reasonWrongService, reasonStopping, reasonIncarnation, reasonMisdirected:
+	case outcome.Reason(slots.ReasonDraining), outcome.ReasonNoTarget, outcome.ReasonWrongService, outcome.ReasonStopping, outcome.ReasonIncarnation, outcome.ReasonMisdirected:
 		s.balancer.Refused(now, c.endpoint)
 	}
 }
--- a/internal/sidecar/routes_test.go
+++ b/internal/sidecar/routes_test.go
@@ -5,6 +5,8 @@
 	"testing"
 	"time"
 
+	"github.com/landingmast/landingmast/internal/core/outcome"
+
 	"github.com/landingmast/landingmast/internal/core/balancer"
 	"github.com/landingmast/landingmast/internal/core/intent"
 	"github.com/landingmast/landingmast/internal/core/overload"
@@ -128,11 +130,11 @@
 		ends *reply // of a sending to the bad target
 		left bool
 	}{
-		{"no answer in time", &reply{outcome: Unknown, reason: reasonTimeout, arrived: true, load: load}, false},
-		{"its own word that the time was up", &reply{outcome: Answered, reason: reasonNone, arrived: true, status: 504, load: load}, false},
-		{"answer lost", &reply{outcome: Unknown, reason: reasonLost, arrived: true, load: load}, true},
-		{"client left", &reply{outcome: Unknown, reason: reasonCancelled, arrived: true, load: load}, false},
-		{"whole answer", &reply{outcome: Answered, reason: reasonNone, arrived: true, status: 200, load: load}, false},
+		{"no answer in time", &reply{outcome: outcome.Unknown, reason: outcome.ReasonTimeout, arrived: true, load: load}, false},
+		{"its own word that the time was up", &reply{outcome: outcome.Answered, reason: outcome.ReasonNone, arrived: true, status: 504, load: load}, false},
+		{"answer lost", &reply{outcome: outcome.Unknown, reason: outcome.ReasonLost, arrived: true, load: load}, true},
+		{"client left", &reply{outcome: outcome.Unknown, reason: outcome.ReasonCancelled, arrived: true, load: load}, false},
+		{"whole answer", &reply{outcome: outcome.Answered, reason: outcome.ReasonNone, arrived: true, status: 200, load: load}, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
@@ -151,7 +153,7 @@
 					continue
 				}
 				const hold = 800 * time.Millisecond
-				picked.done(now+hold, &reply{outcome: Answered, reason: reasonNone, arrived: true, status: 200, load: slots.Load{Slots: 40, Running: 20, Hold: hold}})
+				picked.done(now+hold, &reply{outcome: outcome.Answered, reason: outcome.ReasonNone, arrived: true, status: 200, load: slots.Load{Slots: 40, Running: 20, Hold: hold}})
 			}
 			if tc.left {
 				g.Expect(toBad).To(BeNumerically("<", 40))
--- a/internal/sidecar/send.go
+++ b/internal/sidecar/send.go
@@ -7,6 +7,8 @@
 	"strings"
 	"time"
 
+	"github.com/landingmast/landingmast/internal/core/outcome"
+
 	"github.com/cespare/xxhash/v2"
 	"github.com/juju/errors"
 	"github.com/landingmast/landingmast/internal/core/balancer"
@@ -20,7 +22,7 @@
 func (x *exchange) send(ctx context.Context) {
 	target := x.node.services.get(x.service)
 	tried := &triedTargets{excluded: map[string]bool{}, once: !x.node.policyOn(settings.Declined)}
-	last := notRun(reasonNoTarget)
+	last := notRun(outcome.ReasonNoTarget)
 	for ctx.Err() == nil && x.left(ctx) > 0 && tried.mayGoOn() {
 		choice := target.pick(x.node.now(), x.wish(ctx, tried), tried.excluded)
 		if choice == nil {
@@ -31,7 +33,7 @@
 		last = x.attempt(ctx, choice, tried.ended > 0)
 		x.noteSend(choice, last, x.node.now()-began)
 		choice.done(x.node.now(), last)
-		if last.reason == reasonUnreachable && last.incarnation == "" && choice.node != x.node.settings().Node {
+		if last.reason == outcome.ReasonUnreachable && last.incarnation == "" && choice.node != x.node.settings().Node {
 			x.node.liveness.revive(choice.node, choice.address)
 		}
 		x.tellIfLost(choice, last)
@@ -40,10 +42,10 @@
 		if last.arrived {
 			x.arrivals++
 		}
-		if last.outcome == Unknown {
+		if last.outcome == outcome.Unknown {
 			x.mayRun = true
 		}
-		if last.outcome == Answered {
+		if last.outcome == outcome.Answered {
 			x.answer(last)
 			return
 		}
@@ -84,7 +86,7 @@
 	if answer.full() {
 		t.fulls++
 	}
-	if answer.reason == reasonTargetEnded {
+	if answer.reason == outcome.ReasonTargetEnded {
 		t.ended++
 	}
 	if !answer.arrived {
@@ -95,7 +97,7 @@
 	if !t.declined[node] {
 		t.arrived++
 	}
-	if t.once || answer.outcome != NotRun || answer.reason != reasonTargetShed {
+	if t.once || answer.outcome != outcome.NotRun || answer.reason != outcome.ReasonTargetShed {
 		t.excluded[node] = true
 		delete(t.declined, node)
 		return
@@ -118,22 +120,22 @@
 
 // again tells whether another sending may be tried after one that brought no answer.
 func (x *exchange) again(last *reply, tried *triedTargets) bool {
-	if !x.body.replayable() || last.reason == reasonEndsTargets {
+	if !x.body.replayable() || last.reason == outcome.ReasonEndsTargets {
 		return false
 	}
 	if !last.arrived {
 		return true
 	}
-	if last.outcome == Unknown && !x.route.Kind.Repeatable() {
+	if last.outcome == outcome.Unknown && !x.route.Kind.Repeatable() {
 		return false
 	}
-	if last.reason == reasonTargetEnded && (x.trial || tried.ended >= mostEnded) && x.node.policyOn(settings.HoldBack) {
+	if last.reason == outcome.ReasonTargetEnded && (x.trial || tried.ended >= mostEnded) && x.node.policyOn(settings.HoldBack) {
 		return false
 	}
 	if x.repeat || !x.node.policyOn(settings.Repeats) || tried.arrived >= x.mostTargets() && len(tried.declined) == 0 {
 		return false
 	}
-	return x.node.repeat(x.route, x.service, x.rank(), last.reason == reasonTargetShed)
+	return x.node.repeat(x.route, x.service, x.rank(), last.reason == outcome.ReasonTargetShed)
 }
 
 // mostTargets is how many targets the request may reach.
@@ -201,8 +203,8 @@
 	watched := x.node.liveness.begin(choice.node, choice.address, abandon)
 	answer := x.node.peers.call(ctx, choice.address, call, x.header, x.body)
 	watched.end(answer.incarnation != "")
-	if answer.outcome == Unknown && errors.Is(context.Cause(ctx), errSilent) {
-		answer.reason = reasonSilent
+	if answer.outcome == outcome.Unknown && errors.Is(context.Cause(ctx), errSilent) {
+		answer.reason = outcome.ReasonSilent
 	}
 	if answer.stream == nil {
 		abandon(nil)
@@ -219,13 +221,13 @@
 	defer func() { watched.end(false) }()
 	answer := x.node.peers.call(ctx, choice.address, call, x.header, x.body)
 	for range settleTries {
-		if answer.outcome != Unknown || answer.reason != reasonLost || call.Incarnation == "" || ctx.Err() != nil {
+		if answer.outcome != outcome.Unknown || answer.reason != outcome.ReasonLost || call.Incarnation == "" || ctx.Err() != nil {
 			break
 		}
 		call.Remaining = x.left(ctx).Microseconds()
 		answer = x.node.peers.settle(ctx, choice.address, call)
 	}
-	if answer.reason == reasonIncarnation {
+	if answer.reason == outcome.ReasonIncarnation {
 		x.node.membership.restarted(choice.node, answer.incarnation)
 	}
 	return answer
--- a/internal/sidecar/send_test.go
+++ b/internal/sidecar/send_test.go
@@ -3,16 +3,18 @@
 import (
 	"testing"
 
+	"github.com/landingmast/landingmast/internal/core/outcome"
+
 	. "github.com/onsi/gomega"
 )
 
 // A target that declined a request may be asked again; it counts once against the most
 // targets that the request may reach.
 func TestTriedTargets(t *testing.T) {
-	declined := &reply{outcome: NotRun, reason: reasonTargetShed, arrived: true}
-	lost := &reply{outcome: Unknown, reason: reasonLost, arrived: true}
-	unreached := &reply{outcome: NotRun, reason: reasonUnreachable}
-	full := &reply{outcome: NotRun, reason: "too_long"}
+	declined := &reply{outcome: outcome.NotRun, reason: outcome.ReasonTargetShed, arrived: true}
+	lost := &reply{outcome: outcome.Unknown, reason: outcome.ReasonLost, arrived: true}
+	unreached := &reply{outcome: outcome.NotRun, reason: outcome.ReasonUnreachable}
+	full := &reply{outcome: outcome.NotRun, reason: "too_long"}
 	type sending struct {
 		node   string
 		answer *reply
@@ -53,7 +55,7 @@
 	tried := &triedTargets{excluded: map[string]bool{}}
 	for range maxDeclines {
 		g.Expect(tried.mayGoOn()).To(BeTrue())
-		tried.add("a", &reply{outcome: NotRun, reason: reasonTargetShed, arrived: true})
+		tried.add("a", &reply{outcome: outcome.NotRun, reason: outcome.ReasonTargetShed, arrived: true})
 	}
 	g.Expect(tried.mayGoOn()).To(BeFalse())
 }
