--- a/internal/mesh/config/settings.go
+++ b/internal/mesh/config/settings.go
@@ -12,10 +12,9 @@
 	"strings"
 	"time"
 
-	"github.com/landingmast/landingmast/internal/units"
-
 	"github.com/landingmast/landingmast/internal/failure"
 	"github.com/landingmast/landingmast/internal/mesh/core/bundle"
+	"github.com/landingmast/landingmast/internal/units"
 	"go.yaml.in/yaml/v3"
 )
 
--- a/internal/mesh/control/control.go
+++ b/internal/mesh/control/control.go
@@ -11,7 +11,6 @@
 	"time"
 
 	"github.com/landingmast/landingmast/internal/codec"
-
 	"github.com/landingmast/landingmast/internal/failure"
 	"github.com/landingmast/landingmast/internal/mesh/core/bundle"
 	"github.com/landingmast/landingmast/internal/mesh/core/claim"
--- a/internal/mesh/lab/cluster/cluster.go
+++ b/internal/mesh/lab/cluster/cluster.go
@@ -16,13 +16,12 @@
 	"syscall"
 	"time"
 
-	"github.com/landingmast/landingmast/internal/units"
-
 	"github.com/landingmast/landingmast/internal/mesh/config"
 	"github.com/landingmast/landingmast/internal/mesh/core/bundle"
 	"github.com/landingmast/landingmast/internal/mesh/lab/deployment"
 	"github.com/landingmast/landingmast/internal/mesh/lab/load"
 	"github.com/landingmast/landingmast/internal/mesh/security"
+	"github.com/landingmast/landingmast/internal/units"
 	"go.yaml.in/yaml/v3"
 )
 
--- a/internal/mesh/lab/deployment/meshes.go
+++ b/internal/mesh/lab/deployment/meshes.go
@@ -3,9 +3,8 @@
 import (
 	"time"
 
-	"github.com/landingmast/landingmast/internal/units"
-
 	"github.com/landingmast/landingmast/internal/mesh/core/bundle"
+	"github.com/landingmast/landingmast/internal/units"
 )
 
 const (
--- a/internal/mesh/lab/experiment/experiment.go
+++ b/internal/mesh/lab/experiment/experiment.go
@@ -10,10 +10,9 @@
 	"sort"
 	"time"
 
-	"github.com/landingmast/landingmast/internal/units"
-
 	"github.com/landingmast/landingmast/internal/failure"
 	"github.com/landingmast/landingmast/internal/mesh/lab/deployment"
+	"github.com/landingmast/landingmast/internal/units"
 	"go.yaml.in/yaml/v3"
 )
 
--- a/internal/mesh/lab/experiment/experiment_test.go
+++ b/internal/mesh/lab/experiment/experiment_test.go
@@ -6,10 +6,9 @@
 	"testing"
 	"time"
 
-	"github.com/landingmast/landingmast/internal/units"
-
 	"github.com/landingmast/landingmast/internal/failure"
 	"github.com/landingmast/landingmast/internal/mesh/lab/emulator"
+	"github.com/landingmast/landingmast/internal/units"
 	. "github.com/onsi/gomega"
 )
 
--- a/internal/mesh/lab/faults/faults.go
+++ b/internal/mesh/lab/faults/faults.go
@@ -11,14 +11,13 @@
 	"syscall"
 	"time"
 
-	"github.com/landingmast/landingmast/internal/units"
-
 	"github.com/landingmast/landingmast/internal/failure"
 	"github.com/landingmast/landingmast/internal/mesh/adminapi"
 	"github.com/landingmast/landingmast/internal/mesh/lab/check"
 	"github.com/landingmast/landingmast/internal/mesh/lab/cluster"
 	"github.com/landingmast/landingmast/internal/mesh/lab/load"
 	"github.com/landingmast/landingmast/internal/mesh/lab/standin"
+	"github.com/landingmast/landingmast/internal/units"
 )
 
 // Kind names a fault.
--- a/internal/mesh/node/mesh_test.go
+++ b/internal/mesh/node/mesh_test.go
@@ -16,8 +16,6 @@
 	"testing"
 	"time"
 
-	"github.com/landingmast/landingmast/internal/units"
-
 	"github.com/landingmast/landingmast/internal/mesh/adminapi"
 	"github.com/landingmast/landingmast/internal/mesh/config"
 	"github.com/landingmast/landingmast/internal/mesh/core/bundle"
@@ -26,6 +24,7 @@
 	"github.com/landingmast/landingmast/internal/mesh/platform"
 	"github.com/landingmast/landingmast/internal/mesh/roll"
 	"github.com/landingmast/landingmast/internal/mesh/security"
+	"github.com/landingmast/landingmast/internal/units"
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 )
--- a/internal/mesh/wire/wire_test.go
+++ b/internal/mesh/wire/wire_test.go
@@ -4,7 +4,6 @@
 	"testing"
 
 	"github.com/landingmast/landingmast/internal/codec"
-
 	"github.com/landingmast/landingmast/internal/mesh/core/bundle"
 	"github.com/landingmast/landingmast/internal/mesh/core/claim"
 	. "github.com/onsi/gomega"
--- a/internal/sidecar/settings/settings.go
+++ b/internal/sidecar/settings/settings.go
@@ -9,9 +9,8 @@
 	"strings"
 	"time"
 
-	"github.com/landingmast/landingmast/internal/units"
-
 	"github.com/landingmast/landingmast/internal/failure"
+	"github.com/landingmast/landingmast/internal/units"
 	"go.yaml.in/yaml/v3"
 )
 
--- a/internal/wire/crashes.go
+++ b/internal/wire/crashes.go
@@ -1,9 +1,8 @@
 package wire
 
 import (
-	"github.com/landingmast/landingmast/internal/core/crashes"
-
 	"github.com/landingmast/landingmast/internal/codec"
+	"github.com/landingmast/landingmast/internal/core/crashes"
 )
 
 // CrashEvidence is that a target ended while it ran a request.
