--- a/internal/sidecar/answer.go
+++ b/internal/sidecar/answer.go
@@ -9,34 +9,34 @@
 	"time"
 
 	"github.com/landingmast/landingmast/internal/core/outcome"
-
+	"github.com/landingmast/landingmast/internal/sidecar/reply"
 	"github.com/landingmast/landingmast/internal/wire"
 )
 
 // answer gives the target's answer to the sender.
-func (x *exchange) answer(given *reply) {
-	defer given.close()
+func (x *exchange) answer(given *reply.Reply) {
+	defer given.Close()
 	header := x.writer.Header()
-	for name, values := range given.header {
+	for name, values := range given.Header {
 		header[name] = values
 	}
 	withoutGuess(header)
-	if given.stream == nil {
-		header.Set("Content-Length", strconv.Itoa(len(given.body)))
-		x.writer.WriteHeader(given.status)
-		_, _ = x.writer.Write(given.body)
-		x.ended(given.status, outcome.ReasonNone, 0)
+	if given.Stream == nil {
+		header.Set("Content-Length", strconv.Itoa(len(given.Body)))
+		x.writer.WriteHeader(given.Status)
+		_, _ = x.writer.Write(given.Body)
+		x.ended(given.Status, outcome.ReasonNone, 0)
 		return
 	}
-	if given.length >= 0 {
-		header.Set("Content-Length", strconv.FormatInt(given.length, 10))
+	if given.Length >= 0 {
+		header.Set("Content-Length", strconv.FormatInt(given.Length, 10))
 	}
-	x.writer.WriteHeader(given.status)
-	if _, err := io.Copy(x.writer, given.stream); err != nil {
+	x.writer.WriteHeader(given.Status)
+	if _, err := io.Copy(x.writer, given.Stream); err != nil {
 		x.ended(0, outcome.ReasonLost, 0)
 		panic(http.ErrAbortHandler)
 	}
-	x.ended(given.status, outcome.ReasonNone, 0)
+	x.ended(given.Status, outcome.ReasonNone, 0)
 }
 
 // Times after which a refused sender may come back.
@@ -47,9 +47,9 @@
 
 // giveUp writes the final answer of a request that no target answered. "Not run"
 // is said only where no sending may have run.
-func (x *exchange) giveUp(ctx context.Context, last *reply) {
-	defer last.close()
-	if x.lacked = last.full(); x.lacked && x.parent != nil {
+func (x *exchange) giveUp(ctx context.Context, last *reply.Reply) {
+	defer last.Close()
+	if x.lacked = last.Full(); x.lacked && x.parent != nil {
 		// It would have waited for all the time that it had.
 		x.parent.add([]wire.Need{{Service: x.service, Calls: 1, Occupancy: -1, Wait: x.hold}})
 	}
@@ -60,11 +60,11 @@
 	switch {
 	case !x.mayRun:
 		x.node.quotas.giveBack(x.holder)
-		x.refuse(http.StatusServiceUnavailable, last.reason, comeBackAfter(last.reason))
+		x.refuse(http.StatusServiceUnavailable, last.Reason, comeBackAfter(last.Reason))
 	case ctx.Err() != nil || x.left(ctx) <= 0:
 		x.refuse(http.StatusGatewayTimeout, outcome.ReasonTimeout, 0)
 	default:
-		x.refuse(http.StatusBadGateway, last.reason, 0)
+		x.refuse(http.StatusBadGateway, last.Reason, 0)
 	}
 }
 
--- a/internal/sidecar/egress.go
+++ b/internal/sidecar/egress.go
@@ -7,11 +7,11 @@
 	"strings"
 	"time"
 
-	"github.com/landingmast/landingmast/internal/core/outcome"
-
 	"github.com/juju/errors"
 	"github.com/landingmast/landingmast/internal/core/intent"
+	"github.com/landingmast/landingmast/internal/core/outcome"
 	"github.com/landingmast/landingmast/internal/sidecar/eventlog"
+	"github.com/landingmast/landingmast/internal/sidecar/reply"
 	"github.com/landingmast/landingmast/internal/sidecar/settings"
 	"github.com/landingmast/landingmast/internal/wire"
 )
@@ -38,7 +38,7 @@
 	repeat     bool
 	granted    float64 // part of the request's budgets for repeats that goes down the chain
 	header     http.Header
-	body       *payload
+	body       *reply.Payload
 	started    time.Duration
 	needs      []wire.Need // what the last sending needed
 	lacked     bool        // there was no room for it in time
@@ -251,16 +251,16 @@
 func comeBack(time time.Duration) time.Duration { return jittered(time / (2 * comeBackShare)) }
 
 // learn takes in what a sending told of the services down the chain.
-func (x *exchange) learn(answer *reply) {
-	needs := answer.needs
-	if pressure, known := x.node.services.get(x.service).pressure(x.node.now()); known && answer.load.Slots > 0 {
-		needs = append(needs, wire.Need{Service: x.service, Calls: 1, Occupancy: int(pressure.Occupancy * occupancyScale), Wait: answer.waited})
+func (x *exchange) learn(answer *reply.Reply) {
+	needs := answer.Needs
+	if pressure, known := x.node.services.get(x.service).pressure(x.node.now()); known && answer.Load.Slots > 0 {
+		needs = append(needs, wire.Need{Service: x.service, Calls: 1, Occupancy: int(pressure.Occupancy * occupancyScale), Wait: answer.Waited})
 	}
 	x.needs = needs
 	if x.parent != nil {
 		x.parent.add(needs)
 	}
-	x.node.overload.learn(x.route, needs, answer.outcome == outcome.Answered && answer.status < http.StatusBadRequest)
+	x.node.overload.learn(x.route, needs, answer.Outcome == outcome.Answered && answer.Status < http.StatusBadRequest)
 }
 
 // callSeparator stands between the id of a request and the part of its own that a call
--- a/internal/sidecar/ended.go
+++ b/internal/sidecar/ended.go
@@ -7,11 +7,11 @@
 	"syscall"
 	"time"
 
-	"github.com/landingmast/landingmast/internal/core/outcome"
-
 	"github.com/juju/errors"
 	"github.com/landingmast/landingmast/internal/core/crashes"
+	"github.com/landingmast/landingmast/internal/core/outcome"
 	"github.com/landingmast/landingmast/internal/sidecar/eventlog"
+	"github.com/landingmast/landingmast/internal/sidecar/reply"
 	"github.com/landingmast/landingmast/internal/wire"
 )
 
@@ -199,7 +199,7 @@
 // printed is a request and, once it was asked for, its print.
 type printed struct {
 	call *wire.SidecarCall
-	body *payload
+	body *reply.Payload
 	made *crashes.Print
 }
 
@@ -207,7 +207,7 @@
 func (p *printed) print() crashes.Print {
 	if p.made == nil {
 		path, query, _ := strings.Cut(p.call.URI, "?")
-		begin, length := p.body.begin()
+		begin, length := p.body.Begin()
 		print := crashes.PrintOf(crashes.Request{
 			Method: p.call.Method, Host: p.call.Host, Path: path, Query: query, Body: begin, Length: length, Caller: p.call.Caller, Tenant: p.call.Tenant,
 		})
--- a/internal/sidecar/exchange_test.go
+++ b/internal/sidecar/exchange_test.go
@@ -12,7 +12,6 @@
 	"testing"
 
 	"github.com/landingmast/landingmast/internal/codec"
-
 	"github.com/landingmast/landingmast/internal/wire"
 	. "github.com/onsi/gomega"
 )
--- a/internal/sidecar/headers.go
+++ b/internal/sidecar/headers.go
@@ -10,7 +10,7 @@
 	"strings"
 
 	"github.com/landingmast/landingmast/internal/core/outcome"
-
+	"github.com/landingmast/landingmast/internal/sidecar/reply"
 	"github.com/landingmast/landingmast/internal/wire"
 )
 
@@ -77,20 +77,8 @@
 
 // restore gives an answer the id of its request, which the node that asked knows. A node
 // of the release before sends it.
-func (h Headers) restore(answer *reply, call *wire.SidecarCall) {
-	if h.RequestID != "" && answer.outcome == outcome.Answered && answer.header.Get(h.RequestID) == "" {
-		answer.header.Set(h.RequestID, call.RequestID)
-	}
-}
-
-// without gives the reply without a header. A reply that is kept for a sender that asks
-// again stays as it is.
-func (r *reply) without(name string) *reply {
-	if r.header.Get(name) == "" {
-		return r
+func (h Headers) restore(answer *reply.Reply, call *wire.SidecarCall) {
+	if h.RequestID != "" && answer.Outcome == outcome.Answered && answer.Header.Get(h.RequestID) == "" {
+		answer.Header.Set(h.RequestID, call.RequestID)
 	}
-	short := *r
-	short.header = r.header.Clone()
-	short.header.Del(name)
-	return &short
 }
--- a/internal/sidecar/headers_test.go
+++ b/internal/sidecar/headers_test.go
@@ -5,7 +5,7 @@
 	"testing"
 
 	"github.com/landingmast/landingmast/internal/core/outcome"
-
+	"github.com/landingmast/landingmast/internal/sidecar/reply"
 	"github.com/landingmast/landingmast/internal/wire"
 	. "github.com/onsi/gomega"
 )
@@ -24,17 +24,17 @@
 func TestAnswerGetsItsIDBack(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
-		answer *reply
+		answer *reply.Reply
 		want   []string
 	}{
-		{"left out", &reply{outcome: outcome.Answered, header: http.Header{}}, []string{"a.1"}},
-		{"sent by the release before", &reply{outcome: outcome.Answered, header: http.Header{"X-Id": {"a.1"}}}, []string{"a.1"}},
-		{"no answer", &reply{outcome: outcome.NotRun, header: http.Header{}}, nil},
+		{"left out", &reply.Reply{Outcome: outcome.Answered, Header: http.Header{}}, []string{"a.1"}},
+		{"sent by the release before", &reply.Reply{Outcome: outcome.Answered, Header: http.Header{"X-Id": {"a.1"}}}, []string{"a.1"}},
+		{"no answer", &reply.Reply{Outcome: outcome.NotRun, Header: http.Header{}}, nil},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
 			testNames.restore(tc.answer, &wire.SidecarCall{RequestID: "a.1"})
-			g.Expect(tc.answer.header["X-Id"]).To(Equal(tc.want))
+			g.Expect(tc.answer.Header["X-Id"]).To(Equal(tc.want))
 		})
 	}
 }
@@ -42,8 +42,8 @@
 // A reply that may run once is kept for a sender that asks again, with all its headers.
 func TestReplyWithoutAHeaderLeavesTheKeptOneAsItIs(t *testing.T) {
 	g := NewWithT(t)
-	kept := &reply{outcome: outcome.Answered, header: http.Header{"X-Id": {"a"}, "X-Other": {"b"}}}
-	g.Expect(kept.without("X-Id").header).To(Equal(http.Header{"X-Other": {"b"}}))
-	g.Expect(kept.header).To(HaveKey("X-Id"))
-	g.Expect(kept.without("X-None")).To(BeIdenticalTo(kept))
+	kept := &reply.Reply{Outcome: outcome.Answered, Header: http.Header{"X-Id": {"a"}, "X-Other": {"b"}}}
+	g.Expect(kept.Without("X-Id").Header).To(Equal(http.Header{"X-Other": {"b"}}))
+	g.Expect(kept.Header).To(HaveKey("X-Id"))
+	g.Expect(kept.Without("X-None")).To(BeIdenticalTo(kept))
 }
--- a/internal/sidecar/identity.go
+++ b/internal/sidecar/identity.go
@@ -5,7 +5,6 @@
 	"strings"
 
 	"github.com/landingmast/landingmast/internal/core/outcome"
-
 	"github.com/landingmast/landingmast/internal/sidecar/settings"
 )
 
--- a/internal/sidecar/ingress.go
+++ b/internal/sidecar/ingress.go
@@ -10,8 +10,8 @@
 	"time"
 
 	"github.com/landingmast/landingmast/internal/core/outcome"
-
 	"github.com/landingmast/landingmast/internal/core/slots"
+	"github.com/landingmast/landingmast/internal/sidecar/reply"
 	"github.com/landingmast/landingmast/internal/wire"
 )
 
@@ -107,12 +107,12 @@
 	end, refused := i.node.begin(w, i.node.planned.leaving.Load(), &i.node.planned.closed)
 	defer end()
 	if refused {
-		i.write(w, notRun(outcome.ReasonStopping))
+		i.write(w, reply.NotRun(outcome.ReasonStopping))
 		return
 	}
 	call, err := wire.SidecarCallCodec.DecodeHeader(r.Header.Get(wire.HeaderSidecarCall))
 	if err != nil {
-		i.write(w, notRun(outcome.ReasonBadMessage))
+		i.write(w, reply.NotRun(outcome.ReasonBadMessage))
 		return
 	}
 	call.Granted = grantedBy(r.Header)
@@ -123,59 +123,59 @@
 	defer cancel()
 	body, err := receive(r)
 	if err != nil {
-		i.write(w, notRun(outcome.ReasonCancelled))
+		i.write(w, reply.NotRun(outcome.ReasonCancelled))
 		return
 	}
 	answer := i.serve(ctx, call, endToEnd(r.Header), body)
 	if r.Header.Get(i.node.options.Headers.RequestID) == "" {
-		answer = answer.without(i.node.options.Headers.RequestID)
+		answer = answer.Without(i.node.options.Headers.RequestID)
 	}
 	i.write(w, answer)
 }
 
 // receive reads the body of a request, whole unless it is long.
-func receive(r *http.Request) (*payload, error) {
+func receive(r *http.Request) (*reply.Payload, error) {
 	if r.ContentLength == 0 {
-		return &payload{}, nil
+		return &reply.Payload{}, nil
 	}
-	data, rest, err := readWhole(r.Body, r.ContentLength)
+	data, rest, err := reply.ReadWhole(r.Body, r.ContentLength)
 	if err != nil {
 		return nil, err
 	}
 	if rest != nil {
-		return &payload{stream: rest, head: data, length: r.ContentLength}, nil
+		return &reply.Payload{Stream: rest, Head: data, Length: r.ContentLength}, nil
 	}
-	return &payload{data: data}, nil
+	return &reply.Payload{Data: data}, nil
 }
 
 // write sends a reply to the node that asked. An answer that breaks off cuts the
 // connection, so that it never passes for a whole one.
-func (i *ingress) write(w http.ResponseWriter, answer *reply) {
-	defer answer.close()
-	answer.incarnation = i.node.incarnation
-	answer.version = i.node.version()
-	head, err := wire.SidecarResultCodec.EncodeHeader(answer.result())
+func (i *ingress) write(w http.ResponseWriter, answer *reply.Reply) {
+	defer answer.Close()
+	answer.Incarnation = i.node.incarnation
+	answer.Version = i.node.version()
+	head, err := wire.SidecarResultCodec.EncodeHeader(answer.Result())
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
 	header := w.Header()
-	for name, values := range answer.header {
+	for name, values := range answer.Header {
 		header[name] = values
 	}
 	header.Set(wire.HeaderSidecarResult, head)
-	if waits := waitsOf(answer); waits != "" {
+	if waits := reply.WaitsHeader(answer); waits != "" {
 		header.Set(wire.HeaderSidecarWaits, waits)
 	}
 	withoutGuess(header)
-	if answer.stream == nil {
-		header.Set("Content-Length", strconv.Itoa(len(answer.body)))
-		_, _ = w.Write(answer.body)
+	if answer.Stream == nil {
+		header.Set("Content-Length", strconv.Itoa(len(answer.Body)))
+		_, _ = w.Write(answer.Body)
 		return
 	}
-	if answer.length >= 0 {
-		header.Set("Content-Length", strconv.FormatInt(answer.length, 10))
+	if answer.Length >= 0 {
+		header.Set("Content-Length", strconv.FormatInt(answer.Length, 10))
 	}
-	if _, err := io.Copy(w, answer.stream); err != nil {
+	if _, err := io.Copy(w, answer.Stream); err != nil {
 		panic(http.ErrAbortHandler)
 	}
 }
@@ -191,10 +191,10 @@
 }
 
 // serve has the target run a request, once at most where it may not be repeated.
-func (i *ingress) serve(ctx context.Context, call *wire.SidecarCall, header http.Header, body *payload) *reply {
+func (i *ingress) serve(ctx context.Context, call *wire.SidecarCall, header http.Header, body *reply.Payload) *reply.Reply {
 	switch {
 	case call.Incarnation != "" && call.Incarnation != i.node.incarnation:
-		return notRun(outcome.ReasonIncarnation)
+		return reply.NotRun(outcome.ReasonIncarnation)
 	case call.Repeatable || call.Key == "":
 		return i.admit(ctx, call, header, body, nil)
 	default:
@@ -204,7 +204,7 @@
 
 // admit waits for a slot and has the target run the request. maySend is asked
 // right before the request is sent; nil: it may.
-func (i *ingress) admit(ctx context.Context, call *wire.SidecarCall, header http.Header, body *payload, maySend func() bool) *reply {
+func (i *ingress) admit(ctx context.Context, call *wire.SidecarCall, header http.Header, body *reply.Payload, maySend func() bool) *reply.Reply {
 	one := &arrival{printed: printed{call: call, body: body}, at: i.node.now()}
 	answer := i.gated(ctx, one, header, maySend)
 	i.noteRun(one, answer)
@@ -230,22 +230,22 @@
 	return left
 }
 
-func (i *ingress) gated(ctx context.Context, one *arrival, header http.Header, maySend func() bool) *reply {
+func (i *ingress) gated(ctx context.Context, one *arrival, header http.Header, maySend func() bool) *reply.Reply {
 	gate, call := i.node.target.current(), one.call
 	switch {
 	case gate == nil:
-		return notRun(outcome.ReasonNoTarget)
+		return reply.NotRun(outcome.ReasonNoTarget)
 	case gate.service != call.Service:
-		return notRun(outcome.ReasonWrongService)
+		return reply.NotRun(outcome.ReasonWrongService)
 	}
 	one.instance = gate.instance
 	held := i.node.heldBack
 	switch {
 	case !held.maySend(&one.printed):
-		return notRun(outcome.ReasonEndsTargets)
+		return reply.NotRun(outcome.ReasonEndsTargets)
 	case held.suspected(&one.printed):
 		if !gate.endings.alone(ctx) {
-			return notRun(outcome.ReasonSuspectWaits)
+			return reply.NotRun(outcome.ReasonSuspectWaits)
 		}
 		if one.alone = held.suspected(&one.printed); one.alone {
 			defer gate.endings.notAlone()
@@ -256,46 +256,46 @@
 	now := i.node.now()
 	id, decision := gate.enter(ctx, slots.Request{Importance: call.Importance, Deadline: now + one.left(ctx, now), Class: call.Route})
 	one.waited = decision.Waited
-	var answer *reply
+	var answer *reply.Reply
 	switch {
 	case !decision.Send && ctx.Err() != nil:
-		answer = notRun(endOf(ctx))
+		answer = reply.NotRun(endOf(ctx))
 	case !decision.Send:
-		answer = notRun(outcome.Reason(decision.Reason))
+		answer = reply.NotRun(outcome.Reason(decision.Reason))
 	case maySend != nil && !maySend():
 		gate.leave(id, false)
-		answer = notRun(outcome.ReasonFenced)
+		answer = reply.NotRun(outcome.ReasonFenced)
 	case !held.maySend(&one.printed): // by what was heard while it waited
 		gate.leave(id, false)
-		answer = notRun(outcome.ReasonEndsTargets)
+		answer = reply.NotRun(outcome.ReasonEndsTargets)
 	default:
 		answer = i.run(ctx, gate, id, one, header)
 	}
-	answer.load, _ = gate.load()
-	answer.waited = decision.Waited
+	answer.Load, _ = gate.load()
+	answer.Waited = decision.Waited
 	return answer
 }
 
 // run sends the request to the target and reads its answer.
-func (i *ingress) run(ctx context.Context, gate *gate, id uint64, one *arrival, header http.Header) *reply {
+func (i *ingress) run(ctx context.Context, gate *gate, id uint64, one *arrival, header http.Header) *reply.Reply {
 	call := one.call
 	request := &running{id: call.RequestID, ctx: ctx, importance: call.Importance, repeat: call.Repeat, tenant: call.Tenant, granted: call.Granted, needs: map[string]wire.Need{}}
 	i.running.add(call.RequestID, request)
 	answer := i.exchange(ctx, gate, one, header)
 	i.running.remove(call.RequestID, request)
-	learn := answer.outcome == outcome.Answered
-	if answer.stream == nil {
+	learn := answer.Outcome == outcome.Answered
+	if answer.Stream == nil {
 		gate.leave(id, learn)
-		if answer.outcome == outcome.Answered {
+		if answer.Outcome == outcome.Answered {
 			i.node.heldBack.endedWell(&one.printed)
 		}
 	} else {
-		answer.stream = &leaving{ReadCloser: answer.stream, leave: func(err error) {
+		answer.Stream = &leaving{ReadCloser: answer.Stream, leave: func(err error) {
 			gate.leave(id, learn)
 			i.streamed(ctx, gate, one, err)
 		}}
 	}
-	answer.needs = request.below()
+	answer.Needs = request.below()
 	return answer
 }
 
--- a/internal/sidecar/judge.go
+++ b/internal/sidecar/judge.go
@@ -7,18 +7,18 @@
 	"strconv"
 	"time"
 
-	"github.com/landingmast/landingmast/internal/core/outcome"
-
 	"github.com/juju/errors"
+	"github.com/landingmast/landingmast/internal/core/outcome"
+	"github.com/landingmast/landingmast/internal/sidecar/reply"
 	"github.com/landingmast/landingmast/internal/sidecar/targetlink"
 )
 
 // exchange sends a request to the target and says what its answer is worth.
-func (i *ingress) exchange(ctx context.Context, gate *gate, one *arrival, header http.Header) *reply {
+func (i *ingress) exchange(ctx context.Context, gate *gate, one *arrival, header http.Header) *reply.Reply {
 	names, call, body := i.node.options.Headers, one.call, one.body
 	remaining := one.left(ctx, i.node.now()).Milliseconds()
 	if remaining < 1 {
-		return notRun(outcome.ReasonTimeout)
+		return reply.NotRun(outcome.ReasonTimeout)
 	}
 	header.Set(names.RequestID, call.RequestID)
 	header.Set(names.Deadline, strconv.FormatInt(remaining, 10))
@@ -29,7 +29,7 @@
 	}
 	answer, err := gate.links.Do(ctx, &targetlink.Request{
 		ID: call.RequestID, Method: call.Method, URI: call.URI, Host: call.Host, Header: header,
-		Body: body.data, Stream: body.stream, Length: body.length,
+		Body: body.Data, Stream: body.Stream, Length: body.Length,
 	})
 	if err != nil {
 		return i.failed(ctx, gate, one, err)
@@ -37,18 +37,18 @@
 	return i.judge(ctx, gate, one, answer)
 }
 
-func (i *ingress) failed(ctx context.Context, gate *gate, one *arrival, err error) *reply {
+func (i *ingress) failed(ctx context.Context, gate *gate, one *arrival, err error) *reply.Reply {
 	switch {
 	case errors.Is(err, targetlink.ErrNotSent):
 		i.unreachable(gate, err)
-		return notRun(outcome.ReasonUnreachable)
+		return reply.NotRun(outcome.ReasonUnreachable)
 	case ctx.Err() != nil:
 		i.senderLeft(gate, one)
-		return unknown(endOf(ctx))
+		return reply.Unknown(endOf(ctx))
 	case errors.Is(err, targetlink.ErrSpoiled):
-		return unknown(outcome.ReasonSpoiled)
+		return reply.Unknown(outcome.ReasonSpoiled)
 	default:
-		return unknown(i.lost(gate, one))
+		return reply.Unknown(i.lost(gate, one))
 	}
 }
 
@@ -68,15 +68,15 @@
 const closeMargin = 25 * time.Millisecond
 
 // judge tells what the target's answer is worth.
-func (i *ingress) judge(ctx context.Context, gate *gate, one *arrival, answer *targetlink.Answer) *reply {
+func (i *ingress) judge(ctx context.Context, gate *gate, one *arrival, answer *targetlink.Answer) *reply.Reply {
 	names := i.node.options.Headers
 	if answer.Status == http.StatusMisdirectedRequest || answer.Header.Get(names.NotRun) != "" {
-		_, _ = io.Copy(io.Discard, io.LimitReader(answer.Body, keepBytes))
+		_, _ = io.Copy(io.Discard, io.LimitReader(answer.Body, reply.KeepBytes))
 		_ = answer.Body.Close()
-		declined := notRun(outcome.ReasonTargetShed)
-		declined.arrived = true
+		declined := reply.NotRun(outcome.ReasonTargetShed)
+		declined.Arrived = true
 		if answer.Status == http.StatusMisdirectedRequest {
-			declined.reason = outcome.ReasonMisdirected
+			declined.Reason = outcome.ReasonMisdirected
 			if other := answer.Header.Get(names.Instance); other != "" && other != gate.instance {
 				i.node.target.replaced(gate.instance)
 			}
@@ -85,23 +85,23 @@
 	}
 	if answer.Header.Get(names.Signature) == "" && answer.Status < http.StatusBadRequest || answer.Header.Get("Content-Encoding") != "" {
 		_ = answer.Body.Close()
-		return unknown(outcome.ReasonSpoiled)
+		return reply.Unknown(outcome.ReasonSpoiled)
 	}
-	data, rest, err := readWhole(answer.Body, answer.Length)
+	data, rest, err := reply.ReadWhole(answer.Body, answer.Length)
 	if err != nil {
 		_ = answer.Body.Close()
 		if ctx.Err() != nil {
-			return unknown(endOf(ctx))
+			return reply.Unknown(endOf(ctx))
 		}
-		return unknown(i.lost(gate, one))
+		return reply.Unknown(i.lost(gate, one))
 	}
-	given := &reply{outcome: outcome.Answered, reason: outcome.ReasonNone, arrived: true, status: answer.Status, header: endToEnd(answer.Header), body: data, length: answer.Length}
+	given := &reply.Reply{Outcome: outcome.Answered, Reason: outcome.ReasonNone, Arrived: true, Status: answer.Status, Header: endToEnd(answer.Header), Body: data, Length: answer.Length}
 	if rest == nil {
 		_ = answer.Body.Close()
 		return given
 	}
-	given.body = nil
-	given.stream = struct {
+	given.Body = nil
+	given.Stream = struct {
 		io.Reader
 		io.Closer
 	}{rest, answer.Body}
--- a/internal/sidecar/limits.go
+++ b/internal/sidecar/limits.go
@@ -3,9 +3,8 @@
 import (
 	"net/http"
 
-	"github.com/landingmast/landingmast/internal/core/outcome"
-
 	"github.com/landingmast/landingmast/internal/core/intent"
+	"github.com/landingmast/landingmast/internal/core/outcome"
 )
 
 // headerSlack is allowed beyond the limit of a request's head, since senders
--- a/internal/sidecar/observe.go
+++ b/internal/sidecar/observe.go
@@ -7,11 +7,11 @@
 	"sync"
 	"time"
 
-	"github.com/landingmast/landingmast/internal/core/outcome"
-
 	"github.com/juju/errors"
+	"github.com/landingmast/landingmast/internal/core/outcome"
 	"github.com/landingmast/landingmast/internal/sidecar/eventlog"
 	"github.com/landingmast/landingmast/internal/sidecar/metrics"
+	"github.com/landingmast/landingmast/internal/sidecar/reply"
 	"github.com/landingmast/landingmast/internal/store"
 )
 
@@ -207,22 +207,22 @@
 }
 
 // noteRun notes the end of a request at the gate of the target.
-func (i *ingress) noteRun(one *arrival, answer *reply) {
+func (i *ingress) noteRun(one *arrival, answer *reply.Reply) {
 	waited, took := one.waited, i.node.now()-one.at
-	if answer.arrived {
+	if answer.Arrived {
 		i.node.metrics.Waited.Observe(waited.Seconds())
 		i.node.metrics.Held.Observe((took - waited).Seconds())
 	}
 	weight := eventlog.Success
-	if answer.outcome != outcome.Answered || answer.status >= http.StatusInternalServerError {
+	if answer.Outcome != outcome.Answered || answer.Status >= http.StatusInternalServerError {
 		weight = eventlog.Failure
 	}
 	if !i.node.events.Wants(eventlog.Run{}.Kind(), weight) {
 		return
 	}
 	i.node.events.Add(eventlog.Run{
-		Request: one.call.RequestID, From: one.call.From, Service: one.call.Service, Instance: one.instance, Outcome: string(answer.outcome),
-		Reason: string(answer.reason), Status: answer.status, Importance: one.call.Importance, WaitMS: milliseconds(waited), TookMS: milliseconds(took),
-		LeftMS: float64(one.call.Remaining) / 1000, Running: answer.load.Running, Waiting: answer.load.Waiting, Slots: answer.load.Slots, Repeat: one.call.Repeat,
+		Request: one.call.RequestID, From: one.call.From, Service: one.call.Service, Instance: one.instance, Outcome: string(answer.Outcome),
+		Reason: string(answer.Reason), Status: answer.Status, Importance: one.call.Importance, WaitMS: milliseconds(waited), TookMS: milliseconds(took),
+		LeftMS: float64(one.call.Remaining) / 1000, Running: answer.Load.Running, Waiting: answer.Load.Waiting, Slots: answer.Load.Slots, Repeat: one.call.Repeat,
 	}, weight)
 }
--- a/internal/sidecar/once.go
+++ b/internal/sidecar/once.go
@@ -6,10 +6,10 @@
 	"sync"
 	"time"
 
-	"github.com/landingmast/landingmast/internal/core/outcome"
-
 	"github.com/landingmast/landingmast/internal/core/fence"
+	"github.com/landingmast/landingmast/internal/core/outcome"
 	"github.com/landingmast/landingmast/internal/sidecar/eventlog"
+	"github.com/landingmast/landingmast/internal/sidecar/reply"
 	"github.com/landingmast/landingmast/internal/wire"
 )
 
@@ -37,7 +37,7 @@
 // onceRun is one such request between its arrival and the end of replyKeep.
 type onceRun struct {
 	done   chan struct{} // closed when reply is there
-	reply  *reply
+	reply  *reply.Reply
 	cancel context.CancelFunc
 	asked  chan struct{} // a sender waits for the reply on another connection
 	once   sync.Once
@@ -48,8 +48,8 @@
 }
 
 // serve runs a request on behalf of a sender whose interest ends with ctx.
-func (o *onceGate) serve(ctx context.Context, call *wire.SidecarCall, header http.Header, body *payload) *reply {
-	if !body.replayable() {
+func (o *onceGate) serve(ctx context.Context, call *wire.SidecarCall, header http.Header, body *reply.Payload) *reply.Reply {
+	if !body.Replayable() {
 		return o.serveStream(ctx, call, header, body)
 	}
 	deadline, _ := ctx.Deadline()
@@ -57,7 +57,7 @@
 	run := &onceRun{done: make(chan struct{}), asked: make(chan struct{}), cancel: cancel}
 	if !o.arrive(call.Key, run) {
 		cancel()
-		return notRun(outcome.ReasonFenced)
+		return reply.NotRun(outcome.ReasonFenced)
 	}
 	go o.run(detached, call, header, body, run)
 	select {
@@ -66,13 +66,13 @@
 	case <-ctx.Done():
 	}
 	o.orphaned(call.Key, run)
-	return unknown(endOf(ctx))
+	return reply.Unknown(endOf(ctx))
 }
 
 // serveStream runs a request whose body cannot be kept: its end is the sender's.
-func (o *onceGate) serveStream(ctx context.Context, call *wire.SidecarCall, header http.Header, body *payload) *reply {
+func (o *onceGate) serveStream(ctx context.Context, call *wire.SidecarCall, header http.Header, body *reply.Payload) *reply.Reply {
 	if !o.arrive(call.Key, nil) {
-		return notRun(outcome.ReasonFenced)
+		return reply.NotRun(outcome.ReasonFenced)
 	}
 	return o.ingress.admit(ctx, call, header, body, func() bool { return o.send(call.Key) })
 }
@@ -96,7 +96,7 @@
 	return o.ledger.Send(o.ingress.node.now(), key)
 }
 
-func (o *onceGate) run(ctx context.Context, call *wire.SidecarCall, header http.Header, body *payload, run *onceRun) {
+func (o *onceGate) run(ctx context.Context, call *wire.SidecarCall, header http.Header, body *reply.Payload, run *onceRun) {
 	defer run.cancel()
 	answer := o.ingress.admit(ctx, call, header, body, func() bool { return o.send(call.Key) })
 	o.mutex.Lock()
@@ -142,26 +142,26 @@
 }
 
 // settle says what became of a request whose sender lost its connection.
-func (o *onceGate) settle(ctx context.Context, key string) *reply {
+func (o *onceGate) settle(ctx context.Context, key string) *reply.Reply {
 	o.mutex.Lock()
 	state := o.ledger.Fence(o.ingress.node.now(), key)
 	run := o.runs[key]
 	o.mutex.Unlock()
 	switch {
 	case state == fence.Fenced:
-		return notRun(outcome.ReasonFenced)
+		return reply.NotRun(outcome.ReasonFenced)
 	case run == nil:
-		return unknown(outcome.ReasonLost)
+		return reply.Unknown(outcome.ReasonLost)
 	}
 	run.once.Do(func() { close(run.asked) })
 	select {
 	case <-run.done:
-		if run.reply.stream != nil {
-			return unknown(outcome.ReasonLost) // it was read by the connection that broke
+		if run.reply.Stream != nil {
+			return reply.Unknown(outcome.ReasonLost) // it was read by the connection that broke
 		}
 		return run.reply
 	case <-ctx.Done():
-		return unknown(endOf(ctx))
+		return reply.Unknown(endOf(ctx))
 	}
 }
 
@@ -169,16 +169,16 @@
 func (o *onceGate) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	call, err := wire.SidecarCallCodec.DecodeHeader(r.Header.Get(wire.HeaderSidecarCall))
 	if err != nil {
-		o.ingress.write(w, unknown(outcome.ReasonBadMessage))
+		o.ingress.write(w, reply.Unknown(outcome.ReasonBadMessage))
 		return
 	}
 	if call.Incarnation != o.ingress.node.incarnation {
-		o.ingress.write(w, unknown(outcome.ReasonIncarnation))
+		o.ingress.write(w, reply.Unknown(outcome.ReasonIncarnation))
 		return
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), time.Duration(call.Remaining)*time.Microsecond)
 	defer cancel()
 	answer := *o.settle(ctx, call.Key) // the kept reply stays as it is
-	o.ingress.node.events.Add(eventlog.Settle{Request: call.RequestID, From: call.From, Outcome: string(answer.outcome), Reason: string(answer.reason)}, eventlog.Failure)
+	o.ingress.node.events.Add(eventlog.Settle{Request: call.RequestID, From: call.From, Outcome: string(answer.Outcome), Reason: string(answer.Reason)}, eventlog.Failure)
 	o.ingress.write(w, &answer)
 }
--- a/internal/sidecar/peers.go
+++ b/internal/sidecar/peers.go
@@ -13,8 +13,8 @@
 	"time"
 
 	"github.com/landingmast/landingmast/internal/core/outcome"
-
 	"github.com/landingmast/landingmast/internal/failure"
+	"github.com/landingmast/landingmast/internal/sidecar/reply"
 	"github.com/landingmast/landingmast/internal/wire"
 )
 
@@ -69,10 +69,10 @@
 
 // call sends one request to the node at an address. The reply's stream, if it has
 // one, must be closed.
-func (p *peerClient) call(ctx context.Context, address string, call *wire.SidecarCall, header http.Header, body *payload) *reply {
+func (p *peerClient) call(ctx context.Context, address string, call *wire.SidecarCall, header http.Header, body *reply.Payload) *reply.Reply {
 	head, err := wire.SidecarCallCodec.EncodeHeader(call)
 	if err != nil {
-		return notRun(outcome.ReasonBadMessage)
+		return reply.NotRun(outcome.ReasonBadMessage)
 	}
 	request := (&http.Request{
 		Method: http.MethodPost, URL: &url.URL{Scheme: "http", Host: address, Path: callPath}, Host: address,
@@ -92,10 +92,10 @@
 		request.Header["User-Agent"] = []string{""}
 	}
 	switch {
-	case body.stream != nil:
-		request.Body, request.ContentLength = opaqueBody{body.stream}, body.length
-	case len(body.data) > 0:
-		request.Body, request.ContentLength = opaqueBody{newReader(body.data)}, int64(len(body.data))
+	case body.Stream != nil:
+		request.Body, request.ContentLength = opaqueBody{body.Stream}, body.Length
+	case len(body.Data) > 0:
+		request.Body, request.ContentLength = opaqueBody{bytes.NewReader(body.Data)}, int64(len(body.Data))
 	}
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
@@ -139,10 +139,10 @@
 }
 
 // settle asks a node what became of a request that was sent to it.
-func (p *peerClient) settle(ctx context.Context, address string, call *wire.SidecarCall) *reply {
+func (p *peerClient) settle(ctx context.Context, address string, call *wire.SidecarCall) *reply.Reply {
 	head, err := wire.SidecarCallCodec.EncodeHeader(call)
 	if err != nil {
-		return unknown(outcome.ReasonBadMessage)
+		return reply.Unknown(outcome.ReasonBadMessage)
 	}
 	request := &http.Request{
 		Method: http.MethodPost, URL: &url.URL{Scheme: "http", Host: address, Path: settlePath}, Host: address,
@@ -151,9 +151,9 @@
 	response, err := p.transport.RoundTrip(request.WithContext(ctx))
 	if err != nil {
 		if ctx.Err() != nil {
-			return unknown(endOf(ctx))
+			return reply.Unknown(endOf(ctx))
 		}
-		return unknown(outcome.ReasonLost)
+		return reply.Unknown(outcome.ReasonLost)
 	}
 	answer := readReply(ctx, response)
 	p.names.restore(answer, call)
@@ -161,44 +161,44 @@
 }
 
 // unanswered sorts a failed round trip: without a connection nothing was sent.
-func unanswered(ctx context.Context, connected bool) *reply {
+func unanswered(ctx context.Context, connected bool) *reply.Reply {
 	switch {
 	case !connected && ctx.Err() != nil:
-		return notRun(endOf(ctx))
+		return reply.NotRun(endOf(ctx))
 	case !connected:
-		return notRun(outcome.ReasonUnreachable)
+		return reply.NotRun(outcome.ReasonUnreachable)
 	case ctx.Err() != nil:
-		return unknown(endOf(ctx))
+		return reply.Unknown(endOf(ctx))
 	default:
-		return unknown(outcome.ReasonLost)
+		return reply.Unknown(outcome.ReasonLost)
 	}
 }
 
 // readReply reads the head of a reply and its body, whole unless it is long.
-func readReply(ctx context.Context, response *http.Response) *reply {
+func readReply(ctx context.Context, response *http.Response) *reply.Reply {
 	result, err := wire.SidecarResultCodec.DecodeHeader(response.Header.Get(wire.HeaderSidecarResult))
 	if err != nil {
 		_ = response.Body.Close()
-		return unknown(outcome.ReasonBadMessage)
+		return reply.Unknown(outcome.ReasonBadMessage)
 	}
-	answer := replyOf(result)
-	answer.takeWaits(response.Header.Get(wire.HeaderSidecarWaits))
-	data, rest, err := readWhole(response.Body, response.ContentLength)
+	answer := reply.Of(result)
+	answer.TakeWaits(response.Header.Get(wire.HeaderSidecarWaits))
+	data, rest, err := reply.ReadWhole(response.Body, response.ContentLength)
 	if err != nil {
 		_ = response.Body.Close()
-		lost := unknown(outcome.ReasonLost)
+		lost := reply.Unknown(outcome.ReasonLost)
 		if ctx.Err() != nil {
-			lost.reason = endOf(ctx)
+			lost.Reason = endOf(ctx)
 		}
 		return lost
 	}
-	answer.header, answer.body = endToEnd(response.Header), data
+	answer.Header, answer.Body = endToEnd(response.Header), data
 	if rest == nil {
 		_ = response.Body.Close()
 		return answer
 	}
-	answer.body = nil
-	answer.stream = struct {
+	answer.Body = nil
+	answer.Stream = struct {
 		io.Reader
 		io.Closer
 	}{rest, response.Body}
--- a/internal/sidecar/quotas.go
+++ b/internal/sidecar/quotas.go
@@ -9,9 +9,8 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/landingmast/landingmast/internal/core/outcome"
-
 	"github.com/landingmast/landingmast/internal/core/intent"
+	"github.com/landingmast/landingmast/internal/core/outcome"
 	"github.com/landingmast/landingmast/internal/core/quota"
 	"github.com/landingmast/landingmast/internal/store"
 	"github.com/landingmast/landingmast/internal/wire"
--- a/internal/sidecar/reply_test.go
+++ b/internal/sidecar/reply/reply_test.go
@@ -1,4 +1,4 @@
-package sidecar
+package reply
 
 import (
 	"errors"
@@ -14,7 +14,7 @@
 
 func TestBodiesAreReadWhole(t *testing.T) {
 	broken := errors.New("broken")
-	long := strings.Repeat("x", keepBytes+10)
+	long := strings.Repeat("x", KeepBytes+10)
 	for _, tc := range []struct {
 		name   string
 		source io.Reader
@@ -36,7 +36,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
-			data, rest, err := readWhole(tc.source, tc.length)
+			data, rest, err := ReadWhole(tc.source, tc.length)
 			if tc.err != nil {
 				g.Expect(err).To(MatchError(tc.err))
 				g.Expect(string(data)).To(Equal(tc.data))
@@ -58,17 +58,17 @@
 func TestTimeWithoutTheWaitsOfAChain(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
-		reply reply
+		reply Reply
 		want  time.Duration
 	}{
-		{"no wait", reply{}, 400 * time.Millisecond},
-		{"its own", reply{waited: 100 * time.Millisecond}, 300 * time.Millisecond},
-		{"of its calls", reply{needs: []wire.Need{{Calls: 4, Wait: 50 * time.Millisecond}}}, 200 * time.Millisecond},
-		{"of calls side by side", reply{needs: []wire.Need{{Calls: 8, Wait: 50 * time.Millisecond}}}, 100 * time.Millisecond},
+		{"no wait", Reply{}, 400 * time.Millisecond},
+		{"its own", Reply{Waited: 100 * time.Millisecond}, 300 * time.Millisecond},
+		{"of its calls", Reply{Needs: []wire.Need{{Calls: 4, Wait: 50 * time.Millisecond}}}, 200 * time.Millisecond},
+		{"of calls side by side", Reply{Needs: []wire.Need{{Calls: 8, Wait: 50 * time.Millisecond}}}, 100 * time.Millisecond},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
-			g.Expect(tc.reply.unwaited(400 * time.Millisecond)).To(Equal(tc.want))
+			g.Expect(tc.reply.Unwaited(400 * time.Millisecond)).To(Equal(tc.want))
 		})
 	}
 }
--- a/internal/sidecar/routes.go
+++ b/internal/sidecar/routes.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"github.com/landingmast/landingmast/internal/core/outcome"
+	"github.com/landingmast/landingmast/internal/sidecar/reply"
 
 	"github.com/landingmast/landingmast/internal/core/balancer"
 	"github.com/landingmast/landingmast/internal/core/repeats"
@@ -118,21 +119,21 @@
 }
 
 // done takes in what became of a sending.
-func (c *choice) done(now time.Duration, answer *reply) {
+func (c *choice) done(now time.Duration, answer *reply.Reply) {
 	s := c.service
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.balancer.Done(c.endpoint)
-	if answer.load.Slots > 0 {
-		s.balancer.Report(now, c.endpoint, answer.load)
+	if answer.Load.Slots > 0 {
+		s.balancer.Report(now, c.endpoint, answer.Load)
 	}
 	switch {
-	case answer.wasted():
+	case answer.Wasted():
 		s.balancer.Lost(now, c.endpoint)
-	case answer.outcome == outcome.Answered:
-		s.balancer.Answered(now, c.endpoint, c.class, answer.bytes(), answer.unwaited(now-c.sent))
+	case answer.Outcome == outcome.Answered:
+		s.balancer.Answered(now, c.endpoint, c.class, answer.Bytes(), answer.Unwaited(now-c.sent))
 	}
-	switch answer.reason {
+	switch answer.Reason {
 	case outcome.ReasonUnreachable, outcome.ReasonSilent:
 		s.balancer.Suspect(now, c.endpoint)
 	case outcome.Reason(slots.ReasonDraining), outcome.ReasonNoTarget, outcome.ReasonWrongService, outcome.ReasonStopping, outcome.ReasonIncarnation, outcome.ReasonMisdirected:
--- a/internal/sidecar/routes_test.go
+++ b/internal/sidecar/routes_test.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"github.com/landingmast/landingmast/internal/core/outcome"
+	"github.com/landingmast/landingmast/internal/sidecar/reply"
 
 	"github.com/landingmast/landingmast/internal/core/balancer"
 	"github.com/landingmast/landingmast/internal/core/intent"
@@ -127,14 +128,14 @@
 	load := slots.Load{Slots: 40, Running: 20, Hold: 700 * time.Millisecond}
 	for _, tc := range []struct {
 		name string
-		ends *reply // of a sending to the bad target
+		ends *reply.Reply // of a sending to the bad target
 		left bool
 	}{
-		{"no answer in time", &reply{outcome: outcome.Unknown, reason: outcome.ReasonTimeout, arrived: true, load: load}, false},
-		{"its own word that the time was up", &reply{outcome: outcome.Answered, reason: outcome.ReasonNone, arrived: true, status: 504, load: load}, false},
-		{"answer lost", &reply{outcome: outcome.Unknown, reason: outcome.ReasonLost, arrived: true, load: load}, true},
-		{"client left", &reply{outcome: outcome.Unknown, reason: outcome.ReasonCancelled, arrived: true, load: load}, false},
-		{"whole answer", &reply{outcome: outcome.Answered, reason: outcome.ReasonNone, arrived: true, status: 200, load: load}, false},
+		{"no answer in time", &reply.Reply{Outcome: outcome.Unknown, Reason: outcome.ReasonTimeout, Arrived: true, Load: load}, false},
+		{"its own word that the time was up", &reply.Reply{Outcome: outcome.Answered, Reason: outcome.ReasonNone, Arrived: true, Status: 504, Load: load}, false},
+		{"answer lost", &reply.Reply{Outcome: outcome.Unknown, Reason: outcome.ReasonLost, Arrived: true, Load: load}, true},
+		{"client left", &reply.Reply{Outcome: outcome.Unknown, Reason: outcome.ReasonCancelled, Arrived: true, Load: load}, false},
+		{"whole answer", &reply.Reply{Outcome: outcome.Answered, Reason: outcome.ReasonNone, Arrived: true, Status: 200, Load: load}, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
@@ -153,7 +154,7 @@
 					continue
 				}
 				const hold = 800 * time.Millisecond
-				picked.done(now+hold, &reply{outcome: outcome.Answered, reason: outcome.ReasonNone, arrived: true, status: 200, load: slots.Load{Slots: 40, Running: 20, Hold: hold}})
+				picked.done(now+hold, &reply.Reply{Outcome: outcome.Answered, Reason: outcome.ReasonNone, Arrived: true, Status: 200, Load: slots.Load{Slots: 40, Running: 20, Hold: hold}})
 			}
 			if tc.left {
 				g.Expect(toBad).To(BeNumerically("<", 40))
--- a/internal/sidecar/send.go
+++ b/internal/sidecar/send.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"github.com/landingmast/landingmast/internal/core/outcome"
+	"github.com/landingmast/landingmast/internal/sidecar/reply"
 
 	"github.com/cespare/xxhash/v2"
 	"github.com/juju/errors"
@@ -22,30 +23,30 @@
 func (x *exchange) send(ctx context.Context) {
 	target := x.node.services.get(x.service)
 	tried := &triedTargets{excluded: map[string]bool{}, once: !x.node.policyOn(settings.Declined)}
-	last := notRun(outcome.ReasonNoTarget)
+	last := reply.NotRun(outcome.ReasonNoTarget)
 	for ctx.Err() == nil && x.left(ctx) > 0 && tried.mayGoOn() {
 		choice := target.pick(x.node.now(), x.wish(ctx, tried), tried.excluded)
 		if choice == nil {
 			break
 		}
-		last.close()
+		last.Close()
 		began := x.node.now()
 		last = x.attempt(ctx, choice, tried.ended > 0)
 		x.noteSend(choice, last, x.node.now()-began)
 		choice.done(x.node.now(), last)
-		if last.reason == outcome.ReasonUnreachable && last.incarnation == "" && choice.node != x.node.settings().Node {
+		if last.Reason == outcome.ReasonUnreachable && last.Incarnation == "" && choice.node != x.node.settings().Node {
 			x.node.liveness.revive(choice.node, choice.address)
 		}
 		x.tellIfLost(choice, last)
 		x.learn(last)
 		tried.add(choice.node, last)
-		if last.arrived {
+		if last.Arrived {
 			x.arrivals++
 		}
-		if last.outcome == outcome.Unknown {
+		if last.Outcome == outcome.Unknown {
 			x.mayRun = true
 		}
-		if last.outcome == outcome.Answered {
+		if last.Outcome == outcome.Answered {
 			x.answer(last)
 			return
 		}
@@ -82,14 +83,14 @@
 	return t.bounces < maxBounces && t.fulls < maxFulls && t.declines < maxDeclines
 }
 
-func (t *triedTargets) add(node string, answer *reply) {
-	if answer.full() {
+func (t *triedTargets) add(node string, answer *reply.Reply) {
+	if answer.Full() {
 		t.fulls++
 	}
-	if answer.reason == outcome.ReasonTargetEnded {
+	if answer.Reason == outcome.ReasonTargetEnded {
 		t.ended++
 	}
-	if !answer.arrived {
+	if !answer.Arrived {
 		t.bounces++
 		t.excluded[node] = true
 		return
@@ -97,7 +98,7 @@
 	if !t.declined[node] {
 		t.arrived++
 	}
-	if t.once || answer.outcome != outcome.NotRun || answer.reason != outcome.ReasonTargetShed {
+	if t.once || answer.Outcome != outcome.NotRun || answer.Reason != outcome.ReasonTargetShed {
 		t.excluded[node] = true
 		delete(t.declined, node)
 		return
@@ -119,23 +120,23 @@
 }
 
 // again tells whether another sending may be tried after one that brought no answer.
-func (x *exchange) again(last *reply, tried *triedTargets) bool {
-	if !x.body.replayable() || last.reason == outcome.ReasonEndsTargets {
+func (x *exchange) again(last *reply.Reply, tried *triedTargets) bool {
+	if !x.body.Replayable() || last.Reason == outcome.ReasonEndsTargets {
 		return false
 	}
-	if !last.arrived {
+	if !last.Arrived {
 		return true
 	}
-	if last.outcome == outcome.Unknown && !x.route.Kind.Repeatable() {
+	if last.Outcome == outcome.Unknown && !x.route.Kind.Repeatable() {
 		return false
 	}
-	if last.reason == outcome.ReasonTargetEnded && (x.trial || tried.ended >= mostEnded) && x.node.policyOn(settings.HoldBack) {
+	if last.Reason == outcome.ReasonTargetEnded && (x.trial || tried.ended >= mostEnded) && x.node.policyOn(settings.HoldBack) {
 		return false
 	}
 	if x.repeat || !x.node.policyOn(settings.Repeats) || tried.arrived >= x.mostTargets() && len(tried.declined) == 0 {
 		return false
 	}
-	return x.node.repeat(x.route, x.service, x.rank(), last.reason == outcome.ReasonTargetShed)
+	return x.node.repeat(x.route, x.service, x.rank(), last.Reason == outcome.ReasonTargetShed)
 }
 
 // mostTargets is how many targets the request may reach.
@@ -163,7 +164,7 @@
 }
 
 // attempt sends the request to one target.
-func (x *exchange) attempt(ctx context.Context, choice *choice, suspect bool) *reply {
+func (x *exchange) attempt(ctx context.Context, choice *choice, suspect bool) *reply.Reply {
 	repeatable := x.route.Kind.Repeatable()
 	call := &wire.SidecarCall{
 		RequestID: x.id, Method: x.request.Method, URI: uriOf(x.request), Host: x.request.Host, Service: x.service, Route: x.route.Name,
@@ -181,32 +182,32 @@
 }
 
 // noteSend keeps a sending for the log and counts it.
-func (x *exchange) noteSend(choice *choice, answer *reply, took time.Duration) {
-	x.node.metrics.Sends.WithLabelValues(x.service, string(answer.outcome), string(answer.reason)).Inc()
+func (x *exchange) noteSend(choice *choice, answer *reply.Reply, took time.Duration) {
+	x.node.metrics.Sends.WithLabelValues(x.service, string(answer.Outcome), string(answer.Reason)).Inc()
 	x.sends = append(x.sends, eventlog.Send{
-		Node: choice.node, Outcome: string(answer.outcome), Reason: string(answer.reason), Arrived: answer.arrived, Status: answer.status,
-		TookMS: milliseconds(took), Occupancy: answer.load.Occupancy(),
+		Node: choice.node, Outcome: string(answer.Outcome), Reason: string(answer.Reason), Arrived: answer.Arrived, Status: answer.Status,
+		TookMS: milliseconds(took), Occupancy: answer.Load.Occupancy(),
 	})
 }
 
 // tellIfLost helps a node that replied without knowing any configuration.
-func (x *exchange) tellIfLost(choice *choice, answer *reply) {
-	if answer.incarnation != "" && answer.version == 0 && choice.node != x.node.settings().Node {
+func (x *exchange) tellIfLost(choice *choice, answer *reply.Reply) {
+	if answer.Incarnation != "" && answer.Version == 0 && choice.node != x.node.settings().Node {
 		x.node.exchanger.tell(choice.address)
 	}
 }
 
 // sendRepeatable sends to another node, and gives up when that node shows no
 // sign of life.
-func (x *exchange) sendRepeatable(ctx context.Context, choice *choice, call *wire.SidecarCall) *reply {
+func (x *exchange) sendRepeatable(ctx context.Context, choice *choice, call *wire.SidecarCall) *reply.Reply {
 	ctx, abandon := context.WithCancelCause(ctx)
 	watched := x.node.liveness.begin(choice.node, choice.address, abandon)
 	answer := x.node.peers.call(ctx, choice.address, call, x.header, x.body)
-	watched.end(answer.incarnation != "")
-	if answer.outcome == outcome.Unknown && errors.Is(context.Cause(ctx), errSilent) {
-		answer.reason = outcome.ReasonSilent
+	watched.end(answer.Incarnation != "")
+	if answer.Outcome == outcome.Unknown && errors.Is(context.Cause(ctx), errSilent) {
+		answer.Reason = outcome.ReasonSilent
 	}
-	if answer.stream == nil {
+	if answer.Stream == nil {
 		abandon(nil)
 	}
 	return answer
@@ -214,21 +215,21 @@
 
 // sendOnce sends a request that may run at most once. When the connection to the
 // node breaks, the node is asked what became of the request.
-func (x *exchange) sendOnce(ctx context.Context, choice *choice, call *wire.SidecarCall) *reply {
+func (x *exchange) sendOnce(ctx context.Context, choice *choice, call *wire.SidecarCall) *reply.Reply {
 	call.Key = strconv.FormatUint(rand.Uint64(), 36)
 	call.Incarnation = x.node.membership.incarnation(choice.node)
 	watched := x.node.liveness.begin(choice.node, choice.address, nil)
 	defer func() { watched.end(false) }()
 	answer := x.node.peers.call(ctx, choice.address, call, x.header, x.body)
 	for range settleTries {
-		if answer.outcome != outcome.Unknown || answer.reason != outcome.ReasonLost || call.Incarnation == "" || ctx.Err() != nil {
+		if answer.Outcome != outcome.Unknown || answer.Reason != outcome.ReasonLost || call.Incarnation == "" || ctx.Err() != nil {
 			break
 		}
 		call.Remaining = x.left(ctx).Microseconds()
 		answer = x.node.peers.settle(ctx, choice.address, call)
 	}
-	if answer.reason == outcome.ReasonIncarnation {
-		x.node.membership.restarted(choice.node, answer.incarnation)
+	if answer.Reason == outcome.ReasonIncarnation {
+		x.node.membership.restarted(choice.node, answer.Incarnation)
 	}
 	return answer
 }
--- a/internal/sidecar/send_test.go
+++ b/internal/sidecar/send_test.go
@@ -4,6 +4,7 @@
 	"testing"
 
 	"github.com/landingmast/landingmast/internal/core/outcome"
+	"github.com/landingmast/landingmast/internal/sidecar/reply"
 
 	. "github.com/onsi/gomega"
 )
@@ -11,13 +12,13 @@
 // A target that declined a request may be asked again; it counts once against the most
 // targets that the request may reach.
 func TestTriedTargets(t *testing.T) {
-	declined := &reply{outcome: outcome.NotRun, reason: outcome.ReasonTargetShed, arrived: true}
-	lost := &reply{outcome: outcome.Unknown, reason: outcome.ReasonLost, arrived: true}
-	unreached := &reply{outcome: outcome.NotRun, reason: outcome.ReasonUnreachable}
-	full := &reply{outcome: outcome.NotRun, reason: "too_long"}
+	declined := &reply.Reply{Outcome: outcome.NotRun, Reason: outcome.ReasonTargetShed, Arrived: true}
+	lost := &reply.Reply{Outcome: outcome.Unknown, Reason: outcome.ReasonLost, Arrived: true}
+	unreached := &reply.Reply{Outcome: outcome.NotRun, Reason: outcome.ReasonUnreachable}
+	full := &reply.Reply{Outcome: outcome.NotRun, Reason: "too_long"}
 	type sending struct {
 		node   string
-		answer *reply
+		answer *reply.Reply
 	}
 	for _, tc := range []struct {
 		name     string
@@ -55,7 +56,7 @@
 	tried := &triedTargets{excluded: map[string]bool{}}
 	for range maxDeclines {
 		g.Expect(tried.mayGoOn()).To(BeTrue())
-		tried.add("a", &reply{outcome: outcome.NotRun, reason: outcome.ReasonTargetShed, arrived: true})
+		tried.add("a", &reply.Reply{Outcome: outcome.NotRun, Reason: outcome.ReasonTargetShed, Arrived: true})
 	}
 	g.Expect(tried.mayGoOn()).To(BeFalse())
 }
--- a/internal/sidecar/target.go
+++ b/internal/sidecar/target.go
@@ -1,9 +1,7 @@
 package sidecar
 
 import (
-	"bytes"
 	"context"
-	"io"
 	"sync"
 	"time"
 
@@ -13,8 +11,6 @@
 	"github.com/landingmast/landingmast/internal/sidecar/targetlink"
 )
 
-func newReader(data []byte) io.Reader { return bytes.NewReader(data) }
-
 // localTarget is the target beside the node: who it is, its gate and the
 // connections to it. It is safe for concurrent use.
 type localTarget struct {
