--- a/internal/sidecar/budgets.go
+++ b/internal/sidecar/budgets.go
@@ -6,6 +6,7 @@
 	"github.com/landingmast/landingmast/internal/core/intent"
 	"github.com/landingmast/landingmast/internal/core/repeats"
 	"github.com/landingmast/landingmast/internal/sidecar/settings"
+	"github.com/landingmast/landingmast/internal/wire"
 )
 
 // countRequest counts a request and the calls that will be made for it. granted is the
@@ -29,7 +30,7 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if !s.policy.On(settings.Grants) {
-		return grantUnsaid
+		return wire.GrantUnsaid
 	}
 	return s.keep.Of(now)
 }
--- a/internal/sidecar/ended.go
+++ b/internal/sidecar/ended.go
@@ -49,26 +49,6 @@
 	single chan struct{} // holds one suspect; the others wait
 }
 
-// Values of the header of a request that targets ended with.
-const (
-	suspectMark = "1"
-	trialMark   = "2"
-)
-
-func markOf(call *wire.SidecarCall) string {
-	switch {
-	case call.Trial:
-		return trialMark
-	case call.Suspect:
-		return suspectMark
-	}
-	return ""
-}
-
-func takeMark(call *wire.SidecarCall, mark string) {
-	call.Suspect, call.Trial = mark == suspectMark, mark == trialMark
-}
-
 // aloneWait bounds the wait of a suspected request for the one before it; then another
 // target may take it. Half of the least objective of the users' routes that are repeated.
 const aloneWait = 500 * time.Millisecond
--- a/internal/sidecar/ingress.go
+++ b/internal/sidecar/ingress.go
@@ -110,14 +110,11 @@
 		i.write(w, reply.NotRun(outcome.ReasonStopping))
 		return
 	}
-	call, err := wire.SidecarCallCodec.DecodeHeader(r.Header.Get(wire.HeaderSidecarCall))
+	call, err := wire.CallFrom(r.Header)
 	if err != nil {
 		i.write(w, reply.NotRun(outcome.ReasonBadMessage))
 		return
 	}
-	call.Granted = grantedBy(r.Header)
-	call.Tenant = r.Header.Get(wire.HeaderSidecarTenant)
-	takeMark(call, r.Header.Get(wire.HeaderSidecarSuspect))
 	remaining := time.Duration(call.Remaining) * time.Microsecond
 	ctx, cancel := context.WithTimeout(r.Context(), remaining)
 	defer cancel()
--- a/internal/sidecar/once.go
+++ b/internal/sidecar/once.go
@@ -167,7 +167,7 @@
 
 // ServeHTTP answers the question of another node about one request.
 func (o *onceGate) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	call, err := wire.SidecarCallCodec.DecodeHeader(r.Header.Get(wire.HeaderSidecarCall))
+	call, err := wire.CallFrom(r.Header)
 	if err != nil {
 		o.ingress.write(w, reply.Unknown(outcome.ReasonBadMessage))
 		return
--- a/internal/sidecar/peers.go
+++ b/internal/sidecar/peers.go
@@ -70,23 +70,14 @@
 // call sends one request to the node at an address. The reply's stream, if it has
 // one, must be closed.
 func (p *peerClient) call(ctx context.Context, address string, call *wire.SidecarCall, header http.Header, body *reply.Payload) *reply.Reply {
-	head, err := wire.SidecarCallCodec.EncodeHeader(call)
-	if err != nil {
-		return reply.NotRun(outcome.ReasonBadMessage)
-	}
 	request := (&http.Request{
 		Method: http.MethodPost, URL: &url.URL{Scheme: "http", Host: address, Path: callPath}, Host: address,
 		Header: header.Clone(), ProtoMajor: 1, ProtoMinor: 1,
 	})
 	hideKeys(request.Header)
 	p.names.shorten(request.Header)
-	request.Header.Set(wire.HeaderSidecarCall, head)
-	grant(request.Header, call.Granted)
-	if call.Tenant != "" {
-		request.Header.Set(wire.HeaderSidecarTenant, call.Tenant)
-	}
-	if mark := markOf(call); mark != "" {
-		request.Header.Set(wire.HeaderSidecarSuspect, mark)
+	if err := call.SetHeaders(request.Header); err != nil {
+		return reply.NotRun(outcome.ReasonBadMessage)
 	}
 	if _, present := request.Header["User-Agent"]; !present {
 		request.Header["User-Agent"] = []string{""}
--- a/internal/sidecar/routes.go
+++ b/internal/sidecar/routes.go
@@ -5,12 +5,11 @@
 	"sync"
 	"time"
 
-	"github.com/landingmast/landingmast/internal/core/outcome"
-	"github.com/landingmast/landingmast/internal/sidecar/reply"
-
 	"github.com/landingmast/landingmast/internal/core/balancer"
+	"github.com/landingmast/landingmast/internal/core/outcome"
 	"github.com/landingmast/landingmast/internal/core/repeats"
 	"github.com/landingmast/landingmast/internal/core/slots"
+	"github.com/landingmast/landingmast/internal/sidecar/reply"
 	"github.com/landingmast/landingmast/internal/sidecar/settings"
 )
 
--- a/internal/sidecar/routes_test.go
+++ b/internal/sidecar/routes_test.go
@@ -1,20 +1,17 @@
 package sidecar
 
 import (
-	"net/http"
 	"testing"
 	"time"
 
-	"github.com/landingmast/landingmast/internal/core/outcome"
-	"github.com/landingmast/landingmast/internal/sidecar/reply"
-
 	"github.com/landingmast/landingmast/internal/core/balancer"
 	"github.com/landingmast/landingmast/internal/core/intent"
+	"github.com/landingmast/landingmast/internal/core/outcome"
 	"github.com/landingmast/landingmast/internal/core/overload"
 	"github.com/landingmast/landingmast/internal/core/repeats"
 	"github.com/landingmast/landingmast/internal/core/slots"
 	"github.com/landingmast/landingmast/internal/sidecar/metrics"
-	"github.com/landingmast/landingmast/internal/wire"
+	"github.com/landingmast/landingmast/internal/sidecar/reply"
 	. "github.com/onsi/gomega"
 )
 
@@ -54,27 +51,6 @@
 	g.Expect(repeated()).To(Equal(10)) // (0.2 * 100 * 4 * 0.5 + 1) / 4, with what was left
 }
 
-// Two nodes of a chain count one request between them, also where the message does not
-// say what is left to the second: the release before did not.
-func TestCallsCountWhatTheNodesAboveLeave(t *testing.T) {
-	for _, tc := range []struct {
-		name, header string
-		want         float64
-	}{
-		{"told", "900", 0.9},
-		{"nothing left", "0", 0},
-		{"unsaid", "", grantUnsaid},
-		{"more than there is", "1001", grantUnsaid},
-		{"less than nothing", "-1", grantUnsaid},
-		{"no number", "x", grantUnsaid},
-	} {
-		t.Run(tc.name, func(t *testing.T) {
-			g := NewWithT(t)
-			g.Expect(grantedBy(http.Header{wire.HeaderSidecarGrant: {tc.header}})).To(Equal(tc.want))
-		})
-	}
-}
-
 func TestRepeatTakesNothingWhenOneServiceHasNoBudget(t *testing.T) {
 	g := NewWithT(t)
 	n := budgetNode(2)
--- a/internal/wire/sidecar.go
+++ b/internal/wire/sidecar.go
@@ -11,16 +11,9 @@
 
 // Names of the headers between sidecar nodes.
 const (
-	HeaderSidecarCall   = "Landingmast-Sidecar-Call"
 	HeaderSidecarResult = "Landingmast-Sidecar-Result"
 	HeaderSidecarPong   = "Landingmast-Sidecar-Pong"
 	HeaderSidecarWaits  = "Landingmast-Sidecar-Waits"
-	// HeaderSidecarGrant goes with a SidecarCall: its Granted, in thousandths.
-	HeaderSidecarGrant = "Landingmast-Grant"
-	// HeaderSidecarTenant goes with a SidecarCall: its Tenant.
-	HeaderSidecarTenant = "Landingmast-Tenant"
-	// HeaderSidecarSuspect goes with a SidecarCall: "1" for Suspect, "2" for Trial.
-	HeaderSidecarSuspect = "Landingmast-Suspect"
 )
 
 // SidecarCall is the head of a request from the node where it began to the node
