--- a/internal/sidecar/egress.go
+++ b/internal/sidecar/egress.go
@@ -11,6 +11,7 @@
 	"github.com/landingmast/landingmast/internal/core/intent"
 	"github.com/landingmast/landingmast/internal/core/outcome"
 	"github.com/landingmast/landingmast/internal/sidecar/eventlog"
+	"github.com/landingmast/landingmast/internal/sidecar/headers"
 	"github.com/landingmast/landingmast/internal/sidecar/reply"
 	"github.com/landingmast/landingmast/internal/sidecar/settings"
 	"github.com/landingmast/landingmast/internal/wire"
@@ -160,9 +161,9 @@
 		return
 	}
 	x.body = body
-	x.header = endToEnd(x.request.Header)
+	x.header = headers.EndToEnd(x.request.Header)
 	if len(x.intent.Tenants) > 0 {
-		x.node.options.Headers.hideIdentity(x.header)
+		x.node.options.Headers.HideIdentity(x.header)
 	}
 	verdict := x.heldBack()
 	if verdict.refused {
--- a/internal/sidecar/exchange_test.go
+++ b/internal/sidecar/exchange_test.go
@@ -12,6 +12,7 @@
 	"testing"
 
 	"github.com/landingmast/landingmast/internal/codec"
+	"github.com/landingmast/landingmast/internal/sidecar/headers"
 	"github.com/landingmast/landingmast/internal/wire"
 	. "github.com/onsi/gomega"
 )
@@ -20,7 +21,7 @@
 func countedNode(t *testing.T, name string) (n *Node, address string, bytes *atomic.Int64) {
 	t.Helper()
 	n = memberNode(name, name)
-	n.peers = newPeerClient((&net.Dialer{}).DialContext, Headers{})
+	n.peers = newPeerClient((&net.Dialer{}).DialContext, headers.Names{})
 	n.exchanger = &exchanger{node: n}
 	bytes = &atomic.Int64{}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/sidecar/headers.go
+++ b/internal/sidecar/headers/headers.go
@@ -1,9 +1,8 @@
-// Package sidecar is the node that stands beside one target on a machine without
-// a disk: clients and the target send their requests to it, it chooses a target
-// of the right service and sends them to the node beside that target, which
-// alone decides when its target gets them. What must outlive the processes lies
-// in a store; everything else nodes tell each other.
-package sidecar
+// Package headers holds what a node does to the headers of requests and answers: which
+// of them travel on, which only nodes may set, where a client's key stands. The names of
+// the platform's headers come in as Names; this package knows none of them. It owns no
+// state.
+package headers
 
 import (
 	"net/http"
@@ -14,8 +13,8 @@
 	"github.com/landingmast/landingmast/internal/wire"
 )
 
-// Headers are the names of the headers that clients, nodes and targets use.
-type Headers struct {
+// Names are the names of the headers that clients, nodes and targets use.
+type Names struct {
 	RequestID      string // id of one client attempt; echoed by targets
 	Deadline       string // milliseconds that the sender will wait
 	Signature      string // the target's mark on its answer
@@ -35,11 +34,12 @@
 	"Transfer-Encoding", "Upgrade", "Content-Length",
 }
 
+// reservedPrefix begins the headers that only nodes set.
 const reservedPrefix = "Landingmast-"
 
-// endToEnd copies the headers that travel on: not those of one connection, and
+// EndToEnd copies the headers that travel on: not those of one connection, and
 // none that only nodes set.
-func endToEnd(from http.Header) http.Header {
+func EndToEnd(from http.Header) http.Header {
 	to := make(http.Header, len(from)+4)
 	named := connectionOptions(from)
 	for name, values := range from {
@@ -69,16 +69,41 @@
 	return named
 }
 
-// shorten takes out of a request between two nodes what its SidecarCall tells too.
-func (h Headers) shorten(header http.Header) {
+// Shorten takes out of a request between two nodes what its SidecarCall tells too.
+func (h Names) Shorten(header http.Header) {
 	delete(header, h.RequestID)
 	delete(header, h.Deadline)
 }
 
-// restore gives an answer the id of its request, which the node that asked knows. A node
+// Restore gives an answer the id of its request, which the node that asked knows. A node
 // of the release before sends it.
-func (h Headers) restore(answer *reply.Reply, call *wire.SidecarCall) {
+func (h Names) Restore(answer *reply.Reply, call *wire.SidecarCall) {
 	if h.RequestID != "" && answer.Outcome == outcome.Answered && answer.Header.Get(h.RequestID) == "" {
 		answer.Header.Set(h.RequestID, call.RequestID)
 	}
 }
+
+// KeyOf gives the key that a request carries; empty: none.
+func (h Names) KeyOf(header http.Header) string {
+	scheme, key, found := strings.Cut(header.Get(h.Key), " ")
+	if !found || !strings.EqualFold(scheme, h.KeyScheme) {
+		return ""
+	}
+	return strings.TrimSpace(key)
+}
+
+// HideIdentity takes out of a request what only nodes may tell of its tenant, in every
+// spelling that a target might read as such, and its key.
+func (h Names) HideIdentity(header http.Header) {
+	for name := range header {
+		if sameField(name, h.Tenant) || sameField(name, h.Key) {
+			delete(header, name)
+		}
+	}
+}
+
+// sameField tells whether two names of header fields are one to a reader that takes
+// underscores for hyphens, as gateways to CGI-like programs do.
+func sameField(a, b string) bool {
+	return len(a) == len(b) && strings.EqualFold(strings.ReplaceAll(a, "_", "-"), b)
+}
--- a/internal/sidecar/headers_test.go
+++ b/internal/sidecar/headers/headers_test.go
@@ -1,4 +1,4 @@
-package sidecar
+package headers
 
 import (
 	"net/http"
@@ -10,14 +10,14 @@
 	. "github.com/onsi/gomega"
 )
 
-var testNames = Headers{RequestID: "X-Id", Deadline: "X-Left"}
+var testNames = Names{RequestID: "X-Id", Deadline: "X-Left"}
 
 // What the head of a call tells is not told twice; the answer gets its request's id back
 // where the node beside the target left it out.
 func TestWhatTheHeadTellsIsNotToldTwice(t *testing.T) {
 	g := NewWithT(t)
 	sent := http.Header{"X-Id": {"a.1"}, "X-Left": {"700"}, "Accept": {"*/*"}}
-	testNames.shorten(sent)
+	testNames.Shorten(sent)
 	g.Expect(sent).To(Equal(http.Header{"Accept": {"*/*"}}))
 }
 
@@ -33,7 +33,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
-			testNames.restore(tc.answer, &wire.SidecarCall{RequestID: "a.1"})
+			testNames.Restore(tc.answer, &wire.SidecarCall{RequestID: "a.1"})
 			g.Expect(tc.answer.Header["X-Id"]).To(Equal(tc.want))
 		})
 	}
--- a/internal/sidecar/identity_test.go
+++ b/internal/sidecar/headers/identity_test.go
@@ -1,4 +1,4 @@
-package sidecar
+package headers
 
 import (
 	"net/http"
@@ -7,7 +7,7 @@
 	. "github.com/onsi/gomega"
 )
 
-var identityHeaders = Headers{Tenant: "X-Tenant", Key: "Authorization", KeyScheme: "Bearer"}
+var identityHeaders = Names{Tenant: "X-Tenant", Key: "Authorization", KeyScheme: "Bearer"}
 
 func TestKeyOfARequest(t *testing.T) {
 	for _, tc := range []struct{ name, value, want string }{
@@ -24,7 +24,7 @@
 			if tc.value != "" {
 				header.Set("Authorization", tc.value)
 			}
-			g.Expect(identityHeaders.key(header)).To(Equal(tc.want))
+			g.Expect(identityHeaders.KeyOf(header)).To(Equal(tc.want))
 		})
 	}
 }
@@ -36,13 +36,13 @@
 		"X-Tenant": {"a"}, "x-tenant": {"a"}, "X_Tenant": {"a"}, "x_TENANT": {"a"}, "Authorization": {"Bearer k"}, "authorization": {"Bearer k"},
 		"X-Tenants": {"kept"}, "X-Request-Id": {"kept"},
 	}
-	identityHeaders.hideIdentity(header)
+	identityHeaders.HideIdentity(header)
 	g.Expect(header).To(Equal(http.Header{"X-Tenants": {"kept"}, "X-Request-Id": {"kept"}}))
 }
 
 func BenchmarkHideIdentity(b *testing.B) {
 	header := http.Header{"X-Request-Id": {"1"}, "X-Deadline-Ms": {"1"}, "User-Agent": {"1"}, "Accept": {"1"}, "Content-Type": {"1"}, "X-Caller-Service": {"1"}}
 	for b.Loop() {
-		identityHeaders.hideIdentity(header)
+		identityHeaders.HideIdentity(header)
 	}
 }
--- a/internal/sidecar/identity.go
+++ b/internal/sidecar/identity.go
@@ -13,31 +13,6 @@
 // the request that made it. The key stays at that node; other nodes and targets get the
 // tenant's name.
 
-// key gives the key that a request carries; empty: none.
-func (h Headers) key(header http.Header) string {
-	scheme, key, found := strings.Cut(header.Get(h.Key), " ")
-	if !found || !strings.EqualFold(scheme, h.KeyScheme) {
-		return ""
-	}
-	return strings.TrimSpace(key)
-}
-
-// hideIdentity takes out of a request what only nodes may tell of its tenant, in every
-// spelling that a target might read as such, and its key.
-func (h Headers) hideIdentity(header http.Header) {
-	for name := range header {
-		if sameField(name, h.Tenant) || sameField(name, h.Key) {
-			delete(header, name)
-		}
-	}
-}
-
-// sameField tells whether two names of header fields are one to a reader that takes
-// underscores for hyphens, as gateways to CGI-like programs do.
-func sameField(a, b string) bool {
-	return len(a) == len(b) && strings.EqualFold(strings.ReplaceAll(a, "_", "-"), b)
-}
-
 // identify settles the tenant of the request. false: it was refused.
 func (x *exchange) identify() bool {
 	if x.parent != nil {
@@ -47,7 +22,7 @@
 	if len(x.intent.Tenants) == 0 {
 		return true
 	}
-	key := x.node.options.Headers.key(x.request.Header)
+	key := x.node.options.Headers.KeyOf(x.request.Header)
 	if key == "" {
 		return x.identifyWithoutKey()
 	}
--- a/internal/sidecar/ingress.go
+++ b/internal/sidecar/ingress.go
@@ -11,6 +11,7 @@
 
 	"github.com/landingmast/landingmast/internal/core/outcome"
 	"github.com/landingmast/landingmast/internal/core/slots"
+	"github.com/landingmast/landingmast/internal/sidecar/headers"
 	"github.com/landingmast/landingmast/internal/sidecar/reply"
 	"github.com/landingmast/landingmast/internal/wire"
 )
@@ -123,7 +124,7 @@
 		i.write(w, reply.NotRun(outcome.ReasonCancelled))
 		return
 	}
-	answer := i.serve(ctx, call, endToEnd(r.Header), body)
+	answer := i.serve(ctx, call, headers.EndToEnd(r.Header), body)
 	if r.Header.Get(i.node.options.Headers.RequestID) == "" {
 		answer = answer.Without(i.node.options.Headers.RequestID)
 	}
--- a/internal/sidecar/judge.go
+++ b/internal/sidecar/judge.go
@@ -9,6 +9,7 @@
 
 	"github.com/juju/errors"
 	"github.com/landingmast/landingmast/internal/core/outcome"
+	"github.com/landingmast/landingmast/internal/sidecar/headers"
 	"github.com/landingmast/landingmast/internal/sidecar/reply"
 	"github.com/landingmast/landingmast/internal/sidecar/targetlink"
 )
@@ -95,7 +96,7 @@
 		}
 		return reply.Unknown(i.lost(gate, one))
 	}
-	given := &reply.Reply{Outcome: outcome.Answered, Reason: outcome.ReasonNone, Arrived: true, Status: answer.Status, Header: endToEnd(answer.Header), Body: data, Length: answer.Length}
+	given := &reply.Reply{Outcome: outcome.Answered, Reason: outcome.ReasonNone, Arrived: true, Status: answer.Status, Header: headers.EndToEnd(answer.Header), Body: data, Length: answer.Length}
 	if rest == nil {
 		_ = answer.Body.Close()
 		return given
--- a/internal/sidecar/membership_test.go
+++ b/internal/sidecar/membership_test.go
@@ -9,6 +9,7 @@
 	"github.com/landingmast/landingmast/internal/core/repeats"
 	"github.com/landingmast/landingmast/internal/core/roster"
 	"github.com/landingmast/landingmast/internal/sidecar/eventlog"
+	"github.com/landingmast/landingmast/internal/sidecar/headers"
 	"github.com/landingmast/landingmast/internal/sidecar/settings"
 	"github.com/landingmast/landingmast/internal/wire"
 	. "github.com/onsi/gomega"
@@ -20,7 +21,7 @@
 	n.checked.Store(&settings.Settings{Node: name, Zone: "a"})
 	n.services = newServices(name, "a", n.now, repeats.Config{Ratio: 0.2, Allowance: 10, Window: 10 * time.Second}, true)
 	n.target = &localTarget{now: n.now, roster: roster.New()}
-	n.peers = newPeerClient((&net.Dialer{}).DialContext, Headers{})
+	n.peers = newPeerClient((&net.Dialer{}).DialContext, headers.Names{})
 	n.liveness = newLiveness(n.now, n.peers.pingPeer, livenessEvents{lost: n.services.suspect, still: n.services.suspect, back: n.services.trust})
 	n.membership = newMembership(n)
 	n.ingress = newIngress(n)
--- a/internal/sidecar/node.go
+++ b/internal/sidecar/node.go
@@ -1,3 +1,8 @@
+// Package sidecar is the node that stands beside one target on a machine without
+// a disk: clients and the target send their requests to it, it chooses a target
+// of the right service and sends them to the node beside that target, which
+// alone decides when its target gets them. What must outlive the processes lies
+// in a store; everything else nodes tell each other.
 package sidecar
 
 import (
@@ -17,6 +22,7 @@
 	"github.com/landingmast/landingmast/internal/core/roster"
 	"github.com/landingmast/landingmast/internal/failure"
 	"github.com/landingmast/landingmast/internal/sidecar/eventlog"
+	"github.com/landingmast/landingmast/internal/sidecar/headers"
 	"github.com/landingmast/landingmast/internal/sidecar/metrics"
 	"github.com/landingmast/landingmast/internal/sidecar/settings"
 	"github.com/landingmast/landingmast/internal/sidecar/targetlink"
@@ -29,7 +35,7 @@
 // Options are what a node is made of besides its settings. They bring in the
 // names and forms of the platform, which this package does not know.
 type Options struct {
-	Headers          Headers
+	Headers          headers.Names
 	Store            store.Store // nil: none
 	ConfigurationKey string      // key of the operators' configuration
 	RecordPrefix     string      // where all that the nodes keep lies
--- a/internal/sidecar/peers.go
+++ b/internal/sidecar/peers.go
@@ -14,6 +14,7 @@
 
 	"github.com/landingmast/landingmast/internal/core/outcome"
 	"github.com/landingmast/landingmast/internal/failure"
+	"github.com/landingmast/landingmast/internal/sidecar/headers"
 	"github.com/landingmast/landingmast/internal/sidecar/reply"
 	"github.com/landingmast/landingmast/internal/wire"
 )
@@ -35,10 +36,10 @@
 // peerClient sends requests to other nodes.
 type peerClient struct {
 	transport *http.Transport
-	names     Headers
+	names     headers.Names
 }
 
-func newPeerClient(dial Dialer, names Headers) *peerClient {
+func newPeerClient(dial Dialer, names headers.Names) *peerClient {
 	return &peerClient{names: names, transport: &http.Transport{
 		DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
 			ctx, cancel := context.WithTimeout(ctx, peerDialTimeout)
@@ -75,7 +76,7 @@
 		Header: header.Clone(), ProtoMajor: 1, ProtoMinor: 1,
 	})
 	hideKeys(request.Header)
-	p.names.shorten(request.Header)
+	p.names.Shorten(request.Header)
 	if err := call.SetHeaders(request.Header); err != nil {
 		return reply.NotRun(outcome.ReasonBadMessage)
 	}
@@ -95,7 +96,7 @@
 		return unanswered(ctx, connected.Load())
 	}
 	answer := readReply(ctx, response)
-	p.names.restore(answer, call)
+	p.names.Restore(answer, call)
 	return answer
 }
 
@@ -147,7 +148,7 @@
 		return reply.Unknown(outcome.ReasonLost)
 	}
 	answer := readReply(ctx, response)
-	p.names.restore(answer, call)
+	p.names.Restore(answer, call)
 	return answer
 }
 
@@ -183,7 +184,7 @@
 		}
 		return lost
 	}
-	answer.Header, answer.Body = endToEnd(response.Header), data
+	answer.Header, answer.Body = headers.EndToEnd(response.Header), data
 	if rest == nil {
 		_ = response.Body.Close()
 		return answer
