--- a/internal/sidecar/answer.go
+++ b/internal/sidecar/answer.go
@@ -3,13 +3,13 @@
 import (
 	"context"
 	"io"
-	"math/rand/v2"
 	"net/http"
 	"strconv"
 	"time"
 
 	"github.com/landingmast/landingmast/internal/core/outcome"
 	"github.com/landingmast/landingmast/internal/sidecar/reply"
+	"github.com/landingmast/landingmast/internal/sidecar/wait"
 	"github.com/landingmast/landingmast/internal/wire"
 )
 
@@ -74,11 +74,7 @@
 	if reason == outcome.ReasonEndsTargets {
 		return 0
 	}
-	return jittered(overloadRetryAfter)
-}
-
-func jittered(span time.Duration) time.Duration {
-	return span + time.Duration(rand.Int64N(int64(span)))
+	return wait.Jittered(overloadRetryAfter)
 }
 
 // refuse writes an answer of the node's own.
--- a/internal/sidecar/configuration.go
+++ b/internal/sidecar/configuration.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"github.com/landingmast/landingmast/internal/sidecar/eventlog"
+	"github.com/landingmast/landingmast/internal/sidecar/wait"
 	"github.com/landingmast/landingmast/internal/store"
 	"github.com/landingmast/landingmast/internal/wire"
 )
@@ -46,18 +47,18 @@
 
 // findConfiguration reads the configuration when no other node has told it.
 func (n *Node) findConfiguration(ctx context.Context) {
-	wait := configurationFirst
+	rest := configurationFirst
 	if n.settings().FirstStart {
-		wait = configurationBootstrap
+		rest = configurationBootstrap
 	}
-	for pause(ctx, wait); ctx.Err() == nil && n.version() == 0; {
+	for wait.For(ctx, rest); ctx.Err() == nil && n.version() == 0; {
 		call, cancel := context.WithTimeout(ctx, callTimeout)
 		found := n.freshness.read(call, n.now())
 		cancel()
 		if found {
 			return
 		}
-		pause(ctx, configurationAgain+time.Duration(rand.Int64N(int64(configurationSpread))))
+		wait.For(ctx, configurationAgain+time.Duration(rand.Int64N(int64(configurationSpread))))
 	}
 }
 
--- a/internal/sidecar/egress.go
+++ b/internal/sidecar/egress.go
@@ -14,6 +14,7 @@
 	"github.com/landingmast/landingmast/internal/sidecar/headers"
 	"github.com/landingmast/landingmast/internal/sidecar/reply"
 	"github.com/landingmast/landingmast/internal/sidecar/settings"
+	"github.com/landingmast/landingmast/internal/sidecar/wait"
 	"github.com/landingmast/landingmast/internal/wire"
 )
 
@@ -249,7 +250,7 @@
 // its time left.
 const comeBackShare = 3
 
-func comeBack(time time.Duration) time.Duration { return jittered(time / (2 * comeBackShare)) }
+func comeBack(time time.Duration) time.Duration { return wait.Jittered(time / (2 * comeBackShare)) }
 
 // learn takes in what a sending told of the services down the chain.
 func (x *exchange) learn(answer *reply.Reply) {
--- a/internal/sidecar/exchange.go
+++ b/internal/sidecar/exchange.go
@@ -9,6 +9,7 @@
 	"sync"
 	"time"
 
+	"github.com/landingmast/landingmast/internal/sidecar/wait"
 	"github.com/landingmast/landingmast/internal/wire"
 )
 
@@ -16,7 +17,6 @@
 const (
 	exchangeEvery   = time.Second
 	exchangeTimeout = 500 * time.Millisecond
-	maxExchange     = 4 << 20
 )
 
 // exchangePath takes what another node knows.
@@ -47,7 +47,7 @@
 // run exchanges until ctx ends.
 func (e *exchanger) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		pause(ctx, exchangeEvery/2+time.Duration(rand.Int64N(int64(exchangeEvery))))
+		wait.For(ctx, exchangeEvery/2+time.Duration(rand.Int64N(int64(exchangeEvery))))
 		if address := e.node.membership.anyAddress(); address != "" {
 			e.with(ctx, address)
 		}
@@ -112,7 +112,7 @@
 
 // ServeHTTP answers the message of another node.
 func (e *exchanger) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	data, err := io.ReadAll(io.LimitReader(r.Body, maxExchange))
+	data, err := io.ReadAll(io.LimitReader(r.Body, wire.MaxMessage))
 	if err != nil {
 		return
 	}
--- a/internal/sidecar/follow.go
+++ b/internal/sidecar/follow.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"github.com/juju/errors"
+	"github.com/landingmast/landingmast/internal/sidecar/wait"
 	"github.com/landingmast/landingmast/internal/store"
 	"github.com/landingmast/landingmast/internal/wire"
 )
@@ -104,7 +105,7 @@
 			f.node.storeResult("read", err)
 			f.hear(prefix, err == nil)
 			if err != nil {
-				pause(ctx, retryLeast+time.Duration(rand.Int64N(int64(retrySpread))))
+				wait.For(ctx, retryLeast+time.Duration(rand.Int64N(int64(retrySpread))))
 				continue
 			}
 			at = revision
@@ -120,12 +121,12 @@
 		case errors.Is(err, store.ErrCompacted):
 			at = -1
 		case err != nil:
-			pause(ctx, retryLeast+time.Duration(rand.Int64N(int64(retrySpread))))
+			wait.For(ctx, retryLeast+time.Duration(rand.Int64N(int64(retrySpread))))
 		default:
 			at = max(at, revision)
 			take(events, false, at)
 			if len(events) > 0 {
-				pause(ctx, max(rest, f.fairRest()))
+				wait.For(ctx, max(rest, f.fairRest()))
 			}
 		}
 	}
@@ -144,12 +145,3 @@
 	}
 	return time.Duration(float64(f.node.membership.zones()) / rate * float64(time.Second))
 }
-
-func pause(ctx context.Context, span time.Duration) {
-	timer := time.NewTimer(span)
-	defer timer.Stop()
-	select {
-	case <-ctx.Done():
-	case <-timer.C:
-	}
-}
--- a/internal/sidecar/follower.go
+++ b/internal/sidecar/follower.go
@@ -7,6 +7,7 @@
 
 	"github.com/landingmast/landingmast/internal/core/election"
 	"github.com/landingmast/landingmast/internal/core/lapse"
+	"github.com/landingmast/landingmast/internal/sidecar/wait"
 	"github.com/landingmast/landingmast/internal/wire"
 )
 
@@ -120,7 +121,7 @@
 	end := context.CancelFunc(func() {})
 	defer func() { end() }()
 	beaten := time.Duration(0)
-	for ; ctx.Err() == nil; pause(ctx, followerTick) {
+	for ; ctx.Err() == nil; wait.For(ctx, followerTick) {
 		follows := f.follows()
 		if follows != f.following {
 			f.following = follows
@@ -186,11 +187,11 @@
 				end = f.watch(ctx, &loops)
 			}
 		}
-		wait := probeEvery
+		rest := probeEvery
 		if !answers {
-			wait = probeAgain
+			rest = probeAgain
 		}
-		pause(ctx, wait)
+		wait.For(ctx, rest)
 	}
 }
 
--- a/internal/sidecar/freshness.go
+++ b/internal/sidecar/freshness.go
@@ -11,6 +11,7 @@
 	"github.com/juju/errors"
 	"github.com/landingmast/landingmast/internal/core/freshness"
 	"github.com/landingmast/landingmast/internal/sidecar/eventlog"
+	"github.com/landingmast/landingmast/internal/sidecar/wait"
 	"github.com/landingmast/landingmast/internal/store"
 	"github.com/landingmast/landingmast/internal/wire"
 )
@@ -55,7 +56,7 @@
 func newProver(node *Node) *prover { return &prover{node: node, now: make(chan struct{}, 1)} }
 
 // renewNow has the evidence renewed before its time.
-func (p *prover) renewNow() { signalOnce(p.now) }
+func (p *prover) renewNow() { wait.Signal(p.now) }
 
 // holds tells whether the configuration is fresh enough for a key to be believed.
 func (p *prover) holds() bool {
@@ -99,7 +100,7 @@
 
 // run keeps the evidence young until ctx ends.
 func (p *prover) run(ctx context.Context) {
-	pause(ctx, time.Duration(rand.Int64N(int64(askEvery))))
+	wait.For(ctx, time.Duration(rand.Int64N(int64(askEvery))))
 	for ctx.Err() == nil {
 		rest := askEvery
 		if p.wanted() {
--- a/internal/sidecar/heldbacktell.go
+++ b/internal/sidecar/heldbacktell.go
@@ -11,6 +11,7 @@
 	"github.com/juju/errors"
 	"github.com/landingmast/landingmast/internal/core/crashes"
 	"github.com/landingmast/landingmast/internal/sidecar/eventlog"
+	"github.com/landingmast/landingmast/internal/sidecar/wait"
 	"github.com/landingmast/landingmast/internal/store"
 	"github.com/landingmast/landingmast/internal/wire"
 )
@@ -81,7 +82,7 @@
 
 // ServeHTTP takes the message of another node.
 func (h *heldBack) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	data, err := io.ReadAll(io.LimitReader(r.Body, maxExchange))
+	data, err := io.ReadAll(io.LimitReader(r.Body, wire.MaxMessage))
 	if err != nil {
 		return
 	}
@@ -121,7 +122,7 @@
 // back with nothing, knows the rest.
 func (h *heldBack) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		pause(ctx, compareEvery/2+time.Duration(rand.Int64N(int64(compareEvery))))
+		wait.For(ctx, compareEvery/2+time.Duration(rand.Int64N(int64(compareEvery))))
 		if h.empty() && h.node.now() > compareFirst {
 			continue
 		}
--- a/internal/sidecar/identify.go
+++ b/internal/sidecar/identify.go
@@ -10,6 +10,7 @@
 
 	"github.com/landingmast/landingmast/internal/core/roster"
 	"github.com/landingmast/landingmast/internal/sidecar/targetlink"
+	"github.com/landingmast/landingmast/internal/sidecar/wait"
 )
 
 // identify asks the target at the address who it is.
@@ -55,9 +56,9 @@
 // findTarget asks who stands at the target's address when the node has come back
 // and the target was running all along: the next heartbeat may be seconds away.
 func (n *Node) findTarget(ctx context.Context) {
-	pause(ctx, searchAfter)
+	wait.For(ctx, searchAfter)
 	for n.intent.Load() == nil && ctx.Err() == nil {
-		pause(ctx, intentPoll)
+		wait.For(ctx, intentPoll)
 	}
 	for range searchTries {
 		if n.target.current() != nil || ctx.Err() != nil {
@@ -70,6 +71,6 @@
 			n.target.found(report)
 			return
 		}
-		pause(ctx, searchEvery)
+		wait.For(ctx, searchEvery)
 	}
 }
--- a/internal/sidecar/ingress.go
+++ b/internal/sidecar/ingress.go
@@ -257,7 +257,7 @@
 	var answer *reply.Reply
 	switch {
 	case !decision.Send && ctx.Err() != nil:
-		answer = reply.NotRun(endOf(ctx))
+		answer = reply.NotRun(reply.EndOf(ctx))
 	case !decision.Send:
 		answer = reply.NotRun(outcome.Reason(decision.Reason))
 	case maySend != nil && !maySend():
--- a/internal/sidecar/judge.go
+++ b/internal/sidecar/judge.go
@@ -5,7 +5,6 @@
 	"io"
 	"net/http"
 	"strconv"
-	"time"
 
 	"github.com/juju/errors"
 	"github.com/landingmast/landingmast/internal/core/outcome"
@@ -45,7 +44,7 @@
 		return reply.NotRun(outcome.ReasonUnreachable)
 	case ctx.Err() != nil:
 		i.senderLeft(gate, one)
-		return reply.Unknown(endOf(ctx))
+		return reply.Unknown(reply.EndOf(ctx))
 	case errors.Is(err, targetlink.ErrSpoiled):
 		return reply.Unknown(outcome.ReasonSpoiled)
 	default:
@@ -53,21 +52,6 @@
 	}
 }
 
-// endOf tells the end of a request's time from the end of its sender's interest.
-// The sender counts the same time and may close its connection a little before the
-// time is up here.
-func endOf(ctx context.Context) outcome.Reason {
-	deadline, bounded := ctx.Deadline()
-	if errors.Is(ctx.Err(), context.DeadlineExceeded) || bounded && time.Until(deadline) < closeMargin {
-		return outcome.ReasonTimeout
-	}
-	return outcome.ReasonCancelled
-}
-
-// closeMargin is how long before the end of a request's time a close of its
-// connection counts as that end.
-const closeMargin = 25 * time.Millisecond
-
 // judge tells what the target's answer is worth.
 func (i *ingress) judge(ctx context.Context, gate *gate, one *arrival, answer *targetlink.Answer) *reply.Reply {
 	names := i.node.options.Headers
@@ -92,7 +76,7 @@
 	if err != nil {
 		_ = answer.Body.Close()
 		if ctx.Err() != nil {
-			return reply.Unknown(endOf(ctx))
+			return reply.Unknown(reply.EndOf(ctx))
 		}
 		return reply.Unknown(i.lost(gate, one))
 	}
--- a/internal/sidecar/news.go
+++ b/internal/sidecar/news.go
@@ -109,7 +109,7 @@
 
 // ServeHTTP takes news of another node and passes them on.
 func (s *spreader) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	data, err := io.ReadAll(io.LimitReader(r.Body, maxExchange))
+	data, err := io.ReadAll(io.LimitReader(r.Body, wire.MaxMessage))
 	if err != nil {
 		return
 	}
--- a/internal/sidecar/peers.go
+++ b/internal/sidecar/peers.go
@@ -114,7 +114,7 @@
 		return nil, failure.Wrap(err, failure.Unavailable, "none; another node is asked", "%s at %s", path, address)
 	}
 	defer response.Body.Close()
-	read, err := io.ReadAll(io.LimitReader(response.Body, maxExchange))
+	read, err := io.ReadAll(io.LimitReader(response.Body, wire.MaxMessage))
 	if err != nil {
 		return nil, failure.Wrap(err, failure.Unavailable, "none; another node is asked", "%s at %s", path, address)
 	}
@@ -143,7 +143,7 @@
 	response, err := p.transport.RoundTrip(request.WithContext(ctx))
 	if err != nil {
 		if ctx.Err() != nil {
-			return reply.Unknown(endOf(ctx))
+			return reply.Unknown(reply.EndOf(ctx))
 		}
 		return reply.Unknown(outcome.ReasonLost)
 	}
@@ -156,11 +156,11 @@
 func unanswered(ctx context.Context, connected bool) *reply.Reply {
 	switch {
 	case !connected && ctx.Err() != nil:
-		return reply.NotRun(endOf(ctx))
+		return reply.NotRun(reply.EndOf(ctx))
 	case !connected:
 		return reply.NotRun(outcome.ReasonUnreachable)
 	case ctx.Err() != nil:
-		return reply.Unknown(endOf(ctx))
+		return reply.Unknown(reply.EndOf(ctx))
 	default:
 		return reply.Unknown(outcome.ReasonLost)
 	}
@@ -180,7 +180,7 @@
 		_ = response.Body.Close()
 		lost := reply.Unknown(outcome.ReasonLost)
 		if ctx.Err() != nil {
-			lost.Reason = endOf(ctx)
+			lost.Reason = reply.EndOf(ctx)
 		}
 		return lost
 	}
--- a/internal/sidecar/quotaask.go
+++ b/internal/sidecar/quotaask.go
@@ -8,6 +8,7 @@
 
 	"github.com/juju/errors"
 	"github.com/landingmast/landingmast/internal/core/quota"
+	"github.com/landingmast/landingmast/internal/sidecar/wait"
 	"github.com/landingmast/landingmast/internal/wire"
 )
 
@@ -26,11 +27,11 @@
 		q.lost[shard].Store(failed > 1)
 		switch {
 		case failed == 1:
-			pause(ctx, quotaRest)
+			wait.For(ctx, quotaRest)
 			continue
 		case failed > 1:
 			q.find(ctx, shard)
-			pause(ctx, quotaFailed)
+			wait.For(ctx, quotaFailed)
 			continue
 		}
 		timer := time.NewTimer(quotaEvery)
@@ -38,7 +39,7 @@
 		case <-ctx.Done():
 		case <-timer.C:
 		case <-q.kicks[shard]:
-			pause(ctx, q.gather(shard))
+			wait.For(ctx, q.gather(shard))
 		}
 		timer.Stop()
 	}
--- a/internal/sidecar/quotas.go
+++ b/internal/sidecar/quotas.go
@@ -12,6 +12,7 @@
 	"github.com/landingmast/landingmast/internal/core/intent"
 	"github.com/landingmast/landingmast/internal/core/outcome"
 	"github.com/landingmast/landingmast/internal/core/quota"
+	"github.com/landingmast/landingmast/internal/sidecar/wait"
 	"github.com/landingmast/landingmast/internal/store"
 	"github.com/landingmast/landingmast/internal/wire"
 )
@@ -121,7 +122,7 @@
 		x.refuse(http.StatusTooManyRequests, outcome.ReasonQuota, comeBack)
 		return false
 	}
-	x.refuse(http.StatusServiceUnavailable, outcome.ReasonNoAllowance, jittered(noAllowanceRetryAfter))
+	x.refuse(http.StatusServiceUnavailable, outcome.ReasonNoAllowance, wait.Jittered(noAllowanceRetryAfter))
 	return false
 }
 
@@ -191,7 +192,7 @@
 
 // kick has the keeper of a group asked now.
 func (q *quotas) kick(shard int) {
-	signalOnce(q.kicks[shard])
+	wait.Signal(q.kicks[shard])
 }
 
 // takeKeepers learns the keepers that the store has.
--- a/internal/sidecar/quotaserver.go
+++ b/internal/sidecar/quotaserver.go
@@ -11,6 +11,7 @@
 	"github.com/juju/errors"
 	"github.com/landingmast/landingmast/internal/core/quota"
 	"github.com/landingmast/landingmast/internal/sidecar/eventlog"
+	"github.com/landingmast/landingmast/internal/sidecar/wait"
 	"github.com/landingmast/landingmast/internal/store"
 	"github.com/landingmast/landingmast/internal/wire"
 )
@@ -80,7 +81,7 @@
 		if lease := s.inUse(); lease != nil && !s.renew(ctx, lease) {
 			rest = keeperAgain
 		}
-		pause(ctx, rest)
+		wait.For(ctx, rest)
 	}
 }
 
@@ -156,7 +157,7 @@
 
 // ServeHTTP answers the question of another node for parts of limits.
 func (s *quotaServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	data, err := io.ReadAll(io.LimitReader(r.Body, maxExchange))
+	data, err := io.ReadAll(io.LimitReader(r.Body, wire.MaxMessage))
 	if err != nil {
 		return
 	}
--- a/internal/sidecar/quotatakeover.go
+++ b/internal/sidecar/quotatakeover.go
@@ -12,6 +12,7 @@
 	"github.com/juju/errors"
 	"github.com/landingmast/landingmast/internal/core/quota"
 	"github.com/landingmast/landingmast/internal/sidecar/eventlog"
+	"github.com/landingmast/landingmast/internal/sidecar/wait"
 	"github.com/landingmast/landingmast/internal/store"
 	"github.com/landingmast/landingmast/internal/wire"
 )
@@ -60,7 +61,7 @@
 		return
 	}
 	turn := turnOf(gone.Shard, s.node.settings().Zone, s.node.membership.zoneNames())
-	pause(ctx, replaceStep*time.Duration(turn))
+	wait.For(ctx, replaceStep*time.Duration(turn))
 	if known := s.node.keepers.of(gone.Shard); known != nil && known.Revision == gone.Revision {
 		s.begin(ctx, gone.Shard, gone)
 	}
@@ -69,7 +70,7 @@
 // settle asks the nodes that a group's keeper has not heard of yet, until there are none: of
 // one at whose address nobody listens the process is gone, and what it held with it.
 func (s *quotaServer) settle(ctx context.Context) {
-	for pause(ctx, settleAfter); ctx.Err() == nil; pause(ctx, settleEvery) {
+	for wait.For(ctx, settleAfter); ctx.Err() == nil; wait.For(ctx, settleEvery) {
 		awaited := s.awaited()
 		if len(awaited) == 0 {
 			return
--- a/internal/sidecar/registration.go
+++ b/internal/sidecar/registration.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"github.com/juju/errors"
+	"github.com/landingmast/landingmast/internal/sidecar/wait"
 	"github.com/landingmast/landingmast/internal/store"
 	"github.com/landingmast/landingmast/internal/wire"
 )
@@ -45,19 +46,11 @@
 
 // lost notes that the store has no record of the node: it is written anew.
 func (r *registration) lost() {
-	signalOnce(r.missing)
+	wait.Signal(r.missing)
 }
 
 // renewNow has the lease renewed before its time.
-func (r *registration) renewNow() { signalOnce(r.renew) }
-
-// signalOnce leaves a signal where none waits.
-func signalOnce(signal chan struct{}) {
-	select {
-	case signal <- struct{}{}:
-	default:
-	}
-}
+func (r *registration) renewNow() { wait.Signal(r.renew) }
 
 // turnedAway tells that the store does not serve the node.
 func (r *registration) turnedAway() bool { return r.failing.Load() || r.node.storeHealth.away() }
@@ -65,9 +58,9 @@
 // run finds the other nodes and keeps the own record and its lease until ctx ends.
 func (r *registration) run(ctx context.Context) {
 	if r.node.settings().FirstStart {
-		pause(ctx, time.Duration(rand.Int64N(int64(spreadOfWrites))))
+		wait.For(ctx, time.Duration(rand.Int64N(int64(spreadOfWrites))))
 		r.register(ctx)
-		pause(ctx, time.Duration(rand.Int64N(int64(spreadOfReads))))
+		wait.For(ctx, time.Duration(rand.Int64N(int64(spreadOfReads))))
 		r.findOthers(ctx)
 		r.node.follower.begin()
 	} else {
@@ -149,7 +142,7 @@
 // pause waits after a call that failed until the store answers a probe.
 func (r *registration) pause(ctx context.Context) {
 	for ctx.Err() == nil {
-		pause(ctx, registerAgainLeast+time.Duration(rand.Int64N(int64(registerAgainSpread))))
+		wait.For(ctx, registerAgainLeast+time.Duration(rand.Int64N(int64(registerAgainSpread))))
 		if ctx.Err() != nil || r.node.probe(ctx) {
 			return
 		}
--- a/internal/sidecar/ingress_test.go
+++ b/internal/sidecar/reply/end_test.go
@@ -1,4 +1,4 @@
-package sidecar
+package reply
 
 import (
 	"context"
@@ -7,7 +7,6 @@
 	"time"
 
 	"github.com/landingmast/landingmast/internal/core/outcome"
-
 	. "github.com/onsi/gomega"
 )
 
@@ -35,7 +34,7 @@
 				ctx, cancel := context.WithTimeout(sender, whole)
 				defer cancel()
 				<-ctx.Done()
-				g.Expect(endOf(ctx)).To(Equal(tc.want))
+				g.Expect(EndOf(ctx)).To(Equal(tc.want))
 				time.Sleep(2 * whole)
 			})
 		})
--- a/internal/sidecar/reply/reply.go
+++ b/internal/sidecar/reply/reply.go
@@ -7,10 +7,12 @@
 
 import (
 	"bytes"
+	"context"
 	"io"
 	"net/http"
 	"time"
 
+	"github.com/juju/errors"
 	"github.com/landingmast/landingmast/internal/core/outcome"
 	"github.com/landingmast/landingmast/internal/core/slots"
 	"github.com/landingmast/landingmast/internal/wire"
@@ -217,3 +219,18 @@
 	short.Header.Del(name)
 	return &short
 }
+
+// EndOf tells the end of a request's time from the end of its sender's interest.
+// The sender counts the same time and may close its connection a little before the
+// time is up here.
+func EndOf(ctx context.Context) outcome.Reason {
+	deadline, bounded := ctx.Deadline()
+	if errors.Is(ctx.Err(), context.DeadlineExceeded) || bounded && time.Until(deadline) < closeMargin {
+		return outcome.ReasonTimeout
+	}
+	return outcome.ReasonCancelled
+}
+
+// closeMargin is how long before the end of a request's time a close of its
+// connection counts as that end.
+const closeMargin = 25 * time.Millisecond
--- a/internal/sidecar/stop.go
+++ b/internal/sidecar/stop.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"github.com/landingmast/landingmast/internal/sidecar/eventlog"
+	"github.com/landingmast/landingmast/internal/sidecar/wait"
 )
 
 // plannedStop is how far the planned stop of a node has come. Each step includes those
@@ -53,12 +54,12 @@
 	if n.store != nil {
 		n.registration.withdraw()
 	}
-	pause(hurry, min(stopLeast, grace/2))
+	wait.For(hurry, min(stopLeast, grace/2))
 	n.planned.closing.Store(true)
 	awaitNone(hurry, &n.clients, began.Add(grace-leaveReserve))
 	n.planned.leaving.Store(true)
 	n.membership.changed()
-	pause(hurry, leaveBefore)
+	wait.For(hurry, leaveBefore)
 	n.planned.closed.Store(true)
 	awaitNone(hurry, &n.inFlight, latest)
 	if hurry.Err() == nil {
@@ -76,7 +77,7 @@
 // awaitNone returns when nothing is counted any more, or at the time given.
 func awaitNone(hurry context.Context, count *atomic.Int64, latest time.Time) {
 	for hurry.Err() == nil && time.Now().Before(latest) && count.Load() > 0 {
-		pause(hurry, stopPoll)
+		wait.For(hurry, stopPoll)
 	}
 }
 
@@ -100,7 +101,7 @@
 		defer close(idle)
 		servers.Wait()
 	}()
-	for quiet := time.Now(); ctx.Err() == nil && time.Since(quiet) < flushTime; pause(ctx, stopPoll) {
+	for quiet := time.Now(); ctx.Err() == nil && time.Since(quiet) < flushTime; wait.For(ctx, stopPoll) {
 		select {
 		case <-idle:
 			return
--- a/internal/sidecar/wake.go
+++ b/internal/sidecar/wake.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"github.com/landingmast/landingmast/internal/sidecar/eventlog"
+	"github.com/landingmast/landingmast/internal/sidecar/wait"
 )
 
 // Times of the look for suspensions. Rights are looked at on a clock that counts them; this is
@@ -19,7 +20,7 @@
 // watchWakes acts on the end of each suspension of the machine until ctx ends.
 func (n *Node) watchWakes(ctx context.Context) {
 	slept := n.slept()
-	for ; ctx.Err() == nil; pause(ctx, wakeEvery) {
+	for ; ctx.Err() == nil; wait.For(ctx, wakeEvery) {
 		now := n.slept()
 		if now-slept >= wakeSeen {
 			n.woke(ctx, now-slept)
--- a/internal/wire/crashes.go
+++ b/internal/wire/crashes.go
@@ -37,7 +37,7 @@
 {"name":"cleared","type":"boolean"},{"name":"alone","type":"boolean","default":false}]}},"default":[]},{"name":"asks","type":"boolean","default":false}]}`
 
 // CrashesCodec writes and reads Crashes.
-var CrashesCodec = codec.New[Crashes](maxExchange, crashesSchema)
+var CrashesCodec = codec.New[Crashes](MaxMessage, crashesSchema)
 
 // CrashForms writes evidence in the form of messages.
 func CrashForms(evidence []crashes.Evidence) []CrashEvidence {
--- a/internal/wire/sidecar.go
+++ b/internal/wire/sidecar.go
@@ -283,20 +283,21 @@
 {"name":"serving","type":"boolean","default":false},{"name":"cold_ms","type":"long","default":0}]}`
 )
 
-// maxExchange bounds an Exchange, in bytes.
-const maxExchange = 4 << 20
+// MaxMessage bounds a message of control between nodes, in bytes; the largest holds the
+// records of all nodes.
+const MaxMessage = 4 << 20
 
 // Codecs of the messages between sidecar nodes.
 var (
 	SidecarCallCodec   = codec.New[SidecarCall](codec.MaxHeader, sidecarCallSchema)
 	SidecarResultCodec = codec.New[SidecarResult](codec.MaxHeader, sidecarResultSchema)
-	ExchangeCodec      = codec.New[Exchange](maxExchange, exchangeSchema, ExchangeSchema1, ExchangeSchema2)
-	NewsCodec          = codec.New[News](maxExchange, newsSchema)
+	ExchangeCodec      = codec.New[Exchange](MaxMessage, exchangeSchema, ExchangeSchema1, ExchangeSchema2)
+	NewsCodec          = codec.New[News](MaxMessage, newsSchema)
 	WaitsCodec         = codec.New[Waits](codec.MaxHeader, waitsSchema)
 	PongCodec          = codec.New[Pong](codec.MaxHeader, pongSchema)
 	NodeRecordCodec    = codec.New[NodeRecord](codec.MaxHeader, nodeRecordSchema)
-	FreshnessCodec     = codec.New[Freshness](maxExchange, freshnessSchema)
-	KeeperRecordCodec  = codec.New[KeeperRecord](maxExchange, keeperRecordSchema)
-	QuotaAskCodec      = codec.New[QuotaAsk](maxExchange, quotaAskSchema)
-	QuotaAnswerCodec   = codec.New[QuotaAnswer](maxExchange, quotaAnswerSchema)
+	FreshnessCodec     = codec.New[Freshness](MaxMessage, freshnessSchema)
+	KeeperRecordCodec  = codec.New[KeeperRecord](MaxMessage, keeperRecordSchema)
+	QuotaAskCodec      = codec.New[QuotaAsk](MaxMessage, quotaAskSchema)
+	QuotaAnswerCodec   = codec.New[QuotaAnswer](MaxMessage, quotaAnswerSchema)
 )
--- a/internal/wire/sidecar_test.go
+++ b/internal/wire/sidecar_test.go
@@ -5,7 +5,6 @@
 	"time"
 
 	"github.com/landingmast/landingmast/internal/codec"
-
 	. "github.com/onsi/gomega"
 )
 
@@ -35,7 +34,7 @@
 	for _, tc := range []struct{ name, schema string }{{"all records at once", ExchangeSchema1}, {"without its sender", ExchangeSchema2}} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
-			data, err := codec.New[Exchange](maxExchange, tc.schema).Encode(&Exchange{Digest: 4, Version: 2, From: "lost"})
+			data, err := codec.New[Exchange](MaxMessage, tc.schema).Encode(&Exchange{Digest: 4, Version: 2, From: "lost"})
 			g.Expect(err).NotTo(HaveOccurred())
 			read, err := ExchangeCodec.Decode(data)
 			g.Expect(err).NotTo(HaveOccurred())
