--- a/cmd/landingmastd/sidecar.go
+++ b/cmd/landingmastd/sidecar.go
@@ -12,6 +12,7 @@
 
 	"github.com/landingmast/landingmast/internal/clock"
 	"github.com/landingmast/landingmast/internal/sidecar"
+	"github.com/landingmast/landingmast/internal/sidecar/peer"
 	"github.com/landingmast/landingmast/internal/sidecar/settings"
 	"github.com/landingmast/landingmast/platform"
 )
@@ -68,7 +69,7 @@
 		return err
 	}
 	node, err := sidecar.New(checked, sidecar.Options{
-		Headers: platform.Headers(), Store: platform.NewStore(checked.Store.Address, sidecar.DialAlive),
+		Headers: platform.Headers(), Store: platform.NewStore(checked.Store.Address, peer.DialAlive),
 		ConfigurationKey: platform.ConfigurationKey, RecordPrefix: platform.RecordPrefix, NodePrefix: platform.NodePrefix,
 		QuotaPrefix: platform.QuotaPrefix, CrashKey: platform.CrashKey, ReadIntent: platform.ReadIntent,
 		Control: func(targets *sidecar.Targets) http.Handler { return platform.Heartbeats(targets) },
--- a/internal/sidecar/addresses.go
+++ b/internal/sidecar/addresses.go
@@ -33,7 +33,7 @@
 	found := map[string][]string{}
 	m.mutex.Lock()
 	for name, record := range m.records {
-		if name != m.node.settings().Node && !m.node.liveness.silent(name) {
+		if name != m.node.settings().Node && !m.node.liveness.Silent(name) {
 			found[record.Zone] = append(found[record.Zone], record.Address)
 		}
 	}
--- a/internal/sidecar/exchange.go
+++ b/internal/sidecar/exchange.go
@@ -9,6 +9,7 @@
 	"sync"
 	"time"
 
+	"github.com/landingmast/landingmast/internal/sidecar/peer"
 	"github.com/landingmast/landingmast/internal/sidecar/wait"
 	"github.com/landingmast/landingmast/internal/wire"
 )
@@ -95,7 +96,7 @@
 	if err != nil {
 		return nil, err
 	}
-	read, err := e.node.peers.post(ctx, address, exchangePath, data)
+	read, err := e.node.peers.Post(ctx, address, exchangePath, data)
 	if err != nil {
 		return nil, err
 	}
@@ -139,7 +140,7 @@
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
-	bare(w)
+	peer.BareAnswer(w)
 	w.Header().Set("Content-Length", strconv.Itoa(len(encoded)))
 	_, _ = w.Write(encoded)
 }
--- a/internal/sidecar/exchange_test.go
+++ b/internal/sidecar/exchange_test.go
@@ -13,6 +13,7 @@
 
 	"github.com/landingmast/landingmast/internal/codec"
 	"github.com/landingmast/landingmast/internal/sidecar/headers"
+	"github.com/landingmast/landingmast/internal/sidecar/peer"
 	"github.com/landingmast/landingmast/internal/wire"
 	. "github.com/onsi/gomega"
 )
@@ -21,7 +22,7 @@
 func countedNode(t *testing.T, name string) (n *Node, address string, bytes *atomic.Int64) {
 	t.Helper()
 	n = memberNode(name, name)
-	n.peers = newPeerClient((&net.Dialer{}).DialContext, headers.Names{})
+	n.peers = peer.NewClient((&net.Dialer{}).DialContext, headers.Names{})
 	n.exchanger = &exchanger{node: n}
 	bytes = &atomic.Int64{}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -29,7 +30,7 @@
 		n.exchanger.ServeHTTP(countingWriter{w, bytes}, r)
 	}))
 	t.Cleanup(func() {
-		n.peers.transport.CloseIdleConnections()
+		n.peers.Transport.CloseIdleConnections()
 		server.Close()
 	})
 	return n, strings.TrimPrefix(server.URL, "http://"), bytes
@@ -101,7 +102,7 @@
 		_, _ = w.Write(answer)
 	}))
 	defer server.Close()
-	defer here.peers.transport.CloseIdleConnections()
+	defer here.peers.Transport.CloseIdleConnections()
 	here.exchanger.with(context.Background(), strings.TrimPrefix(server.URL, "http://"))
 	g.Expect(here.membership.incarnation("old")).To(Equal("o"))
 	g.Expect(told).NotTo(BeNil())
--- a/internal/sidecar/follower.go
+++ b/internal/sidecar/follower.go
@@ -7,6 +7,7 @@
 
 	"github.com/landingmast/landingmast/internal/core/election"
 	"github.com/landingmast/landingmast/internal/core/lapse"
+	"github.com/landingmast/landingmast/internal/sidecar/peer"
 	"github.com/landingmast/landingmast/internal/sidecar/wait"
 	"github.com/landingmast/landingmast/internal/wire"
 )
@@ -287,9 +288,9 @@
 
 // ask asks a node whose record is missing what it knows of it.
 func (f *follower) ask(ctx context.Context, record *wire.NodeRecord) {
-	ctx, cancel := context.WithTimeout(ctx, pingTimeout)
+	ctx, cancel := context.WithTimeout(ctx, peer.PingTimeout)
 	defer cancel()
-	pong, err := f.node.peers.ask(ctx, record.Address)
+	pong, err := f.node.peers.Ask(ctx, record.Address)
 	answer := lapse.Reaches
 	switch {
 	case err != nil || pong.Node != record.Node:
--- a/internal/sidecar/freshness.go
+++ b/internal/sidecar/freshness.go
@@ -11,6 +11,7 @@
 	"github.com/juju/errors"
 	"github.com/landingmast/landingmast/internal/core/freshness"
 	"github.com/landingmast/landingmast/internal/sidecar/eventlog"
+	"github.com/landingmast/landingmast/internal/sidecar/peer"
 	"github.com/landingmast/landingmast/internal/sidecar/wait"
 	"github.com/landingmast/landingmast/internal/store"
 	"github.com/landingmast/landingmast/internal/wire"
@@ -148,7 +149,7 @@
 	asked := p.node.now()
 	call, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
-	told, err := p.node.peers.freshness(call, address)
+	told, err := p.question(call, address)
 	if err != nil {
 		return false
 	}
@@ -242,14 +243,14 @@
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
-	bare(w)
+	peer.BareAnswer(w)
 	w.Header().Set("Content-Length", strconv.Itoa(len(encoded)))
 	_, _ = w.Write(encoded)
 }
 
-// freshness asks the node at an address how fresh its configuration is.
-func (p *peerClient) freshness(ctx context.Context, address string) (*wire.Freshness, error) {
-	read, err := p.post(ctx, address, freshnessPath, nil)
+// question asks the node at an address how fresh its configuration is.
+func (p *prover) question(ctx context.Context, address string) (*wire.Freshness, error) {
+	read, err := p.node.peers.Post(ctx, address, freshnessPath, nil)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/sidecar/heldbacktell.go
+++ b/internal/sidecar/heldbacktell.go
@@ -11,6 +11,7 @@
 	"github.com/juju/errors"
 	"github.com/landingmast/landingmast/internal/core/crashes"
 	"github.com/landingmast/landingmast/internal/sidecar/eventlog"
+	"github.com/landingmast/landingmast/internal/sidecar/peer"
 	"github.com/landingmast/landingmast/internal/sidecar/wait"
 	"github.com/landingmast/landingmast/internal/store"
 	"github.com/landingmast/landingmast/internal/wire"
@@ -73,7 +74,7 @@
 	if err != nil {
 		return nil, err
 	}
-	read, err := h.node.peers.post(ctx, address, crashPath, data)
+	read, err := h.node.peers.Post(ctx, address, crashPath, data)
 	if err != nil || len(read) == 0 {
 		return nil, err
 	}
@@ -92,7 +93,7 @@
 		return
 	}
 	h.hear(message.Known())
-	bare(w)
+	peer.BareAnswer(w)
 	if !message.Asks {
 		w.Header().Set("Content-Length", "0")
 		go h.spread(message, message.Forward)
--- a/internal/sidecar/liveness_test.go
+++ b/internal/sidecar/liveness_test.go
@@ -10,6 +10,7 @@
 	"github.com/juju/errors"
 	"github.com/landingmast/landingmast/internal/core/balancer"
 	"github.com/landingmast/landingmast/internal/core/repeats"
+	"github.com/landingmast/landingmast/internal/sidecar/peer"
 	. "github.com/onsi/gomega"
 )
 
@@ -22,9 +23,9 @@
 		away time.Duration
 		ping time.Duration // until a ping to the silent node fails
 	}{
-		{"frozen", 4 * time.Second, pingTimeout},
+		{"frozen", 4 * time.Second, peer.PingTimeout},
 		{"killed", 1500 * time.Millisecond, time.Millisecond},
-		{"away for long", 40 * time.Second, pingTimeout},
+		{"away for long", 40 * time.Second, peer.PingTimeout},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -44,9 +45,9 @@
 					}
 					return nil
 				}
-				l := newLiveness(now, ping, livenessEvents{lost: s.suspect, still: s.suspect, back: s.trust})
-				defer l.close()
-				l.revive("silent", "silent:1")
+				l := peer.NewLiveness(now, ping, peer.Events{Lost: s.suspect, Still: s.suspect, Back: s.trust})
+				defer l.Close()
+				l.Revive("silent", "silent:1")
 				s.suspect("silent")
 				for now() < tc.away {
 					time.Sleep(50 * time.Millisecond)
@@ -54,10 +55,10 @@
 						g.Expect(s.get("s").pick(now(), balancer.Wish{}, nil).node).To(Equal("well"), "at %s", now())
 					}
 				}
-				time.Sleep(pingTimeout + reviveEvery + time.Millisecond)
+				time.Sleep(peer.PingTimeout + peer.ReviveEvery + time.Millisecond)
 				picked := s.get("s").pick(now(), balancer.Wish{}, nil)
 				g.Expect(picked.node).To(Equal("silent"), "it is near and well again")
-				g.Expect(pings.Load()).To(BeNumerically("<=", tc.away/reviveEvery+1))
+				g.Expect(pings.Load()).To(BeNumerically("<=", tc.away/peer.ReviveEvery+1))
 			})
 		})
 	}
--- a/internal/sidecar/membership_test.go
+++ b/internal/sidecar/membership_test.go
@@ -10,6 +10,7 @@
 	"github.com/landingmast/landingmast/internal/core/roster"
 	"github.com/landingmast/landingmast/internal/sidecar/eventlog"
 	"github.com/landingmast/landingmast/internal/sidecar/headers"
+	"github.com/landingmast/landingmast/internal/sidecar/peer"
 	"github.com/landingmast/landingmast/internal/sidecar/settings"
 	"github.com/landingmast/landingmast/internal/wire"
 	. "github.com/onsi/gomega"
@@ -21,8 +22,8 @@
 	n.checked.Store(&settings.Settings{Node: name, Zone: "a"})
 	n.services = newServices(name, "a", n.now, repeats.Config{Ratio: 0.2, Allowance: 10, Window: 10 * time.Second}, true)
 	n.target = &localTarget{now: n.now, roster: roster.New()}
-	n.peers = newPeerClient((&net.Dialer{}).DialContext, headers.Names{})
-	n.liveness = newLiveness(n.now, n.peers.pingPeer, livenessEvents{lost: n.services.suspect, still: n.services.suspect, back: n.services.trust})
+	n.peers = peer.NewClient((&net.Dialer{}).DialContext, headers.Names{})
+	n.liveness = peer.NewLiveness(n.now, n.peers.PingPeer, peer.Events{Lost: n.services.suspect, Still: n.services.suspect, Back: n.services.trust})
 	n.membership = newMembership(n)
 	n.ingress = newIngress(n)
 	n.registration = newRegistration(n)
--- a/internal/sidecar/news.go
+++ b/internal/sidecar/news.go
@@ -8,6 +8,7 @@
 	"sync/atomic"
 	"time"
 
+	"github.com/landingmast/landingmast/internal/sidecar/peer"
 	"github.com/landingmast/landingmast/internal/wire"
 )
 
@@ -103,7 +104,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), newsTimeout)
 	defer cancel()
-	_, err = s.node.peers.post(ctx, address, newsPath, data)
+	_, err = s.node.peers.Post(ctx, address, newsPath, data)
 	return err
 }
 
@@ -118,7 +119,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	bare(w)
+	peer.BareAnswer(w)
 	s.take(message)
 	go s.passOn(message)
 }
--- a/internal/sidecar/news_test.go
+++ b/internal/sidecar/news_test.go
@@ -23,7 +23,7 @@
 		n := memberNode(name, name)
 		server := httptest.NewServer(n.inbound())
 		t.Cleanup(func() {
-			n.peers.transport.CloseIdleConnections()
+			n.peers.Transport.CloseIdleConnections()
 			server.Close()
 		})
 		changed := *n.settings()
--- a/internal/sidecar/node.go
+++ b/internal/sidecar/node.go
@@ -24,14 +24,13 @@
 	"github.com/landingmast/landingmast/internal/sidecar/eventlog"
 	"github.com/landingmast/landingmast/internal/sidecar/headers"
 	"github.com/landingmast/landingmast/internal/sidecar/metrics"
+	"github.com/landingmast/landingmast/internal/sidecar/peer"
 	"github.com/landingmast/landingmast/internal/sidecar/settings"
 	"github.com/landingmast/landingmast/internal/sidecar/targetlink"
 	"github.com/landingmast/landingmast/internal/store"
+	"github.com/landingmast/landingmast/internal/wire"
 )
 
-// Dialer opens a connection.
-type Dialer func(ctx context.Context, network, address string) (net.Conn, error)
-
 // Options are what a node is made of besides its settings. They bring in the
 // names and forms of the platform, which this package does not know.
 type Options struct {
@@ -47,7 +46,7 @@
 	Ready            func(ready func() bool) http.Handler // serves the question whether the node takes work
 	Output           io.Writer                            // of the log
 	Listen           func(address string) (net.Listener, error)
-	Dial             Dialer
+	Dial             peer.Dialer
 	Clock            clock.Source
 }
 
@@ -70,7 +69,7 @@
 	target       *localTarget
 	ingress      *ingress
 	egress       *egress
-	peers        *peerClient
+	peers        *peer.Client
 	membership   *membership
 	registration *registration
 	follower     *follower
@@ -81,7 +80,7 @@
 	quotaServer  *quotaServer
 	quotas       *quotas
 	heldBack     *heldBack
-	liveness     *liveness
+	liveness     *peer.Liveness
 	planned      plannedStop
 	inFlight     atomic.Int64 // requests of clients, of the target and of other nodes
 	clients      atomic.Int64 // of them those of clients
@@ -94,7 +93,7 @@
 // New makes a node and opens its listeners.
 func New(settings *settings.Settings, options Options) (*Node, error) {
 	if options.Dial == nil {
-		options.Dial = (&net.Dialer{Control: boundSilence}).DialContext
+		options.Dial = (&net.Dialer{Control: peer.BoundSilence}).DialContext
 	}
 	if options.Listen == nil {
 		options.Listen = func(address string) (net.Listener, error) { return net.Listen("tcp", address) }
@@ -111,7 +110,7 @@
 	n.services.policy = settings.Policy
 	n.ingress = newIngress(n)
 	n.egress = &egress{node: n}
-	n.peers = newPeerClient(options.Dial, options.Headers)
+	n.peers = peer.NewClient(options.Dial, options.Headers)
 	n.membership = newMembership(n)
 	n.registration = newRegistration(n)
 	n.follower = newFollower(n)
@@ -121,7 +120,7 @@
 	n.quotaServer = newQuotaServer(n)
 	n.quotas = newQuotas(n)
 	n.heldBack = newHeldBack(n)
-	n.liveness = newLiveness(n.now, n.peers.pingPeer, livenessEvents{lost: n.silent, still: n.services.suspect, back: n.heardAgain})
+	n.liveness = peer.NewLiveness(n.now, n.peers.PingPeer, peer.Events{Lost: n.silent, Still: n.services.suspect, Back: n.heardAgain})
 	n.target = &localTarget{now: n.now, roster: roster.New(), changed: n.targetChanged, link: n.newLink, identify: n.identify, followed: n.ingress.instanceReplaced, beginAll: !n.policyOn(inTime)}
 	return n, n.listen()
 }
@@ -234,17 +233,26 @@
 // inbound serves what other nodes ask.
 func (n *Node) inbound() http.Handler {
 	mux := http.NewServeMux()
-	mux.Handle("POST "+callPath, n.ingress)
-	mux.Handle("POST "+settlePath, n.ingress.once)
+	mux.Handle("POST "+peer.CallPath, n.ingress)
+	mux.Handle("POST "+peer.SettlePath, n.ingress.once)
 	mux.Handle("POST "+exchangePath, n.exchanger)
 	mux.Handle("POST "+newsPath, n.news)
 	mux.Handle("POST "+freshnessPath, n.freshness)
 	mux.Handle("POST "+quotaPath, n.quotaServer)
 	mux.Handle("POST "+crashPath, n.heldBack)
-	mux.HandleFunc("GET "+pingPath, n.servePing)
+	mux.HandleFunc("GET "+peer.PingPath, n.servePing)
 	return mux
 }
 
+// servePing gives a sign of life.
+func (n *Node) servePing(w http.ResponseWriter, _ *http.Request) {
+	w.Header()["Date"] = nil
+	pong := &wire.Pong{Node: n.settings().Node, TurnedAway: n.registration.turnedAway()}
+	if head, err := wire.PongCodec.EncodeHeader(pong); err == nil {
+		w.Header().Set(wire.HeaderSidecarPong, head)
+	}
+}
+
 // configuration gives the configuration in force in the operators' form.
 func (n *Node) configuration() []byte {
 	if current := n.intent.Load(); current != nil {
--- a/internal/sidecar/peers.go
+++ b/internal/sidecar/peer/client.go
@@ -1,4 +1,11 @@
-package sidecar
+// Package peer holds the connections from one node to others: calls and their settling,
+// messages of control, and the signs of life by which a node is taken for dead or back.
+//
+// It owns the connections that rest, and for each node that has requests when it was last
+// heard of. It relies on package wire for the form of a call and on package reply for that
+// of its answer; who the other nodes are, and what is done about one that is silent, is
+// told by its callers. All of it is safe for concurrent use.
+package peer
 
 import (
 	"bytes"
@@ -19,7 +26,8 @@
 	"github.com/landingmast/landingmast/internal/wire"
 )
 
-// Bounds of the connections between nodes.
+// Bounds of the connections between nodes. A handshake within a region takes a few ms; one
+// that takes peerDialTimeout does not come about, and the request goes elsewhere.
 const (
 	peerDialTimeout = 500 * time.Millisecond
 	peerIdle        = 30 * time.Second
@@ -29,18 +37,21 @@
 
 // Paths between nodes.
 const (
-	callPath   = "/call"
-	settlePath = "/settle"
+	CallPath   = "/call"
+	SettlePath = "/settle"
 )
 
-// peerClient sends requests to other nodes.
-type peerClient struct {
-	transport *http.Transport
+// Dialer opens a connection.
+type Dialer func(ctx context.Context, network, address string) (net.Conn, error)
+
+// Client sends requests to other nodes.
+type Client struct {
+	Transport *http.Transport
 	names     headers.Names
 }
 
-func newPeerClient(dial Dialer, names headers.Names) *peerClient {
-	return &peerClient{names: names, transport: &http.Transport{
+func NewClient(dial Dialer, names headers.Names) *Client {
+	return &Client{names: names, Transport: &http.Transport{
 		DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
 			ctx, cancel := context.WithTimeout(ctx, peerDialTimeout)
 			defer cancel()
@@ -51,6 +62,9 @@
 	}}
 }
 
+// CloseIdle closes the connections that rest.
+func (p *Client) CloseIdle() { p.Transport.CloseIdleConnections() }
+
 // opaqueBody hides from net/http what a body is, so that it never sends a
 // request a second time of its own accord.
 type opaqueBody struct{ io.Reader }
@@ -68,11 +82,11 @@
 	}
 }
 
-// call sends one request to the node at an address. The reply's stream, if it has
+// Call sends one request to the node at an address. The reply's stream, if it has
 // one, must be closed.
-func (p *peerClient) call(ctx context.Context, address string, call *wire.SidecarCall, header http.Header, body *reply.Payload) *reply.Reply {
+func (p *Client) Call(ctx context.Context, address string, call *wire.SidecarCall, header http.Header, body *reply.Payload) *reply.Reply {
 	request := (&http.Request{
-		Method: http.MethodPost, URL: &url.URL{Scheme: "http", Host: address, Path: callPath}, Host: address,
+		Method: http.MethodPost, URL: &url.URL{Scheme: "http", Host: address, Path: CallPath}, Host: address,
 		Header: header.Clone(), ProtoMajor: 1, ProtoMinor: 1,
 	})
 	hideKeys(request.Header)
@@ -91,7 +105,7 @@
 	}
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
-	response, err := p.transport.RoundTrip(request.WithContext(httptrace.WithClientTrace(ctx, trace)))
+	response, err := p.Transport.RoundTrip(request.WithContext(httptrace.WithClientTrace(ctx, trace)))
 	if err != nil {
 		return unanswered(ctx, connected.Load())
 	}
@@ -100,8 +114,8 @@
 	return answer
 }
 
-// post sends a control message to the node at an address and gives the answer's body.
-func (p *peerClient) post(ctx context.Context, address, path string, data []byte) ([]byte, error) {
+// Post sends a control message to the node at an address and gives the answer's body.
+func (p *Client) Post(ctx context.Context, address, path string, data []byte) ([]byte, error) {
 	request := &http.Request{
 		Method: http.MethodPost, URL: &url.URL{Scheme: "http", Host: address, Path: path}, Host: address,
 		Header: http.Header{"User-Agent": {""}},
@@ -109,7 +123,7 @@
 	if len(data) > 0 {
 		request.Body, request.ContentLength = io.NopCloser(bytes.NewReader(data)), int64(len(data))
 	}
-	response, err := p.transport.RoundTrip(request.WithContext(ctx))
+	response, err := p.Transport.RoundTrip(request.WithContext(ctx))
 	if err != nil {
 		return nil, failure.Wrap(err, failure.Unavailable, "none; another node is asked", "%s at %s", path, address)
 	}
@@ -124,23 +138,23 @@
 	return read, nil
 }
 
-// bare has an answer carry no header that net/http adds of its own.
-func bare(w http.ResponseWriter) {
+// BareAnswer has an answer carry no header that net/http adds of its own.
+func BareAnswer(w http.ResponseWriter) {
 	w.Header()["Date"] = nil
 	w.Header()["Content-Type"] = nil
 }
 
-// settle asks a node what became of a request that was sent to it.
-func (p *peerClient) settle(ctx context.Context, address string, call *wire.SidecarCall) *reply.Reply {
+// Settle asks a node what became of a request that was sent to it.
+func (p *Client) Settle(ctx context.Context, address string, call *wire.SidecarCall) *reply.Reply {
 	head, err := wire.SidecarCallCodec.EncodeHeader(call)
 	if err != nil {
 		return reply.Unknown(outcome.ReasonBadMessage)
 	}
 	request := &http.Request{
-		Method: http.MethodPost, URL: &url.URL{Scheme: "http", Host: address, Path: settlePath}, Host: address,
+		Method: http.MethodPost, URL: &url.URL{Scheme: "http", Host: address, Path: SettlePath}, Host: address,
 		Header: http.Header{"User-Agent": {""}, wire.HeaderSidecarCall: {head}},
 	}
-	response, err := p.transport.RoundTrip(request.WithContext(ctx))
+	response, err := p.Transport.RoundTrip(request.WithContext(ctx))
 	if err != nil {
 		if ctx.Err() != nil {
 			return reply.Unknown(reply.EndOf(ctx))
--- a/internal/sidecar/liveness.go
+++ b/internal/sidecar/peer/liveness.go
@@ -1,4 +1,4 @@
-package sidecar
+package peer
 
 import (
 	"context"
@@ -14,34 +14,34 @@
 // Times after which a node is taken for dead that has requests and says nothing.
 const (
 	silenceBeforePing = 150 * time.Millisecond
-	pingTimeout       = 350 * time.Millisecond
+	PingTimeout       = 350 * time.Millisecond
 	secondPingAfter   = 120 * time.Millisecond
 )
 
-// pingPath answers as soon as the node there runs.
-const pingPath = "/ping"
+// PingPath answers as soon as the node there runs.
+const PingPath = "/ping"
 
-// errSilent ends the sendings to a node that gives no sign of life.
-const errSilent = errors.ConstError("node gives no sign of life")
+// ErrSilent ends the sendings to a node that gives no sign of life.
+const ErrSilent = errors.ConstError("node gives no sign of life")
 
-// liveness watches the nodes that requests are at. A request that stays without
+// Liveness watches the nodes that requests are at. A request that stays without
 // an answer is no sign of death, since it may take long; a ping without an answer is.
 // A node that is taken for dead is pinged until it answers, so that requests need
 // not find out.
-type liveness struct {
+type Liveness struct {
 	now    func() time.Duration
 	ping   func(ctx context.Context, address string) error
-	events livenessEvents
+	events Events
 	ended  chan struct{} // closed by close
 	mutex  sync.Mutex
 	peers  map[string]*peerState // by node
 }
 
-// livenessEvents are called without locks.
-type livenessEvents struct {
-	lost  func(node string) // a node is taken for dead
-	still func(node string) // it still does not answer
-	back  func(node string) // it answers again
+// Events are called without locks.
+type Events struct {
+	Lost  func(node string) // a node is taken for dead
+	Still func(node string) // it still does not answer
+	Back  func(node string) // it answers again
 }
 
 type peerState struct {
@@ -53,29 +53,29 @@
 
 // sending is one request at another node.
 type sending struct {
-	liveness *liveness
+	liveness *Liveness
 	node     string
 	address  string
 	abandon  context.CancelCauseFunc // nil: it is not abandoned
 	timer    *time.Timer
 }
 
-func newLiveness(now func() time.Duration, ping func(ctx context.Context, address string) error, events livenessEvents) *liveness {
-	return &liveness{now: now, ping: ping, events: events, ended: make(chan struct{}), peers: map[string]*peerState{}}
+func NewLiveness(now func() time.Duration, ping func(ctx context.Context, address string) error, events Events) *Liveness {
+	return &Liveness{now: now, ping: ping, events: events, ended: make(chan struct{}), peers: map[string]*peerState{}}
 }
 
-// close ends the pings of nodes that are taken for dead.
-func (l *liveness) close() { close(l.ended) }
+// Close ends the pings of nodes that are taken for dead.
+func (l *Liveness) Close() { close(l.ended) }
 
 // Pings of a node that is taken for dead. They come often enough that it stays
 // suspect between two, and end after some time: then requests find out.
 const (
-	reviveEvery = 250 * time.Millisecond
+	ReviveEvery = 250 * time.Millisecond
 	reviveTries = 100
 )
 
-// revive pings a node that is taken for dead until it answers.
-func (l *liveness) revive(node, address string) {
+// Revive pings a node that is taken for dead until it answers.
+func (l *Liveness) Revive(node, address string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if peer := l.peer(node); !peer.reviving {
@@ -84,16 +84,16 @@
 	}
 }
 
-func (l *liveness) pingUntilBack(node, address string) {
-	var err error = errSilent
+func (l *Liveness) pingUntilBack(node, address string) {
+	var err error = ErrSilent
 	for tries := 0; err != nil && tries < reviveTries; tries++ {
 		select {
 		case <-l.ended:
 			return
-		case <-time.After(reviveEvery):
+		case <-time.After(ReviveEvery):
 		}
 		if err = l.pingOnce(address); err != nil {
-			l.events.still(node)
+			l.events.Still(node)
 		}
 	}
 	l.mutex.Lock()
@@ -104,19 +104,19 @@
 	}
 	l.mutex.Unlock()
 	if err == nil {
-		l.events.back(node)
+		l.events.Back(node)
 	}
 }
 
-func (l *liveness) pingOnce(address string) error {
-	ctx, cancel := context.WithTimeout(context.Background(), pingTimeout)
+func (l *Liveness) pingOnce(address string) error {
+	ctx, cancel := context.WithTimeout(context.Background(), PingTimeout)
 	defer cancel()
 	return l.ping(ctx, address)
 }
 
-// begin watches a request; end must follow. abandon is called when the node is
+// Begin watches a request; end must follow. abandon is called when the node is
 // taken for dead; nil for a request that cannot be sent elsewhere.
-func (l *liveness) begin(node, address string, abandon context.CancelCauseFunc) *sending {
+func (l *Liveness) Begin(node, address string, abandon context.CancelCauseFunc) *sending {
 	one := &sending{liveness: l, node: node, address: address, abandon: abandon}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -125,7 +125,7 @@
 	return one
 }
 
-func (l *liveness) peer(node string) *peerState {
+func (l *Liveness) peer(node string) *peerState {
 	peer := l.peers[node]
 	if peer == nil {
 		peer = &peerState{heard: -time.Hour, waiting: map[*sending]bool{}}
@@ -134,8 +134,8 @@
 	return peer
 }
 
-// end stops watching; heard tells that the node gave a sign of life.
-func (s *sending) end(heard bool) {
+// End stops watching; heard tells that the node gave a sign of life.
+func (s *sending) End(heard bool) {
 	s.timer.Stop()
 	l := s.liveness
 	l.mutex.Lock()
@@ -161,7 +161,7 @@
 		s.timer.Reset(silenceBeforePing - since + time.Millisecond)
 		return
 	}
-	s.timer.Reset(silenceBeforePing + pingTimeout)
+	s.timer.Reset(silenceBeforePing + PingTimeout)
 	if !peer.pinging {
 		peer.pinging = true
 		go l.probe(s.node, s.address)
@@ -169,8 +169,8 @@
 }
 
 // probe sends two pings, so that one lost packet is not taken for a death.
-func (l *liveness) probe(node, address string) {
-	ctx, cancel := context.WithTimeout(context.Background(), pingTimeout)
+func (l *Liveness) probe(node, address string) {
+	ctx, cancel := context.WithTimeout(context.Background(), PingTimeout)
 	defer cancel()
 	answers := make(chan error, 2)
 	ask := func() { answers <- l.ping(ctx, address) }
@@ -194,34 +194,25 @@
 		abandoned = append(abandoned, one)
 	}
 	l.mutex.Unlock()
-	l.events.lost(node)
-	l.revive(node, address)
+	l.events.Lost(node)
+	l.Revive(node, address)
 	for _, one := range abandoned {
 		if one.abandon != nil {
-			one.abandon(errSilent)
+			one.abandon(ErrSilent)
 		}
 	}
 }
 
-// silent tells whether a node is taken for dead.
-func (l *liveness) silent(node string) bool {
+// Silent tells whether a node is taken for dead.
+func (l *Liveness) Silent(node string) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	peer := l.peers[node]
 	return peer != nil && peer.reviving
 }
 
-// servePing gives a sign of life.
-func (n *Node) servePing(w http.ResponseWriter, _ *http.Request) {
-	w.Header()["Date"] = nil
-	pong := &wire.Pong{Node: n.settings().Node, TurnedAway: n.registration.turnedAway()}
-	if head, err := wire.PongCodec.EncodeHeader(pong); err == nil {
-		w.Header().Set(wire.HeaderSidecarPong, head)
-	}
-}
-
-// ask asks a node who it is and whether the store serves it.
-func (p *peerClient) ask(ctx context.Context, address string) (*wire.Pong, error) {
+// Ask asks a node who it is and whether the store serves it.
+func (p *Client) Ask(ctx context.Context, address string) (*wire.Pong, error) {
 	response, err := p.ping(ctx, address)
 	if err != nil {
 		return nil, err
@@ -230,8 +221,8 @@
 	return wire.PongCodec.DecodeHeader(response.Header.Get(wire.HeaderSidecarPong))
 }
 
-// pingPeer asks a node for a sign of life.
-func (p *peerClient) pingPeer(ctx context.Context, address string) error {
+// PingPeer asks a node for a sign of life.
+func (p *Client) PingPeer(ctx context.Context, address string) error {
 	response, err := p.ping(ctx, address)
 	if err != nil {
 		return err
@@ -239,7 +230,7 @@
 	return response.Body.Close()
 }
 
-func (p *peerClient) ping(ctx context.Context, address string) (*http.Response, error) {
-	request := &http.Request{Method: http.MethodGet, URL: &url.URL{Scheme: "http", Host: address, Path: pingPath}, Host: address, Header: http.Header{}}
-	return p.transport.RoundTrip(request.WithContext(ctx))
+func (p *Client) ping(ctx context.Context, address string) (*http.Response, error) {
+	request := &http.Request{Method: http.MethodGet, URL: &url.URL{Scheme: "http", Host: address, Path: PingPath}, Host: address, Header: http.Header{}}
+	return p.Transport.RoundTrip(request.WithContext(ctx))
 }
--- a/internal/sidecar/socket.go
+++ b/internal/sidecar/peer/socket.go
@@ -1,4 +1,4 @@
-package sidecar
+package peer
 
 import (
 	"context"
@@ -14,8 +14,8 @@
 // tcpUserTimeout is TCP_USER_TIMEOUT of Linux.
 const tcpUserTimeout = 0x12
 
-// boundSilence has a connection to a machine that says nothing fail by itself.
-func boundSilence(_, _ string, raw syscall.RawConn) error {
+// BoundSilence has a connection to a machine that says nothing fail by itself.
+func BoundSilence(_, _ string, raw syscall.RawConn) error {
 	return raw.Control(func(descriptor uintptr) {
 		_ = syscall.SetsockoptInt(int(descriptor), syscall.IPPROTO_TCP, tcpUserTimeout, silenceLimit)
 	})
@@ -25,7 +25,7 @@
 // also while nothing is sent: for calls that wait long for their answers.
 func DialAlive(ctx context.Context, network, address string) (net.Conn, error) {
 	dialer := &net.Dialer{
-		Timeout: aliveDialTimeout, Control: boundSilence,
+		Timeout: aliveDialTimeout, Control: BoundSilence,
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: aliveProbe, Interval: aliveProbe, Count: 2},
 	}
 	return dialer.DialContext(ctx, network, address)
--- a/internal/sidecar/quotaask.go
+++ b/internal/sidecar/quotaask.go
@@ -86,7 +86,7 @@
 	if err != nil {
 		return nil, err
 	}
-	read, err := q.node.peers.post(ctx, address, quotaPath, data)
+	read, err := q.node.peers.Post(ctx, address, quotaPath, data)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/sidecar/quotaserver.go
+++ b/internal/sidecar/quotaserver.go
@@ -11,6 +11,7 @@
 	"github.com/juju/errors"
 	"github.com/landingmast/landingmast/internal/core/quota"
 	"github.com/landingmast/landingmast/internal/sidecar/eventlog"
+	"github.com/landingmast/landingmast/internal/sidecar/peer"
 	"github.com/landingmast/landingmast/internal/sidecar/wait"
 	"github.com/landingmast/landingmast/internal/store"
 	"github.com/landingmast/landingmast/internal/wire"
@@ -171,7 +172,7 @@
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
-	bare(w)
+	peer.BareAnswer(w)
 	w.Header().Set("Content-Length", strconv.Itoa(len(encoded)))
 	_, _ = w.Write(encoded)
 }
--- a/internal/sidecar/quotatakeover.go
+++ b/internal/sidecar/quotatakeover.go
@@ -12,6 +12,7 @@
 	"github.com/juju/errors"
 	"github.com/landingmast/landingmast/internal/core/quota"
 	"github.com/landingmast/landingmast/internal/sidecar/eventlog"
+	"github.com/landingmast/landingmast/internal/sidecar/peer"
 	"github.com/landingmast/landingmast/internal/sidecar/wait"
 	"github.com/landingmast/landingmast/internal/store"
 	"github.com/landingmast/landingmast/internal/wire"
@@ -84,9 +85,9 @@
 }
 
 func (s *quotaServer) settleOne(ctx context.Context, holder string) {
-	call, cancel := context.WithTimeout(ctx, pingTimeout)
+	call, cancel := context.WithTimeout(ctx, peer.PingTimeout)
 	defer cancel()
-	if err := s.node.peers.pingPeer(call, addressOfHolder(holder)); !errors.Is(err, syscall.ECONNREFUSED) {
+	if err := s.node.peers.PingPeer(call, addressOfHolder(holder)); !errors.Is(err, syscall.ECONNREFUSED) {
 		return
 	}
 	s.mutex.Lock()
--- a/internal/sidecar/send.go
+++ b/internal/sidecar/send.go
@@ -7,14 +7,14 @@
 	"strings"
 	"time"
 
-	"github.com/landingmast/landingmast/internal/core/outcome"
-	"github.com/landingmast/landingmast/internal/sidecar/reply"
-
 	"github.com/cespare/xxhash/v2"
 	"github.com/juju/errors"
 	"github.com/landingmast/landingmast/internal/core/balancer"
+	"github.com/landingmast/landingmast/internal/core/outcome"
 	"github.com/landingmast/landingmast/internal/core/repeats"
 	"github.com/landingmast/landingmast/internal/sidecar/eventlog"
+	"github.com/landingmast/landingmast/internal/sidecar/peer"
+	"github.com/landingmast/landingmast/internal/sidecar/reply"
 	"github.com/landingmast/landingmast/internal/sidecar/settings"
 	"github.com/landingmast/landingmast/internal/wire"
 )
@@ -35,7 +35,7 @@
 		x.noteSend(choice, last, x.node.now()-began)
 		choice.done(x.node.now(), last)
 		if last.Reason == outcome.ReasonUnreachable && last.Incarnation == "" && choice.node != x.node.settings().Node {
-			x.node.liveness.revive(choice.node, choice.address)
+			x.node.liveness.Revive(choice.node, choice.address)
 		}
 		x.tellIfLost(choice, last)
 		x.learn(last)
@@ -201,10 +201,10 @@
 // sign of life.
 func (x *exchange) sendRepeatable(ctx context.Context, choice *choice, call *wire.SidecarCall) *reply.Reply {
 	ctx, abandon := context.WithCancelCause(ctx)
-	watched := x.node.liveness.begin(choice.node, choice.address, abandon)
-	answer := x.node.peers.call(ctx, choice.address, call, x.header, x.body)
-	watched.end(answer.Incarnation != "")
-	if answer.Outcome == outcome.Unknown && errors.Is(context.Cause(ctx), errSilent) {
+	watched := x.node.liveness.Begin(choice.node, choice.address, abandon)
+	answer := x.node.peers.Call(ctx, choice.address, call, x.header, x.body)
+	watched.End(answer.Incarnation != "")
+	if answer.Outcome == outcome.Unknown && errors.Is(context.Cause(ctx), peer.ErrSilent) {
 		answer.Reason = outcome.ReasonSilent
 	}
 	if answer.Stream == nil {
@@ -218,15 +218,15 @@
 func (x *exchange) sendOnce(ctx context.Context, choice *choice, call *wire.SidecarCall) *reply.Reply {
 	call.Key = strconv.FormatUint(rand.Uint64(), 36)
 	call.Incarnation = x.node.membership.incarnation(choice.node)
-	watched := x.node.liveness.begin(choice.node, choice.address, nil)
-	defer func() { watched.end(false) }()
-	answer := x.node.peers.call(ctx, choice.address, call, x.header, x.body)
+	watched := x.node.liveness.Begin(choice.node, choice.address, nil)
+	defer func() { watched.End(false) }()
+	answer := x.node.peers.Call(ctx, choice.address, call, x.header, x.body)
 	for range settleTries {
 		if answer.Outcome != outcome.Unknown || answer.Reason != outcome.ReasonLost || call.Incarnation == "" || ctx.Err() != nil {
 			break
 		}
 		call.Remaining = x.left(ctx).Microseconds()
-		answer = x.node.peers.settle(ctx, choice.address, call)
+		answer = x.node.peers.Settle(ctx, choice.address, call)
 	}
 	if answer.Reason == outcome.ReasonIncarnation {
 		x.node.membership.restarted(choice.node, answer.Incarnation)
--- a/internal/sidecar/stop.go
+++ b/internal/sidecar/stop.go
@@ -68,8 +68,8 @@
 	for _, server := range n.servers {
 		_ = server.Close()
 	}
-	n.liveness.close()
-	n.peers.transport.CloseIdleConnections()
+	n.liveness.Close()
+	n.peers.CloseIdle()
 	n.target.close()
 	n.events.Add(eventlog.Node{Change: "stopped", Incarnation: n.incarnation, InFlight: n.inFlight.Load(), TookMS: milliseconds(time.Since(began))}, eventlog.State)
 }
--- a/internal/sidecar/wake.go
+++ b/internal/sidecar/wake.go
@@ -40,7 +40,7 @@
 func (n *Node) woke(ctx context.Context, span time.Duration) {
 	n.metrics.Wakes.Inc()
 	n.events.Add(eventlog.Node{Change: "woke", Incarnation: n.incarnation, InFlight: n.inFlight.Load(), TookMS: milliseconds(span)}, eventlog.State)
-	n.peers.transport.CloseIdleConnections()
+	n.peers.CloseIdle()
 	n.registration.renewNow()
 	n.freshness.renewNow()
 	n.registration.meet(ctx)
