--- a/internal/sidecar/exchange.go
+++ b/internal/sidecar/exchange.go
@@ -2,10 +2,8 @@
 
 import (
 	"context"
-	"io"
 	"math/rand/v2"
 	"net/http"
-	"strconv"
 	"sync"
 	"time"
 
@@ -92,15 +90,7 @@
 }
 
 func (e *exchanger) send(ctx context.Context, address string, message *wire.Exchange) (*wire.Exchange, error) {
-	data, err := wire.ExchangeCodec.Encode(message)
-	if err != nil {
-		return nil, err
-	}
-	read, err := e.node.peers.Post(ctx, address, exchangePath, data)
-	if err != nil {
-		return nil, err
-	}
-	return wire.ExchangeCodec.Decode(read)
+	return peer.Ask(ctx, e.node.peers, address, exchangePath, wire.ExchangeCodec, message, wire.ExchangeCodec)
 }
 
 // take learns what another node told.
@@ -113,13 +103,8 @@
 
 // ServeHTTP answers the message of another node.
 func (e *exchanger) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	data, err := io.ReadAll(io.LimitReader(r.Body, wire.MaxMessage))
-	if err != nil {
-		return
-	}
-	message, err := wire.ExchangeCodec.Decode(data)
-	if err != nil {
-		http.Error(w, err.Error(), http.StatusBadRequest)
+	message, read := peer.ReadMessage(w, r, wire.ExchangeCodec)
+	if !read {
 		return
 	}
 	e.take(message)
@@ -135,12 +120,5 @@
 	if message.Version < answer.Version {
 		answer.Configuration = e.node.configuration()
 	}
-	encoded, err := wire.ExchangeCodec.Encode(answer)
-	if err != nil {
-		http.Error(w, err.Error(), http.StatusInternalServerError)
-		return
-	}
-	peer.BareAnswer(w)
-	w.Header().Set("Content-Length", strconv.Itoa(len(encoded)))
-	_, _ = w.Write(encoded)
+	peer.WriteMessage(w, wire.ExchangeCodec, answer)
 }
--- a/internal/sidecar/freshness.go
+++ b/internal/sidecar/freshness.go
@@ -4,7 +4,6 @@
 	"context"
 	"math/rand/v2"
 	"net/http"
-	"strconv"
 	"sync"
 	"time"
 
@@ -238,14 +237,7 @@
 // ServeHTTP answers the question of another node.
 func (p *prover) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	age, version, known := p.age()
-	encoded, err := wire.FreshnessCodec.Encode(&wire.Freshness{Known: known, Version: int64(version), Age: age.Microseconds(), Keepers: p.node.keepers.all()})
-	if err != nil {
-		http.Error(w, err.Error(), http.StatusInternalServerError)
-		return
-	}
-	peer.BareAnswer(w)
-	w.Header().Set("Content-Length", strconv.Itoa(len(encoded)))
-	_, _ = w.Write(encoded)
+	peer.WriteMessage(w, wire.FreshnessCodec, &wire.Freshness{Known: known, Version: int64(version), Age: age.Microseconds(), Keepers: p.node.keepers.all()})
 }
 
 // question asks the node at an address how fresh its configuration is.
--- a/internal/sidecar/heldbacktell.go
+++ b/internal/sidecar/heldbacktell.go
@@ -2,10 +2,8 @@
 
 import (
 	"context"
-	"io"
 	"math/rand/v2"
 	"net/http"
-	"strconv"
 	"time"
 
 	"github.com/juju/errors"
@@ -83,29 +81,18 @@
 
 // ServeHTTP takes the message of another node.
 func (h *heldBack) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	data, err := io.ReadAll(io.LimitReader(r.Body, wire.MaxMessage))
-	if err != nil {
-		return
-	}
-	message, err := wire.CrashesCodec.Decode(data)
-	if err != nil {
-		http.Error(w, err.Error(), http.StatusBadRequest)
+	message, read := peer.ReadMessage(w, r, wire.CrashesCodec)
+	if !read {
 		return
 	}
 	h.hear(message.Known())
-	peer.BareAnswer(w)
-	if !message.Asks {
-		w.Header().Set("Content-Length", "0")
-		go h.spread(message, message.Forward)
+	if message.Asks {
+		peer.WriteMessage(w, wire.CrashesCodec, h.all(message.Digest))
 		return
 	}
-	answer, err := wire.CrashesCodec.Encode(h.all(message.Digest))
-	if err != nil {
-		http.Error(w, err.Error(), http.StatusInternalServerError)
-		return
-	}
-	w.Header().Set("Content-Length", strconv.Itoa(len(answer)))
-	_, _ = w.Write(answer)
+	peer.BareAnswer(w)
+	w.Header().Set("Content-Length", "0")
+	go h.spread(message, message.Forward)
 }
 
 // all gives all evidence for a node that has other evidence, none for one that has the same.
--- a/internal/sidecar/news.go
+++ b/internal/sidecar/news.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"io"
 	"net/http"
 	"slices"
 	"sync/atomic"
@@ -110,13 +109,8 @@
 
 // ServeHTTP takes news of another node and passes them on.
 func (s *spreader) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	data, err := io.ReadAll(io.LimitReader(r.Body, wire.MaxMessage))
-	if err != nil {
-		return
-	}
-	message, err := wire.NewsCodec.Decode(data)
-	if err != nil {
-		http.Error(w, err.Error(), http.StatusBadRequest)
+	message, read := peer.ReadMessage(w, r, wire.NewsCodec)
+	if !read {
 		return
 	}
 	peer.BareAnswer(w)
--- a/internal/sidecar/quotaask.go
+++ b/internal/sidecar/quotaask.go
@@ -8,6 +8,7 @@
 
 	"github.com/juju/errors"
 	"github.com/landingmast/landingmast/internal/core/quota"
+	"github.com/landingmast/landingmast/internal/sidecar/peer"
 	"github.com/landingmast/landingmast/internal/sidecar/wait"
 	"github.com/landingmast/landingmast/internal/wire"
 )
@@ -82,15 +83,7 @@
 	if address == q.node.settings().Listen.Inbound {
 		return q.node.quotaServer.answer(message), nil
 	}
-	data, err := wire.QuotaAskCodec.Encode(message)
-	if err != nil {
-		return nil, err
-	}
-	read, err := q.node.peers.Post(ctx, address, quotaPath, data)
-	if err != nil {
-		return nil, err
-	}
-	return wire.QuotaAnswerCodec.Decode(read)
+	return peer.Ask(ctx, q.node.peers, address, quotaPath, wire.QuotaAskCodec, message, wire.QuotaAnswerCodec)
 }
 
 // question tells what the node needs of the tenants of a group, now and then with all that
--- a/internal/sidecar/quotaserver.go
+++ b/internal/sidecar/quotaserver.go
@@ -2,9 +2,7 @@
 
 import (
 	"context"
-	"io"
 	"net/http"
-	"strconv"
 	"sync"
 	"time"
 
@@ -158,23 +156,11 @@
 
 // ServeHTTP answers the question of another node for parts of limits.
 func (s *quotaServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	data, err := io.ReadAll(io.LimitReader(r.Body, wire.MaxMessage))
-	if err != nil {
-		return
-	}
-	asked, err := wire.QuotaAskCodec.Decode(data)
-	if err != nil {
-		http.Error(w, err.Error(), http.StatusBadRequest)
-		return
-	}
-	encoded, err := wire.QuotaAnswerCodec.Encode(s.answer(asked))
-	if err != nil {
-		http.Error(w, err.Error(), http.StatusInternalServerError)
+	asked, read := peer.ReadMessage(w, r, wire.QuotaAskCodec)
+	if !read {
 		return
 	}
-	peer.BareAnswer(w)
-	w.Header().Set("Content-Length", strconv.Itoa(len(encoded)))
-	_, _ = w.Write(encoded)
+	peer.WriteMessage(w, wire.QuotaAnswerCodec, s.answer(asked))
 }
 
 // answer gives a process its parts of the limits of a group.
