--- a/internal/sidecar/eventlog/events.go
+++ b/internal/sidecar/eventlog/events.go
@@ -4,6 +4,8 @@
 // which kind were left out. Writing never holds a request up.
 package eventlog
 
+import "time"
+
 // Event is one line of the log. Its fields are listed in docs/LOGS.md.
 type Event interface {
 	// Kind names the event; a fixed word.
@@ -210,3 +212,6 @@
 func All() []Event {
 	return []Event{Request{}, Run{}, Crash{}, HeldBack{}, Settle{}, Configuration{}, Target{}, Member{}, Store{}, Freshness{}, Keeper{}, Node{}, Omitted{}}
 }
+
+// Milliseconds gives a span as it stands in the log.
+func Milliseconds(span time.Duration) float64 { return float64(span.Microseconds()) / 1000 }
--- a/internal/sidecar/follow.go
+++ b/internal/sidecar/follow.go
@@ -102,7 +102,7 @@
 			if ctx.Err() != nil {
 				return
 			}
-			f.node.storeResult("read", err)
+			f.node.storeHealth.Note("read", err)
 			f.hear(prefix, err == nil)
 			if err != nil {
 				wait.For(ctx, retryLeast+time.Duration(rand.Int64N(int64(retrySpread))))
@@ -115,7 +115,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		f.node.storeResult("watch", err)
+		f.node.storeHealth.Note("watch", err)
 		f.hear(prefix, err == nil || errors.Is(err, store.ErrCompacted))
 		switch {
 		case errors.Is(err, store.ErrCompacted):
--- a/internal/sidecar/follower.go
+++ b/internal/sidecar/follower.go
@@ -209,7 +209,7 @@
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	err := n.store.Probe(ctx)
-	n.storeResult("probe", err)
+	n.storeHealth.Note("probe", err)
 	return err == nil
 }
 
--- a/internal/sidecar/freshness.go
+++ b/internal/sidecar/freshness.go
@@ -190,7 +190,7 @@
 		return p.read(call, asked)
 	}
 	newer, err := p.node.store.Unchanged(call, p.node.options.ConfigurationKey, revision)
-	p.node.storeResult("confirm", err)
+	p.node.storeHealth.Note("confirm", err)
 	switch {
 	case err == nil:
 		return p.confirm(asked, version)
@@ -205,7 +205,7 @@
 // keys were refused for another 0.3 s in which each asked again.
 func (p *prover) read(ctx context.Context, asked time.Duration) bool {
 	item, _, err := p.node.store.Get(ctx, p.node.options.ConfigurationKey)
-	p.node.storeResult("read", err)
+	p.node.storeHealth.Note("read", err)
 	if err != nil || item == nil {
 		return false
 	}
@@ -231,7 +231,7 @@
 	if lost {
 		change = "unconfirmed"
 	}
-	p.node.events.Add(eventlog.Freshness{Change: change, Version: version, AgeMS: milliseconds(age)}, eventlog.State)
+	p.node.events.Add(eventlog.Freshness{Change: change, Version: version, AgeMS: eventlog.Milliseconds(age)}, eventlog.State)
 }
 
 // ServeHTTP answers the question of another node.
--- a/internal/sidecar/heldbacktell.go
+++ b/internal/sidecar/heldbacktell.go
@@ -212,7 +212,7 @@
 	defer cancel()
 	written, err := h.put(ctx, lasting, revision)
 	if !errors.Is(err, store.ErrConflict) {
-		h.node.storeResult("crashes", err) // logged there
+		h.node.storeHealth.Note("crashes", err) // logged there
 	}
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
--- a/internal/sidecar/node.go
+++ b/internal/sidecar/node.go
@@ -26,6 +26,7 @@
 	"github.com/landingmast/landingmast/internal/sidecar/metrics"
 	"github.com/landingmast/landingmast/internal/sidecar/peer"
 	"github.com/landingmast/landingmast/internal/sidecar/settings"
+	"github.com/landingmast/landingmast/internal/sidecar/storehealth"
 	"github.com/landingmast/landingmast/internal/sidecar/targetlink"
 	"github.com/landingmast/landingmast/internal/store"
 	"github.com/landingmast/landingmast/internal/wire"
@@ -84,7 +85,7 @@
 	planned      plannedStop
 	inFlight     atomic.Int64 // requests of clients, of the target and of other nodes
 	clients      atomic.Int64 // of them those of clients
-	storeHealth  storeHealth
+	storeHealth  *storehealth.Health
 	servers      []*http.Server
 	listeners    []net.Listener
 	background   sync.WaitGroup
@@ -105,6 +106,7 @@
 	n.checked.Store(settings)
 	n.events = eventlog.New(settings.Node, options.Output)
 	n.metrics = metrics.New(n.gauges())
+	n.storeHealth = storehealth.New(n.events, n.metrics.StoreCalls)
 	n.overload = newOverloadControl(n)
 	n.services = newServices(settings.Node, settings.Zone, n.now, budget(settings), settings.FirstStart)
 	n.services.policy = settings.Policy
--- a/internal/sidecar/observe.go
+++ b/internal/sidecar/observe.go
@@ -4,19 +4,14 @@
 	"bytes"
 	"log"
 	"net/http"
-	"sync"
 	"time"
 
-	"github.com/juju/errors"
 	"github.com/landingmast/landingmast/internal/core/outcome"
 	"github.com/landingmast/landingmast/internal/sidecar/eventlog"
 	"github.com/landingmast/landingmast/internal/sidecar/metrics"
 	"github.com/landingmast/landingmast/internal/sidecar/reply"
-	"github.com/landingmast/landingmast/internal/store"
 )
 
-func milliseconds(span time.Duration) float64 { return float64(span.Microseconds()) / 1000 }
-
 // gauges are the figures that are read when the metrics are.
 func (n *Node) gauges() metrics.Gauges {
 	return metrics.Gauges{
@@ -27,7 +22,7 @@
 		Waiting:  func() float64 { return float64(n.gateLoad().Waiting) },
 		HeldBack: func() float64 { return float64(n.heldBack.count()) },
 		InFlight: func() float64 { return float64(n.inFlight.Load()) },
-		StoreAge: func() float64 { return n.storeHealth.age().Seconds() },
+		StoreAge: func() float64 { return n.storeHealth.Age().Seconds() },
 	}
 }
 
@@ -78,29 +73,6 @@
 	n.events.Add(eventlog.Member{Member: node, Change: "heard again"}, eventlog.State)
 }
 
-// storeHealth follows whether the store answers.
-type storeHealth struct {
-	mutex  sync.Mutex
-	worked time.Time
-	lost   time.Time // zero: it answers
-}
-
-func (h *storeHealth) age() time.Duration {
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	if h.worked.IsZero() {
-		return 0
-	}
-	return time.Since(h.worked)
-}
-
-// away tells that the last call failed.
-func (h *storeHealth) away() bool {
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	return !h.lost.IsZero()
-}
-
 // noteFollowing notes that the node begins or ends to follow the store for its zone.
 func (n *Node) noteFollowing(follows bool) {
 	change := "unfollowed"
@@ -110,56 +82,6 @@
 	n.events.Add(eventlog.Store{Change: change}, eventlog.State)
 }
 
-// storeResult notes the end of a call of the store; the first failure of a row,
-// and the first success after it, are logged.
-func (n *Node) storeResult(call string, err error) {
-	n.metrics.StoreCalls.WithLabelValues(call, resultOf(err)).Inc()
-	h := &n.storeHealth
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	now := time.Now()
-	if err == nil || errors.Is(err, store.ErrCompacted) || errors.Is(err, store.ErrLeaseGone) {
-		h.worked = now
-		if !h.lost.IsZero() {
-			n.events.Add(eventlog.Store{Change: "regained", Call: call, AwayMS: milliseconds(now.Sub(h.lost))}, eventlog.State)
-			h.lost = time.Time{}
-		}
-		return
-	}
-	if !h.lost.IsZero() {
-		return
-	}
-	h.lost = now
-	change := "lost"
-	if errors.Is(err, store.ErrLimited) {
-		change = "limited"
-	}
-	n.events.Add(eventlog.Store{Change: change, Call: call, Error: err.Error()}, eventlog.State)
-}
-
-// resultOf gives the word for the end of a call of the store.
-func resultOf(err error) string {
-	for _, one := range []struct {
-		is   error
-		word string
-	}{
-		{store.ErrCompacted, "compacted"},
-		{store.ErrLeaseGone, "lease_gone"},
-		{store.ErrLimited, "limited"},
-		{store.ErrUnavailable, "unavailable"},
-		{store.ErrConflict, "conflict"},
-		{store.ErrRefused, "refused"},
-	} {
-		if errors.Is(err, one.is) {
-			return one.word
-		}
-	}
-	if err != nil {
-		return "no_answer"
-	}
-	return "ok"
-}
-
 // ended notes the end of a request that began here.
 func (x *exchange) ended(status int, reason outcome.Reason, retryAfter time.Duration) {
 	x.status = status
@@ -180,12 +102,12 @@
 	}
 	event := eventlog.Request{
 		Request: x.id, Tenant: x.tenant, Service: x.service, Version: x.node.version(), Importance: x.importance, Status: status, Reason: string(reason),
-		TookMS: milliseconds(took), HoldMS: milliseconds(x.hold), Share: x.door.share, Decisive: x.door.decisive, Occupancy: x.door.occupancy,
-		RetryAfterMS: milliseconds(retryAfter), Sends: x.sends, InFlight: x.door.inFlight, Fits: x.door.fits,
+		TookMS: eventlog.Milliseconds(took), HoldMS: eventlog.Milliseconds(x.hold), Share: x.door.share, Decisive: x.door.decisive, Occupancy: x.door.occupancy,
+		RetryAfterMS: eventlog.Milliseconds(retryAfter), Sends: x.sends, InFlight: x.door.inFlight, Fits: x.door.fits,
 	}
 	if x.route != nil {
 		event.Route = x.route.Name
-		event.ObjectiveMS = milliseconds(x.route.Objective)
+		event.ObjectiveMS = eventlog.Milliseconds(x.route.Objective)
 	}
 	if x.parent != nil {
 		event.Parent = x.parent.id
@@ -222,7 +144,7 @@
 	}
 	i.node.events.Add(eventlog.Run{
 		Request: one.call.RequestID, From: one.call.From, Service: one.call.Service, Instance: one.instance, Outcome: string(answer.Outcome),
-		Reason: string(answer.Reason), Status: answer.Status, Importance: one.call.Importance, WaitMS: milliseconds(waited), TookMS: milliseconds(took),
+		Reason: string(answer.Reason), Status: answer.Status, Importance: one.call.Importance, WaitMS: eventlog.Milliseconds(waited), TookMS: eventlog.Milliseconds(took),
 		LeftMS: float64(one.call.Remaining) / 1000, Running: answer.Load.Running, Waiting: answer.Load.Waiting, Slots: answer.Load.Slots, Repeat: one.call.Repeat,
 	}, weight)
 }
--- a/internal/sidecar/quotaask.go
+++ b/internal/sidecar/quotaask.go
@@ -189,7 +189,7 @@
 	call, cancel := context.WithTimeout(ctx, keeperCall)
 	defer cancel()
 	items, _, err := q.node.store.List(call, q.node.options.QuotaPrefix)
-	q.node.storeResult("read", err)
+	q.node.storeHealth.Note("read", err)
 	if err == nil {
 		q.node.takeKeepers(items)
 	}
--- a/internal/sidecar/quotaserver.go
+++ b/internal/sidecar/quotaserver.go
@@ -130,7 +130,7 @@
 	call, cancel := context.WithTimeout(ctx, keeperCall)
 	defer cancel()
 	err := s.node.store.Keep(call, lease.ID)
-	s.node.storeResult("lease", err)
+	s.node.storeHealth.Note("lease", err)
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	switch {
--- a/internal/sidecar/quotatakeover.go
+++ b/internal/sidecar/quotatakeover.go
@@ -212,7 +212,7 @@
 	call, cancel := context.WithTimeout(ctx, keeperCall)
 	defer cancel()
 	item, _, err := s.node.store.Get(call, s.key(shard))
-	s.node.storeResult("read", err)
+	s.node.storeHealth.Note("read", err)
 	if err != nil || item == nil {
 		return nil, nil, err
 	}
@@ -233,7 +233,7 @@
 	call, cancel := context.WithTimeout(ctx, keeperCall)
 	defer cancel()
 	lease, err := s.node.store.Grant(call, keeperLease)
-	s.node.storeResult("lease", err)
+	s.node.storeHealth.Note("lease", err)
 	if err != nil {
 		return nil, err
 	}
@@ -265,6 +265,6 @@
 	call, cancel := context.WithTimeout(ctx, keeperCall)
 	defer cancel()
 	written, err := s.node.store.Put(call, store.Write{Key: s.key(shard), Value: value, Lease: lease, IfRevision: &revision})
-	s.node.storeResult("keeper", err)
+	s.node.storeHealth.Note("keeper", err)
 	return written, err
 }
--- a/internal/sidecar/registration.go
+++ b/internal/sidecar/registration.go
@@ -53,7 +53,7 @@
 func (r *registration) renewNow() { wait.Signal(r.renew) }
 
 // turnedAway tells that the store does not serve the node.
-func (r *registration) turnedAway() bool { return r.failing.Load() || r.node.storeHealth.away() }
+func (r *registration) turnedAway() bool { return r.failing.Load() || r.node.storeHealth.Away() }
 
 // run finds the other nodes and keeps the own record and its lease until ctx ends.
 func (r *registration) run(ctx context.Context) {
@@ -85,7 +85,7 @@
 		call, cancel := context.WithTimeout(ctx, callTimeout)
 		items, _, err := r.node.store.List(call, r.node.options.RecordPrefix)
 		cancel()
-		r.node.storeResult("read", err)
+		r.node.storeHealth.Note("read", err)
 		if err != nil {
 			r.pause(ctx)
 			continue
@@ -154,7 +154,7 @@
 func (r *registration) register(ctx context.Context) {
 	for ctx.Err() == nil {
 		err := r.write(ctx)
-		r.node.storeResult("record", err)
+		r.node.storeHealth.Note("record", err)
 		r.failing.Store(err != nil)
 		if err == nil {
 			r.found()
@@ -213,7 +213,7 @@
 	call, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	err := r.node.store.Keep(call, lease.ID)
-	r.node.storeResult("lease", err)
+	r.node.storeHealth.Note("lease", err)
 	return !errors.Is(err, store.ErrLeaseGone)
 }
 
@@ -226,5 +226,5 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), revokeTimeout)
 	defer cancel()
-	r.node.storeResult("revoke", r.node.store.Revoke(ctx, lease.ID))
+	r.node.storeHealth.Note("revoke", r.node.store.Revoke(ctx, lease.ID))
 }
--- a/internal/sidecar/send.go
+++ b/internal/sidecar/send.go
@@ -186,7 +186,7 @@
 	x.node.metrics.Sends.WithLabelValues(x.service, string(answer.Outcome), string(answer.Reason)).Inc()
 	x.sends = append(x.sends, eventlog.Send{
 		Node: choice.node, Outcome: string(answer.Outcome), Reason: string(answer.Reason), Arrived: answer.Arrived, Status: answer.Status,
-		TookMS: milliseconds(took), Occupancy: answer.Load.Occupancy(),
+		TookMS: eventlog.Milliseconds(took), Occupancy: answer.Load.Occupancy(),
 	})
 }
 
--- a/internal/sidecar/stop.go
+++ b/internal/sidecar/stop.go
@@ -71,7 +71,7 @@
 	n.liveness.Close()
 	n.peers.CloseIdle()
 	n.target.close()
-	n.events.Add(eventlog.Node{Change: "stopped", Incarnation: n.incarnation, InFlight: n.inFlight.Load(), TookMS: milliseconds(time.Since(began))}, eventlog.State)
+	n.events.Add(eventlog.Node{Change: "stopped", Incarnation: n.incarnation, InFlight: n.inFlight.Load(), TookMS: eventlog.Milliseconds(time.Since(began))}, eventlog.State)
 }
 
 // awaitNone returns when nothing is counted any more, or at the time given.
--- a/internal/sidecar/wake.go
+++ b/internal/sidecar/wake.go
@@ -39,7 +39,7 @@
 // rest may have ended, the lease may be over, the others may take the node for gone.
 func (n *Node) woke(ctx context.Context, span time.Duration) {
 	n.metrics.Wakes.Inc()
-	n.events.Add(eventlog.Node{Change: "woke", Incarnation: n.incarnation, InFlight: n.inFlight.Load(), TookMS: milliseconds(span)}, eventlog.State)
+	n.events.Add(eventlog.Node{Change: "woke", Incarnation: n.incarnation, InFlight: n.inFlight.Load(), TookMS: eventlog.Milliseconds(span)}, eventlog.State)
 	n.peers.CloseIdle()
 	n.registration.renewNow()
 	n.freshness.renewNow()
