--- a/internal/sidecar/configuration.go
+++ b/internal/sidecar/configuration.go
@@ -5,18 +5,12 @@
 	"math/rand/v2"
 	"time"
 
-	"github.com/landingmast/landingmast/internal/sidecar/eventlog"
+	"github.com/landingmast/landingmast/internal/sidecar/configuration"
 	"github.com/landingmast/landingmast/internal/sidecar/wait"
 	"github.com/landingmast/landingmast/internal/store"
 	"github.com/landingmast/landingmast/internal/wire"
 )
 
-// Sources of what a node learns.
-const (
-	sourceStore = "store"
-	sourcePeer  = "peer"
-)
-
 // restOfConfiguration bounds the calls while configurations come in quick succession.
 const restOfConfiguration = 100 * time.Millisecond
 
@@ -25,13 +19,13 @@
 func (f *follower) followConfiguration(ctx context.Context) {
 	n := f.node
 	f.follow(ctx, n.options.ConfigurationKey, restOfConfiguration, func(items []store.Item, _ bool, _ int64) {
-		before := n.version()
+		before := n.configuration.Version()
 		for _, item := range items {
 			if item.Key == n.options.ConfigurationKey && !item.Gone {
 				_, _ = n.installStored(&item) // an error is logged where it occurs
 			}
 		}
-		if n.version() > before {
+		if n.configuration.Version() > before {
 			n.news.tellAll(&wire.News{})
 		}
 	})
@@ -51,7 +45,7 @@
 	if n.settings().FirstStart {
 		rest = configurationBootstrap
 	}
-	for wait.For(ctx, rest); ctx.Err() == nil && n.version() == 0; {
+	for wait.For(ctx, rest); ctx.Err() == nil && n.configuration.Version() == 0; {
 		call, cancel := context.WithTimeout(ctx, callTimeout)
 		found := n.freshness.read(call, n.now())
 		cancel()
@@ -65,33 +59,9 @@
 // installStored puts a configuration of the store in force unless a newer one is. It gives
 // its version.
 func (n *Node) installStored(item *store.Item) (uint64, error) {
-	version, err := n.install(item.Value, sourceStore)
+	version, err := n.configuration.Install(item.Value, configuration.FromStore)
 	if err == nil {
 		n.freshness.stored(version, item.Revision)
 	}
 	return version, err
 }
-
-// install puts a configuration in force unless a newer one is. It gives its version.
-func (n *Node) install(data []byte, source string) (uint64, error) {
-	read, err := n.options.ReadIntent(data)
-	if err != nil {
-		n.events.Add(eventlog.Configuration{Before: n.version(), Source: source, Error: err.Error()}, eventlog.State)
-		return 0, err
-	}
-	read.Source = data
-	for {
-		current := n.intent.Load()
-		if current != nil && current.Version >= read.Version {
-			return read.Version, nil
-		}
-		if n.intent.CompareAndSwap(current, read) {
-			before := uint64(0)
-			if current != nil {
-				before = current.Version
-			}
-			n.events.Add(eventlog.Configuration{Version: read.Version, Before: before, Routes: len(read.Routes), Tenants: len(read.Tenants), Source: source}, eventlog.State)
-			return read.Version, nil
-		}
-	}
-}
--- a/internal/sidecar/egress.go
+++ b/internal/sidecar/egress.go
@@ -75,7 +75,7 @@
 	// Freshness is looked at before the configuration is taken: one that comes in between
 	// is newer than what was confirmed, the other way round it might be older.
 	x.fresh = e.node.freshness.holds()
-	x.intent = e.node.intent.Load()
+	x.intent = e.node.configuration.Load()
 	switch {
 	case refused && !isCall:
 		x.refuse(http.StatusServiceUnavailable, outcome.ReasonStopping, unreadyRetryAfter)
--- a/internal/sidecar/exchange.go
+++ b/internal/sidecar/exchange.go
@@ -7,6 +7,7 @@
 	"sync"
 	"time"
 
+	"github.com/landingmast/landingmast/internal/sidecar/configuration"
 	"github.com/landingmast/landingmast/internal/sidecar/peer"
 	"github.com/landingmast/landingmast/internal/sidecar/wait"
 	"github.com/landingmast/landingmast/internal/wire"
@@ -74,7 +75,7 @@
 		told.Records = e.node.membership.in(own.differing(answer.Buckets))
 	}
 	if answer.Version < told.Version {
-		told.Configuration = e.node.configuration()
+		told.Configuration = e.node.configuration.Source()
 	}
 	if len(told.Buckets) == 0 && len(told.Configuration) == 0 {
 		return
@@ -86,7 +87,7 @@
 
 func (e *exchanger) digests() (*wire.Exchange, *buckets) {
 	own := e.node.membership.buckets()
-	return &wire.Exchange{Digest: own.digest(), Version: int64(e.node.version()), Records: []wire.NodeRecord{}, Buckets: []int64{}, From: e.node.settings().Node}, own
+	return &wire.Exchange{Digest: own.digest(), Version: int64(e.node.configuration.Version()), Records: []wire.NodeRecord{}, Buckets: []int64{}, From: e.node.settings().Node}, own
 }
 
 func (e *exchanger) send(ctx context.Context, address string, message *wire.Exchange) (*wire.Exchange, error) {
@@ -97,7 +98,7 @@
 func (e *exchanger) take(message *wire.Exchange) {
 	e.node.membership.learnFromPeer(message.Records)
 	if len(message.Configuration) > 0 {
-		_, _ = e.node.install(message.Configuration, sourcePeer) // an error is logged where it occurs
+		_, _ = e.node.configuration.Install(message.Configuration, configuration.FromPeer) // an error is logged where it occurs
 	}
 }
 
@@ -118,7 +119,7 @@
 		answer.Records = e.node.membership.in(own.differing(message.Buckets))
 	}
 	if message.Version < answer.Version {
-		answer.Configuration = e.node.configuration()
+		answer.Configuration = e.node.configuration.Source()
 	}
 	peer.WriteMessage(w, wire.ExchangeCodec, answer)
 }
--- a/internal/sidecar/follow.go
+++ b/internal/sidecar/follow.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"github.com/juju/errors"
+	"github.com/landingmast/landingmast/internal/sidecar/configuration"
 	"github.com/landingmast/landingmast/internal/sidecar/wait"
 	"github.com/landingmast/landingmast/internal/store"
 	"github.com/landingmast/landingmast/internal/wire"
@@ -81,7 +82,7 @@
 	if record == nil {
 		return
 	}
-	f.node.membership.note(record, "lapsed", sourceStore)
+	f.node.membership.note(record, "lapsed", configuration.FromStore)
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.lapses.Lapsed(f.node.now(), name)
--- a/internal/sidecar/follower.go
+++ b/internal/sidecar/follower.go
@@ -7,6 +7,7 @@
 
 	"github.com/landingmast/landingmast/internal/core/election"
 	"github.com/landingmast/landingmast/internal/core/lapse"
+	"github.com/landingmast/landingmast/internal/sidecar/configuration"
 	"github.com/landingmast/landingmast/internal/sidecar/peer"
 	"github.com/landingmast/landingmast/internal/sidecar/wait"
 	"github.com/landingmast/landingmast/internal/wire"
@@ -279,7 +280,7 @@
 	if record == nil {
 		return
 	}
-	m.note(record, "forgotten", sourceStore)
+	m.note(record, "forgotten", configuration.FromStore)
 	m.forget(record)
 	f.mutex.Lock()
 	f.gone[name] = goneNode{record: *record, till: f.node.now() + goneTold}
--- a/internal/sidecar/freshness.go
+++ b/internal/sidecar/freshness.go
@@ -80,7 +80,7 @@
 func (p *prover) confirm(asOf time.Duration, version uint64) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return p.evidence.Confirm(asOf, version, p.node.version())
+	return p.evidence.Confirm(asOf, version, p.node.configuration.Version())
 }
 
 // stored notes the revision with which the store has a version.
@@ -94,7 +94,7 @@
 
 // wanted tells whether evidence is of use: some tenant holds keys that may be taken away.
 func (p *prover) wanted() bool {
-	current := p.node.intent.Load()
+	current := p.node.configuration.Load()
 	return current != nil && len(current.Tenants) > 0 && p.node.settings().Keys.Bound() > 0
 }
 
@@ -158,7 +158,7 @@
 	if !told.Known {
 		return false
 	}
-	if uint64(told.Version) > p.node.version() {
+	if uint64(told.Version) > p.node.configuration.Version() {
 		p.node.news.fetch(address)
 	}
 	return p.confirm(freshness.Told(asked, time.Duration(told.Age)*time.Microsecond), uint64(told.Version))
@@ -186,7 +186,7 @@
 	asked := p.node.now()
 	call, cancel := context.WithTimeout(ctx, confirmTimeout)
 	defer cancel()
-	if revision == 0 || version != p.node.version() {
+	if revision == 0 || version != p.node.configuration.Version() {
 		return p.read(call, asked)
 	}
 	newer, err := p.node.store.Unchanged(call, p.node.options.ConfigurationKey, revision)
--- a/internal/sidecar/identify.go
+++ b/internal/sidecar/identify.go
@@ -15,7 +15,7 @@
 
 // identify asks the target at the address who it is.
 func (n *Node) identify(ctx context.Context) (roster.Report, bool) {
-	current := n.intent.Load()
+	current := n.configuration.Load()
 	if current == nil {
 		return roster.Report{}, false
 	}
@@ -57,7 +57,7 @@
 // and the target was running all along: the next heartbeat may be seconds away.
 func (n *Node) findTarget(ctx context.Context) {
 	wait.For(ctx, searchAfter)
-	for n.intent.Load() == nil && ctx.Err() == nil {
+	for n.configuration.Load() == nil && ctx.Err() == nil {
 		wait.For(ctx, intentPoll)
 	}
 	for range searchTries {
--- a/internal/sidecar/ingress.go
+++ b/internal/sidecar/ingress.go
@@ -151,7 +151,7 @@
 func (i *ingress) write(w http.ResponseWriter, answer *reply.Reply) {
 	defer answer.Close()
 	answer.Incarnation = i.node.incarnation
-	answer.Version = i.node.version()
+	answer.Version = i.node.configuration.Version()
 	head, err := wire.SidecarResultCodec.EncodeHeader(answer.Result())
 	if err != nil {
 		panic(http.ErrAbortHandler)
--- a/internal/sidecar/keepers_test.go
+++ b/internal/sidecar/keepers_test.go
@@ -3,6 +3,7 @@
 import (
 	"testing"
 
+	"github.com/landingmast/landingmast/internal/sidecar/configuration"
 	"github.com/landingmast/landingmast/internal/sidecar/settings"
 	"github.com/landingmast/landingmast/internal/wire"
 	. "github.com/onsi/gomega"
@@ -62,7 +63,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
-			node := &Node{incarnation: "own"}
+			node := &Node{configuration: configuration.New(nil, nil), incarnation: "own"}
 			node.checked.Store(&settings.Settings{Node: tc.self})
 			g.Expect(newQuotaServer(node).mayFollow(gone, tc.record)).To(Equal(tc.want))
 		})
--- a/internal/sidecar/membership.go
+++ b/internal/sidecar/membership.go
@@ -8,6 +8,7 @@
 
 	"github.com/cespare/xxhash/v2"
 	"github.com/landingmast/landingmast/internal/core/balancer"
+	"github.com/landingmast/landingmast/internal/sidecar/configuration"
 	"github.com/landingmast/landingmast/internal/sidecar/eventlog"
 	"github.com/landingmast/landingmast/internal/wire"
 )
@@ -74,7 +75,7 @@
 	}
 	m.mutex.Unlock()
 	if fresh {
-		m.note(record, "learned", sourcePeer)
+		m.note(record, "learned", configuration.FromPeer)
 	}
 	return fresh
 }
@@ -129,7 +130,7 @@
 		if known == nil || newer(known, &records[i]) {
 			continue
 		}
-		m.note(known, "forgotten", sourcePeer)
+		m.note(known, "forgotten", configuration.FromPeer)
 		m.forget(known)
 	}
 }
@@ -173,7 +174,7 @@
 	}
 	m.mutex.Unlock()
 	if fresh {
-		m.note(record, "learned", sourceStore)
+		m.note(record, "learned", configuration.FromStore)
 	}
 }
 
--- a/internal/sidecar/membership_test.go
+++ b/internal/sidecar/membership_test.go
@@ -8,6 +8,7 @@
 
 	"github.com/landingmast/landingmast/internal/core/repeats"
 	"github.com/landingmast/landingmast/internal/core/roster"
+	"github.com/landingmast/landingmast/internal/sidecar/configuration"
 	"github.com/landingmast/landingmast/internal/sidecar/eventlog"
 	"github.com/landingmast/landingmast/internal/sidecar/headers"
 	"github.com/landingmast/landingmast/internal/sidecar/peer"
@@ -18,7 +19,7 @@
 
 // memberNode makes a node with a membership and nothing that listens.
 func memberNode(name, incarnation string) *Node {
-	n := &Node{clock: steadyClock{}, incarnation: incarnation, events: eventlog.New(name, io.Discard)}
+	n := &Node{configuration: configuration.New(nil, nil), clock: steadyClock{}, incarnation: incarnation, events: eventlog.New(name, io.Discard)}
 	n.checked.Store(&settings.Settings{Node: name, Zone: "a"})
 	n.services = newServices(name, "a", n.now, repeats.Config{Ratio: 0.2, Allowance: 10, Window: 10 * time.Second}, true)
 	n.target = &localTarget{now: n.now, roster: roster.New()}
--- a/internal/sidecar/news.go
+++ b/internal/sidecar/news.go
@@ -89,7 +89,7 @@
 func (s *spreader) send(message *wire.News, branch []string) {
 	sent := *message
 	sent.From = s.node.settings().Listen.Inbound
-	sent.Version = int64(s.node.version())
+	sent.Version = int64(s.node.configuration.Version())
 	toFirst(branch, func(address string, others []string) error {
 		sent.Forward = others
 		return s.post(address, &sent)
@@ -135,7 +135,7 @@
 // passOn fetches a configuration that the sender has and passes the message on.
 // One that only names a configuration known here goes no further.
 func (s *spreader) passOn(message *wire.News) {
-	newer := message.Version > int64(s.node.version())
+	newer := message.Version > int64(s.node.configuration.Version())
 	if newer {
 		s.fetch(message.From)
 	}
--- a/internal/sidecar/node.go
+++ b/internal/sidecar/node.go
@@ -17,10 +17,10 @@
 	"time"
 
 	"github.com/landingmast/landingmast/internal/clock"
-	"github.com/landingmast/landingmast/internal/core/intent"
 	"github.com/landingmast/landingmast/internal/core/repeats"
 	"github.com/landingmast/landingmast/internal/core/roster"
 	"github.com/landingmast/landingmast/internal/failure"
+	"github.com/landingmast/landingmast/internal/sidecar/configuration"
 	"github.com/landingmast/landingmast/internal/sidecar/eventlog"
 	"github.com/landingmast/landingmast/internal/sidecar/headers"
 	"github.com/landingmast/landingmast/internal/sidecar/metrics"
@@ -42,7 +42,7 @@
 	NodePrefix       string      // below it, where the nodes' records lie
 	QuotaPrefix      string      // below it, where the keepers of quotas are named
 	CrashKey         string      // below RecordPrefix, what must last of requests that end targets
-	ReadIntent       func(data []byte) (*intent.Intent, error)
+	ReadIntent       configuration.Reader
 	Control          func(targets *Targets) http.Handler  // serves the targets' heartbeats
 	Ready            func(ready func() bool) http.Handler // serves the question whether the node takes work
 	Output           io.Writer                            // of the log
@@ -56,39 +56,39 @@
 
 // Node is one running sidecar node.
 type Node struct {
-	options      Options
-	checked      atomic.Pointer[settings.Settings]
-	incarnation  string
-	clock        clock.Source
-	events       *eventlog.Log
-	metrics      *metrics.Metrics
-	store        store.Store
-	intent       atomic.Pointer[intent.Intent]
-	services     *services
-	splitter     *splitter
-	overload     *overloadControl
-	target       *localTarget
-	ingress      *ingress
-	egress       *egress
-	peers        *peer.Client
-	membership   *membership
-	registration *registration
-	follower     *follower
-	exchanger    *exchanger
-	news         *spreader
-	freshness    *prover
-	keepers      directory
-	quotaServer  *quotaServer
-	quotas       *quotas
-	heldBack     *heldBack
-	liveness     *peer.Liveness
-	planned      plannedStop
-	inFlight     atomic.Int64 // requests of clients, of the target and of other nodes
-	clients      atomic.Int64 // of them those of clients
-	storeHealth  *storehealth.Health
-	servers      []*http.Server
-	listeners    []net.Listener
-	background   sync.WaitGroup
+	options       Options
+	checked       atomic.Pointer[settings.Settings]
+	incarnation   string
+	clock         clock.Source
+	events        *eventlog.Log
+	metrics       *metrics.Metrics
+	store         store.Store
+	configuration *configuration.InForce
+	services      *services
+	splitter      *splitter
+	overload      *overloadControl
+	target        *localTarget
+	ingress       *ingress
+	egress        *egress
+	peers         *peer.Client
+	membership    *membership
+	registration  *registration
+	follower      *follower
+	exchanger     *exchanger
+	news          *spreader
+	freshness     *prover
+	keepers       directory
+	quotaServer   *quotaServer
+	quotas        *quotas
+	heldBack      *heldBack
+	liveness      *peer.Liveness
+	planned       plannedStop
+	inFlight      atomic.Int64 // requests of clients, of the target and of other nodes
+	clients       atomic.Int64 // of them those of clients
+	storeHealth   *storehealth.Health
+	servers       []*http.Server
+	listeners     []net.Listener
+	background    sync.WaitGroup
 }
 
 // New makes a node and opens its listeners.
@@ -105,6 +105,7 @@
 	}
 	n.checked.Store(settings)
 	n.events = eventlog.New(settings.Node, options.Output)
+	n.configuration = configuration.New(options.ReadIntent, n.events)
 	n.metrics = metrics.New(n.gauges())
 	n.storeHealth = storehealth.New(n.events, n.metrics.StoreCalls)
 	n.overload = newOverloadControl(n)
@@ -176,7 +177,7 @@
 func (n *Node) now() time.Duration { return n.clock.Boot() }
 
 // Version gives the version of the configuration in force; 0: none is known.
-func (n *Node) Version() uint64 { return n.version() }
+func (n *Node) Version() uint64 { return n.configuration.Version() }
 
 // Peers gives the number of other nodes that are known.
 func (n *Node) Peers() int { return n.membership.others() }
@@ -184,13 +185,6 @@
 // Follows tells whether the node follows the store for its zone.
 func (n *Node) Follows() bool { return n.follower.follows() }
 
-func (n *Node) version() uint64 {
-	if current := n.intent.Load(); current != nil {
-		return current.Version
-	}
-	return 0
-}
-
 // caller is the service of the machine.
 func (n *Node) caller() string {
 	if report, _ := n.target.report(); report.Service != "" {
@@ -255,15 +249,7 @@
 	}
 }
 
-// configuration gives the configuration in force in the operators' form.
-func (n *Node) configuration() []byte {
-	if current := n.intent.Load(); current != nil {
-		return current.Source
-	}
-	return nil
-}
-
-func (n *Node) ready() bool { return n.intent.Load() != nil && !n.planned.stopping.Load() }
+func (n *Node) ready() bool { return n.configuration.Load() != nil && !n.planned.stopping.Load() }
 
 // Run serves until ctx ends, then stops as planned; the end of hurry ends the
 // wait for requests in flight.
--- a/internal/sidecar/observe.go
+++ b/internal/sidecar/observe.go
@@ -15,7 +15,7 @@
 // gauges are the figures that are read when the metrics are.
 func (n *Node) gauges() metrics.Gauges {
 	return metrics.Gauges{
-		Version:  func() float64 { return float64(n.version()) },
+		Version:  func() float64 { return float64(n.configuration.Version()) },
 		Peers:    func() float64 { return float64(n.membership.others()) },
 		Slots:    func() float64 { return float64(n.gateLoad().Slots) },
 		Running:  func() float64 { return float64(n.gateLoad().Running) },
@@ -101,7 +101,7 @@
 		return
 	}
 	event := eventlog.Request{
-		Request: x.id, Tenant: x.tenant, Service: x.service, Version: x.node.version(), Importance: x.importance, Status: status, Reason: string(reason),
+		Request: x.id, Tenant: x.tenant, Service: x.service, Version: x.node.configuration.Version(), Importance: x.importance, Status: status, Reason: string(reason),
 		TookMS: eventlog.Milliseconds(took), HoldMS: eventlog.Milliseconds(x.hold), Share: x.door.share, Decisive: x.door.decisive, Occupancy: x.door.occupancy,
 		RetryAfterMS: eventlog.Milliseconds(retryAfter), Sends: x.sends, InFlight: x.door.inFlight, Fits: x.door.fits,
 	}
--- a/internal/sidecar/overload.go
+++ b/internal/sidecar/overload.go
@@ -81,7 +81,7 @@
 // stepsAboveLeast is how many priorities the route stands above the least
 // important one that the configuration has.
 func (o *overloadControl) stepsAboveLeast(route *intent.Route) int {
-	current := o.node.intent.Load()
+	current := o.node.configuration.Load()
 	if current == nil {
 		return 0
 	}
--- a/internal/sidecar/quotaask.go
+++ b/internal/sidecar/quotaask.go
@@ -96,7 +96,7 @@
 		Holder: holderName(q.node.settings().Node, q.node.settings().Listen.Inbound), Incarnation: q.node.incarnation, Shard: shard, Reports: []wire.QuotaReport{},
 		Complete: q.told[shard].at == 0 || now-q.told[shard].at >= completeEvery,
 	}
-	current := q.node.intent.Load()
+	current := q.node.configuration.Load()
 	for name, one := range q.stocks {
 		if shardOf(name) != shard {
 			continue
--- a/internal/sidecar/quotas.go
+++ b/internal/sidecar/quotas.go
@@ -93,7 +93,7 @@
 
 // wanted tells whether some tenant has a limit.
 func (q *quotas) wanted() bool {
-	current := q.node.intent.Load()
+	current := q.node.configuration.Load()
 	return current != nil && current.Limited()
 }
 
--- a/internal/sidecar/quotaserver.go
+++ b/internal/sidecar/quotaserver.go
@@ -166,7 +166,7 @@
 // answer gives a process its parts of the limits of a group.
 func (s *quotaServer) answer(asked *wire.QuotaAsk) *wire.QuotaAnswer {
 	answer := &wire.QuotaAnswer{Allotments: []wire.QuotaAllotment{}}
-	current := s.node.intent.Load()
+	current := s.node.configuration.Load()
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	one, now := s.held[asked.Shard], s.node.now()
--- a/internal/sidecar/routes_test.go
+++ b/internal/sidecar/routes_test.go
@@ -10,13 +10,14 @@
 	"github.com/landingmast/landingmast/internal/core/overload"
 	"github.com/landingmast/landingmast/internal/core/repeats"
 	"github.com/landingmast/landingmast/internal/core/slots"
+	"github.com/landingmast/landingmast/internal/sidecar/configuration"
 	"github.com/landingmast/landingmast/internal/sidecar/metrics"
 	"github.com/landingmast/landingmast/internal/sidecar/reply"
 	. "github.com/onsi/gomega"
 )
 
 func budgetNode(allowance float64) *Node {
-	n := &Node{clock: steadyClock{}, splitter: &splitter{credit: map[string][]float64{}}}
+	n := &Node{configuration: configuration.New(nil, nil), clock: steadyClock{}, splitter: &splitter{credit: map[string][]float64{}}}
 	n.services = newServices("me", "a", n.now, repeats.Config{Ratio: 0.2, Allowance: allowance, Window: 10 * time.Second}, true)
 	n.services.count(1)
 	n.overload = newOverloadControl(n)
--- a/internal/sidecar/send.go
+++ b/internal/sidecar/send.go
@@ -146,7 +146,7 @@
 // of the chain are made on give it the same.
 func (x *exchange) rank() float64 {
 	priorities := 1
-	if current := x.node.intent.Load(); current != nil {
+	if current := x.node.configuration.Load(); current != nil {
 		priorities = current.LeastPriority() + 1
 	}
 	start, _, _ := strings.Cut(x.id, callSeparator)
--- a/internal/sidecar/wake_test.go
+++ b/internal/sidecar/wake_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"github.com/landingmast/landingmast/internal/core/intent"
+	"github.com/landingmast/landingmast/internal/sidecar/configuration"
 	"github.com/landingmast/landingmast/internal/wire"
 	. "github.com/onsi/gomega"
 )
@@ -42,7 +43,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
 			source := &jumpingClock{}
-			n := &Node{clock: source}
+			n := &Node{configuration: configuration.New(nil, nil), clock: source}
 			x := &exchange{node: n, hold: time.Second, started: n.now(), route: &intent.Route{}}
 			one := &arrival{printed: printed{call: &wire.SidecarCall{Remaining: time.Second.Microseconds()}}, at: n.now()}
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
