--- a/internal/sidecar/addresses.go
+++ b/internal/sidecar/addresses.go
@@ -2,8 +2,8 @@
 
 import "math/rand/v2"
 
-// zoneMembers gives the other nodes of the zone.
-func (m *membership) zoneMembers() []string {
+// ZoneMembers gives the other nodes of the zone.
+func (m *membership) ZoneMembers() []string {
 	zone := m.node.settings().Zone
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -16,8 +16,8 @@
 	return names
 }
 
-// zones gives the number of zones that have a node, the own one among them.
-func (m *membership) zones() int {
+// Zones gives the number of zones that have a node, the own one among them.
+func (m *membership) Zones() int {
 	found := map[string]bool{m.node.settings().Zone: true}
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -27,9 +27,9 @@
 	return len(found)
 }
 
-// addresses gives those of the other nodes by zone, in a random order. Nodes that
+// Addresses gives those of the other nodes by zone, in a random order. Nodes that
 // are taken for dead are left out.
-func (m *membership) addresses() map[string][]string {
+func (m *membership) Addresses() map[string][]string {
 	found := map[string][]string{}
 	m.mutex.Lock()
 	for name, record := range m.records {
@@ -48,9 +48,9 @@
 // nothing.
 const nearShare = 0.75
 
-// anyAddress gives the address of another node, chosen at random, more often one of
+// AnyAddress gives the address of another node, chosen at random, more often one of
 // the own zone.
-func (m *membership) anyAddress() string {
+func (m *membership) AnyAddress() string {
 	near, far := m.split()
 	if len(near) == 0 || len(far) > 0 && rand.Float64() >= nearShare {
 		near = far
@@ -58,9 +58,9 @@
 	return anyOf(near)
 }
 
-// addressElsewhere gives the address of a node in another zone, or of any other
+// AddressElsewhere gives the address of a node in another zone, or of any other
 // node when there is none.
-func (m *membership) addressElsewhere() string {
+func (m *membership) AddressElsewhere() string {
 	near, far := m.split()
 	if len(far) == 0 {
 		far = near
@@ -70,7 +70,7 @@
 
 // split gives the addresses of the nodes in the own zone and in others.
 func (m *membership) split() (near, far []string) {
-	for zone, addresses := range m.addresses() {
+	for zone, addresses := range m.Addresses() {
 		if zone == m.node.settings().Zone {
 			near = addresses
 			continue
--- a/internal/sidecar/answer.go
+++ b/internal/sidecar/answer.go
@@ -59,7 +59,7 @@
 	}
 	switch {
 	case !x.mayRun:
-		x.node.quotas.giveBack(x.holder)
+		x.node.quotas.GiveBack(x.holder)
 		x.refuse(http.StatusServiceUnavailable, last.Reason, comeBackAfter(last.Reason))
 	case ctx.Err() != nil || x.left(ctx) <= 0:
 		x.refuse(http.StatusGatewayTimeout, outcome.ReasonTimeout, 0)
--- a/internal/sidecar/budgets.go
+++ b/internal/sidecar/budgets.go
@@ -16,10 +16,10 @@
 func (n *Node) countRequest(route *intent.Route, service string, granted float64) float64 {
 	now := n.now()
 	kept := n.services.kept(now)
-	n.services.get(service).count(now, granted)
-	n.overload.eachNeed(route, func(name string, calls float64) {
+	n.services.Get(service).count(now, granted)
+	n.overload.EachNeed(route, func(name string, calls float64) {
 		if name != service {
-			n.services.get(name).count(now, granted*kept*calls)
+			n.services.Get(name).count(now, granted*kept*calls)
 		}
 	})
 	return granted * (1 - kept)
@@ -84,7 +84,7 @@
 // repeat takes a repeat of a route's request out of the budgets. rank is that of its chain.
 // declined tells that the target declined the sending before.
 func (n *Node) repeat(route *intent.Route, service string, rank float64, declined bool) bool {
-	needs := n.overload.needs(route)
+	needs := n.overload.Needs(route)
 	needs[service] = max(needs[service], 1)
 	if !n.services.repeat(service, needs, rank, declined) {
 		n.metrics.Denied.WithLabelValues(service).Inc()
@@ -94,8 +94,8 @@
 	return true
 }
 
-// setBudget changes the bounds of repeats.
-func (s *services) setBudget(config repeats.Config) {
+// SetBudget changes the bounds of repeats.
+func (s *services) SetBudget(config repeats.Config) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.config = config
--- a/internal/sidecar/configuration.go
+++ b/internal/sidecar/configuration.go
@@ -26,7 +26,7 @@
 			}
 		}
 		if n.configuration.Version() > before {
-			n.news.tellAll(&wire.News{})
+			n.news.TellAll(&wire.News{})
 		}
 	})
 }
@@ -47,7 +47,7 @@
 	}
 	for wait.For(ctx, rest); ctx.Err() == nil && n.configuration.Version() == 0; {
 		call, cancel := context.WithTimeout(ctx, callTimeout)
-		found := n.freshness.read(call, n.now())
+		found := n.freshness.Read(call, n.now())
 		cancel()
 		if found {
 			return
@@ -61,7 +61,7 @@
 func (n *Node) installStored(item *store.Item) (uint64, error) {
 	version, err := n.configuration.Install(item.Value, configuration.FromStore)
 	if err == nil {
-		n.freshness.stored(version, item.Revision)
+		n.freshness.Stored(version, item.Revision)
 	}
 	return version, err
 }
--- a/internal/sidecar/egress.go
+++ b/internal/sidecar/egress.go
@@ -74,7 +74,7 @@
 	x := &exchange{node: e.node, writer: w, request: r, id: r.Header.Get(names.RequestID), started: e.node.now()}
 	// Freshness is looked at before the configuration is taken: one that comes in between
 	// is newer than what was confirmed, the other way round it might be older.
-	x.fresh = e.node.freshness.holds()
+	x.fresh = e.node.freshness.Holds()
 	x.intent = e.node.configuration.Load()
 	switch {
 	case refused && !isCall:
@@ -180,7 +180,7 @@
 	x.service = x.node.splitter.choose(x.route)
 	x.granted = x.node.countRequest(x.route, x.service, x.grantedAbove())
 	if !x.admitted() {
-		x.node.quotas.giveBack(x.holder)
+		x.node.quotas.GiveBack(x.holder)
 		x.refuse(http.StatusServiceUnavailable, outcome.ReasonSheds, comeBack(x.clientTime()))
 		return
 	}
@@ -194,7 +194,7 @@
 // get says that it has not run, and not when to come back.
 func (x *exchange) heldBack() verdict {
 	call := &wire.SidecarCall{Method: x.request.Method, URI: uriOf(x.request), Host: x.request.Host, Caller: x.node.caller(), Tenant: x.tenant}
-	return x.node.heldBack.atStart(&printed{call: call, body: x.body})
+	return x.node.heldBack.AtStart(&printed{call: call, body: x.body})
 }
 
 // grantedAbove is the part of the budgets for repeats that the nodes above leave to
@@ -214,14 +214,14 @@
 		return true
 	}
 	var admitted bool
-	admitted, x.door = x.node.overload.admit(x.route)
+	admitted, x.door = x.node.overload.Admit(x.route)
 	return admitted
 }
 
 // release tells how a client's request ended that was let in. One whose time ran out has
 // not told what it waited for: there was no room for it in time, whatever was short.
 func (x *exchange) release() {
-	x.node.overload.end(ending{
+	x.node.overload.End(ending{
 		route: x.route, limit: x.limit(), took: x.node.now() - x.started, needs: x.needs,
 		lacked: x.lacked || x.status == http.StatusGatewayTimeout, left: x.request.Context().Err() != nil,
 	})
@@ -255,14 +255,14 @@
 // learn takes in what a sending told of the services down the chain.
 func (x *exchange) learn(answer *reply.Reply) {
 	needs := answer.Needs
-	if pressure, known := x.node.services.get(x.service).pressure(x.node.now()); known && answer.Load.Slots > 0 {
+	if pressure, known := x.node.services.Get(x.service).pressure(x.node.now()); known && answer.Load.Slots > 0 {
 		needs = append(needs, wire.Need{Service: x.service, Calls: 1, Occupancy: int(pressure.Occupancy * occupancyScale), Wait: answer.Waited})
 	}
 	x.needs = needs
 	if x.parent != nil {
 		x.parent.add(needs)
 	}
-	x.node.overload.learn(x.route, needs, answer.Outcome == outcome.Answered && answer.Status < http.StatusBadRequest)
+	x.node.overload.Learn(x.route, needs, answer.Outcome == outcome.Answered && answer.Status < http.StatusBadRequest)
 }
 
 // callSeparator stands between the id of a request and the part of its own that a call
--- a/internal/sidecar/ended.go
+++ b/internal/sidecar/ended.go
@@ -218,7 +218,7 @@
 		i.node.metrics.Crashes.Inc()
 	}
 	i.node.events.Add(event, eventlog.State)
-	i.node.heldBack.endedAt(gate, runs)
+	i.node.heldBack.EndedAt(gate, runs)
 }
 
 // loggedRuns bounds the requests that one line names.
--- a/internal/sidecar/exchange.go
+++ b/internal/sidecar/exchange.go
@@ -32,32 +32,32 @@
 	telling sync.Map // addresses of nodes that are being told everything
 }
 
-// tell exchanges at once with a node that has shown that it knows nothing, as one
+// Tell exchanges at once with a node that has shown that it knows nothing, as one
 // does that came back while the store refuses it.
-func (e *exchanger) tell(address string) {
+func (e *exchanger) Tell(address string) {
 	if _, busy := e.telling.LoadOrStore(address, true); busy {
 		return
 	}
 	go func() {
 		defer e.telling.Delete(address)
-		e.with(context.Background(), address)
+		e.With(context.Background(), address)
 	}()
 }
 
-// run exchanges until ctx ends.
-func (e *exchanger) run(ctx context.Context) {
+// Run exchanges until ctx ends.
+func (e *exchanger) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		wait.For(ctx, exchangeEvery/2+time.Duration(rand.Int64N(int64(exchangeEvery))))
-		if address := e.node.membership.anyAddress(); address != "" {
-			e.with(ctx, address)
+		if address := e.node.membership.AnyAddress(); address != "" {
+			e.With(ctx, address)
 		}
 	}
 }
 
-// with exchanges with the node at an address: digests first; where they differ the
+// With exchanges with the node at an address: digests first; where they differ the
 // other answers with those of its buckets, and both send the records of the
 // buckets that differ.
-func (e *exchanger) with(ctx context.Context, address string) {
+func (e *exchanger) With(ctx context.Context, address string) {
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
 	asked, _ := e.digests()
@@ -66,13 +66,13 @@
 		return
 	}
 	if answer.Gone {
-		e.node.registration.lost()
+		e.node.registration.Lost()
 	}
 	e.take(answer)
 	told, own := e.digests()
 	if len(answer.Buckets) > 0 {
 		told.Buckets = own[:]
-		told.Records = e.node.membership.in(own.differing(answer.Buckets))
+		told.Records = e.node.membership.In(own.differing(answer.Buckets))
 	}
 	if answer.Version < told.Version {
 		told.Configuration = e.node.configuration.Source()
@@ -86,7 +86,7 @@
 }
 
 func (e *exchanger) digests() (*wire.Exchange, *buckets) {
-	own := e.node.membership.buckets()
+	own := e.node.membership.Buckets()
 	return &wire.Exchange{Digest: own.digest(), Version: int64(e.node.configuration.Version()), Records: []wire.NodeRecord{}, Buckets: []int64{}, From: e.node.settings().Node}, own
 }
 
@@ -96,7 +96,7 @@
 
 // take learns what another node told.
 func (e *exchanger) take(message *wire.Exchange) {
-	e.node.membership.learnFromPeer(message.Records)
+	e.node.membership.LearnFromPeer(message.Records)
 	if len(message.Configuration) > 0 {
 		_, _ = e.node.configuration.Install(message.Configuration, configuration.FromPeer) // an error is logged where it occurs
 	}
@@ -110,13 +110,13 @@
 	}
 	e.take(message)
 	answer, own := e.digests()
-	answer.Gone = e.node.membership.holdsGone(message.From)
+	answer.Gone = e.node.membership.HoldsGone(message.From)
 	switch {
 	case message.Digest == answer.Digest:
 	case len(message.Buckets) == 0:
 		answer.Buckets = own[:]
 	default:
-		answer.Records = e.node.membership.in(own.differing(message.Buckets))
+		answer.Records = e.node.membership.In(own.differing(message.Buckets))
 	}
 	if message.Version < answer.Version {
 		answer.Configuration = e.node.configuration.Source()
--- a/internal/sidecar/exchange_test.go
+++ b/internal/sidecar/exchange_test.go
@@ -54,7 +54,7 @@
 			Address: fmt.Sprintf("10.1.%d.%d:8003", i/250, i%250), Zone: "zone-a", Service: "service-a", Instance: fmt.Sprintf("i-%d", i), Slots: 20, Serving: true,
 		})
 	}
-	n.membership.learnFromPeer(records)
+	n.membership.LearnFromPeer(records)
 }
 
 // A node spends at most 4 KB a second on control. Nodes whose records differ in a
@@ -79,10 +79,10 @@
 			there, address, bytes := countedNode(t, "there")
 			fill(here, tc.here[0], tc.here[1])
 			fill(there, tc.there[0], tc.there[1])
-			here.exchanger.with(context.Background(), address)
+			here.exchanger.With(context.Background(), address)
 			t.Logf("%d bytes", bytes.Load())
-			g.Expect(here.membership.buckets()).To(Equal(there.membership.buckets()))
-			g.Expect(here.membership.others()).To(Equal(there.membership.others()))
+			g.Expect(here.membership.Buckets()).To(Equal(there.membership.Buckets()))
+			g.Expect(here.membership.Others()).To(Equal(there.membership.Others()))
 			g.Expect(bytes.Load()).To(BeNumerically("<", tc.most))
 		})
 	}
@@ -103,7 +103,7 @@
 	}))
 	defer server.Close()
 	defer here.peers.Transport.CloseIdleConnections()
-	here.exchanger.with(context.Background(), strings.TrimPrefix(server.URL, "http://"))
-	g.Expect(here.membership.incarnation("old")).To(Equal("o"))
+	here.exchanger.With(context.Background(), strings.TrimPrefix(server.URL, "http://"))
+	g.Expect(here.membership.Incarnation("old")).To(Equal("o"))
 	g.Expect(told).NotTo(BeNil())
 }
--- a/internal/sidecar/follow.go
+++ b/internal/sidecar/follow.go
@@ -35,7 +35,7 @@
 		seen := map[string]bool{}
 		for _, item := range items {
 			if item.Key == f.node.options.CrashKey {
-				f.node.heldBack.takeStored(&item)
+				f.node.heldBack.TakeStored(&item)
 			}
 			name, is := strings.CutPrefix(item.Key, prefix)
 			if !is {
@@ -51,14 +51,14 @@
 			}
 		}
 		if whole {
-			m.setListed()
-			for _, name := range append(m.names(), f.node.settings().Node) {
+			m.SetListed()
+			for _, name := range append(m.Names(), f.node.settings().Node) {
 				if !seen[name] {
 					f.lapsed(name)
 				}
 			}
 		}
-		m.apply()
+		m.Apply()
 	})
 }
 
@@ -68,21 +68,21 @@
 	f.lapses.Back(record.Node)
 	delete(f.gone, record.Node)
 	f.mutex.Unlock()
-	f.node.membership.put(record)
+	f.node.membership.Put(record)
 }
 
 // lapsed notes that the store has lost a node's record. The node's own record is
 // written anew.
 func (f *follower) lapsed(name string) {
 	if name == f.node.settings().Node {
-		f.node.registration.lost()
+		f.node.registration.Lost()
 		return
 	}
-	record := f.node.membership.record(name)
+	record := f.node.membership.Record(name)
 	if record == nil {
 		return
 	}
-	f.node.membership.note(record, "lapsed", configuration.FromStore)
+	f.node.membership.Note(record, "lapsed", configuration.FromStore)
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.lapses.Lapsed(f.node.now(), name)
@@ -144,5 +144,5 @@
 	if rate <= 0 {
 		return 0
 	}
-	return time.Duration(float64(f.node.membership.zones()) / rate * float64(time.Second))
+	return time.Duration(float64(f.node.membership.Zones()) / rate * float64(time.Second))
 }
--- a/internal/sidecar/follower.go
+++ b/internal/sidecar/follower.go
@@ -44,18 +44,18 @@
 	return &follower{node: node, lapses: lapse.New(lapse.DefaultConfig()), hears: map[string]bool{}, gone: map[string]goneNode{}}
 }
 
-// begin has the node take part in the election: it knows the others by now.
-func (f *follower) begin() {
+// Begin has the node take part in the election: it knows the others by now.
+func (f *follower) Begin() {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	if f.election == nil {
 		f.election = election.New(election.DefaultConfig(), f.node.settings().Node, f.node.now())
-		f.election.SetMembers(f.node.membership.zoneMembers())
+		f.election.SetMembers(f.node.membership.ZoneMembers())
 	}
 }
 
-// resign has the node follow no more: it stops.
-func (f *follower) resign() {
+// Resign has the node follow no more: it stops.
+func (f *follower) Resign() {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	if f.election != nil {
@@ -63,8 +63,8 @@
 	}
 }
 
-// setMembers takes in the nodes of the zone.
-func (f *follower) setMembers(names []string) {
+// SetMembers takes in the nodes of the zone.
+func (f *follower) SetMembers(names []string) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	if f.election != nil {
@@ -72,8 +72,8 @@
 	}
 }
 
-// heard takes in the beat of another follower.
-func (f *follower) heard(name string, well bool) {
+// Heard takes in the beat of another follower.
+func (f *follower) Heard(name string, well bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	if well {
@@ -88,43 +88,43 @@
 // and some time on the way.
 const toldFor = 3*beatEvery + 100*time.Millisecond
 
-// address gives that of another follower of the zone that hears the store; empty: none is known.
-func (f *follower) address() string {
+// Address gives that of another follower of the zone that hears the store; empty: none is known.
+func (f *follower) Address() string {
 	f.mutex.Lock()
 	name, recent := f.told, f.node.now()-f.toldAt < toldFor
 	f.mutex.Unlock()
 	if name == "" || !recent {
 		return ""
 	}
-	if record := f.node.membership.record(name); record != nil {
+	if record := f.node.membership.Record(name); record != nil {
 		return record.Address
 	}
 	return ""
 }
 
-// reaches tells whether the node follows the store and the store answers it.
-func (f *follower) reaches() bool {
+// Reaches tells whether the node follows the store and the store answers it.
+func (f *follower) Reaches() bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.election != nil && f.election.Follows(f.node.now()) && f.hears[probed]
 }
 
-// follows tells whether the node follows the store now.
-func (f *follower) follows() bool {
+// Follows tells whether the node follows the store now.
+func (f *follower) Follows() bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.election != nil && f.election.Follows(f.node.now())
 }
 
-// run follows the store while the node is elected, until ctx ends.
-func (f *follower) run(ctx context.Context) {
+// Run follows the store while the node is elected, until ctx ends.
+func (f *follower) Run(ctx context.Context) {
 	var loops sync.WaitGroup
 	defer loops.Wait()
 	end := context.CancelFunc(func() {})
 	defer func() { end() }()
 	beaten := time.Duration(0)
 	for ; ctx.Err() == nil; wait.For(ctx, followerTick) {
-		follows := f.follows()
+		follows := f.Follows()
 		if follows != f.following {
 			f.following = follows
 			f.node.noteFollowing(follows)
@@ -137,9 +137,9 @@
 		if now := f.node.now(); follows && now-beaten >= beatEvery {
 			beaten = now
 			f.decide(ctx)
-			f.node.quotaServer.fill(ctx)
-			if f.reaches() {
-				f.node.heldBack.keep(ctx)
+			f.node.quotaServer.Fill(ctx)
+			if f.Reaches() {
+				f.node.heldBack.Keep(ctx)
 			}
 			f.beat(ctx)
 		}
@@ -248,12 +248,12 @@
 		message.Gone = append(message.Gone, one.record)
 	}
 	f.mutex.Unlock()
-	f.node.news.tellZone(message)
+	f.node.news.TellZone(message)
 	if message.Well {
 		return
 	}
-	if address := f.node.membership.addressElsewhere(); address != "" {
-		go f.node.exchanger.with(ctx, address)
+	if address := f.node.membership.AddressElsewhere(); address != "" {
+		go f.node.exchanger.With(ctx, address)
 	}
 }
 
@@ -264,7 +264,7 @@
 	ask, gone := f.lapses.Due(f.node.now())
 	f.mutex.Unlock()
 	for _, name := range ask {
-		if record := f.node.membership.record(name); record != nil {
+		if record := f.node.membership.Record(name); record != nil {
 			go f.ask(ctx, record)
 		}
 	}
@@ -276,12 +276,12 @@
 // drop forgets a node and has the zone forget it.
 func (f *follower) drop(name string) {
 	m := f.node.membership
-	record := m.record(name)
+	record := m.Record(name)
 	if record == nil {
 		return
 	}
-	m.note(record, "forgotten", configuration.FromStore)
-	m.forget(record)
+	m.Note(record, "forgotten", configuration.FromStore)
+	m.Forget(record)
 	f.mutex.Lock()
 	f.gone[name] = goneNode{record: *record, till: f.node.now() + goneTold}
 	f.mutex.Unlock()
--- a/internal/sidecar/freshness.go
+++ b/internal/sidecar/freshness.go
@@ -55,11 +55,11 @@
 
 func newProver(node *Node) *prover { return &prover{node: node, now: make(chan struct{}, 1)} }
 
-// renewNow has the evidence renewed before its time.
-func (p *prover) renewNow() { wait.Signal(p.now) }
+// RenewNow has the evidence renewed before its time.
+func (p *prover) RenewNow() { wait.Signal(p.now) }
 
-// holds tells whether the configuration is fresh enough for a key to be believed.
-func (p *prover) holds() bool {
+// Holds tells whether the configuration is fresh enough for a key to be believed.
+func (p *prover) Holds() bool {
 	bound := p.node.settings().Keys.Bound()
 	if bound == 0 {
 		return true
@@ -69,8 +69,8 @@
 	return p.evidence.Within(p.node.now(), bound)
 }
 
-// age gives how old the evidence is; false: there is none.
-func (p *prover) age() (age time.Duration, version uint64, known bool) {
+// Age gives how old the evidence is; false: there is none.
+func (p *prover) Age() (age time.Duration, version uint64, known bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.evidence.Age(p.node.now())
@@ -83,8 +83,8 @@
 	return p.evidence.Confirm(asOf, version, p.node.configuration.Version())
 }
 
-// stored notes the revision with which the store has a version.
-func (p *prover) stored(version uint64, revision int64) {
+// Stored notes the revision with which the store has a version.
+func (p *prover) Stored(version uint64, revision int64) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if version >= p.version {
@@ -98,8 +98,8 @@
 	return current != nil && len(current.Tenants) > 0 && p.node.settings().Keys.Bound() > 0
 }
 
-// run keeps the evidence young until ctx ends.
-func (p *prover) run(ctx context.Context) {
+// Run keeps the evidence young until ctx ends.
+func (p *prover) Run(ctx context.Context) {
 	wait.For(ctx, time.Duration(rand.Int64N(int64(askEvery))))
 	for ctx.Err() == nil {
 		rest := askEvery
@@ -119,18 +119,18 @@
 
 // renew gets younger evidence and gives the time until the next try.
 func (p *prover) renew(ctx context.Context) time.Duration {
-	nearest := p.node.follower.address()
+	nearest := p.node.follower.Address()
 	switch {
-	case p.node.follower.reaches():
+	case p.node.follower.Reaches():
 		if p.atStore(ctx) {
 			return confirmEvery
 		}
-	case p.ask(ctx, nearest):
+	case p.Ask(ctx, nearest):
 		return askEvery
 	}
-	age, _, known := p.age()
+	age, _, known := p.Age()
 	if !known || age > elsewhereAfter || nearest == "" {
-		if p.ask(ctx, p.node.membership.addressElsewhere()) {
+		if p.Ask(ctx, p.node.membership.AddressElsewhere()) {
 			return askEvery
 		}
 	}
@@ -140,8 +140,8 @@
 	return askEvery / 2
 }
 
-// ask asks another node how fresh its configuration is.
-func (p *prover) ask(ctx context.Context, address string) bool {
+// Ask asks another node how fresh its configuration is.
+func (p *prover) Ask(ctx context.Context, address string) bool {
 	if address == "" {
 		return false
 	}
@@ -153,13 +153,13 @@
 		return false
 	}
 	for index := range told.Keepers {
-		p.node.keepers.learn(&told.Keepers[index])
+		p.node.keepers.Learn(&told.Keepers[index])
 	}
 	if !told.Known {
 		return false
 	}
 	if uint64(told.Version) > p.node.configuration.Version() {
-		p.node.news.fetch(address)
+		p.node.news.Fetch(address)
 	}
 	return p.confirm(freshness.Told(asked, time.Duration(told.Age)*time.Microsecond), uint64(told.Version))
 }
@@ -187,7 +187,7 @@
 	call, cancel := context.WithTimeout(ctx, confirmTimeout)
 	defer cancel()
 	if revision == 0 || version != p.node.configuration.Version() {
-		return p.read(call, asked)
+		return p.Read(call, asked)
 	}
 	newer, err := p.node.store.Unchanged(call, p.node.options.ConfigurationKey, revision)
 	p.node.storeHealth.Note("confirm", err)
@@ -200,10 +200,10 @@
 	return false
 }
 
-// read reads the configuration whole; the question began at asked. A node that comes back
+// Read reads the configuration whole; the question began at asked. A node that comes back
 // with nothing has its proof with it: after a loss of power of all 71 nodes requests with
 // keys were refused for another 0.3 s in which each asked again.
-func (p *prover) read(ctx context.Context, asked time.Duration) bool {
+func (p *prover) Read(ctx context.Context, asked time.Duration) bool {
 	item, _, err := p.node.store.Get(ctx, p.node.options.ConfigurationKey)
 	p.node.storeHealth.Note("read", err)
 	if err != nil || item == nil {
@@ -221,7 +221,7 @@
 // noteLoss logs when keys are refused for want of evidence, and when no longer.
 func (p *prover) noteLoss() {
 	bound := p.node.settings().Keys.Bound()
-	age, version, known := p.age()
+	age, version, known := p.Age()
 	lost := p.wanted() && (!known || age >= bound)
 	if lost == p.lost {
 		return
@@ -236,8 +236,8 @@
 
 // ServeHTTP answers the question of another node.
 func (p *prover) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
-	age, version, known := p.age()
-	peer.WriteMessage(w, wire.FreshnessCodec, &wire.Freshness{Known: known, Version: int64(version), Age: age.Microseconds(), Keepers: p.node.keepers.all()})
+	age, version, known := p.Age()
+	peer.WriteMessage(w, wire.FreshnessCodec, &wire.Freshness{Known: known, Version: int64(version), Age: age.Microseconds(), Keepers: p.node.keepers.All()})
 }
 
 // question asks the node at an address how fresh its configuration is.
--- a/internal/sidecar/heldback.go
+++ b/internal/sidecar/heldback.go
@@ -46,8 +46,8 @@
 	return h.ledger.State(print, recently)
 }
 
-// maySend tells whether the gate lets a request through.
-func (h *heldBack) maySend(r *printed) bool {
+// MaySend tells whether the gate lets a request through.
+func (h *heldBack) MaySend(r *printed) bool {
 	switch h.state(r) {
 	case crashes.Held:
 		return false
@@ -57,8 +57,8 @@
 	return true
 }
 
-// suspected tells that a request is to be at a target alone: a target has ended with it.
-func (h *heldBack) suspected(r *printed) bool {
+// Suspected tells that a request is to be at a target alone: a target has ended with it.
+func (h *heldBack) Suspected(r *printed) bool {
 	if r.call.Suspect && h.node.policyOn(settings.HoldBack) && !h.good.holds(h.node.now(), r.print().Variant) {
 		return true
 	}
@@ -71,9 +71,9 @@
 	trial   func() // not nil: it is sent as the only one of its content; called at its end
 }
 
-// atStart decides on a request where it begins, by what targets ended with itself. Which of
+// AtStart decides on a request where it begins, by what targets ended with itself. Which of
 // its variants end well of late is known where the targets are.
-func (h *heldBack) atStart(r *printed) verdict {
+func (h *heldBack) AtStart(r *printed) verdict {
 	if !h.suspects.Load() || !h.node.policyOn(settings.HoldBack) {
 		return verdict{}
 	}
@@ -86,7 +86,7 @@
 		return verdict{refused: true}
 	case h.ledger.State(print, false) != crashes.Doubtful:
 		return verdict{}
-	case h.trials[print.Content] || !h.node.membership.isFirstFor(print.Content[:]):
+	case h.trials[print.Content] || !h.node.membership.IsFirstFor(print.Content[:]):
 		return verdict{refused: own == crashes.Doubtful}
 	}
 	h.trials[print.Content] = true
@@ -99,9 +99,9 @@
 	delete(h.trials, content)
 }
 
-// endedAt takes in the runs that the target beside the node ended with. One that has ended
+// EndedAt takes in the runs that the target beside the node ended with. One that has ended
 // well here of late is left out: it is not what ended the target.
-func (h *heldBack) endedAt(gate *gate, runs []unansweredRun) {
+func (h *heldBack) EndedAt(gate *gate, runs []unansweredRun) {
 	at := time.Now().UnixMilli()
 	evidence := make([]crashes.Evidence, 0, len(runs))
 	for _, run := range runs {
@@ -112,8 +112,8 @@
 	h.learn(evidence, crashGather)
 }
 
-// endedWell takes in that the target beside the node answered a request.
-func (h *heldBack) endedWell(r *printed) {
+// EndedWell takes in that the target beside the node answered a request.
+func (h *heldBack) EndedWell(r *printed) {
 	if !h.node.policyOn(settings.HoldBack) {
 		return
 	}
@@ -192,8 +192,8 @@
 	}
 }
 
-// count gives how many contents are held back.
-func (h *heldBack) count() int {
+// Count gives how many contents are held back.
+func (h *heldBack) Count() int {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	return len(h.held)
--- a/internal/sidecar/heldbacktell.go
+++ b/internal/sidecar/heldbacktell.go
@@ -40,7 +40,7 @@
 	if len(message.Evidence) == 0 {
 		return
 	}
-	for zone, addresses := range h.node.membership.addresses() {
+	for zone, addresses := range h.node.membership.Addresses() {
 		if zone == h.node.settings().Zone {
 			h.spread(message, addresses)
 			continue
@@ -106,16 +106,16 @@
 	return message
 }
 
-// run compares with other nodes until ctx ends, so that one that missed a message, or came
+// Run compares with other nodes until ctx ends, so that one that missed a message, or came
 // back with nothing, knows the rest.
-func (h *heldBack) run(ctx context.Context) {
+func (h *heldBack) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		wait.For(ctx, compareEvery/2+time.Duration(rand.Int64N(int64(compareEvery))))
 		if h.empty() && h.node.now() > compareFirst {
 			continue
 		}
-		if address := h.node.membership.anyAddress(); address != "" {
-			h.compare(ctx, address)
+		if address := h.node.membership.AnyAddress(); address != "" {
+			h.Compare(ctx, address)
 		}
 	}
 }
@@ -126,8 +126,8 @@
 	return h.ledger.Len() == 0
 }
 
-// compare has this node and another one know what either does.
-func (h *heldBack) compare(ctx context.Context, address string) {
+// Compare has this node and another one know what either does.
+func (h *heldBack) Compare(ctx context.Context, address string) {
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
 	h.mutex.Lock()
@@ -162,8 +162,8 @@
 	keepCall   = 400 * time.Millisecond
 )
 
-// takeStored takes in what the store has.
-func (h *heldBack) takeStored(item *store.Item) {
+// TakeStored takes in what the store has.
+func (h *heldBack) TakeStored(item *store.Item) {
 	if item.Gone {
 		h.mutex.Lock()
 		h.stored.revision, h.stored.digest = 0, 0
@@ -189,9 +189,9 @@
 	}
 }
 
-// keep writes the evidence that has to last to the store where it has other evidence. The
+// Keep writes the evidence that has to last to the store where it has other evidence. The
 // followers call it again and again.
-func (h *heldBack) keep(ctx context.Context) {
+func (h *heldBack) Keep(ctx context.Context) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	now, s := h.node.now(), &h.stored
--- a/internal/sidecar/identify.go
+++ b/internal/sidecar/identify.go
@@ -61,14 +61,14 @@
 		wait.For(ctx, intentPoll)
 	}
 	for range searchTries {
-		if n.target.current() != nil || ctx.Err() != nil {
+		if n.target.Current() != nil || ctx.Err() != nil {
 			return
 		}
 		call, cancel := context.WithTimeout(ctx, identifyTimeout)
 		report, known := n.identify(call)
 		cancel()
 		if known && !report.Draining && report.Slots > 0 {
-			n.target.found(report)
+			n.target.Found(report)
 			return
 		}
 		wait.For(ctx, searchEvery)
--- a/internal/sidecar/ingress.go
+++ b/internal/sidecar/ingress.go
@@ -229,7 +229,7 @@
 }
 
 func (i *ingress) gated(ctx context.Context, one *arrival, header http.Header, maySend func() bool) *reply.Reply {
-	gate, call := i.node.target.current(), one.call
+	gate, call := i.node.target.Current(), one.call
 	switch {
 	case gate == nil:
 		return reply.NotRun(outcome.ReasonNoTarget)
@@ -239,13 +239,13 @@
 	one.instance = gate.instance
 	held := i.node.heldBack
 	switch {
-	case !held.maySend(&one.printed):
+	case !held.MaySend(&one.printed):
 		return reply.NotRun(outcome.ReasonEndsTargets)
-	case held.suspected(&one.printed):
+	case held.Suspected(&one.printed):
 		if !gate.endings.alone(ctx) {
 			return reply.NotRun(outcome.ReasonSuspectWaits)
 		}
-		if one.alone = held.suspected(&one.printed); one.alone {
+		if one.alone = held.Suspected(&one.printed); one.alone {
 			defer gate.endings.notAlone()
 		} else {
 			gate.endings.notAlone() // it was cleared while it waited
@@ -263,7 +263,7 @@
 	case maySend != nil && !maySend():
 		gate.leave(id, false)
 		answer = reply.NotRun(outcome.ReasonFenced)
-	case !held.maySend(&one.printed): // by what was heard while it waited
+	case !held.MaySend(&one.printed): // by what was heard while it waited
 		gate.leave(id, false)
 		answer = reply.NotRun(outcome.ReasonEndsTargets)
 	default:
@@ -285,7 +285,7 @@
 	if answer.Stream == nil {
 		gate.leave(id, learn)
 		if answer.Outcome == outcome.Answered {
-			i.node.heldBack.endedWell(&one.printed)
+			i.node.heldBack.EndedWell(&one.printed)
 		}
 	} else {
 		answer.Stream = &leaving{ReadCloser: answer.Stream, leave: func(err error) {
@@ -324,7 +324,7 @@
 func (i *ingress) streamed(ctx context.Context, gate *gate, one *arrival, err error) {
 	switch {
 	case err == io.EOF:
-		i.node.heldBack.endedWell(&one.printed)
+		i.node.heldBack.EndedWell(&one.printed)
 	case err == nil || ctx.Err() != nil:
 		i.senderLeft(gate, one)
 	default:
--- a/internal/sidecar/judge.go
+++ b/internal/sidecar/judge.go
@@ -63,7 +63,7 @@
 		if answer.Status == http.StatusMisdirectedRequest {
 			declined.Reason = outcome.ReasonMisdirected
 			if other := answer.Header.Get(names.Instance); other != "" && other != gate.instance {
-				i.node.target.replaced(gate.instance)
+				i.node.target.Replaced(gate.instance)
 			}
 		}
 		return declined
--- a/internal/sidecar/keepers.go
+++ b/internal/sidecar/keepers.go
@@ -24,8 +24,8 @@
 	absent  [quotaShards]bool // the store has no keeper of the group
 }
 
-// learn takes in who keeps a group; false when it is not news.
-func (d *directory) learn(one *wire.Keeper) bool {
+// Learn takes in who keeps a group; false when it is not news.
+func (d *directory) Learn(one *wire.Keeper) bool {
 	if one.Shard < 0 || one.Shard >= quotaShards {
 		return false
 	}
@@ -38,8 +38,8 @@
 	return true
 }
 
-// lapsed notes that the store has no keeper of a group any more.
-func (d *directory) lapsed(shard int, revision int64) {
+// Lapsed notes that the store has no keeper of a group any more.
+func (d *directory) Lapsed(shard int, revision int64) {
 	if shard < 0 || shard >= quotaShards {
 		return
 	}
@@ -50,15 +50,15 @@
 	}
 }
 
-// of gives the keeper of a group, nil when none is known.
-func (d *directory) of(shard int) *wire.Keeper {
+// Of gives the keeper of a group, nil when none is known.
+func (d *directory) Of(shard int) *wire.Keeper {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.keepers[shard]
 }
 
-// without gives the groups that the store has no keeper of.
-func (d *directory) without() (shards []int) {
+// Without gives the groups that the store has no keeper of.
+func (d *directory) Without() (shards []int) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	for shard, absent := range d.absent {
@@ -69,8 +69,8 @@
 	return shards
 }
 
-// all gives the keepers that are known.
-func (d *directory) all() []wire.Keeper {
+// All gives the keepers that are known.
+func (d *directory) All() []wire.Keeper {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	found := []wire.Keeper{}
@@ -94,8 +94,8 @@
 	return turn
 }
 
-// zoneNames gives the zones that have a node, the own one among them, in order.
-func (m *membership) zoneNames() []string {
+// ZoneNames gives the zones that have a node, the own one among them, in order.
+func (m *membership) ZoneNames() []string {
 	found := map[string]bool{m.node.settings().Zone: true}
 	m.mutex.Lock()
 	for _, record := range m.records {
--- a/internal/sidecar/keepers_test.go
+++ b/internal/sidecar/keepers_test.go
@@ -12,17 +12,17 @@
 func TestTheNewestKeeperCounts(t *testing.T) {
 	g := NewWithT(t)
 	var d directory
-	g.Expect(d.learn(&wire.Keeper{Shard: 1, Node: "a", Revision: 5})).To(BeTrue())
-	g.Expect(d.learn(&wire.Keeper{Shard: 1, Node: "b", Revision: 4})).To(BeFalse())
-	g.Expect(d.of(1).Node).To(Equal("a"))
-	d.lapsed(1, 3) // news of a time before
-	g.Expect(d.without()).To(BeEmpty())
-	d.lapsed(1, 6)
-	g.Expect(d.without()).To(ConsistOf(1))
-	g.Expect(d.learn(&wire.Keeper{Shard: 1, Node: "c", Revision: 7})).To(BeTrue())
-	g.Expect(d.without()).To(BeEmpty())
-	g.Expect(d.learn(&wire.Keeper{Shard: quotaShards, Revision: 9})).To(BeFalse())
-	g.Expect(d.all()).To(HaveLen(1))
+	g.Expect(d.Learn(&wire.Keeper{Shard: 1, Node: "a", Revision: 5})).To(BeTrue())
+	g.Expect(d.Learn(&wire.Keeper{Shard: 1, Node: "b", Revision: 4})).To(BeFalse())
+	g.Expect(d.Of(1).Node).To(Equal("a"))
+	d.Lapsed(1, 3) // news of a time before
+	g.Expect(d.Without()).To(BeEmpty())
+	d.Lapsed(1, 6)
+	g.Expect(d.Without()).To(ConsistOf(1))
+	g.Expect(d.Learn(&wire.Keeper{Shard: 1, Node: "c", Revision: 7})).To(BeTrue())
+	g.Expect(d.Without()).To(BeEmpty())
+	g.Expect(d.Learn(&wire.Keeper{Shard: quotaShards, Revision: 9})).To(BeFalse())
+	g.Expect(d.All()).To(HaveLen(1))
 }
 
 // The zones take the groups in turns that all compute alike, and the first turns differ.
--- a/internal/sidecar/liveness_test.go
+++ b/internal/sidecar/liveness_test.go
@@ -33,7 +33,7 @@
 				started := time.Now()
 				now := func() time.Duration { return time.Since(started) }
 				s := newServices("me", "a", now, repeats.Config{Window: 10 * time.Second}, true)
-				s.update(map[string][]balancer.Target{"s": {
+				s.Update(map[string][]balancer.Target{"s": {
 					{Node: "well", Address: "well:1", Zone: "b", Instance: "i-1", Slots: 10}, {Node: "silent", Address: "silent:1", Zone: "a", Instance: "i-2", Slots: 10},
 				}})
 				var pings atomic.Int32
@@ -45,18 +45,18 @@
 					}
 					return nil
 				}
-				l := peer.NewLiveness(now, ping, peer.Events{Lost: s.suspect, Still: s.suspect, Back: s.trust})
+				l := peer.NewLiveness(now, ping, peer.Events{Lost: s.Suspect, Still: s.Suspect, Back: s.Trust})
 				defer l.Close()
 				l.Revive("silent", "silent:1")
-				s.suspect("silent")
+				s.Suspect("silent")
 				for now() < tc.away {
 					time.Sleep(50 * time.Millisecond)
 					if now() < tc.away {
-						g.Expect(s.get("s").pick(now(), balancer.Wish{}, nil).node).To(Equal("well"), "at %s", now())
+						g.Expect(s.Get("s").pick(now(), balancer.Wish{}, nil).node).To(Equal("well"), "at %s", now())
 					}
 				}
 				time.Sleep(peer.PingTimeout + peer.ReviveEvery + time.Millisecond)
-				picked := s.get("s").pick(now(), balancer.Wish{}, nil)
+				picked := s.Get("s").pick(now(), balancer.Wish{}, nil)
 				g.Expect(picked.node).To(Equal("silent"), "it is near and well again")
 				g.Expect(pings.Load()).To(BeNumerically("<=", tc.away/peer.ReviveEvery+1))
 			})
--- a/internal/sidecar/membership.go
+++ b/internal/sidecar/membership.go
@@ -30,18 +30,18 @@
 	return &membership{node: node, records: map[string]*wire.NodeRecord{}, dropped: map[string]*wire.NodeRecord{}, started: time.Now().UnixMilli()}
 }
 
-// changed has the other nodes told of a change of the own record.
-func (m *membership) changed() {
+// Changed has the other nodes told of a change of the own record.
+func (m *membership) Changed() {
 	m.mutex.Lock()
 	m.sequence++
 	m.mutex.Unlock()
-	m.apply()
-	m.node.news.tellOwn()
+	m.Apply()
+	m.node.news.TellOwn()
 }
 
-// own gives the node's own record as it is now.
-func (m *membership) own() *wire.NodeRecord {
-	report, coldTill := m.node.target.report()
+// Own gives the node's own record as it is now.
+func (m *membership) Own() *wire.NodeRecord {
+	report, coldTill := m.node.target.Report()
 	settings := m.node.settings()
 	record := &wire.NodeRecord{
 		Node: settings.Node, Incarnation: m.node.incarnation,
@@ -75,13 +75,13 @@
 	}
 	m.mutex.Unlock()
 	if fresh {
-		m.note(record, "learned", configuration.FromPeer)
+		m.Note(record, "learned", configuration.FromPeer)
 	}
 	return fresh
 }
 
-// note logs a change of what is known of another node.
-func (m *membership) note(record *wire.NodeRecord, change, source string) {
+// Note logs a change of what is known of another node.
+func (m *membership) Note(record *wire.NodeRecord, change, source string) {
 	if record.Node == m.node.settings().Node {
 		return
 	}
@@ -91,21 +91,21 @@
 	}, eventlog.State)
 }
 
-// learnFromPeer takes in records that another node knows. One that is gone is not
+// LearnFromPeer takes in records that another node knows. One that is gone is not
 // brought back by a node that has not heard of it yet.
-func (m *membership) learnFromPeer(records []wire.NodeRecord) {
+func (m *membership) LearnFromPeer(records []wire.NodeRecord) {
 	fresh := false
 	for i := range records {
 		r := records[i]
 		switch {
 		case r.Node == m.node.settings().Node:
-			m.outrank(&r)
+			m.Outrank(&r)
 		case !m.hasDropped(&r):
 			fresh = m.learn(&r) || fresh
 		}
 	}
 	if fresh {
-		m.apply()
+		m.Apply()
 	}
 }
 
@@ -116,28 +116,28 @@
 	return dropped != nil && dropped.Incarnation == record.Incarnation && dropped.Sequence >= record.Sequence
 }
 
-// holdsGone tells whether a node is taken for gone.
-func (m *membership) holdsGone(node string) bool {
+// HoldsGone tells whether a node is taken for gone.
+func (m *membership) HoldsGone(node string) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return node != "" && m.records[node] == nil && m.dropped[node] != nil
 }
 
-// forgetGone forgets nodes that a follower of the zone takes for gone.
-func (m *membership) forgetGone(records []wire.NodeRecord) {
+// ForgetGone forgets nodes that a follower of the zone takes for gone.
+func (m *membership) ForgetGone(records []wire.NodeRecord) {
 	for i := range records {
-		known := m.record(records[i].Node)
+		known := m.Record(records[i].Node)
 		if known == nil || newer(known, &records[i]) {
 			continue
 		}
-		m.note(known, "forgotten", configuration.FromPeer)
-		m.forget(known)
+		m.Note(known, "forgotten", configuration.FromPeer)
+		m.Forget(known)
 	}
 }
 
-// outrank has the own record go before one of an earlier process of this node. The
+// Outrank has the own record go before one of an earlier process of this node. The
 // wall clock orders the two, and it may have been set back between them.
-func (m *membership) outrank(record *wire.NodeRecord) {
+func (m *membership) Outrank(record *wire.NodeRecord) {
 	m.mutex.Lock()
 	later := record.Incarnation != m.node.incarnation && record.Started >= m.started
 	if later {
@@ -145,24 +145,24 @@
 	}
 	m.mutex.Unlock()
 	if later {
-		m.changed()
+		m.Changed()
 	}
 }
 
-// forget drops a record, unless another one has taken its place.
-func (m *membership) forget(record *wire.NodeRecord) {
+// Forget drops a record, unless another one has taken its place.
+func (m *membership) Forget(record *wire.NodeRecord) {
 	m.mutex.Lock()
 	if m.records[record.Node] == record {
 		m.dropped[record.Node] = record
 		delete(m.records, record.Node)
 	}
 	m.mutex.Unlock()
-	m.apply()
+	m.Apply()
 }
 
-// put takes in a record that the store has. What peers told since it was written
+// Put takes in a record that the store has. What peers told since it was written
 // goes before it.
-func (m *membership) put(record *wire.NodeRecord) {
+func (m *membership) Put(record *wire.NodeRecord) {
 	if record.Node == m.node.settings().Node {
 		return
 	}
@@ -174,33 +174,33 @@
 	}
 	m.mutex.Unlock()
 	if fresh {
-		m.note(record, "learned", configuration.FromStore)
+		m.Note(record, "learned", configuration.FromStore)
 	}
 }
 
-// setListed notes that the store has told all records once.
-func (m *membership) setListed() {
+// SetListed notes that the store has told all records once.
+func (m *membership) SetListed() {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.listed = true
 }
 
-// record gives the record of a node, nil when there is none.
-func (m *membership) record(node string) *wire.NodeRecord {
+// Record gives the record of a node, nil when there is none.
+func (m *membership) Record(node string) *wire.NodeRecord {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.records[node]
 }
 
-// names gives the other nodes that are known.
-func (m *membership) names() []string {
+// Names gives the other nodes that are known.
+func (m *membership) Names() []string {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return slices.Collect(maps.Keys(m.records))
 }
 
-// restarted notes that a node is another process than its record says.
-func (m *membership) restarted(node, incarnation string) {
+// Restarted notes that a node is another process than its record says.
+func (m *membership) Restarted(node, incarnation string) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if record := m.records[node]; record != nil && incarnation != "" {
@@ -210,8 +210,8 @@
 	}
 }
 
-// incarnation gives the process that the record of a node names.
-func (m *membership) incarnation(node string) string {
+// Incarnation gives the process that the record of a node names.
+func (m *membership) Incarnation(node string) string {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if record := m.records[node]; record != nil {
@@ -220,9 +220,9 @@
 	return ""
 }
 
-// isFirstFor tells whether the node is the one of all that are known that comes first for a
+// IsFirstFor tells whether the node is the one of all that are known that comes first for a
 // key. All nodes that know the same others agree.
-func (m *membership) isFirstFor(key []byte) bool {
+func (m *membership) IsFirstFor(key []byte) bool {
 	own := m.node.settings().Node
 	mine := weightFor(own, key)
 	m.mutex.Lock()
@@ -240,8 +240,8 @@
 	return xxhash.Sum64(append(append([]byte(nil), key...), name...))
 }
 
-// others gives the number of other nodes that are known.
-func (m *membership) others() int {
+// Others gives the number of other nodes that are known.
+func (m *membership) Others() int {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	count := len(m.records)
@@ -251,9 +251,9 @@
 	return count
 }
 
-// all gives the records of all nodes, the own one among them.
-func (m *membership) all() []wire.NodeRecord {
-	own := m.own()
+// All gives the records of all nodes, the own one among them.
+func (m *membership) All() []wire.NodeRecord {
+	own := m.Own()
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	records := make([]wire.NodeRecord, 0, len(m.records)+1)
@@ -265,19 +265,19 @@
 	return append(records, *own)
 }
 
-// buckets sums up the records of all nodes.
-func (m *membership) buckets() *buckets {
+// Buckets sums up the records of all nodes.
+func (m *membership) Buckets() *buckets {
 	b := &buckets{}
-	for _, r := range m.all() {
+	for _, r := range m.All() {
 		b.add(&r)
 	}
 	return b
 }
 
-// in gives the records of some buckets, the own one among them.
-func (m *membership) in(wanted [digestBuckets]bool) []wire.NodeRecord {
+// In gives the records of some buckets, the own one among them.
+func (m *membership) In(wanted [digestBuckets]bool) []wire.NodeRecord {
 	found := []wire.NodeRecord{}
-	for _, r := range m.all() {
+	for _, r := range m.All() {
 		if wanted[bucketOf(r.Node)] {
 			found = append(found, r)
 		}
@@ -285,8 +285,8 @@
 	return found
 }
 
-// apply brings the records into routing.
-func (m *membership) apply() {
+// Apply brings the records into routing.
+func (m *membership) Apply() {
 	targets := map[string][]balancer.Target{}
 	now := m.node.now()
 	add := func(record *wire.NodeRecord) {
@@ -298,7 +298,7 @@
 			Cold: now + time.Duration(record.Cold)*time.Millisecond,
 		})
 	}
-	own := m.own()
+	own := m.Own()
 	m.mutex.Lock()
 	others, listed := 0, m.listed
 	for name, record := range m.records {
@@ -309,9 +309,9 @@
 	}
 	m.mutex.Unlock()
 	add(own)
-	m.node.services.update(targets)
+	m.node.services.Update(targets)
 	if others > 0 || listed {
-		m.node.services.count(others + 1)
+		m.node.services.Count(others + 1)
 	}
-	m.node.follower.setMembers(m.zoneMembers())
+	m.node.follower.SetMembers(m.ZoneMembers())
 }
--- a/internal/sidecar/membership_test.go
+++ b/internal/sidecar/membership_test.go
@@ -24,7 +24,7 @@
 	n.services = newServices(name, "a", n.now, repeats.Config{Ratio: 0.2, Allowance: 10, Window: 10 * time.Second}, true)
 	n.target = &localTarget{now: n.now, roster: roster.New()}
 	n.peers = peer.NewClient((&net.Dialer{}).DialContext, headers.Names{})
-	n.liveness = peer.NewLiveness(n.now, n.peers.PingPeer, peer.Events{Lost: n.services.suspect, Still: n.services.suspect, Back: n.services.trust})
+	n.liveness = peer.NewLiveness(n.now, n.peers.PingPeer, peer.Events{Lost: n.services.Suspect, Still: n.services.Suspect, Back: n.services.Trust})
 	n.membership = newMembership(n)
 	n.ingress = newIngress(n)
 	n.registration = newRegistration(n)
@@ -50,16 +50,16 @@
 			g := NewWithT(t)
 			other := memberNode("other", "o")
 			node := memberNode("me", "second")
-			first := wire.NodeRecord{Node: "me", Incarnation: "first", Sequence: 9, Started: node.membership.own().Started - tc.step.Milliseconds()}
+			first := wire.NodeRecord{Node: "me", Incarnation: "first", Sequence: 9, Started: node.membership.Own().Started - tc.step.Milliseconds()}
 			other.membership.learn(&first)
 
 			// They exchange what they know.
-			node.membership.learnFromPeer(other.membership.all())
-			other.membership.learnFromPeer(node.membership.all())
-			g.Expect(other.membership.incarnation("me")).To(Equal("second"))
-			before := node.membership.own().Started
-			node.membership.learnFromPeer(other.membership.all())
-			g.Expect(node.membership.own().Started).To(Equal(before), "its own record moves nothing")
+			node.membership.LearnFromPeer(other.membership.All())
+			other.membership.LearnFromPeer(node.membership.All())
+			g.Expect(other.membership.Incarnation("me")).To(Equal("second"))
+			before := node.membership.Own().Started
+			node.membership.LearnFromPeer(other.membership.All())
+			g.Expect(node.membership.Own().Started).To(Equal(before), "its own record moves nothing")
 		})
 	}
 }
--- a/internal/sidecar/news.go
+++ b/internal/sidecar/news.go
@@ -32,20 +32,20 @@
 	pulling atomic.Bool // a configuration is being asked for
 }
 
-// tellOwn tells all nodes the own record, with the changes of the next moment.
-func (s *spreader) tellOwn() {
+// TellOwn tells all nodes the own record, with the changes of the next moment.
+func (s *spreader) TellOwn() {
 	if !s.telling.CompareAndSwap(false, true) {
 		return
 	}
 	time.AfterFunc(newsGather, func() {
 		s.telling.Store(false)
-		s.tellAll(&wire.News{Records: []wire.NodeRecord{*s.node.membership.own()}})
+		s.TellAll(&wire.News{Records: []wire.NodeRecord{*s.node.membership.Own()}})
 	})
 }
 
-// tellAll tells the nodes of all zones.
-func (s *spreader) tellAll(message *wire.News) {
-	for zone, addresses := range s.node.membership.addresses() {
+// TellAll tells the nodes of all zones.
+func (s *spreader) TellAll(message *wire.News) {
+	for zone, addresses := range s.node.membership.Addresses() {
 		if zone == s.node.settings().Zone {
 			s.spread(message, addresses)
 			continue
@@ -54,9 +54,9 @@
 	}
 }
 
-// tellZone tells the nodes of the own zone.
-func (s *spreader) tellZone(message *wire.News) {
-	s.spread(message, s.node.membership.addresses()[s.node.settings().Zone])
+// TellZone tells the nodes of the own zone.
+func (s *spreader) TellZone(message *wire.News) {
+	s.spread(message, s.node.membership.Addresses()[s.node.settings().Zone])
 }
 
 // spread sends a message to some nodes, which pass it on to the others.
@@ -121,14 +121,14 @@
 // take learns what news tell.
 func (s *spreader) take(message *wire.News) {
 	m := s.node.membership
-	m.learnFromPeer(message.Records)
-	m.forgetGone(message.Gone)
+	m.LearnFromPeer(message.Records)
+	m.ForgetGone(message.Gone)
 	if !message.Beat {
 		return
 	}
-	s.node.follower.heard(message.Follower, message.Well)
+	s.node.follower.Heard(message.Follower, message.Well)
 	if slices.Contains(message.Missing, s.node.settings().Node) {
-		s.node.registration.lost()
+		s.node.registration.Lost()
 	}
 }
 
@@ -137,7 +137,7 @@
 func (s *spreader) passOn(message *wire.News) {
 	newer := message.Version > int64(s.node.configuration.Version())
 	if newer {
-		s.fetch(message.From)
+		s.Fetch(message.From)
 	}
 	if !newer && !message.Beat && len(message.Records) == 0 && len(message.Gone) == 0 {
 		return
@@ -145,11 +145,11 @@
 	s.spread(message, message.Forward)
 }
 
-// fetch asks a node for its configuration, unless another one is being asked.
-func (s *spreader) fetch(address string) {
+// Fetch asks a node for its configuration, unless another one is being asked.
+func (s *spreader) Fetch(address string) {
 	if !s.pulling.CompareAndSwap(false, true) {
 		return
 	}
 	defer s.pulling.Store(false)
-	s.node.exchanger.with(context.Background(), address)
+	s.node.exchanger.With(context.Background(), address)
 }
--- a/internal/sidecar/news_test.go
+++ b/internal/sidecar/news_test.go
@@ -31,10 +31,10 @@
 		changed.Listen.Inbound = strings.TrimPrefix(server.URL, "http://")
 		n.checked.Store(&changed)
 		nodes[i] = n
-		records[i] = *n.membership.own()
+		records[i] = *n.membership.Own()
 	}
 	for _, n := range nodes {
-		n.membership.learnFromPeer(records)
+		n.membership.LearnFromPeer(records)
 	}
 	return nodes
 }
@@ -59,20 +59,20 @@
 				gone := httptest.NewServer(http.NotFoundHandler())
 				address := strings.TrimPrefix(gone.URL, "http://")
 				gone.Close()
-				record := *n.membership.own()
+				record := *n.membership.Own()
 				record.Address, record.Sequence = address, 1
 				for _, other := range nodes {
 					if other != n {
-						other.membership.learnFromPeer([]wire.NodeRecord{record})
+						other.membership.LearnFromPeer([]wire.NodeRecord{record})
 					}
 				}
 			}
 			teller := nodes[0]
-			teller.membership.changed()
-			want := teller.membership.own().Sequence
+			teller.membership.Changed()
+			want := teller.membership.Own().Sequence
 			reached := func() (count int) {
 				for _, n := range nodes[1+tc.dead:] {
-					if known := n.membership.record("node-0"); known != nil && known.Sequence == want {
+					if known := n.membership.Record("node-0"); known != nil && known.Sequence == want {
 						count++
 					}
 				}
@@ -89,12 +89,12 @@
 	g := NewWithT(t)
 	nodes := tellingNodes(t, 2, 1)
 	here, there := nodes[0], nodes[1]
-	there.membership.forgetGone([]wire.NodeRecord{*here.membership.own()})
-	g.Expect(there.membership.others()).To(BeZero())
-	here.exchanger.with(t.Context(), there.settings().Listen.Inbound)
-	g.Expect(there.membership.others()).To(BeZero(), "the record that is gone is not brought back")
+	there.membership.ForgetGone([]wire.NodeRecord{*here.membership.Own()})
+	g.Expect(there.membership.Others()).To(BeZero())
+	here.exchanger.With(t.Context(), there.settings().Listen.Inbound)
+	g.Expect(there.membership.Others()).To(BeZero(), "the record that is gone is not brought back")
 	g.Expect(here.registration.missing).To(Receive())
-	here.membership.changed()
-	here.exchanger.with(t.Context(), there.settings().Listen.Inbound)
-	g.Expect(there.membership.others()).To(Equal(1))
+	here.membership.Changed()
+	here.exchanger.With(t.Context(), there.settings().Listen.Inbound)
+	g.Expect(there.membership.Others()).To(Equal(1))
 }
--- a/internal/sidecar/node.go
+++ b/internal/sidecar/node.go
@@ -123,7 +123,7 @@
 	n.quotaServer = newQuotaServer(n)
 	n.quotas = newQuotas(n)
 	n.heldBack = newHeldBack(n)
-	n.liveness = peer.NewLiveness(n.now, n.peers.PingPeer, peer.Events{Lost: n.silent, Still: n.services.suspect, Back: n.heardAgain})
+	n.liveness = peer.NewLiveness(n.now, n.peers.PingPeer, peer.Events{Lost: n.silent, Still: n.services.Suspect, Back: n.heardAgain})
 	n.target = &localTarget{now: n.now, roster: roster.New(), changed: n.targetChanged, link: n.newLink, identify: n.identify, followed: n.ingress.instanceReplaced, beginAll: !n.policyOn(inTime)}
 	return n, n.listen()
 }
@@ -157,9 +157,9 @@
 	merged := *changed
 	merged.Node, merged.Zone, merged.Listen, merged.Store, merged.FirstStart, merged.Policy = before.Node, before.Zone, before.Listen, before.Store, before.FirstStart, before.Policy
 	n.checked.Store(&merged)
-	n.services.setBudget(budget(&merged))
+	n.services.SetBudget(budget(&merged))
 	n.events.Add(eventlog.Node{Change: "reloaded", Incarnation: n.incarnation}, eventlog.State)
-	n.membership.changed()
+	n.membership.Changed()
 }
 
 // ReloadFailed notes settings that were refused; those before stay in force.
@@ -180,14 +180,14 @@
 func (n *Node) Version() uint64 { return n.configuration.Version() }
 
 // Peers gives the number of other nodes that are known.
-func (n *Node) Peers() int { return n.membership.others() }
+func (n *Node) Peers() int { return n.membership.Others() }
 
 // Follows tells whether the node follows the store for its zone.
-func (n *Node) Follows() bool { return n.follower.follows() }
+func (n *Node) Follows() bool { return n.follower.Follows() }
 
 // caller is the service of the machine.
 func (n *Node) caller() string {
-	if report, _ := n.target.report(); report.Service != "" {
+	if report, _ := n.target.Report(); report.Service != "" {
 		return report.Service
 	}
 	return n.settings().Target.Service
@@ -243,7 +243,7 @@
 // servePing gives a sign of life.
 func (n *Node) servePing(w http.ResponseWriter, _ *http.Request) {
 	w.Header()["Date"] = nil
-	pong := &wire.Pong{Node: n.settings().Node, TurnedAway: n.registration.turnedAway()}
+	pong := &wire.Pong{Node: n.settings().Node, TurnedAway: n.registration.TurnedAway()}
 	if head, err := wire.PongCodec.EncodeHeader(pong); err == nil {
 		w.Header().Set(wire.HeaderSidecarPong, head)
 	}
@@ -262,17 +262,17 @@
 	defer n.background.Wait()
 	defer stop()
 	if n.store != nil {
-		n.background.Go(func() { n.registration.run(background) })
-		n.background.Go(func() { n.follower.run(background) })
+		n.background.Go(func() { n.registration.Run(background) })
+		n.background.Go(func() { n.follower.Run(background) })
 		n.background.Go(func() { n.findConfiguration(background) })
-		n.background.Go(func() { n.freshness.run(background) })
-		n.background.Go(func() { n.quotaServer.run(background) })
+		n.background.Go(func() { n.freshness.Run(background) })
+		n.background.Go(func() { n.quotaServer.Run(background) })
 		for shard := range quotaShards {
-			n.background.Go(func() { n.quotas.run(background, shard) })
+			n.background.Go(func() { n.quotas.Run(background, shard) })
 		}
 	}
-	n.background.Go(func() { n.exchanger.run(background) })
-	n.background.Go(func() { n.heldBack.run(background) })
+	n.background.Go(func() { n.exchanger.Run(background) })
+	n.background.Go(func() { n.heldBack.Run(background) })
 	n.background.Go(func() { n.watchWakes(background) })
 	n.background.Go(func() { n.events.Run(background) })
 	if !n.settings().FirstStart {
--- a/internal/sidecar/observe.go
+++ b/internal/sidecar/observe.go
@@ -16,11 +16,11 @@
 func (n *Node) gauges() metrics.Gauges {
 	return metrics.Gauges{
 		Version:  func() float64 { return float64(n.configuration.Version()) },
-		Peers:    func() float64 { return float64(n.membership.others()) },
+		Peers:    func() float64 { return float64(n.membership.Others()) },
 		Slots:    func() float64 { return float64(n.gateLoad().Slots) },
 		Running:  func() float64 { return float64(n.gateLoad().Running) },
 		Waiting:  func() float64 { return float64(n.gateLoad().Waiting) },
-		HeldBack: func() float64 { return float64(n.heldBack.count()) },
+		HeldBack: func() float64 { return float64(n.heldBack.Count()) },
 		InFlight: func() float64 { return float64(n.inFlight.Load()) },
 		StoreAge: func() float64 { return n.storeHealth.Age().Seconds() },
 	}
@@ -48,7 +48,7 @@
 
 // targetChanged logs what has become of the target and tells the other nodes.
 func (n *Node) targetChanged() {
-	report, _ := n.target.report()
+	report, _ := n.target.Report()
 	change := "ready"
 	switch {
 	case report.Instance == "":
@@ -57,19 +57,19 @@
 		change = "draining"
 	}
 	n.events.Add(eventlog.Target{Instance: report.Instance, Service: report.Service, Change: change, Slots: report.Slots, Sequence: report.Sequence}, eventlog.State)
-	n.membership.changed()
+	n.membership.Changed()
 }
 
 // silent notes that another node gives no sign of life.
 func (n *Node) silent(node string) {
 	n.metrics.Silent.Inc()
-	n.services.suspect(node)
+	n.services.Suspect(node)
 	n.events.Add(eventlog.Member{Member: node, Change: "silent"}, eventlog.State)
 }
 
 // heardAgain notes that a silent node answers again.
 func (n *Node) heardAgain(node string) {
-	n.services.trust(node)
+	n.services.Trust(node)
 	n.events.Add(eventlog.Member{Member: node, Change: "heard again"}, eventlog.State)
 }
 
--- a/internal/sidecar/overload.go
+++ b/internal/sidecar/overload.go
@@ -34,9 +34,9 @@
 	fits      float64 // and how many its window held
 }
 
-// admit decides whether a client's request on the route is let in. end must follow when
+// Admit decides whether a client's request on the route is let in. end must follow when
 // it is.
-func (o *overloadControl) admit(route *intent.Route) (admitted bool, view doorView) {
+func (o *overloadControl) Admit(route *intent.Route) (admitted bool, view doorView) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	now := o.node.now()
@@ -65,8 +65,8 @@
 	left   bool        // its client left, or nothing was learned of its chain
 }
 
-// end notes the end of a client's request.
-func (o *overloadControl) end(one ending) {
+// End notes the end of a client's request.
+func (o *overloadControl) End(one ending) {
 	steps := o.stepsAboveLeast(one.route)
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -88,24 +88,24 @@
 	return current.LeastPriority() - route.Priority
 }
 
-// needs gives the mean number of calls of a route's request to each service.
-func (o *overloadControl) needs(route *intent.Route) map[string]float64 {
+// Needs gives the mean number of calls of a route's request to each service.
+func (o *overloadControl) Needs(route *intent.Route) map[string]float64 {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	return o.core.Needs(route.Name)
 }
 
-// eachNeed calls f for each service that the route's requests need. f must not ask the
+// EachNeed calls f for each service that the route's requests need. f must not ask the
 // controller.
-func (o *overloadControl) eachNeed(route *intent.Route, f func(service string, calls float64)) {
+func (o *overloadControl) EachNeed(route *intent.Route, f func(service string, calls float64)) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	o.core.EachNeed(route.Name, f)
 }
 
-// learn takes in what a sending told; served tells that needs are those of a
+// Learn takes in what a sending told; served tells that needs are those of a
 // request that was served.
-func (o *overloadControl) learn(route *intent.Route, needs []wire.Need, served bool) {
+func (o *overloadControl) Learn(route *intent.Route, needs []wire.Need, served bool) {
 	now := o.node.now()
 	read := needsOf(needs)
 	o.mutex.Lock()
--- a/internal/sidecar/quotaask.go
+++ b/internal/sidecar/quotaask.go
@@ -13,12 +13,12 @@
 	"github.com/landingmast/landingmast/internal/wire"
 )
 
-// run asks the keeper of a group until ctx ends. There is one question at a time, as
+// Run asks the keeper of a group until ctx ends. There is one question at a time, as
 // quota.Report demands.
-func (q *quotas) run(ctx context.Context, shard int) {
+func (q *quotas) Run(ctx context.Context, shard int) {
 	failed := 0
 	for ctx.Err() == nil {
-		if q.wanted() {
+		if q.Wanted() {
 			if q.ask(ctx, shard) {
 				failed = 0
 			} else {
@@ -48,7 +48,7 @@
 
 // gather is the time in which requests of a group are gathered for one question.
 func (q *quotas) gather(shard int) time.Duration {
-	span := min(max(time.Duration(q.node.membership.others())*gatherEach, gatherLeast), gatherMost)
+	span := min(max(time.Duration(q.node.membership.Others())*gatherEach, gatherLeast), gatherMost)
 	if q.short[shard].Load() {
 		span = min(gatherShort*span, gatherMost)
 	}
@@ -57,7 +57,7 @@
 
 // ask asks the keeper of a group for parts of the limits of its tenants.
 func (q *quotas) ask(ctx context.Context, shard int) bool {
-	keeper := q.node.keepers.of(shard)
+	keeper := q.node.keepers.Of(shard)
 	if keeper == nil {
 		return false
 	}
@@ -70,7 +70,7 @@
 	defer cancel()
 	answer, err := q.send(call, keeper.Address, message)
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		q.node.quotaServer.replace(ctx, keeper)
+		q.node.quotaServer.Replace(ctx, keeper)
 	}
 	if err != nil || !answer.Keeps || !answer.Listed {
 		return false
@@ -81,7 +81,7 @@
 
 func (q *quotas) send(ctx context.Context, address string, message *wire.QuotaAsk) (*wire.QuotaAnswer, error) {
 	if address == q.node.settings().Listen.Inbound {
-		return q.node.quotaServer.answer(message), nil
+		return q.node.quotaServer.Answer(message), nil
 	}
 	return peer.Ask(ctx, q.node.peers, address, quotaPath, wire.QuotaAskCodec, message, wire.QuotaAnswerCodec)
 }
@@ -160,15 +160,15 @@
 // find looks for the keeper of a group: at the zone's follower, in the store where nobody
 // knows of any.
 func (q *quotas) find(ctx context.Context, shard int) {
-	address := q.node.follower.address()
+	address := q.node.follower.Address()
 	if address == "" {
-		address = q.node.membership.addressElsewhere()
+		address = q.node.membership.AddressElsewhere()
 	}
-	q.node.freshness.ask(ctx, address)
-	if q.node.keepers.of(shard) == nil {
+	q.node.freshness.Ask(ctx, address)
+	if q.node.keepers.Of(shard) == nil {
 		q.look(ctx)
 	}
-	q.node.quotaServer.resume(ctx)
+	q.node.quotaServer.Resume(ctx)
 }
 
 // look reads the keepers in the store, not too often.
--- a/internal/sidecar/quotas.go
+++ b/internal/sidecar/quotas.go
@@ -85,14 +85,14 @@
 	return q
 }
 
-// config gives the users' bound.
-func (q *quotas) config() quota.Config {
+// Config gives the users' bound.
+func (q *quotas) Config() quota.Config {
 	bounds := q.node.settings().Quotas
 	return quota.Config{Window: time.Duration(bounds.Window), Overshoot: bounds.Overshoot, Slack: bounds.Slack}
 }
 
-// wanted tells whether some tenant has a limit.
-func (q *quotas) wanted() bool {
+// Wanted tells whether some tenant has a limit.
+func (q *quotas) Wanted() bool {
 	current := q.node.configuration.Load()
 	return current != nil && current.Limited()
 }
@@ -101,7 +101,7 @@
 	limit := quota.Limit{Rate: tenant.Rate, Burst: tenant.Burst}
 	one := q.stocks[tenant.Name]
 	if one == nil {
-		one = &stock{holder: quota.NewHolder(q.config(), limit, now)}
+		one = &stock{holder: quota.NewHolder(q.Config(), limit, now)}
 		q.stocks[tenant.Name] = one
 	}
 	one.holder.SetLimit(now, limit)
@@ -114,10 +114,10 @@
 		return true
 	}
 	q := x.node.quotas
-	if q.admit(ctx, x.holder, x.tokenWait()) {
+	if q.Admit(ctx, x.holder, x.tokenWait()) {
 		return true
 	}
-	spent, comeBack := q.refusal(x.holder, x.clientTime()/comeBackShareOfQuota)
+	spent, comeBack := q.Refusal(x.holder, x.clientTime()/comeBackShareOfQuota)
 	if spent {
 		x.refuse(http.StatusTooManyRequests, outcome.ReasonQuota, comeBack)
 		return false
@@ -129,8 +129,8 @@
 // tokenWait is how long the request may wait for a token.
 func (x *exchange) tokenWait() time.Duration { return min(tokenWait, x.limit()/tokenWaitShare) }
 
-// admit takes a token for a request of the tenant; where there is none it waits for one.
-func (q *quotas) admit(ctx context.Context, tenant *intent.Tenant, wait time.Duration) bool {
+// Admit takes a token for a request of the tenant; where there is none it waits for one.
+func (q *quotas) Admit(ctx context.Context, tenant *intent.Tenant, wait time.Duration) bool {
 	q.mutex.Lock()
 	now := q.node.now()
 	one := q.stockLocked(now, tenant)
@@ -170,8 +170,8 @@
 	return false
 }
 
-// refusal tells whether the limit is reached, and when there is room again.
-func (q *quotas) refusal(tenant *intent.Tenant, most time.Duration) (spent bool, comeBack time.Duration) {
+// Refusal tells whether the limit is reached, and when there is room again.
+func (q *quotas) Refusal(tenant *intent.Tenant, most time.Duration) (spent bool, comeBack time.Duration) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	now := q.node.now()
@@ -179,8 +179,8 @@
 	return one.holder.Spent(), one.holder.ComeBack(now, most)
 }
 
-// giveBack returns the token of a request that has not run and never will.
-func (q *quotas) giveBack(tenant *intent.Tenant) {
+// GiveBack returns the token of a request that has not run and never will.
+func (q *quotas) GiveBack(tenant *intent.Tenant) {
 	if tenant == nil || !tenant.Limited() {
 		return
 	}
@@ -205,11 +205,11 @@
 			continue
 		}
 		if item.Gone {
-			n.keepers.lapsed(shard, item.Revision)
+			n.keepers.Lapsed(shard, item.Revision)
 			continue
 		}
 		if record, err := wire.KeeperRecordCodec.Decode(item.Value); err == nil {
-			n.keepers.learn(&wire.Keeper{Shard: shard, Node: record.Node, Address: record.Address, Incarnation: record.Incarnation, Revision: item.Revision})
+			n.keepers.Learn(&wire.Keeper{Shard: shard, Node: record.Node, Address: record.Address, Incarnation: record.Incarnation, Revision: item.Revision})
 		}
 	}
 }
@@ -218,9 +218,9 @@
 // has at a revision.
 func (n *Node) noteAbsentKeepers(items []store.Item, at int64) {
 	for shard := range quotaShards {
-		key := n.quotaServer.key(shard)
+		key := n.quotaServer.Key(shard)
 		if !slices.ContainsFunc(items, func(item store.Item) bool { return item.Key == key }) {
-			n.keepers.lapsed(shard, at+1)
+			n.keepers.Lapsed(shard, at+1)
 		}
 	}
 }
--- a/internal/sidecar/quotaserver.go
+++ b/internal/sidecar/quotaserver.go
@@ -72,8 +72,8 @@
 	return &quotaServer{node: node, overtake: make(chan struct{}, 1), held: map[int]*quotaGroup{}, absence: map[int]time.Duration{}, taking: map[int]bool{}}
 }
 
-// run renews the right until ctx ends.
-func (s *quotaServer) run(ctx context.Context) {
+// Run renews the right until ctx ends.
+func (s *quotaServer) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		rest := keeperRenew
 		s.prune()
@@ -111,8 +111,8 @@
 	}
 }
 
-// keeps tells whether the node keeps the quotas of any group.
-func (s *quotaServer) keeps() bool {
+// Keeps tells whether the node keeps the quotas of any group.
+func (s *quotaServer) Keeps() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return len(s.held) > 0
@@ -160,11 +160,11 @@
 	if !read {
 		return
 	}
-	peer.WriteMessage(w, wire.QuotaAnswerCodec, s.answer(asked))
+	peer.WriteMessage(w, wire.QuotaAnswerCodec, s.Answer(asked))
 }
 
-// answer gives a process its parts of the limits of a group.
-func (s *quotaServer) answer(asked *wire.QuotaAsk) *wire.QuotaAnswer {
+// Answer gives a process its parts of the limits of a group.
+func (s *quotaServer) Answer(asked *wire.QuotaAsk) *wire.QuotaAnswer {
 	answer := &wire.QuotaAnswer{Allotments: []wire.QuotaAllotment{}}
 	current := s.node.configuration.Load()
 	s.mutex.Lock()
@@ -233,7 +233,7 @@
 	for _, name := range added {
 		delete(one.joining, name)
 	}
-	s.node.keepers.learn(s.record(shard, written))
+	s.node.keepers.Learn(s.record(shard, written))
 }
 
 // lookAgain reads the key after a write without an answer. Names that stand there count as
--- a/internal/sidecar/quotatakeover.go
+++ b/internal/sidecar/quotatakeover.go
@@ -18,16 +18,16 @@
 	"github.com/landingmast/landingmast/internal/wire"
 )
 
-// fill takes over the groups that have no keeper, when it is the turn of the follower of
+// Fill takes over the groups that have no keeper, when it is the turn of the follower of
 // this zone.
-func (s *quotaServer) fill(ctx context.Context) {
-	if s.node.planned.stopping.Load() || !s.node.quotas.wanted() {
+func (s *quotaServer) Fill(ctx context.Context) {
+	if s.node.planned.stopping.Load() || !s.node.quotas.Wanted() {
 		return
 	}
 	now := s.node.now()
-	zones := s.node.membership.zoneNames()
+	zones := s.node.membership.ZoneNames()
 	without := map[int]bool{}
-	for _, shard := range s.node.keepers.without() {
+	for _, shard := range s.node.keepers.Without() {
 		without[shard] = true
 		since, seen := s.absence[shard]
 		if !seen {
@@ -44,26 +44,26 @@
 	}
 }
 
-// resume takes over again what an earlier process of this node kept, before its lease is
+// Resume takes over again what an earlier process of this node kept, before its lease is
 // over: nobody else can have it until then.
-func (s *quotaServer) resume(ctx context.Context) {
+func (s *quotaServer) Resume(ctx context.Context) {
 	own := s.node.settings()
-	for _, one := range s.node.keepers.all() {
+	for _, one := range s.node.keepers.All() {
 		if one.Node == own.Node && one.Address == own.Listen.Inbound && one.Incarnation != s.node.incarnation {
 			s.begin(ctx, one.Shard, &one)
 		}
 	}
 }
 
-// replace takes over a group whose keeper's process is gone: nobody listens at its address
+// Replace takes over a group whose keeper's process is gone: nobody listens at its address
 // any more. What it gave is told by the nodes, and by those of which nobody listens either.
-func (s *quotaServer) replace(ctx context.Context, gone *wire.Keeper) {
-	if s.node.planned.stopping.Load() || !s.node.follower.reaches() {
+func (s *quotaServer) Replace(ctx context.Context, gone *wire.Keeper) {
+	if s.node.planned.stopping.Load() || !s.node.follower.Reaches() {
 		return
 	}
-	turn := turnOf(gone.Shard, s.node.settings().Zone, s.node.membership.zoneNames())
+	turn := turnOf(gone.Shard, s.node.settings().Zone, s.node.membership.ZoneNames())
 	wait.For(ctx, replaceStep*time.Duration(turn))
-	if known := s.node.keepers.of(gone.Shard); known != nil && known.Revision == gone.Revision {
+	if known := s.node.keepers.Of(gone.Shard); known != nil && known.Revision == gone.Revision {
 		s.begin(ctx, gone.Shard, gone)
 	}
 }
@@ -161,7 +161,7 @@
 	}
 	names := known.Listed
 	if before == nil {
-		for _, record := range s.node.membership.all() {
+		for _, record := range s.node.membership.All() {
 			names = append(names, holderName(record.Node, record.Address))
 		}
 	}
@@ -181,12 +181,12 @@
 		return errors.New("lease ended meanwhile")
 	}
 	now := s.node.now()
-	keeper := quota.NewKeeper(s.node.quotas.config(), written, now, part, known)
+	keeper := quota.NewKeeper(s.node.quotas.Config(), written, now, part, known)
 	if before == nil {
 		keeper.List(now, names)
 	}
 	s.held[shard] = &quotaGroup{keeper: keeper, part: part, epoch: written, revision: written, joining: map[string]bool{}}
-	s.node.keepers.learn(s.record(shard, written))
+	s.node.keepers.Learn(s.record(shard, written))
 	if before != nil {
 		go s.settle(ctx)
 	}
@@ -211,7 +211,7 @@
 func (s *quotaServer) read(ctx context.Context, shard int) (*store.Item, *wire.KeeperRecord, error) {
 	call, cancel := context.WithTimeout(ctx, keeperCall)
 	defer cancel()
-	item, _, err := s.node.store.Get(call, s.key(shard))
+	item, _, err := s.node.store.Get(call, s.Key(shard))
 	s.node.storeHealth.Note("read", err)
 	if err != nil || item == nil {
 		return nil, nil, err
@@ -226,7 +226,7 @@
 	s.mutex.Lock()
 	known, left := s.lease, s.right-s.node.now()
 	s.mutex.Unlock()
-	if known != nil && (s.keeps() || left > keeperLease/2) {
+	if known != nil && (s.Keeps() || left > keeperLease/2) {
 		return known, nil
 	}
 	began := s.node.now()
@@ -244,7 +244,7 @@
 	return s.lease, nil
 }
 
-func (s *quotaServer) key(shard int) string {
+func (s *quotaServer) Key(shard int) string {
 	return s.node.options.QuotaPrefix + strconv.Itoa(shard)
 }
 
@@ -264,7 +264,7 @@
 	}
 	call, cancel := context.WithTimeout(ctx, keeperCall)
 	defer cancel()
-	written, err := s.node.store.Put(call, store.Write{Key: s.key(shard), Value: value, Lease: lease, IfRevision: &revision})
+	written, err := s.node.store.Put(call, store.Write{Key: s.Key(shard), Value: value, Lease: lease, IfRevision: &revision})
 	s.node.storeHealth.Note("keeper", err)
 	return written, err
 }
--- a/internal/sidecar/registration.go
+++ b/internal/sidecar/registration.go
@@ -44,28 +44,28 @@
 	return &registration{node: node, missing: make(chan struct{}, 1), renew: make(chan struct{}, 1)}
 }
 
-// lost notes that the store has no record of the node: it is written anew.
-func (r *registration) lost() {
+// Lost notes that the store has no record of the node: it is written anew.
+func (r *registration) Lost() {
 	wait.Signal(r.missing)
 }
 
-// renewNow has the lease renewed before its time.
-func (r *registration) renewNow() { wait.Signal(r.renew) }
+// RenewNow has the lease renewed before its time.
+func (r *registration) RenewNow() { wait.Signal(r.renew) }
 
-// turnedAway tells that the store does not serve the node.
-func (r *registration) turnedAway() bool { return r.failing.Load() || r.node.storeHealth.Away() }
+// TurnedAway tells that the store does not serve the node.
+func (r *registration) TurnedAway() bool { return r.failing.Load() || r.node.storeHealth.Away() }
 
-// run finds the other nodes and keeps the own record and its lease until ctx ends.
-func (r *registration) run(ctx context.Context) {
+// Run finds the other nodes and keeps the own record and its lease until ctx ends.
+func (r *registration) Run(ctx context.Context) {
 	if r.node.settings().FirstStart {
 		wait.For(ctx, time.Duration(rand.Int64N(int64(spreadOfWrites))))
 		r.register(ctx)
 		wait.For(ctx, time.Duration(rand.Int64N(int64(spreadOfReads))))
 		r.findOthers(ctx)
-		r.node.follower.begin()
+		r.node.follower.Begin()
 	} else {
 		r.findOthers(ctx)
-		r.node.follower.begin()
+		r.node.follower.Begin()
 		r.register(ctx)
 	}
 	for ctx.Err() == nil {
@@ -73,7 +73,7 @@
 			continue
 		}
 		r.lease.Store(nil)
-		r.node.membership.changed()
+		r.node.membership.Changed()
 		r.register(ctx)
 	}
 }
@@ -81,7 +81,7 @@
 // findOthers reads the records of all nodes, unless one of them has told them.
 func (r *registration) findOthers(ctx context.Context) {
 	m := r.node.membership
-	for ctx.Err() == nil && m.others() == 0 {
+	for ctx.Err() == nil && m.Others() == 0 {
 		call, cancel := context.WithTimeout(ctx, callTimeout)
 		items, _, err := r.node.store.List(call, r.node.options.RecordPrefix)
 		cancel()
@@ -93,7 +93,7 @@
 		r.take(items)
 		break
 	}
-	r.meet(ctx)
+	r.Meet(ctx)
 }
 
 // take learns the records that the store has. The lease of the own one, of the
@@ -102,7 +102,7 @@
 	m := r.node.membership
 	for _, item := range items {
 		if item.Key == r.node.options.CrashKey {
-			r.node.heldBack.takeStored(&item)
+			r.node.heldBack.TakeStored(&item)
 		}
 		name, is := strings.CutPrefix(item.Key, r.node.options.NodePrefix)
 		if !is {
@@ -113,30 +113,30 @@
 			continue
 		}
 		if name == r.node.settings().Node {
-			m.outrank(record)
+			m.Outrank(record)
 			if record.Address == r.node.settings().Listen.Inbound && record.Zone == r.node.settings().Zone {
 				r.lease.Store(&store.Lease{ID: item.Lease, TTL: time.Duration(r.node.settings().Store.Lease)})
 			}
 			continue
 		}
-		m.put(record)
+		m.Put(record)
 	}
-	m.setListed()
-	m.apply()
+	m.SetListed()
+	m.Apply()
 }
 
 // meetings is how many nodes a new one asks for what they know.
 const meetings = 2
 
-// meet asks some nodes for what they know and tells all of them of this one.
-func (r *registration) meet(ctx context.Context) {
+// Meet asks some nodes for what they know and tells all of them of this one.
+func (r *registration) Meet(ctx context.Context) {
 	for range meetings {
-		if address := r.node.membership.anyAddress(); address != "" {
-			go r.node.exchanger.with(ctx, address)
-			go r.node.heldBack.compare(ctx, address)
+		if address := r.node.membership.AnyAddress(); address != "" {
+			go r.node.exchanger.With(ctx, address)
+			go r.node.heldBack.Compare(ctx, address)
 		}
 	}
-	r.node.news.tellOwn()
+	r.node.news.TellOwn()
 }
 
 // pause waits after a call that failed until the store answers a probe.
@@ -186,7 +186,7 @@
 	if err != nil {
 		return err
 	}
-	value, err := wire.NodeRecordCodec.Encode(r.node.membership.own())
+	value, err := wire.NodeRecordCodec.Encode(r.node.membership.Own())
 	if err != nil {
 		return err
 	}
@@ -217,11 +217,11 @@
 	return !errors.Is(err, store.ErrLeaseGone)
 }
 
-// withdraw takes the record out of the store when the target has left for good: the
+// Withdraw takes the record out of the store when the target has left for good: the
 // machine goes with it.
-func (r *registration) withdraw() {
+func (r *registration) Withdraw() {
 	lease := r.lease.Load()
-	if lease == nil || !r.node.target.hasLeft() {
+	if lease == nil || !r.node.target.HasLeft() {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), revokeTimeout)
--- a/internal/sidecar/release_test.go
+++ b/internal/sidecar/release_test.go
@@ -29,7 +29,7 @@
 			n := budgetNode(1)
 			route := &intent.Route{Name: "read", Objective: time.Second}
 			x := &exchange{node: n, route: route, request: httptest.NewRequest(http.MethodGet, "/", nil), hold: time.Second, status: tc.status, lacked: tc.lacked}
-			admitted, _ := n.overload.admit(route)
+			admitted, _ := n.overload.Admit(route)
 			g.Expect(admitted).To(BeTrue())
 			_, before := n.overload.core.Window(n.now(), "read")
 			x.release()
--- a/internal/sidecar/routes.go
+++ b/internal/sidecar/routes.go
@@ -46,8 +46,8 @@
 	return &services{node: node, zone: zone, now: now, config: config, byName: map[string]*service{}, share: repeats.NewShare(config.Window, first)}
 }
 
-// get gives a service, also one without targets.
-func (s *services) get(name string) *service {
+// Get gives a service, also one without targets.
+func (s *services) Get(name string) *service {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.getLocked(name)
@@ -74,8 +74,8 @@
 	return config
 }
 
-// update sets the targets of every service.
-func (s *services) update(targets map[string][]balancer.Target) {
+// Update sets the targets of every service.
+func (s *services) Update(targets map[string][]balancer.Target) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for name := range targets {
@@ -88,8 +88,8 @@
 	}
 }
 
-// count takes in how many nodes there are, this one among them.
-func (s *services) count(members int) {
+// Count takes in how many nodes there are, this one among them.
+func (s *services) Count(members int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.share.Count(s.now(), members)
@@ -140,16 +140,16 @@
 	}
 }
 
-// suspect leaves the target beside a node alone that gives no sign of life.
-func (s *services) suspect(node string) {
+// Suspect leaves the target beside a node alone that gives no sign of life.
+func (s *services) Suspect(node string) {
 	if !s.policy.On(settings.Suspicion) {
 		return
 	}
 	s.each(node, func(b *balancer.Balancer, e *balancer.Endpoint) { b.Suspect(s.now(), e) })
 }
 
-// trust has the target beside a node chosen again.
-func (s *services) trust(node string) {
+// Trust has the target beside a node chosen again.
+func (s *services) Trust(node string) {
 	s.each(node, func(b *balancer.Balancer, e *balancer.Endpoint) { b.Trust(e) })
 }
 
@@ -181,7 +181,7 @@
 
 // gateLoad is the load of the target beside the node.
 func (n *Node) gateLoad() slots.Load {
-	if gate := n.target.current(); gate != nil {
+	if gate := n.target.Current(); gate != nil {
 		load, _ := gate.load()
 		return load
 	}
--- a/internal/sidecar/routes_test.go
+++ b/internal/sidecar/routes_test.go
@@ -19,7 +19,7 @@
 func budgetNode(allowance float64) *Node {
 	n := &Node{configuration: configuration.New(nil, nil), clock: steadyClock{}, splitter: &splitter{credit: map[string][]float64{}}}
 	n.services = newServices("me", "a", n.now, repeats.Config{Ratio: 0.2, Allowance: allowance, Window: 10 * time.Second}, true)
-	n.services.count(1)
+	n.services.Count(1)
 	n.overload = newOverloadControl(n)
 	zero := func() float64 { return 0 }
 	n.metrics = metrics.New(metrics.Gauges{Version: zero, Peers: zero, Slots: zero, Running: zero, Waiting: zero, InFlight: zero, StoreAge: zero})
@@ -58,7 +58,7 @@
 	route := &intent.Route{Name: "read", Kind: intent.Safe}
 	n.overload.core.Learn(0, "read", []overload.Need{{Service: "front", Calls: 1}, {Service: "deep", Calls: 4}}, true)
 	g.Expect(n.repeat(route, "front", 0, false)).To(BeFalse())
-	g.Expect(n.services.get("front").allows(n.now(), 2, 0.2, 2, false)).To(BeTrue())
+	g.Expect(n.services.Get("front").allows(n.now(), 2, 0.2, 2, false)).To(BeTrue())
 }
 
 func TestSplitKeepsToItsWeights(t *testing.T) {
@@ -91,7 +91,7 @@
 			n := budgetNode(8)
 			n.services = newServices("me", "a", n.now, n.services.config, tc.first)
 			if tc.members > 0 {
-				n.services.count(tc.members)
+				n.services.Count(tc.members)
 			}
 			route := &intent.Route{Name: "read", Kind: intent.Safe}
 			g.Expect(n.repeat(route, "front", 0, false)).To(Equal(tc.want))
@@ -118,13 +118,13 @@
 			g := NewWithT(t)
 			now := time.Duration(0)
 			s := newServices("me", "a", func() time.Duration { return now }, repeats.Config{Window: 10 * time.Second}, true)
-			s.update(map[string][]balancer.Target{"s": {
+			s.Update(map[string][]balancer.Target{"s": {
 				{Node: "bad", Address: "bad:1", Zone: "a", Instance: "i-1", Slots: 40}, {Node: "other", Address: "other:1", Zone: "a", Instance: "i-2", Slots: 40},
 			}})
 			toBad := 0
 			for range 400 {
 				now += 20 * time.Millisecond
-				picked := s.get("s").pick(now, balancer.Wish{}, nil)
+				picked := s.Get("s").pick(now, balancer.Wish{}, nil)
 				if picked.node == "bad" {
 					toBad++
 					picked.done(now+load.Hold, tc.ends)
--- a/internal/sidecar/send.go
+++ b/internal/sidecar/send.go
@@ -21,7 +21,7 @@
 
 // send tries targets until one answers or nothing more can be tried.
 func (x *exchange) send(ctx context.Context) {
-	target := x.node.services.get(x.service)
+	target := x.node.services.Get(x.service)
 	tried := &triedTargets{excluded: map[string]bool{}, once: !x.node.policyOn(settings.Declined)}
 	last := reply.NotRun(outcome.ReasonNoTarget)
 	for ctx.Err() == nil && x.left(ctx) > 0 && tried.mayGoOn() {
@@ -193,7 +193,7 @@
 // tellIfLost helps a node that replied without knowing any configuration.
 func (x *exchange) tellIfLost(choice *choice, answer *reply.Reply) {
 	if answer.Incarnation != "" && answer.Version == 0 && choice.node != x.node.settings().Node {
-		x.node.exchanger.tell(choice.address)
+		x.node.exchanger.Tell(choice.address)
 	}
 }
 
@@ -217,7 +217,7 @@
 // node breaks, the node is asked what became of the request.
 func (x *exchange) sendOnce(ctx context.Context, choice *choice, call *wire.SidecarCall) *reply.Reply {
 	call.Key = strconv.FormatUint(rand.Uint64(), 36)
-	call.Incarnation = x.node.membership.incarnation(choice.node)
+	call.Incarnation = x.node.membership.Incarnation(choice.node)
 	watched := x.node.liveness.Begin(choice.node, choice.address, nil)
 	defer func() { watched.End(false) }()
 	answer := x.node.peers.Call(ctx, choice.address, call, x.header, x.body)
@@ -229,7 +229,7 @@
 		answer = x.node.peers.Settle(ctx, choice.address, call)
 	}
 	if answer.Reason == outcome.ReasonIncarnation {
-		x.node.membership.restarted(choice.node, answer.Incarnation)
+		x.node.membership.Restarted(choice.node, answer.Incarnation)
 	}
 	return answer
 }
--- a/internal/sidecar/stop.go
+++ b/internal/sidecar/stop.go
@@ -46,19 +46,19 @@
 // it requests until those of the node's own clients have ended.
 func (n *Node) stop(hurry context.Context) {
 	n.planned.stopping.Store(true)
-	n.follower.resign()
+	n.follower.Resign()
 	n.events.Add(eventlog.Node{Change: "stopping", Incarnation: n.incarnation, InFlight: n.inFlight.Load()}, eventlog.State)
 	began := time.Now()
 	grace := time.Duration(n.settings().Bounds.Grace)
 	latest := began.Add(grace - stopReserve)
 	if n.store != nil {
-		n.registration.withdraw()
+		n.registration.Withdraw()
 	}
 	wait.For(hurry, min(stopLeast, grace/2))
 	n.planned.closing.Store(true)
 	awaitNone(hurry, &n.clients, began.Add(grace-leaveReserve))
 	n.planned.leaving.Store(true)
-	n.membership.changed()
+	n.membership.Changed()
 	wait.For(hurry, leaveBefore)
 	n.planned.closed.Store(true)
 	awaitNone(hurry, &n.inFlight, latest)
@@ -70,7 +70,7 @@
 	}
 	n.liveness.Close()
 	n.peers.CloseIdle()
-	n.target.close()
+	n.target.Close()
 	n.events.Add(eventlog.Node{Change: "stopped", Incarnation: n.incarnation, InFlight: n.inFlight.Load(), TookMS: eventlog.Milliseconds(time.Since(began))}, eventlog.State)
 }
 
--- a/internal/sidecar/target.go
+++ b/internal/sidecar/target.go
@@ -134,22 +134,22 @@
 	g.apply(g.core.Tick(g.now()))
 }
 
-// current gives the gate of the target that takes requests now, or nil.
-func (t *localTarget) current() *gate {
+// Current gives the gate of the target that takes requests now, or nil.
+func (t *localTarget) Current() *gate {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.gate
 }
 
-// report gives what is known of the target.
-func (t *localTarget) report() (report roster.Report, coldTill time.Duration) {
+// Report gives what is known of the target.
+func (t *localTarget) Report() (report roster.Report, coldTill time.Duration) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.roster.Current(), t.coldTill
 }
 
-// hasLeft tells that the last target left for good and no other has come.
-func (t *localTarget) hasLeft() bool {
+// HasLeft tells that the last target left for good and no other has come.
+func (t *localTarget) HasLeft() bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.roster.Empty()
@@ -203,8 +203,8 @@
 	return nil
 }
 
-// found takes in a target that was asked who it is, when no heartbeat has come.
-func (t *localTarget) found(report roster.Report) {
+// Found takes in a target that was asked who it is, when no heartbeat has come.
+func (t *localTarget) Found(report roster.Report) {
 	t.mutex.Lock()
 	if t.roster.Current().Instance != "" || t.roster.Gone(report.Instance) {
 		t.mutex.Unlock()
@@ -233,8 +233,8 @@
 	return nil
 }
 
-// close ends the connections to the target.
-func (t *localTarget) close() {
+// Close ends the connections to the target.
+func (t *localTarget) Close() {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if t.gate != nil {
@@ -242,8 +242,8 @@
 	}
 }
 
-// replaced notes that the target's address belongs to another instance.
-func (t *localTarget) replaced(instance string) {
+// Replaced notes that the target's address belongs to another instance.
+func (t *localTarget) Replaced(instance string) {
 	t.mutex.Lock()
 	if t.gate != nil && t.gate.instance == instance {
 		t.tellFollowed()
--- a/internal/sidecar/target_test.go
+++ b/internal/sidecar/target_test.go
@@ -43,9 +43,9 @@
 			answers = tc.answers
 			now += time.Second
 			_ = target.Heartbeat(old) // whether it is acknowledged is of no matter: its sender is gone
-			report, _ := target.report()
+			report, _ := target.Report()
 			g.Expect(report.Instance).To(Equal("new"))
-			_, draining := target.current().load()
+			_, draining := target.Current().load()
 			g.Expect(draining).To(BeFalse())
 		})
 	}
--- a/internal/sidecar/wake.go
+++ b/internal/sidecar/wake.go
@@ -41,7 +41,7 @@
 	n.metrics.Wakes.Inc()
 	n.events.Add(eventlog.Node{Change: "woke", Incarnation: n.incarnation, InFlight: n.inFlight.Load(), TookMS: eventlog.Milliseconds(span)}, eventlog.State)
 	n.peers.CloseIdle()
-	n.registration.renewNow()
-	n.freshness.renewNow()
-	n.registration.meet(ctx)
+	n.registration.RenewNow()
+	n.freshness.RenewNow()
+	n.registration.Meet(ctx)
 }
--- a/internal/sidecar/wake_test.go
+++ b/internal/sidecar/wake_test.go
@@ -59,8 +59,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		p := newProver(nil)
-		p.renewNow()
-		p.renewNow()
+		p.RenewNow()
+		p.RenewNow()
 		g.Expect(p.now).To(HaveLen(1))
 	})
 }
