--- a/internal/sidecar/egress.go
+++ b/internal/sidecar/egress.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"github.com/juju/errors"
+	"github.com/landingmast/landingmast/internal/core/importance"
 	"github.com/landingmast/landingmast/internal/core/intent"
 	"github.com/landingmast/landingmast/internal/core/outcome"
 	"github.com/landingmast/landingmast/internal/sidecar/eventlog"
@@ -277,7 +278,7 @@
 	if !x.node.policyOn(settings.Urgency) {
 		limit = 0
 	}
-	x.importance = importanceOf(x.route, nil, limit)
+	x.importance = importance.Of(x.route, nil, limit)
 	dot := strings.LastIndex(x.id, callSeparator)
 	if dot <= 0 {
 		return
@@ -287,6 +288,6 @@
 		return
 	}
 	x.parent = parent
-	x.importance = importanceOfCall(parent.importance)
+	x.importance = importance.OfCall(parent.importance)
 	x.repeat = parent.repeat
 }
--- a/internal/sidecar/identity.go
+++ b/internal/sidecar/identity.go
@@ -4,6 +4,7 @@
 	"net/http"
 	"strings"
 
+	"github.com/landingmast/landingmast/internal/core/importance"
 	"github.com/landingmast/landingmast/internal/core/outcome"
 	"github.com/landingmast/landingmast/internal/sidecar/settings"
 )
@@ -52,7 +53,7 @@
 	if !x.node.policyOn(settings.Urgency) {
 		limit = 0
 	}
-	x.importance = importanceOf(x.route, x.holder, limit)
+	x.importance = importance.Of(x.route, x.holder, limit)
 }
 
 // identifyWithoutKey lets requests of public routes in. A call whose parent is no longer
--- a/internal/sidecar/send.go
+++ b/internal/sidecar/send.go
@@ -10,6 +10,7 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/juju/errors"
 	"github.com/landingmast/landingmast/internal/core/balancer"
+	"github.com/landingmast/landingmast/internal/core/importance"
 	"github.com/landingmast/landingmast/internal/core/outcome"
 	"github.com/landingmast/landingmast/internal/core/repeats"
 	"github.com/landingmast/landingmast/internal/sidecar/eventlog"
@@ -150,7 +151,7 @@
 		priorities = current.LeastPriority() + 1
 	}
 	start, _, _ := strings.Cut(x.id, callSeparator)
-	return repeats.Rank(x.importance/importanceStep, priorities, xxhash.Sum64String(start))
+	return repeats.Rank(x.importance/importance.Step, priorities, xxhash.Sum64String(start))
 }
 
 // wish is what the request asks of a target: an answer within its route's objective,
