--- a/internal/core/importance/importance.go
+++ b/internal/core/importance/importance.go
@@ -37,7 +37,7 @@
 const ranksMost = Step/rankStep - 1
 
 // Of is the importance of a client's request on a route whose answer is wanted within a
-// limit; 0: however late. tenant is nil for a request of none.
+// limit; 0: how soon is not told apart. tenant is nil for a request of none.
 func Of(route *intent.Route, tenant *intent.Tenant, limit time.Duration) int {
 	rank := 0
 	if tenant != nil && tenant.Ranked {
--- a/internal/core/outcome/outcome.go
+++ b/internal/core/outcome/outcome.go
@@ -3,6 +3,8 @@
 // means for the client, the budgets and the target is decided by those who read it.
 package outcome
 
+import "github.com/landingmast/landingmast/internal/core/slots"
+
 // Outcome is how the sending of a request ended, as far as it can be proved.
 type Outcome string
 
@@ -50,3 +52,12 @@
 	ReasonQuota        Reason = "over_quota"          // the tenant's limit over all nodes is reached
 	ReasonNoAllowance  Reason = "no_allowance"        // nobody could be asked for a part of the limit
 )
+
+// Full reports that the gate beside the target had no room in time.
+func (r Reason) Full() bool {
+	switch r {
+	case ReasonSuspectWaits, Reason(slots.ReasonTooLong), Reason(slots.ReasonFull), Reason(slots.ReasonExpired):
+		return true
+	}
+	return false
+}
--- a/internal/sidecar/answer.go
+++ b/internal/sidecar/answer.go
@@ -49,7 +49,7 @@
 // is said only where no sending may have run.
 func (x *exchange) giveUp(ctx context.Context, last *reply.Reply) {
 	defer last.Close()
-	if x.lacked = last.Full(); x.lacked && x.parent != nil {
+	if x.lacked = last.Reason.Full(); x.lacked && x.parent != nil {
 		// It would have waited for all the time that it had.
 		x.parent.add([]wire.Need{{Service: x.service, Calls: 1, Occupancy: -1, Wait: x.hold}})
 	}
--- a/internal/sidecar/reply/reply.go
+++ b/internal/sidecar/reply/reply.go
@@ -14,6 +14,7 @@
 
 	"github.com/juju/errors"
 	"github.com/landingmast/landingmast/internal/core/outcome"
+	"github.com/landingmast/landingmast/internal/core/resend"
 	"github.com/landingmast/landingmast/internal/core/slots"
 	"github.com/landingmast/landingmast/internal/wire"
 )
@@ -76,16 +77,9 @@
 	return false
 }
 
-// Full tells that the gate had no room in time.
-func (r *Reply) Full() bool {
-	if r.Reason == outcome.ReasonSuspectWaits {
-		return true
-	}
-	switch slots.Reason(r.Reason) {
-	case slots.ReasonTooLong, slots.ReasonFull, slots.ReasonExpired:
-		return true
-	}
-	return false
+// End is what the decision on another sending needs of the reply.
+func (r *Reply) End() resend.End {
+	return resend.End{Outcome: r.Outcome, Reason: r.Reason, Arrived: r.Arrived}
 }
 
 // Close ends the reading of a long body; it may be called more than once.
--- a/internal/sidecar/send.go
+++ b/internal/sidecar/send.go
@@ -13,6 +13,7 @@
 	"github.com/landingmast/landingmast/internal/core/importance"
 	"github.com/landingmast/landingmast/internal/core/outcome"
 	"github.com/landingmast/landingmast/internal/core/repeats"
+	"github.com/landingmast/landingmast/internal/core/resend"
 	"github.com/landingmast/landingmast/internal/sidecar/eventlog"
 	"github.com/landingmast/landingmast/internal/sidecar/peer"
 	"github.com/landingmast/landingmast/internal/sidecar/reply"
@@ -23,16 +24,16 @@
 // send tries targets until one answers or nothing more can be tried.
 func (x *exchange) send(ctx context.Context) {
 	target := x.node.services.Get(x.service)
-	tried := &triedTargets{excluded: map[string]bool{}, once: !x.node.policyOn(settings.Declined)}
+	tried := resend.New(!x.node.policyOn(settings.Declined))
 	last := reply.NotRun(outcome.ReasonNoTarget)
-	for ctx.Err() == nil && x.left(ctx) > 0 && tried.mayGoOn() {
-		choice := target.pick(x.node.now(), x.wish(ctx, tried), tried.excluded)
+	for ctx.Err() == nil && x.left(ctx) > 0 && tried.MayGoOn() {
+		choice := target.pick(x.node.now(), x.wish(ctx, tried), tried.Excluded())
 		if choice == nil {
 			break
 		}
 		last.Close()
 		began := x.node.now()
-		last = x.attempt(ctx, choice, tried.ended > 0)
+		last = x.attempt(ctx, choice, tried.Ended())
 		x.noteSend(choice, last, x.node.now()-began)
 		choice.done(x.node.now(), last)
 		if last.Reason == outcome.ReasonUnreachable && last.Incarnation == "" && choice.node != x.node.settings().Node {
@@ -40,7 +41,7 @@
 		}
 		x.tellIfLost(choice, last)
 		x.learn(last)
-		tried.add(choice.node, last)
+		tried.Add(choice.node, last.End())
 		if last.Arrived {
 			x.arrivals++
 		}
@@ -58,86 +59,24 @@
 	x.giveUp(ctx, last)
 }
 
-// triedTargets are the targets that a request was sent to.
-type triedTargets struct {
-	once     bool            // no target is chosen twice
-	excluded map[string]bool // nodes that are not to be chosen again
-	declined map[string]bool // nodes whose targets said each time that they did not run it
-	arrived  int             // targets that it reached
-	bounces  int             // sendings that no target saw
-	fulls    int             // of them those for which there was no room in time
-	declines int             // sendings that a target declined
-	ended    int             // targets that ended while they ran it
-}
-
-// Bounds of the sendings of one request.
-const (
-	maxBounces  = 8 // sendings that no target saw
-	maxFulls    = 3 // of them those for which there was no room in time
-	maxDeclines = 12
-	// mostEnded is how many targets may end with one request until it is no longer repeated:
-	// most of those that were there at an end are harmless, and the first repeat serves them.
-	mostEnded = 2
-)
-
-func (t *triedTargets) mayGoOn() bool {
-	return t.bounces < maxBounces && t.fulls < maxFulls && t.declines < maxDeclines
-}
-
-func (t *triedTargets) add(node string, answer *reply.Reply) {
-	if answer.Full() {
-		t.fulls++
-	}
-	if answer.Reason == outcome.ReasonTargetEnded {
-		t.ended++
-	}
-	if !answer.Arrived {
-		t.bounces++
-		t.excluded[node] = true
-		return
-	}
-	if !t.declined[node] {
-		t.arrived++
-	}
-	if t.once || answer.Outcome != outcome.NotRun || answer.Reason != outcome.ReasonTargetShed {
-		t.excluded[node] = true
-		delete(t.declined, node)
-		return
-	}
-	t.declines++
-	if t.declined == nil {
-		t.declined = map[string]bool{}
-	}
-	t.declined[node] = true
-}
-
-// only gives the targets that are left to a request that may reach no more than most:
-// those that declined it and may take it another time. nil: all.
-func (t *triedTargets) only(most int) map[string]bool {
-	if t.arrived < most {
-		return nil
+// again reports whether another sending is made after one that brought no answer; one that
+// costs a part of the budgets for repeats takes it.
+func (x *exchange) again(last *reply.Reply, tried *resend.Tried) bool {
+	switch tried.Decide(last.End(), x.resendRules()) {
+	case resend.Again:
+		return true
+	case resend.FromBudget:
+		return x.node.repeat(x.route, x.service, x.rank(), last.Reason == outcome.ReasonTargetShed)
 	}
-	return t.declined
+	return false
 }
 
-// again tells whether another sending may be tried after one that brought no answer.
-func (x *exchange) again(last *reply.Reply, tried *triedTargets) bool {
-	if !x.body.Replayable() || last.Reason == outcome.ReasonEndsTargets {
-		return false
-	}
-	if !last.Arrived {
-		return true
-	}
-	if last.Outcome == outcome.Unknown && !x.route.Kind.Repeatable() {
-		return false
-	}
-	if last.Reason == outcome.ReasonTargetEnded && (x.trial || tried.ended >= mostEnded) && x.node.policyOn(settings.HoldBack) {
-		return false
-	}
-	if x.repeat || !x.node.policyOn(settings.Repeats) || tried.arrived >= x.mostTargets() && len(tried.declined) == 0 {
-		return false
+// resendRules is what the decision on another sending depends on besides the sendings.
+func (x *exchange) resendRules() resend.Request {
+	return resend.Request{
+		Replayable: x.body.Replayable(), Repeatable: x.route.Kind.Repeatable(), Repeat: x.repeat, Trial: x.trial, MostTargets: x.mostTargets(),
+		NoHoldBack: !x.node.policyOn(settings.HoldBack), NoRepeats: !x.node.policyOn(settings.Repeats),
 	}
-	return x.node.repeat(x.route, x.service, x.rank(), last.Reason == outcome.ReasonTargetShed)
 }
 
 // mostTargets is how many targets the request may reach.
@@ -156,8 +95,8 @@
 
 // wish is what the request asks of a target: an answer within its route's objective,
 // and before its time is up.
-func (x *exchange) wish(ctx context.Context, tried *triedTargets) balancer.Wish {
-	wish := balancer.Wish{Class: x.route.Name, Limit: x.left(ctx), Only: tried.only(x.mostTargets())}
+func (x *exchange) wish(ctx context.Context, tried *resend.Tried) balancer.Wish {
+	wish := balancer.Wish{Class: x.route.Name, Limit: x.left(ctx), Only: tried.Only(x.mostTargets())}
 	if left := x.route.Objective - (x.node.now() - x.started); left > 0 {
 		wish.Limit = min(wish.Limit, left)
 	}
