--- a/internal/sidecar/wait/wait.go
+++ b/internal/sidecar/wait/wait.go
@@ -27,7 +27,10 @@
 }
 
 // Jittered gives a span that is lengthened at random, up to twice, so that those who were
-// told to wait do not come back at one moment.
+// told to wait do not come back at one moment; 0 for no span.
 func Jittered(span time.Duration) time.Duration {
+	if span <= 0 {
+		return 0
+	}
 	return span + time.Duration(rand.Int64N(int64(span)))
 }
