--- a/internal/sidecar/answer.go
+++ b/internal/sidecar/answer.go
@@ -3,13 +3,13 @@
 import (
 	"context"
 	"io"
+	"math/rand/v2"
 	"net/http"
 	"strconv"
-	"time"
 
 	"github.com/landingmast/landingmast/internal/core/outcome"
+	"github.com/landingmast/landingmast/internal/core/retryafter"
 	"github.com/landingmast/landingmast/internal/sidecar/reply"
-	"github.com/landingmast/landingmast/internal/sidecar/wait"
 	"github.com/landingmast/landingmast/internal/wire"
 )
 
@@ -39,12 +39,6 @@
 	x.ended(given.Status, outcome.ReasonNone, 0)
 }
 
-// Times after which a refused sender may come back.
-const (
-	unreadyRetryAfter  = 500 * time.Millisecond
-	overloadRetryAfter = 400 * time.Millisecond
-)
-
 // giveUp writes the final answer of a request that no target answered. "Not run"
 // is said only where no sending may have run.
 func (x *exchange) giveUp(ctx context.Context, last *reply.Reply) {
@@ -60,25 +54,21 @@
 	switch {
 	case !x.mayRun:
 		x.node.quotas.GiveBack(x.holder)
-		x.refuse(http.StatusServiceUnavailable, last.Reason, comeBackAfter(last.Reason))
+		x.refuse(http.StatusServiceUnavailable, last.Reason, retryafter.NotRun(last.Reason))
 	case ctx.Err() != nil || x.left(ctx) <= 0:
-		x.refuse(http.StatusGatewayTimeout, outcome.ReasonTimeout, 0)
+		x.refuse(http.StatusGatewayTimeout, outcome.ReasonTimeout, notInvited)
 	default:
-		x.refuse(http.StatusBadGateway, last.Reason, 0)
+		x.refuse(http.StatusBadGateway, last.Reason, notInvited)
 	}
 }
 
-// comeBackAfter is when the sender of a request that was not run may come back; 0: it is not
-// invited to.
-func comeBackAfter(reason outcome.Reason) time.Duration {
-	if reason == outcome.ReasonEndsTargets {
-		return 0
-	}
-	return wait.Jittered(overloadRetryAfter)
-}
+// notInvited is for senders whose request, sent again as it is, would be refused again or
+// might run twice.
+var notInvited = retryafter.Span{}
 
-// refuse writes an answer of the node's own.
-func (x *exchange) refuse(status int, reason outcome.Reason, retryAfter time.Duration) {
+// refuse writes an answer of the node's own. invited is when the sender may come back.
+func (x *exchange) refuse(status int, reason outcome.Reason, invited retryafter.Span) {
+	retryAfter := invited.At(rand.Float64())
 	header := x.writer.Header()
 	if x.id != "" {
 		header.Set(x.node.options.Headers.RequestID, x.id)
--- a/internal/sidecar/egress.go
+++ b/internal/sidecar/egress.go
@@ -11,11 +11,11 @@
 	"github.com/landingmast/landingmast/internal/core/importance"
 	"github.com/landingmast/landingmast/internal/core/intent"
 	"github.com/landingmast/landingmast/internal/core/outcome"
+	"github.com/landingmast/landingmast/internal/core/retryafter"
 	"github.com/landingmast/landingmast/internal/sidecar/eventlog"
 	"github.com/landingmast/landingmast/internal/sidecar/headers"
 	"github.com/landingmast/landingmast/internal/sidecar/reply"
 	"github.com/landingmast/landingmast/internal/sidecar/settings"
-	"github.com/landingmast/landingmast/internal/sidecar/wait"
 	"github.com/landingmast/landingmast/internal/wire"
 )
 
@@ -79,18 +79,18 @@
 	x.intent = e.node.configuration.Load()
 	switch {
 	case refused && !isCall:
-		x.refuse(http.StatusServiceUnavailable, outcome.ReasonStopping, unreadyRetryAfter)
+		x.refuse(http.StatusServiceUnavailable, outcome.ReasonStopping, retryafter.Unready())
 		return
 	case x.intent == nil:
-		x.refuse(http.StatusServiceUnavailable, outcome.ReasonNoIntent, unreadyRetryAfter)
+		x.refuse(http.StatusServiceUnavailable, outcome.ReasonNoIntent, retryafter.Unready())
 		return
 	case x.id == "":
-		x.refuse(http.StatusBadRequest, outcome.ReasonBadMessage, 0)
+		x.refuse(http.StatusBadRequest, outcome.ReasonBadMessage, notInvited)
 		return
 	}
 	x.route = x.intent.Match(r.Host, pathOf(r))
 	if x.route == nil {
-		x.refuse(http.StatusNotFound, outcome.ReasonNoRoute, 0)
+		x.refuse(http.StatusNotFound, outcome.ReasonNoRoute, notInvited)
 		return
 	}
 	x.hold = x.holdTime()
@@ -100,7 +100,7 @@
 	}
 	if status, reason := refusedBySize(r, x.intent.Limits); status != 0 {
 		w.Header().Set("Connection", "close")
-		x.refuse(status, reason, 0)
+		x.refuse(status, reason, notInvited)
 		return
 	}
 	if most := x.intent.Limits.MaxBodyBytes; r.ContentLength < 0 && most > 0 {
@@ -156,10 +156,10 @@
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
-		x.refuse(http.StatusRequestEntityTooLarge, outcome.ReasonBodyTooLarge, 0)
+		x.refuse(http.StatusRequestEntityTooLarge, outcome.ReasonBodyTooLarge, notInvited)
 		return
 	case err != nil:
-		x.refuse(http.StatusRequestTimeout, outcome.ReasonCancelled, 0)
+		x.refuse(http.StatusRequestTimeout, outcome.ReasonCancelled, notInvited)
 		return
 	}
 	x.body = body
@@ -169,7 +169,7 @@
 	}
 	verdict := x.heldBack()
 	if verdict.refused {
-		x.refuse(http.StatusServiceUnavailable, outcome.ReasonEndsTargets, 0)
+		x.refuse(http.StatusServiceUnavailable, outcome.ReasonEndsTargets, notInvited)
 		return
 	}
 	if x.trial = verdict.trial != nil; x.trial {
@@ -182,7 +182,7 @@
 	x.granted = x.node.countRequest(x.route, x.service, x.grantedAbove())
 	if !x.admitted() {
 		x.node.quotas.GiveBack(x.holder)
-		x.refuse(http.StatusServiceUnavailable, outcome.ReasonSheds, comeBack(x.clientTime()))
+		x.refuse(http.StatusServiceUnavailable, outcome.ReasonSheds, retryafter.Shed(x.clientTime()))
 		return
 	}
 	if x.parent == nil {
@@ -246,13 +246,6 @@
 	return x.hold
 }
 
-// comeBackShare is the part of its time after which a refused client comes back at
-// the latest: as late as clients wait, when the shortage may be over, with most of
-// its time left.
-const comeBackShare = 3
-
-func comeBack(time time.Duration) time.Duration { return wait.Jittered(time / (2 * comeBackShare)) }
-
 // learn takes in what a sending told of the services down the chain.
 func (x *exchange) learn(answer *reply.Reply) {
 	needs := answer.Needs
--- a/internal/sidecar/identity.go
+++ b/internal/sidecar/identity.go
@@ -6,6 +6,7 @@
 
 	"github.com/landingmast/landingmast/internal/core/importance"
 	"github.com/landingmast/landingmast/internal/core/outcome"
+	"github.com/landingmast/landingmast/internal/core/retryafter"
 	"github.com/landingmast/landingmast/internal/sidecar/settings"
 )
 
@@ -28,7 +29,7 @@
 		return x.identifyWithoutKey()
 	}
 	if !x.fresh {
-		x.refuse(http.StatusServiceUnavailable, outcome.ReasonStale, unreadyRetryAfter)
+		x.refuse(http.StatusServiceUnavailable, outcome.ReasonStale, retryafter.Unready())
 		return false
 	}
 	x.holder = x.intent.Holder(key)
@@ -63,7 +64,7 @@
 	case !x.intent.NeedsKey(x.route):
 		return true
 	case strings.Contains(x.id, callSeparator):
-		x.refuse(http.StatusServiceUnavailable, outcome.ReasonOrphan, unreadyRetryAfter)
+		x.refuse(http.StatusServiceUnavailable, outcome.ReasonOrphan, retryafter.Unready())
 	default:
 		x.refuseKey()
 	}
@@ -72,5 +73,5 @@
 
 func (x *exchange) refuseKey() {
 	x.writer.Header().Set("WWW-Authenticate", x.node.options.Headers.KeyScheme)
-	x.refuse(http.StatusUnauthorized, outcome.ReasonUnknownKey, 0)
+	x.refuse(http.StatusUnauthorized, outcome.ReasonUnknownKey, notInvited)
 }
--- a/internal/sidecar/quotas.go
+++ b/internal/sidecar/quotas.go
@@ -12,6 +12,7 @@
 	"github.com/landingmast/landingmast/internal/core/intent"
 	"github.com/landingmast/landingmast/internal/core/outcome"
 	"github.com/landingmast/landingmast/internal/core/quota"
+	"github.com/landingmast/landingmast/internal/core/retryafter"
 	"github.com/landingmast/landingmast/internal/sidecar/wait"
 	"github.com/landingmast/landingmast/internal/store"
 	"github.com/landingmast/landingmast/internal/wire"
@@ -42,10 +43,6 @@
 	gatherShort = 2
 	// lookEvery is the least time between two looks for the keepers in the store.
 	lookEvery = 900 * time.Millisecond
-	// noAllowanceRetryAfter is the time after which a keeper may be found.
-	noAllowanceRetryAfter = 300 * time.Millisecond
-	// comeBackShareOfQuota is the part of its time that a client waits at most.
-	comeBackShareOfQuota = 3
 )
 
 // quotas keeps the requests that begin here within the limits of their tenants over all
@@ -117,12 +114,12 @@
 	if q.Admit(ctx, x.holder, x.tokenWait()) {
 		return true
 	}
-	spent, comeBack := q.Refusal(x.holder, x.clientTime()/comeBackShareOfQuota)
+	spent, comeBack := q.Refusal(x.holder, retryafter.QuotaMost(x.clientTime()))
 	if spent {
-		x.refuse(http.StatusTooManyRequests, outcome.ReasonQuota, comeBack)
+		x.refuse(http.StatusTooManyRequests, outcome.ReasonQuota, retryafter.Span{Least: comeBack})
 		return false
 	}
-	x.refuse(http.StatusServiceUnavailable, outcome.ReasonNoAllowance, wait.Jittered(noAllowanceRetryAfter))
+	x.refuse(http.StatusServiceUnavailable, outcome.ReasonNoAllowance, retryafter.NoAllowance())
 	return false
 }
 
