--- a/cmd/landingmastd/sidecar.go
+++ b/cmd/landingmastd/sidecar.go
@@ -53,7 +53,7 @@
 	}
 }
 
-// runSidecar runs a sidecar node on the users' platform.
+// runSidecar runs a sidecar node.
 func runSidecar(settingsFile, _ string, checkOnly bool) error {
 	debug.SetGCPercent(sidecarCollectorPercent)
 	checked, err := settings.Load(settingsFile)
--- a/internal/core/balancer/cost.go
+++ b/internal/core/balancer/cost.go
@@ -20,8 +20,8 @@
 // has to wait behind it, and what its bytes cost between zones.
 const (
 	// farCost is the cost of another zone for a small answer, farCostOfKB is added for
-	// each kilobyte, up to farCostMost. On masr-claims a kilobyte between zones is
-	// priced at 0.025 of a claim, and a call has 0.8 KB of heads.
+	// each kilobyte, up to farCostMost: where traffic between zones is paid for, a kilobyte
+	// was put at 0.025 of the worth of an answer, and the heads of a call have 0.8 KB.
 	farCost     = 0.02
 	farCostOfKB = 0.02
 	farCostMost = 0.3
--- a/internal/core/crashes/ledger.go
+++ b/internal/core/crashes/ledger.go
@@ -33,9 +33,10 @@
 	Most int
 }
 
-// DefaultConfig holds back what three targets ended with, in doubt six: the users' rule lets it
-// reach three more. 4,096 entries are 42 ends of targets of 96 slots
-// each with nothing ended well; about 0.6 MB.
+// DefaultConfig holds back a request that three targets ended with, and while it is in doubt
+// whether it was the cause, six: a harmful request may reach three more targets at most after
+// the first three. 4,096 entries are 42 ends of targets with 96 slots each where no request
+// ended well, about 0.6 MB.
 func DefaultConfig() Config { return Config{Ends: 3, Doubt: 4, Sure: 6, Most: 4096} }
 
 // State is what is thought of a request.
--- a/internal/core/lapse/lapse.go
+++ b/internal/core/lapse/lapse.go
@@ -19,7 +19,8 @@
 	Silent int
 }
 
-// DefaultConfig gives the users' two seconds, with half a second for the news of it.
+// DefaultConfig leaves a node whose record is missing two seconds to write it anew, and half
+// a second until the others have heard of it.
 func DefaultConfig() Config {
 	return Config{Grace: 2500 * time.Millisecond, AskEvery: 500 * time.Millisecond, Silent: 3}
 }
--- a/internal/core/quota/quota.go
+++ b/internal/core/quota/quota.go
@@ -14,7 +14,7 @@
 //
 // requests are admitted: what lay ready at its begin, what came in since, and what came in
 // at a node while tokens for its stock were under way. Config.depth chooses D so that this
-// is the users' bound. A share ends on its node's clock, counted from
+// is the bound that Config names. A share ends on its node's clock, counted from
 // the begin of the question, before the keeper's right to give ends; that right ends before
 // another node can have it.
 //
@@ -29,8 +29,8 @@
 	Burst float64 // requests beyond the rate
 }
 
-// Config sets the users' bound: in no window more than (rate x window + burst) x
-// (1 + overshoot) + slack requests of a tenant are run.
+// Config sets the bound: in no window more than (rate x window + burst) x (1 + overshoot) +
+// slack requests of a tenant run. The operators' settings name its parts.
 type Config struct {
 	Window    time.Duration
 	Overshoot float64
@@ -40,7 +40,7 @@
 // Travel is how long tokens out of the pool may be under way; later ones are dropped.
 const Travel = 200 * time.Millisecond
 
-// depthMargin is kept below the users' bound for what rounding may add, in requests.
+// depthMargin is kept below the bound for what rounding may add, in requests.
 const depthMargin = 1
 
 // depth is the most that all stocks together may hold of a limit.
--- a/internal/core/repeats/repeats.go
+++ b/internal/core/repeats/repeats.go
@@ -19,11 +19,11 @@
 // Budget counts requests and repeats of one service over a sliding window made
 // of slices. It is not safe for concurrent use.
 //
-// The users' rule counts repeats in every window, and against them the requests
-// in whichever has most: that window, the one before it, or the one half a window
-// before. A repeat now lies in windows that end up to a whole window later, in
-// which no further request may come: the budget is what the rule allows in the
-// worst of them.
+// The bound on repeats holds in every window: they are counted there, and against them
+// the requests in whichever has most of that window, the one before it, and the one half
+// a window before. A repeat now lies in windows that end up to a whole window later, in
+// which no further request may come: the budget is what the bound leaves in the worst of
+// them.
 type Budget struct {
 	config   Config
 	requests slices
--- a/internal/sidecar/settings/settings.go
+++ b/internal/sidecar/settings/settings.go
@@ -132,7 +132,8 @@
 	DefaultRatio     = 0.2
 	DefaultAllowance = 50
 	DefaultWindow    = 10 * time.Second
-	// DefaultRevoke and the bounds of quotas are those of the users' pages.
+	// DefaultRevoke and the bounds of quotas are what operators promise their callers where
+	// a deployment names nothing else.
 	DefaultRevoke         = 5 * time.Second
 	DefaultQuotaWindow    = 5 * time.Second
 	DefaultQuotaOvershoot = 0.1
