--- a/internal/core/outcome/outcome.go
+++ b/internal/core/outcome/outcome.go
@@ -1,10 +1,10 @@
 // Package outcome names how the sending of a request ended and why. The words are part
-// of logs, metrics and messages between nodes, and keep their spelling; what an outcome
-// means for the client, the budgets and the target is decided by those who read it.
+// of logs, metrics and messages between nodes, and keep their spelling. The package also
+// decides what a target's answer is worth, what an end means for the choice of targets, and
+// how a request ends that nobody answered. Whether it is sent again is for package resend,
+// what it takes of the budgets for repeats for package repeats. It keeps no state.
 package outcome
 
-import "github.com/landingmast/landingmast/internal/core/slots"
-
 // Outcome is how the sending of a request ended, as far as it can be proved.
 type Outcome string
 
@@ -52,12 +52,3 @@
 	ReasonQuota        Reason = "over_quota"          // the tenant's limit over all nodes is reached
 	ReasonNoAllowance  Reason = "no_allowance"        // nobody could be asked for a part of the limit
 )
-
-// Full reports that the gate beside the target had no room in time.
-func (r Reason) Full() bool {
-	switch r {
-	case ReasonSuspectWaits, Reason(slots.ReasonTooLong), Reason(slots.ReasonFull), Reason(slots.ReasonExpired):
-		return true
-	}
-	return false
-}
--- /dev/null
+++ b/internal/core/outcome/outcome_test.go
@@ -0,0 +1,95 @@
+package outcome
+
+import (
+	"testing"
+
+	"github.com/landingmast/landingmast/internal/core/slots"
+	. "github.com/onsi/gomega"
+)
+
+func TestWhatATargetsAnswerIsWorth(t *testing.T) {
+	for _, tc := range []struct {
+		name    string
+		answer  TargetAnswer
+		outcome Outcome
+		reason  Reason
+	}{
+		{"marked success", TargetAnswer{Status: 200, Signed: true}, Answered, ReasonNone},
+		{"marked error", TargetAnswer{Status: 500, Signed: true}, Answered, ReasonNone},
+		{"error without a mark", TargetAnswer{Status: 503}, Answered, ReasonNone},
+		{"success without a mark", TargetAnswer{Status: 200}, Unknown, ReasonSpoiled},
+		{"redirect without a mark", TargetAnswer{Status: 302}, Unknown, ReasonSpoiled},
+		{"encoded body", TargetAnswer{Status: 200, Signed: true, Encoded: true}, Unknown, ReasonSpoiled},
+		{"encoded body of an error", TargetAnswer{Status: 500, Encoded: true}, Unknown, ReasonSpoiled},
+		{"declined", TargetAnswer{Status: 503, NotRun: true}, NotRun, ReasonTargetShed},
+		{"declined with a mark", TargetAnswer{Status: 200, NotRun: true, Signed: true}, NotRun, ReasonTargetShed},
+		{"another target's", TargetAnswer{Status: 421}, NotRun, ReasonMisdirected},
+		{"another target's, declined", TargetAnswer{Status: 421, NotRun: true}, NotRun, ReasonMisdirected},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			g := NewWithT(t)
+			outcome, reason := tc.answer.Judge()
+			g.Expect(outcome).To(Equal(tc.outcome))
+			g.Expect(reason).To(Equal(tc.reason))
+		})
+	}
+}
+
+func TestHowARequestEndsThatNoTargetAnswered(t *testing.T) {
+	for _, tc := range []struct {
+		name               string
+		mayHaveRun, timeUp bool
+		status             int
+		reason             Reason
+	}{
+		{"not run", false, false, 503, ReasonLost},
+		{"not run, its time is up", false, true, 503, ReasonLost},
+		{"may have run, its time is up", true, true, 504, ReasonTimeout},
+		{"may have run", true, false, 502, ReasonLost},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			g := NewWithT(t)
+			status, reason := Final(tc.mayHaveRun, tc.timeUp, ReasonLost)
+			g.Expect(status).To(Equal(tc.status))
+			g.Expect(reason).To(Equal(tc.reason))
+		})
+	}
+}
+
+func TestWhatAnEndMeansForTheTarget(t *testing.T) {
+	draining := Reason(slots.ReasonDraining)
+	for _, tc := range []struct {
+		outcome                           Outcome
+		reason                            Reason
+		wasted, silent, takesNoWork, full bool
+	}{
+		{outcome: Answered, reason: ReasonNone},
+		{outcome: Unknown, reason: ReasonLost, wasted: true},
+		{outcome: Unknown, reason: ReasonTargetEnded, wasted: true},
+		{outcome: Unknown, reason: ReasonSpoiled, wasted: true},
+		{outcome: NotRun, reason: ReasonLost},
+		{outcome: Unknown, reason: ReasonTimeout},
+		{outcome: Unknown, reason: ReasonCancelled},
+		{outcome: NotRun, reason: ReasonUnreachable, silent: true},
+		{outcome: Unknown, reason: ReasonSilent, silent: true},
+		{outcome: NotRun, reason: draining, takesNoWork: true},
+		{outcome: NotRun, reason: ReasonNoTarget, takesNoWork: true},
+		{outcome: NotRun, reason: ReasonWrongService, takesNoWork: true},
+		{outcome: NotRun, reason: ReasonStopping, takesNoWork: true},
+		{outcome: NotRun, reason: ReasonIncarnation, takesNoWork: true},
+		{outcome: NotRun, reason: ReasonMisdirected, takesNoWork: true},
+		{outcome: NotRun, reason: ReasonTargetShed},
+		{outcome: NotRun, reason: Reason(slots.ReasonFull), full: true},
+		{outcome: NotRun, reason: Reason(slots.ReasonTooLong), full: true},
+		{outcome: NotRun, reason: Reason(slots.ReasonExpired), full: true},
+		{outcome: NotRun, reason: ReasonSuspectWaits, full: true},
+	} {
+		t.Run(string(tc.outcome)+" "+string(tc.reason), func(t *testing.T) {
+			g := NewWithT(t)
+			g.Expect(Wasted(tc.outcome, tc.reason)).To(Equal(tc.wasted))
+			g.Expect(tc.reason.Silent()).To(Equal(tc.silent))
+			g.Expect(tc.reason.TakesNoWork()).To(Equal(tc.takesNoWork))
+			g.Expect(tc.reason.Full()).To(Equal(tc.full))
+		})
+	}
+}
--- a/internal/sidecar/answer.go
+++ b/internal/sidecar/answer.go
@@ -51,15 +51,13 @@
 		x.ended(0, outcome.ReasonCancelled, 0)
 		panic(http.ErrAbortHandler)
 	}
-	switch {
-	case !x.mayRun:
-		x.node.quotas.GiveBack(x.holder)
-		x.refuse(http.StatusServiceUnavailable, last.Reason, retryafter.NotRun(last.Reason))
-	case ctx.Err() != nil || x.left(ctx) <= 0:
-		x.refuse(http.StatusGatewayTimeout, outcome.ReasonTimeout, notInvited)
-	default:
-		x.refuse(http.StatusBadGateway, last.Reason, notInvited)
+	status, reason := outcome.Final(x.mayRun, ctx.Err() != nil || x.left(ctx) <= 0, last.Reason)
+	if x.mayRun {
+		x.refuse(status, reason, notInvited)
+		return
 	}
+	x.node.quotas.GiveBack(x.holder)
+	x.refuse(status, reason, retryafter.NotRun(reason))
 }
 
 // notInvited is for senders whose request, sent again as it is, would be refused again or
--- a/internal/sidecar/judge.go
+++ b/internal/sidecar/judge.go
@@ -52,25 +52,19 @@
 	}
 }
 
-// judge tells what the target's answer is worth.
+// judge reads the target's answer as far as it is worth it.
 func (i *ingress) judge(ctx context.Context, gate *gate, one *arrival, answer *targetlink.Answer) *reply.Reply {
 	names := i.node.options.Headers
-	if answer.Status == http.StatusMisdirectedRequest || answer.Header.Get(names.NotRun) != "" {
-		_, _ = io.Copy(io.Discard, io.LimitReader(answer.Body, reply.KeepBytes))
+	end, reason := outcome.TargetAnswer{
+		Status: answer.Status, NotRun: answer.Header.Get(names.NotRun) != "", Signed: answer.Header.Get(names.Signature) != "",
+		Encoded: answer.Header.Get("Content-Encoding") != "",
+	}.Judge()
+	switch end {
+	case outcome.NotRun:
+		return i.declined(gate, answer, reason)
+	case outcome.Unknown:
 		_ = answer.Body.Close()
-		declined := reply.NotRun(outcome.ReasonTargetShed)
-		declined.Arrived = true
-		if answer.Status == http.StatusMisdirectedRequest {
-			declined.Reason = outcome.ReasonMisdirected
-			if other := answer.Header.Get(names.Instance); other != "" && other != gate.instance {
-				i.node.target.Replaced(gate.instance)
-			}
-		}
-		return declined
-	}
-	if answer.Header.Get(names.Signature) == "" && answer.Status < http.StatusBadRequest || answer.Header.Get("Content-Encoding") != "" {
-		_ = answer.Body.Close()
-		return reply.Unknown(outcome.ReasonSpoiled)
+		return reply.Unknown(reason)
 	}
 	data, rest, err := reply.ReadWhole(answer.Body, answer.Length)
 	if err != nil {
@@ -92,3 +86,19 @@
 	}{rest, answer.Body}
 	return given
 }
+
+// declined is the reply to a request that the target did not run. Its body is read, so that
+// the connection can be used again. An answer of another instance at the target's address
+// means that the one before is gone.
+func (i *ingress) declined(gate *gate, answer *targetlink.Answer, reason outcome.Reason) *reply.Reply {
+	_, _ = io.Copy(io.Discard, io.LimitReader(answer.Body, reply.KeepBytes))
+	_ = answer.Body.Close()
+	if reason == outcome.ReasonMisdirected {
+		if other := answer.Header.Get(i.node.options.Headers.Instance); other != "" && other != gate.instance {
+			i.node.target.Replaced(gate.instance)
+		}
+	}
+	declined := reply.NotRun(reason)
+	declined.Arrived = true
+	return declined
+}
--- a/internal/sidecar/reply/reply.go
+++ b/internal/sidecar/reply/reply.go
@@ -66,17 +66,6 @@
 // leastUnwaited is the part of a sending's time that is never taken for waiting.
 const leastUnwaited = 4
 
-// Wasted tells that the target took the request and its answer was lost or spoiled.
-// Requests that ran out of time do not count: in a shortage they do so everywhere
-// (tried and given up, docs/incidents/inc-d364.md).
-func (r *Reply) Wasted() bool {
-	switch r.Reason {
-	case outcome.ReasonLost, outcome.ReasonTargetEnded, outcome.ReasonSpoiled:
-		return r.Outcome == outcome.Unknown
-	}
-	return false
-}
-
 // End is what the decision on another sending needs of the reply.
 func (r *Reply) End() resend.End {
 	return resend.End{Outcome: r.Outcome, Reason: r.Reason, Arrived: r.Arrived}
--- a/internal/sidecar/routes.go
+++ b/internal/sidecar/routes.go
@@ -127,15 +127,15 @@
 		s.balancer.Report(now, c.endpoint, answer.Load)
 	}
 	switch {
-	case answer.Wasted():
+	case outcome.Wasted(answer.Outcome, answer.Reason):
 		s.balancer.Lost(now, c.endpoint)
 	case answer.Outcome == outcome.Answered:
 		s.balancer.Answered(now, c.endpoint, c.class, answer.Bytes(), answer.Unwaited(now-c.sent))
 	}
-	switch answer.Reason {
-	case outcome.ReasonUnreachable, outcome.ReasonSilent:
+	switch {
+	case answer.Reason.Silent():
 		s.balancer.Suspect(now, c.endpoint)
-	case outcome.Reason(slots.ReasonDraining), outcome.ReasonNoTarget, outcome.ReasonWrongService, outcome.ReasonStopping, outcome.ReasonIncarnation, outcome.ReasonMisdirected:
+	case answer.Reason.TakesNoWork():
 		s.balancer.Refused(now, c.endpoint)
 	}
 }
