--- a/internal/sidecar/egress.go
+++ b/internal/sidecar/egress.go
@@ -7,13 +7,10 @@
 	"strings"
 	"time"
 
-	"github.com/juju/errors"
 	"github.com/landingmast/landingmast/internal/core/importance"
 	"github.com/landingmast/landingmast/internal/core/intent"
 	"github.com/landingmast/landingmast/internal/core/outcome"
-	"github.com/landingmast/landingmast/internal/core/retryafter"
 	"github.com/landingmast/landingmast/internal/sidecar/eventlog"
-	"github.com/landingmast/landingmast/internal/sidecar/headers"
 	"github.com/landingmast/landingmast/internal/sidecar/reply"
 	"github.com/landingmast/landingmast/internal/sidecar/settings"
 	"github.com/landingmast/landingmast/internal/wire"
@@ -43,12 +40,15 @@
 	header     http.Header
 	body       *reply.Payload
 	started    time.Duration
-	needs      []wire.Need // what the last sending needed
-	lacked     bool        // there was no room for it in time
-	status     int         // that the sender got; 0: none
-	arrivals   int         // sendings that reached a target
-	mayRun     bool        // one of them may have run
-	trial      bool        // targets ended with its content; only this one is sent now
+	needs      []wire.Need     // what the last sending needed
+	lacked     bool            // there was no room for it in time
+	status     int             // that the sender got; 0: none
+	closing    bool            // the node stops and takes no new requests
+	ctx        context.Context // ends with the request's time, its sender's interest or its parent
+	cleanups   []func()        // run at the end of the request, the last first
+	arrivals   int             // sendings that reached a target
+	mayRun     bool            // one of them may have run
+	trial      bool            // targets ended with its content; only this one is sent now
 
 	// What the log tells of the request.
 	hold  time.Duration
@@ -62,51 +62,25 @@
 	bodyGrace       = 50 * time.Millisecond
 )
 
-// ServeHTTP takes a request.
+// ServeHTTP takes a request: it goes through the steps of the entry in their order, and is
+// sent unless one of them refuses it.
 func (e *egress) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	end, refused := e.node.begin(w, e.node.planned.stopping.Load(), &e.node.planned.closing)
+	end, closing := e.node.begin(w, e.node.planned.stopping.Load(), &e.node.planned.closing)
 	defer end()
-	names := e.node.options.Headers
-	isCall := e.node.ingress.runs(r.Header.Get(names.RequestID))
+	id := r.Header.Get(e.node.options.Headers.RequestID)
+	isCall := e.node.ingress.runs(id)
 	if !isCall {
 		e.node.clients.Add(1)
 		defer e.node.clients.Add(-1)
 	}
-	x := &exchange{node: e.node, writer: w, request: r, id: r.Header.Get(names.RequestID), started: e.node.now()}
-	// Freshness is looked at before the configuration is taken: one that comes in between
-	// is newer than what was confirmed, the other way round it might be older.
-	x.fresh = e.node.freshness.Holds()
-	x.intent = e.node.configuration.Load()
-	switch {
-	case refused && !isCall:
-		x.refuse(http.StatusServiceUnavailable, outcome.ReasonStopping, retryafter.Unready())
-		return
-	case x.intent == nil:
-		x.refuse(http.StatusServiceUnavailable, outcome.ReasonNoIntent, retryafter.Unready())
-		return
-	case x.id == "":
-		x.refuse(http.StatusBadRequest, outcome.ReasonBadMessage, notInvited)
-		return
-	}
-	x.route = x.intent.Match(r.Host, pathOf(r))
-	if x.route == nil {
-		x.refuse(http.StatusNotFound, outcome.ReasonNoRoute, notInvited)
-		return
-	}
-	x.hold = x.holdTime()
-	x.findParent()
-	if !x.identify() {
-		return
-	}
-	if status, reason := refusedBySize(r, x.intent.Limits); status != 0 {
-		w.Header().Set("Connection", "close")
-		x.refuse(status, reason, notInvited)
-		return
-	}
-	if most := x.intent.Limits.MaxBodyBytes; r.ContentLength < 0 && most > 0 {
-		r.Body = http.MaxBytesReader(w, r.Body, most)
+	x := &exchange{node: e.node, writer: w, request: r, id: id, started: e.node.now(), closing: closing && !isCall}
+	defer x.finish()
+	for _, step := range entrySteps {
+		if !step(x) {
+			return
+		}
 	}
-	x.serve()
+	x.send(x.ctx)
 }
 
 // uriOf gives path and query as they were sent.
@@ -141,56 +115,6 @@
 	return hold
 }
 
-func (x *exchange) serve() {
-	hold := x.hold
-	ctx, cancel := context.WithTimeout(x.request.Context(), hold)
-	defer cancel()
-	if x.parent != nil {
-		stop := context.AfterFunc(x.parent.ctx, cancel)
-		defer stop()
-	}
-	if x.request.ContentLength != 0 {
-		_ = http.NewResponseController(x.writer).SetReadDeadline(time.Now().Add(hold + bodyGrace))
-	}
-	body, err := receive(x.request)
-	var tooLarge *http.MaxBytesError
-	switch {
-	case errors.As(err, &tooLarge):
-		x.refuse(http.StatusRequestEntityTooLarge, outcome.ReasonBodyTooLarge, notInvited)
-		return
-	case err != nil:
-		x.refuse(http.StatusRequestTimeout, outcome.ReasonCancelled, notInvited)
-		return
-	}
-	x.body = body
-	x.header = headers.EndToEnd(x.request.Header)
-	if len(x.intent.Tenants) > 0 {
-		x.node.options.Headers.HideIdentity(x.header)
-	}
-	verdict := x.heldBack()
-	if verdict.refused {
-		x.refuse(http.StatusServiceUnavailable, outcome.ReasonEndsTargets, notInvited)
-		return
-	}
-	if x.trial = verdict.trial != nil; x.trial {
-		defer verdict.trial()
-	}
-	if !x.withinQuota(ctx) {
-		return
-	}
-	x.service = x.node.splitter.choose(x.route)
-	x.granted = x.node.countRequest(x.route, x.service, x.grantedAbove())
-	if !x.admitted() {
-		x.node.quotas.GiveBack(x.holder)
-		x.refuse(http.StatusServiceUnavailable, outcome.ReasonSheds, retryafter.Shed(x.clientTime()))
-		return
-	}
-	if x.parent == nil {
-		defer x.release()
-	}
-	x.send(ctx)
-}
-
 // heldBack decides on a request that targets ended with. The answer to one that none is to
 // get says that it has not run, and not when to come back.
 func (x *exchange) heldBack() verdict {
@@ -207,18 +131,6 @@
 	return x.parent.granted
 }
 
-// admitted decides whether a client's request is let in. Calls of requests that
-// are running always are: work has gone into them.
-func (x *exchange) admitted() bool {
-	if x.parent != nil {
-		x.door.share = 1
-		return true
-	}
-	var admitted bool
-	admitted, x.door = x.node.overload.Admit(x.route)
-	return admitted
-}
-
 // release tells how a client's request ended that was let in. One whose time ran out has
 // not told what it waited for: there was no room for it in time, whatever was short.
 func (x *exchange) release() {
--- a/internal/sidecar/quotas.go
+++ b/internal/sidecar/quotas.go
@@ -106,12 +106,12 @@
 }
 
 // withinQuota lets the request in, or refuses it.
-func (x *exchange) withinQuota(ctx context.Context) bool {
+func (x *exchange) withinQuota() bool {
 	if x.holder == nil || !x.holder.Limited() {
 		return true
 	}
 	q := x.node.quotas
-	if q.Admit(ctx, x.holder, x.tokenWait()) {
+	if q.Admit(x.ctx, x.holder, x.tokenWait()) {
 		return true
 	}
 	spent, comeBack := q.Refusal(x.holder, retryafter.QuotaMost(x.clientTime()))
--- /dev/null
+++ b/internal/sidecar/steps.go
@@ -0,0 +1,174 @@
+package sidecar
+
+import (
+	"context"
+	"net/http"
+	"time"
+
+	"github.com/juju/errors"
+	"github.com/landingmast/landingmast/internal/core/outcome"
+	"github.com/landingmast/landingmast/internal/core/retryafter"
+	"github.com/landingmast/landingmast/internal/sidecar/headers"
+)
+
+// entrySteps are what a request goes through between its listener and its first sending, in
+// this order. A step either lets the request go on or refuses it, and then writes the answer
+// itself. What is cheap and needs no body comes first; what takes something (a token of the
+// quota, a place in the window) comes last, so that nothing is taken for a request that
+// another step would refuse.
+//
+//	step         refuses                                      with
+//	isReady      while the node stops or knows no routes      503 stopping, no_configuration
+//	hasID        a request without an id                      400 bad_message
+//	hasRoute     what no route matches                        404 no_route
+//	identify     a key that nobody holds or that cannot be    401 unknown_key, 503
+//	             believed, a call whose parent is gone        stale_configuration, parent_gone
+//	hasSize      heads and bodies over the operators' limits  413 body_too_large, 431 head_too_large
+//	hasBody      bodies that do not come in time              408 cancelled, 413 body_too_large
+//	isHarmless   what several targets ended with              503 ends_targets
+//	withinQuota  what is beyond its tenant's limit            429 over_quota, 503 no_allowance
+//	isAdmitted   a share of fresh requests under overload     503 overload
+var entrySteps = [...]func(x *exchange) bool{
+	(*exchange).isReady,
+	(*exchange).hasID,
+	(*exchange).hasRoute,
+	(*exchange).identify,
+	(*exchange).hasSize,
+	(*exchange).hasBody,
+	(*exchange).isHarmless,
+	(*exchange).withinQuota,
+	(*exchange).isAdmitted,
+}
+
+// atEnd has f called when the request has ended.
+func (x *exchange) atEnd(f func()) { x.cleanups = append(x.cleanups, f) }
+
+// finish calls what the steps have left for the end of the request, the last first.
+func (x *exchange) finish() {
+	for index := len(x.cleanups) - 1; index >= 0; index-- {
+		x.cleanups[index]()
+	}
+}
+
+// isReady takes the configuration that decides on the request. Freshness is looked at before:
+// a configuration that comes in between is newer than what was confirmed; the other way round
+// it might be older.
+func (x *exchange) isReady() bool {
+	x.fresh = x.node.freshness.Holds()
+	x.intent = x.node.configuration.Load()
+	switch {
+	case x.closing:
+		x.refuse(http.StatusServiceUnavailable, outcome.ReasonStopping, retryafter.Unready())
+		return false
+	case x.intent == nil:
+		x.refuse(http.StatusServiceUnavailable, outcome.ReasonNoIntent, retryafter.Unready())
+		return false
+	}
+	return true
+}
+
+// hasID refuses a request without an id: its answer could not be told from another's.
+func (x *exchange) hasID() bool {
+	if x.id == "" {
+		x.refuse(http.StatusBadRequest, outcome.ReasonBadMessage, notInvited)
+		return false
+	}
+	return true
+}
+
+// hasRoute finds the route, how long the request may be held, and its importance.
+func (x *exchange) hasRoute() bool {
+	x.route = x.intent.Match(x.request.Host, pathOf(x.request))
+	if x.route == nil {
+		x.refuse(http.StatusNotFound, outcome.ReasonNoRoute, notInvited)
+		return false
+	}
+	x.hold = x.holdTime()
+	x.findParent()
+	return true
+}
+
+// hasSize refuses a request that is larger than the operators allow. The body of one that
+// does not say its length is bounded while it is read.
+func (x *exchange) hasSize() bool {
+	if status, reason := refusedBySize(x.request, x.intent.Limits); status != 0 {
+		x.writer.Header().Set("Connection", "close")
+		x.refuse(status, reason, notInvited)
+		return false
+	}
+	if most := x.intent.Limits.MaxBodyBytes; x.request.ContentLength < 0 && most > 0 {
+		x.request.Body = http.MaxBytesReader(x.writer, x.request.Body, most)
+	}
+	return true
+}
+
+// hasBody starts the request's time and reads its body, whole unless it is long.
+func (x *exchange) hasBody() bool {
+	x.startTime()
+	if x.request.ContentLength != 0 {
+		_ = http.NewResponseController(x.writer).SetReadDeadline(time.Now().Add(x.hold + bodyGrace))
+	}
+	body, err := receive(x.request)
+	var tooLarge *http.MaxBytesError
+	switch {
+	case errors.As(err, &tooLarge):
+		x.refuse(http.StatusRequestEntityTooLarge, outcome.ReasonBodyTooLarge, notInvited)
+		return false
+	case err != nil:
+		x.refuse(http.StatusRequestTimeout, outcome.ReasonCancelled, notInvited)
+		return false
+	}
+	x.body = body
+	x.header = headers.EndToEnd(x.request.Header)
+	if len(x.intent.Tenants) > 0 {
+		x.node.options.Headers.HideIdentity(x.header)
+	}
+	return true
+}
+
+// startTime starts the time for which the request may be held. A call ends with the request
+// that made it.
+func (x *exchange) startTime() {
+	ctx, cancel := context.WithTimeout(x.request.Context(), x.hold)
+	x.ctx = ctx
+	x.atEnd(cancel)
+	if x.parent != nil {
+		stop := context.AfterFunc(x.parent.ctx, cancel)
+		x.atEnd(func() { stop() })
+	}
+}
+
+// isHarmless refuses a request that several targets ended with. Its sender is not invited to
+// come back: it would be refused again.
+func (x *exchange) isHarmless() bool {
+	verdict := x.heldBack()
+	if verdict.refused {
+		x.refuse(http.StatusServiceUnavailable, outcome.ReasonEndsTargets, notInvited)
+		return false
+	}
+	if x.trial = verdict.trial != nil; x.trial {
+		x.atEnd(verdict.trial)
+	}
+	return true
+}
+
+// isAdmitted chooses the service and lets the request in or, under overload, refuses it where
+// its chain begins. Calls of requests that are running are always let in: work has gone into
+// them.
+func (x *exchange) isAdmitted() bool {
+	x.service = x.node.splitter.choose(x.route)
+	x.granted = x.node.countRequest(x.route, x.service, x.grantedAbove())
+	if x.parent != nil {
+		x.door.share = 1
+		return true
+	}
+	var admitted bool
+	admitted, x.door = x.node.overload.Admit(x.route)
+	if !admitted {
+		x.node.quotas.GiveBack(x.holder)
+		x.refuse(http.StatusServiceUnavailable, outcome.ReasonSheds, retryafter.Shed(x.clientTime()))
+		return false
+	}
+	x.atEnd(x.release)
+	return true
+}
