--- a/internal/core/balancer/balancer.go
+++ b/internal/core/balancer/balancer.go
@@ -43,7 +43,7 @@
 	NoSamples, NoZones, NoLosses bool
 }
 
-// DefaultConfig gives the values that docs/DECISIONS.md was measured with.
+// DefaultConfig gives the values that docs/design/rounds-of-policy.md was measured with.
 func DefaultConfig() Config {
 	return Config{
 		Noise: 0.1, ReportLife: 2 * time.Second, OccupancyLife: 300 * time.Millisecond,
--- a/internal/core/election/election.go
+++ b/internal/core/election/election.go
@@ -23,7 +23,7 @@
 	AwayStep time.Duration
 }
 
-// DefaultConfig gives the values that docs/PLATFORM.md was measured with.
+// DefaultConfig gives the values that docs/design/sidecar.md was measured with.
 func DefaultConfig() Config {
 	return Config{Silence: 700 * time.Millisecond, Step: 100 * time.Millisecond, AwayStep: 700 * time.Millisecond}
 }
--- a/internal/core/overload/overload.go
+++ b/internal/core/overload/overload.go
@@ -6,7 +6,7 @@
 // randomness of its own.
 //
 // Refusing at the start, not in the middle, and only what needs the scarce service, is
-// what docs/PLATFORM.md measures against queues alone.
+// what docs/design/sidecar.md measures against queues alone.
 package overload
 
 import (
@@ -26,7 +26,7 @@
 	Smoothing time.Duration
 }
 
-// DefaultConfig gives the values that docs/DECISIONS.md was measured with.
+// DefaultConfig gives the values that docs/design/rounds-of-policy.md was measured with.
 func DefaultConfig() Config {
 	return Config{Bearable: 0.3, Step: 0.15, BearableMost: 0.6, Window: DefaultWindow(), Smoothing: 250 * time.Millisecond}
 }
--- a/internal/core/overload/window.go
+++ b/internal/core/overload/window.go
@@ -29,7 +29,7 @@
 	GrowLeast float64
 }
 
-// DefaultWindow gives the values that docs/DECISIONS.md was measured with.
+// DefaultWindow gives the values that docs/design/rounds-of-policy.md was measured with.
 func DefaultWindow() WindowConfig {
 	return WindowConfig{First: 8, Least: 0.3, Room: 2, RoomFactor: 1.5, PeakLife: 5 * time.Second, Pressed: 0.5, PressedFor: 2 * time.Second, Grow: 0.5, Shrink: 0.5, GrowLeast: 0.25}
 }
@@ -37,7 +37,7 @@
 // Window bounds the requests of one route that are in flight from one node while the
 // chain below is short of something. A bound on requests in flight admits as chains end,
 // so that news of a queue may come as late as the chain is long; a share of the requests
-// that follows such news swings between all and nothing (docs/DECISIONS.md, the door).
+// that follows such news swings between all and nothing (docs/design/rounds-of-policy.md, the door).
 // It is not safe for concurrent use.
 type Window struct {
 	config   WindowConfig
--- a/internal/mesh/core/admission/admission.go
+++ b/internal/mesh/core/admission/admission.go
@@ -43,7 +43,7 @@
 	DrainTime time.Duration
 }
 
-// DefaultConfig gives the values that docs/OVERLOAD.md was measured with.
+// DefaultConfig gives the values that docs/mesh/OVERLOAD.md was measured with.
 func DefaultConfig(levels int) Config {
 	return Config{Levels: levels, Window: 100 * time.Millisecond, WaitTarget: 80 * time.Millisecond, DrainTime: 400 * time.Millisecond}
 }
--- a/internal/mesh/core/dissemination/dissemination.go
+++ b/internal/mesh/core/dissemination/dissemination.go
@@ -24,7 +24,7 @@
 	RedrawInterval         time.Duration // one neighbor is drawn anew so often
 }
 
-// DefaultConfig gives the values that docs/CAPACITY.md was measured with.
+// DefaultConfig gives the values that docs/mesh/CAPACITY.md was measured with.
 func DefaultConfig() Config {
 	return Config{
 		PlatformReadsPerSecond: 4, PushFanout: 3, PushRounds: 4, PushInterval: 150 * time.Millisecond,
--- a/internal/mesh/core/gate/gate.go
+++ b/internal/mesh/core/gate/gate.go
@@ -20,7 +20,7 @@
 	Open bool
 }
 
-// DefaultConfig gives the values that docs/OVERLOAD.md was measured with.
+// DefaultConfig gives the values that docs/mesh/OVERLOAD.md was measured with.
 func DefaultConfig(levels int) Config {
 	return Config{Limiter: limiter.DefaultConfig(), Admission: admission.DefaultConfig(levels)}
 }
--- a/internal/mesh/core/limiter/limiter.go
+++ b/internal/mesh/core/limiter/limiter.go
@@ -57,7 +57,7 @@
 	InflationHigh float64       // mean service time over baseline that lowers the limit
 }
 
-// DefaultConfig gives the values that docs/OVERLOAD.md was measured with.
+// DefaultConfig gives the values that docs/mesh/OVERLOAD.md was measured with.
 func DefaultConfig() Config {
 	return Config{
 		InitialLimit: 4, MinLimit: 2, MaxLimit: 100,
--- a/internal/mesh/core/routing/routing.go
+++ b/internal/mesh/core/routing/routing.go
@@ -30,7 +30,7 @@
 	MinSuccessWeight int           // samples before the success share counts
 }
 
-// DefaultConfig gives the values that docs/OVERLOAD.md was measured with.
+// DefaultConfig gives the values that docs/mesh/OVERLOAD.md was measured with.
 func DefaultConfig() Config {
 	return Config{
 		SubsetSize: 16, ZonePenalty: 1.25, EjectAfter: 4, EjectFor: time.Second, EjectMax: 30 * time.Second,
--- a/internal/mesh/lab/faults/faults.go
+++ b/internal/mesh/lab/faults/faults.go
@@ -1,5 +1,5 @@
 // Package faults runs a deployment as real processes under a seeded schedule of
-// faults and checks the promises of docs/GUARANTEES.md over what callers saw and
+// faults and checks the promises of docs/mesh/GUARANTEES.md over what callers saw and
 // what back ends really ran.
 package faults
 
--- a/internal/mesh/wire/call.go
+++ b/internal/mesh/wire/call.go
@@ -1,5 +1,5 @@
 // Package wire holds the messages between nodes of the mesh mode: those that travel
-// with a call and those of control (bundles, claims, machines). docs/PROTOCOL.md
+// with a call and those of control (bundles, claims, machines). docs/mesh/PROTOCOL.md
 // lists them.
 package wire
 
--- a/internal/sidecar/settings/policy.go
+++ b/internal/sidecar/settings/policy.go
@@ -8,7 +8,7 @@
 // Mechanism names a part of how a node decides that can be switched off.
 type Mechanism string
 
-// The mechanisms. docs/DECISIONS.md has what each is worth.
+// The mechanisms. docs/design/rounds-of-policy.md has what each is worth.
 const (
 	// Window bounds the requests of a route in flight where chains start.
 	Window Mechanism = "window"
