--- a/internal/sidecar/egress.go
+++ b/internal/sidecar/egress.go
@@ -169,7 +169,7 @@
 // learn takes in what a sending told of the services down the chain.
 func (x *exchange) learn(answer *reply.Reply) {
 	needs := answer.Needs
-	if pressure, known := x.node.services.Get(x.service).pressure(x.node.now()); known && answer.Load.Slots > 0 {
+	if pressure, known := x.node.services.Get(x.service).Pressure(x.node.now()); known && answer.Load.Slots > 0 {
 		needs = append(needs, wire.Need{Service: x.service, Calls: 1, Occupancy: int(pressure.Occupancy * occupancyScale), Wait: answer.Waited})
 	}
 	x.needs = needs
--- a/internal/sidecar/membership_test.go
+++ b/internal/sidecar/membership_test.go
@@ -12,6 +12,7 @@
 	"github.com/landingmast/landingmast/internal/sidecar/eventlog"
 	"github.com/landingmast/landingmast/internal/sidecar/headers"
 	"github.com/landingmast/landingmast/internal/sidecar/peer"
+	"github.com/landingmast/landingmast/internal/sidecar/services"
 	"github.com/landingmast/landingmast/internal/sidecar/settings"
 	"github.com/landingmast/landingmast/internal/wire"
 	. "github.com/onsi/gomega"
@@ -21,7 +22,7 @@
 func memberNode(name, incarnation string) *Node {
 	n := &Node{configuration: configuration.New(nil, nil), clock: steadyClock{}, incarnation: incarnation, events: eventlog.New(name, io.Discard)}
 	n.checked.Store(&settings.Settings{Node: name, Zone: "a"})
-	n.services = newServices(servicesOptions{Node: name, Zone: "a", Now: n.now, Budget: repeats.Config{Ratio: 0.2, Allowance: 10, Window: 10 * time.Second}, FirstStart: true})
+	n.services = services.New(services.Options{Node: name, Zone: "a", Now: n.now, Budget: repeats.Config{Ratio: 0.2, Allowance: 10, Window: 10 * time.Second}, FirstStart: true})
 	n.target = &localTarget{now: n.now, roster: roster.New()}
 	n.peers = peer.NewClient((&net.Dialer{}).DialContext, headers.Names{})
 	n.liveness = peer.NewLiveness(n.now, n.peers.PingPeer, peer.Events{Lost: n.services.Suspect, Still: n.services.Suspect, Back: n.services.Trust})
--- a/internal/sidecar/node.go
+++ b/internal/sidecar/node.go
@@ -25,6 +25,7 @@
 	"github.com/landingmast/landingmast/internal/sidecar/headers"
 	"github.com/landingmast/landingmast/internal/sidecar/metrics"
 	"github.com/landingmast/landingmast/internal/sidecar/peer"
+	"github.com/landingmast/landingmast/internal/sidecar/services"
 	"github.com/landingmast/landingmast/internal/sidecar/settings"
 	"github.com/landingmast/landingmast/internal/sidecar/storehealth"
 	"github.com/landingmast/landingmast/internal/sidecar/targetlink"
@@ -64,7 +65,7 @@
 	metrics       *metrics.Metrics
 	store         store.Store
 	configuration *configuration.InForce
-	services      *services
+	services      *services.Services
 	splitter      *splitter
 	overload      *overloadControl
 	target        *localTarget
@@ -109,7 +110,7 @@
 	n.metrics = metrics.New(n.gauges())
 	n.storeHealth = storehealth.New(n.events, n.metrics.StoreCalls)
 	n.overload = newOverloadControl(n)
-	n.services = newServices(servicesOptions{
+	n.services = services.New(services.Options{
 		Node: settings.Node, Zone: settings.Zone, Now: n.now, Budget: budget(settings), FirstStart: settings.FirstStart, Policy: settings.Policy,
 	})
 	n.ingress = newIngress(n)
--- a/internal/sidecar/send.go
+++ b/internal/sidecar/send.go
@@ -17,6 +17,7 @@
 	"github.com/landingmast/landingmast/internal/sidecar/eventlog"
 	"github.com/landingmast/landingmast/internal/sidecar/peer"
 	"github.com/landingmast/landingmast/internal/sidecar/reply"
+	"github.com/landingmast/landingmast/internal/sidecar/services"
 	"github.com/landingmast/landingmast/internal/sidecar/settings"
 	"github.com/landingmast/landingmast/internal/wire"
 )
@@ -27,7 +28,7 @@
 	tried := resend.New(!x.node.policyOn(settings.Declined))
 	last := reply.NotRun(outcome.ReasonNoTarget)
 	for ctx.Err() == nil && x.left(ctx) > 0 && tried.MayGoOn() {
-		choice := target.pick(x.node.now(), x.wish(ctx, tried), tried.Excluded())
+		choice := target.Pick(x.node.now(), x.wish(ctx, tried), tried.Excluded())
 		if choice == nil {
 			break
 		}
@@ -35,13 +36,13 @@
 		began := x.node.now()
 		last = x.attempt(ctx, choice, tried.Ended())
 		x.noteSend(choice, last, x.node.now()-began)
-		choice.done(x.node.now(), last)
-		if last.Reason == outcome.ReasonUnreachable && last.Incarnation == "" && choice.node != x.node.settings().Node {
-			x.node.liveness.Revive(choice.node, choice.address)
+		choice.Done(x.node.now(), last)
+		if last.Reason == outcome.ReasonUnreachable && last.Incarnation == "" && choice.Node != x.node.settings().Node {
+			x.node.liveness.Revive(choice.Node, choice.Address)
 		}
 		x.tellIfLost(choice, last)
 		x.learn(last)
-		tried.Add(choice.node, last.End())
+		tried.Add(choice.Node, last.End())
 		if last.Arrived {
 			x.arrivals++
 		}
@@ -115,7 +116,7 @@
 }
 
 // attempt sends the request to one target.
-func (x *exchange) attempt(ctx context.Context, choice *choice, suspect bool) *reply.Reply {
+func (x *exchange) attempt(ctx context.Context, choice *services.Choice, suspect bool) *reply.Reply {
 	repeatable := x.route.Kind.Repeatable()
 	call := &wire.SidecarCall{
 		RequestID: x.id, Method: x.request.Method, URI: uriOf(x.request), Host: x.request.Host, Service: x.service, Route: x.route.Name,
@@ -123,7 +124,7 @@
 		Repeat: x.repeat || x.arrivals > 0, Attempt: x.arrivals, Remaining: x.left(ctx).Microseconds(),
 		Version: int64(x.intent.Version), Granted: x.granted, Tenant: x.tenant, Suspect: suspect, Trial: x.trial,
 	}
-	if choice.node == x.node.settings().Node {
+	if choice.Node == x.node.settings().Node {
 		return x.node.ingress.serve(ctx, call, x.header.Clone(), x.body)
 	}
 	if repeatable {
@@ -133,27 +134,27 @@
 }
 
 // noteSend keeps a sending for the log and counts it.
-func (x *exchange) noteSend(choice *choice, answer *reply.Reply, took time.Duration) {
+func (x *exchange) noteSend(choice *services.Choice, answer *reply.Reply, took time.Duration) {
 	x.node.metrics.Sends.WithLabelValues(x.service, string(answer.Outcome), string(answer.Reason)).Inc()
 	x.sends = append(x.sends, eventlog.Send{
-		Node: choice.node, Outcome: string(answer.Outcome), Reason: string(answer.Reason), Arrived: answer.Arrived, Status: answer.Status,
+		Node: choice.Node, Outcome: string(answer.Outcome), Reason: string(answer.Reason), Arrived: answer.Arrived, Status: answer.Status,
 		TookMS: eventlog.Milliseconds(took), Occupancy: answer.Load.Occupancy(),
 	})
 }
 
 // tellIfLost helps a node that replied without knowing any configuration.
-func (x *exchange) tellIfLost(choice *choice, answer *reply.Reply) {
-	if answer.Incarnation != "" && answer.Version == 0 && choice.node != x.node.settings().Node {
-		x.node.exchanger.Tell(choice.address)
+func (x *exchange) tellIfLost(choice *services.Choice, answer *reply.Reply) {
+	if answer.Incarnation != "" && answer.Version == 0 && choice.Node != x.node.settings().Node {
+		x.node.exchanger.Tell(choice.Address)
 	}
 }
 
 // sendRepeatable sends to another node, and gives up when that node shows no
 // sign of life.
-func (x *exchange) sendRepeatable(ctx context.Context, choice *choice, call *wire.SidecarCall) *reply.Reply {
+func (x *exchange) sendRepeatable(ctx context.Context, choice *services.Choice, call *wire.SidecarCall) *reply.Reply {
 	ctx, abandon := context.WithCancelCause(ctx)
-	watched := x.node.liveness.Begin(choice.node, choice.address, abandon)
-	answer := x.node.peers.Call(ctx, choice.address, call, x.header, x.body)
+	watched := x.node.liveness.Begin(choice.Node, choice.Address, abandon)
+	answer := x.node.peers.Call(ctx, choice.Address, call, x.header, x.body)
 	watched.End(answer.Incarnation != "")
 	if answer.Outcome == outcome.Unknown && errors.Is(context.Cause(ctx), peer.ErrSilent) {
 		answer.Reason = outcome.ReasonSilent
@@ -166,21 +167,21 @@
 
 // sendOnce sends a request that may run at most once. When the connection to the
 // node breaks, the node is asked what became of the request.
-func (x *exchange) sendOnce(ctx context.Context, choice *choice, call *wire.SidecarCall) *reply.Reply {
+func (x *exchange) sendOnce(ctx context.Context, choice *services.Choice, call *wire.SidecarCall) *reply.Reply {
 	call.Key = strconv.FormatUint(rand.Uint64(), 36)
-	call.Incarnation = x.node.membership.Incarnation(choice.node)
-	watched := x.node.liveness.Begin(choice.node, choice.address, nil)
+	call.Incarnation = x.node.membership.Incarnation(choice.Node)
+	watched := x.node.liveness.Begin(choice.Node, choice.Address, nil)
 	defer func() { watched.End(false) }()
-	answer := x.node.peers.Call(ctx, choice.address, call, x.header, x.body)
+	answer := x.node.peers.Call(ctx, choice.Address, call, x.header, x.body)
 	for range settleTries {
 		if answer.Outcome != outcome.Unknown || answer.Reason != outcome.ReasonLost || call.Incarnation == "" || ctx.Err() != nil {
 			break
 		}
 		call.Remaining = x.left(ctx).Microseconds()
-		answer = x.node.peers.Settle(ctx, choice.address, call)
+		answer = x.node.peers.Settle(ctx, choice.Address, call)
 	}
 	if answer.Reason == outcome.ReasonIncarnation {
-		x.node.membership.Restarted(choice.node, answer.Incarnation)
+		x.node.membership.Restarted(choice.Node, answer.Incarnation)
 	}
 	return answer
 }
--- a/internal/sidecar/budgets.go
+++ b/internal/sidecar/services/budgets.go
@@ -1,4 +1,4 @@
-package sidecar
+package services
 
 import (
 	"time"
@@ -13,7 +13,7 @@
 // of calls there. granted is the part of the request's budgets that the nodes above leave to
 // this one; the result is the part that this one leaves to those below. What is kept here
 // pays for repeats of the request with all its calls; the sum over all nodes is one request.
-func (s *services) CountRequest(service string, granted float64, needs func(f func(name string, calls float64))) float64 {
+func (s *Services) CountRequest(service string, granted float64, needs func(f func(name string, calls float64))) float64 {
 	now := s.now()
 	kept := s.kept(now)
 	s.Get(service).count(now, granted)
@@ -26,7 +26,7 @@
 }
 
 // kept gives the part of the budgets down the chain that stays at this node.
-func (s *services) kept(now time.Duration) float64 {
+func (s *Services) kept(now time.Duration) float64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if !s.policy.On(settings.Grants) {
@@ -41,7 +41,7 @@
 // them has none left, or when repeats are short and go to chains of a lower rank. declined
 // means that the target declined the sending before: it took no work, so that the repeat is
 // only paced.
-func (s *services) Repeat(service string, needs map[string]float64, rank float64, declined bool) bool {
+func (s *Services) Repeat(service string, needs map[string]float64, rank float64, declined bool) bool {
 	needs[service] = max(needs[service], 1)
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -68,7 +68,7 @@
 
 // allows tells whether so many repeats fit into the ratio and the node's part of
 // the allowance; paced, whether they fit into what may go now.
-func (s *service) allows(now time.Duration, calls, ratio, part float64, paced bool) bool {
+func (s *Service) allows(now time.Duration, calls, ratio, part float64, paced bool) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.budget.SetBounds(ratio, part)
@@ -78,14 +78,14 @@
 	return s.budget.Allows(now, calls)
 }
 
-func (s *service) spend(now time.Duration, calls float64) {
+func (s *Service) spend(now time.Duration, calls float64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.budget.Spend(now, calls)
 }
 
 // SetBudget changes the bounds of repeats.
-func (s *services) SetBudget(config repeats.Config) {
+func (s *Services) SetBudget(config repeats.Config) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.config = config
--- a/internal/sidecar/liveness_test.go
+++ b/internal/sidecar/services/liveness_test.go
@@ -1,4 +1,4 @@
-package sidecar
+package services
 
 import (
 	"context"
@@ -32,7 +32,7 @@
 				g := NewWithT(t)
 				started := time.Now()
 				now := func() time.Duration { return time.Since(started) }
-				s := newServices(servicesOptions{Node: "me", Zone: "a", Now: now, Budget: repeats.Config{Window: 10 * time.Second}, FirstStart: true})
+				s := New(Options{Node: "me", Zone: "a", Now: now, Budget: repeats.Config{Window: 10 * time.Second}, FirstStart: true})
 				s.Update(map[string][]balancer.Target{"s": {
 					{Node: "well", Address: "well:1", Zone: "b", Instance: "i-1", Slots: 10}, {Node: "silent", Address: "silent:1", Zone: "a", Instance: "i-2", Slots: 10},
 				}})
@@ -52,12 +52,12 @@
 				for now() < tc.away {
 					time.Sleep(50 * time.Millisecond)
 					if now() < tc.away {
-						g.Expect(s.Get("s").pick(now(), balancer.Wish{}, nil).node).To(Equal("well"), "at %s", now())
+						g.Expect(s.Get("s").Pick(now(), balancer.Wish{}, nil).Node).To(Equal("well"), "at %s", now())
 					}
 				}
 				time.Sleep(peer.PingTimeout + peer.ReviveEvery + time.Millisecond)
-				picked := s.Get("s").pick(now(), balancer.Wish{}, nil)
-				g.Expect(picked.node).To(Equal("silent"), "it is near and well again")
+				picked := s.Get("s").Pick(now(), balancer.Wish{}, nil)
+				g.Expect(picked.Node).To(Equal("silent"), "it is near and well again")
 				g.Expect(pings.Load()).To(BeNumerically("<=", tc.away/peer.ReviveEvery+1))
 			})
 		})
--- a/internal/sidecar/services.go
+++ b/internal/sidecar/services/services.go
@@ -1,4 +1,13 @@
-package sidecar
+// Package services holds what a node knows of each service: the targets that its requests may
+// go to, and the budgets for repeats.
+//
+// It owns a balancer and a budget for each service, the node's part of the allowance for
+// repeats, and what the node keeps of the budgets of the requests that begin at it. The rules
+// are those of packages core/balancer and core/repeats; what a sending's end means is decided
+// by core/outcome. It relies on its callers for the records of targets (Update), for the
+// number of nodes (Count) and for what a route's requests need of other services. All of it
+// is safe for concurrent use.
+package services
 
 import (
 	"math/rand/v2"
@@ -12,35 +21,36 @@
 	"github.com/landingmast/landingmast/internal/sidecar/settings"
 )
 
-// services holds what the node knows of each service: its targets and the budget
+// Services holds what the node knows of each service: its targets and the budget
 // for repeats. It is safe for concurrent use.
-type services struct {
+type Services struct {
 	node   string
 	zone   string
 	now    func() time.Duration
 	config repeats.Config
 
 	mutex  sync.Mutex
-	byName map[string]*service
+	byName map[string]*Service
 	share  *repeats.Share // the node's part of the allowance for repeats
 	keep   repeats.Keep   // what it keeps of the budgets of its requests
 	policy settings.Policy
 }
 
-// service is one service as this node sees it.
-type service struct {
+// Service is one service as this node sees it.
+type Service struct {
 	mutex    sync.Mutex
 	balancer *balancer.Balancer
 	budget   *repeats.Budget
-	ration   repeats.Ration // which chains may repeat; guarded by the mutex of services
+	ration   repeats.Ration // which chains may repeat; guarded by the mutex of Services
 }
 
+// globalRandom implements balancer.Random.
 type globalRandom struct{}
 
 func (globalRandom) Float64() float64 { return rand.Float64() }
 
-// servicesOptions are what services are made of.
-type servicesOptions struct {
+// Options are what services are made of.
+type Options struct {
 	Node, Zone string
 	Now        func() time.Duration
 	Budget     repeats.Config
@@ -48,25 +58,25 @@
 	Policy     settings.Policy
 }
 
-// newServices makes the services of a process that starts now.
-func newServices(o servicesOptions) *services {
-	return &services{
+// New makes the services of a process that starts now.
+func New(o Options) *Services {
+	return &Services{
 		node: o.Node, zone: o.Zone, now: o.Now, config: o.Budget, policy: o.Policy,
-		byName: map[string]*service{}, share: repeats.NewShare(o.Budget.Window, o.FirstStart),
+		byName: map[string]*Service{}, share: repeats.NewShare(o.Budget.Window, o.FirstStart),
 	}
 }
 
-// Get gives a service, also one without targets.
-func (s *services) Get(name string) *service {
+// Get returns a service, also one without targets.
+func (s *Services) Get(name string) *Service {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.getLocked(name)
 }
 
-func (s *services) getLocked(name string) *service {
+func (s *Services) getLocked(name string) *Service {
 	known := s.byName[name]
 	if known == nil {
-		known = &service{
+		known = &Service{
 			balancer: balancer.New(s.balancing(), s.node, s.zone, globalRandom{}),
 			budget:   repeats.New(s.config),
 		}
@@ -76,7 +86,7 @@
 }
 
 // balancing sets the balancers as the policy says.
-func (s *services) balancing() balancer.Config {
+func (s *Services) balancing() balancer.Config {
 	config := balancer.DefaultConfig()
 	config.NoSamples = !s.policy.On(settings.Samples)
 	config.NoZones = !s.policy.On(settings.Zones)
@@ -85,7 +95,7 @@
 }
 
 // Update sets the targets of every service.
-func (s *services) Update(targets map[string][]balancer.Target) {
+func (s *Services) Update(targets map[string][]balancer.Target) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for name := range targets {
@@ -98,25 +108,25 @@
 	}
 }
 
-// Count takes in how many nodes there are, this one among them.
-func (s *services) Count(members int) {
+// Count sets the number of nodes, this one among them.
+func (s *Services) Count(members int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.share.Count(s.now(), members)
 }
 
-// choice is the target that a sending goes to.
-type choice struct {
-	service  *service
+// Choice is the target that a sending goes to.
+type Choice struct {
+	Service  *Service
 	class    string
 	sent     time.Duration
 	endpoint *balancer.Endpoint
-	node     string
-	address  string
+	Node     string
+	Address  string
 }
 
-// pick chooses a target; nil when there is none.
-func (s *service) pick(now time.Duration, wish balancer.Wish, excluded map[string]bool) *choice {
+// Pick chooses a target; nil when there is none.
+func (s *Service) Pick(now time.Duration, wish balancer.Wish, excluded map[string]bool) *Choice {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	endpoint := s.balancer.Pick(now, wish, excluded, true)
@@ -124,12 +134,12 @@
 		return nil
 	}
 	s.balancer.Sent(endpoint)
-	return &choice{service: s, class: wish.Class, sent: now, endpoint: endpoint, node: endpoint.Node, address: endpoint.Address}
+	return &Choice{Service: s, class: wish.Class, sent: now, endpoint: endpoint, Node: endpoint.Node, Address: endpoint.Address}
 }
 
-// done takes in what became of a sending.
-func (c *choice) done(now time.Duration, answer *reply.Reply) {
-	s := c.service
+// Done notes what the sending came to.
+func (c *Choice) Done(now time.Duration, answer *reply.Reply) {
+	s := c.Service
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.balancer.Done(c.endpoint)
@@ -150,21 +160,21 @@
 	}
 }
 
-// Suspect leaves the target beside a node alone that gives no sign of life.
-func (s *services) Suspect(node string) {
+// Suspect leaves the target beside a node alone: the node gives no sign of life.
+func (s *Services) Suspect(node string) {
 	if !s.policy.On(settings.Suspicion) {
 		return
 	}
 	s.each(node, func(b *balancer.Balancer, e *balancer.Endpoint) { b.Suspect(s.now(), e) })
 }
 
-// Trust has the target beside a node chosen again.
-func (s *services) Trust(node string) {
+// Trust ends the suspicion of the target beside a node.
+func (s *Services) Trust(node string) {
 	s.each(node, func(b *balancer.Balancer, e *balancer.Endpoint) { b.Trust(e) })
 }
 
 // each calls f for the target beside a node in every service that has it.
-func (s *services) each(node string, f func(b *balancer.Balancer, e *balancer.Endpoint)) {
+func (s *Services) each(node string, f func(b *balancer.Balancer, e *balancer.Endpoint)) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for _, known := range s.byName {
@@ -176,14 +186,14 @@
 	}
 }
 
-// pressure tells how full the service is; false when it is not known.
-func (s *service) pressure(now time.Duration) (balancer.Pressure, bool) {
+// Pressure returns how full the service is; false when it is not known.
+func (s *Service) Pressure(now time.Duration) (balancer.Pressure, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.balancer.Pressure(now)
 }
 
-func (s *service) count(now time.Duration, requests float64) {
+func (s *Service) count(now time.Duration, requests float64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.budget.Request(now, requests)
--- a/internal/sidecar/services_test.go
+++ b/internal/sidecar/services/services_test.go
@@ -1,4 +1,4 @@
-package sidecar
+package services
 
 import (
 	"testing"
@@ -15,14 +15,14 @@
 
 // chain is what a node knows of a route whose requests reach services further down.
 type chain struct {
-	*services
+	*Services
 	needs *overload.Controller
 }
 
 func newChain(allowance float64, first bool, members int) chain {
 	c := chain{needs: overload.New(overload.DefaultConfig())}
 	now := func() time.Duration { return 0 }
-	c.services = newServices(servicesOptions{
+	c.Services = New(Options{
 		Node: "me", Zone: "a", Now: now, Budget: repeats.Config{Ratio: 0.2, Allowance: allowance, Window: 10 * time.Second}, FirstStart: first,
 	})
 	if members > 0 {
@@ -110,21 +110,21 @@
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
 			now := time.Duration(0)
-			s := newServices(servicesOptions{Node: "me", Zone: "a", Now: func() time.Duration { return now }, Budget: repeats.Config{Window: 10 * time.Second}, FirstStart: true})
+			s := New(Options{Node: "me", Zone: "a", Now: func() time.Duration { return now }, Budget: repeats.Config{Window: 10 * time.Second}, FirstStart: true})
 			s.Update(map[string][]balancer.Target{"s": {
 				{Node: "bad", Address: "bad:1", Zone: "a", Instance: "i-1", Slots: 40}, {Node: "other", Address: "other:1", Zone: "a", Instance: "i-2", Slots: 40},
 			}})
 			toBad := 0
 			for range 400 {
 				now += 20 * time.Millisecond
-				picked := s.Get("s").pick(now, balancer.Wish{}, nil)
-				if picked.node == "bad" {
+				picked := s.Get("s").Pick(now, balancer.Wish{}, nil)
+				if picked.Node == "bad" {
 					toBad++
-					picked.done(now+load.Hold, tc.ends)
+					picked.Done(now+load.Hold, tc.ends)
 					continue
 				}
 				const hold = 800 * time.Millisecond
-				picked.done(now+hold, &reply.Reply{Outcome: outcome.Answered, Reason: outcome.ReasonNone, Arrived: true, Status: 200, Load: slots.Load{Slots: 40, Running: 20, Hold: hold}})
+				picked.Done(now+hold, &reply.Reply{Outcome: outcome.Answered, Reason: outcome.ReasonNone, Arrived: true, Status: 200, Load: slots.Load{Slots: 40, Running: 20, Hold: hold}})
 			}
 			if tc.left {
 				g.Expect(toBad).To(BeNumerically("<", 40))
