--- a/internal/sidecar/addresses.go
+++ b/internal/sidecar/addresses.go
@@ -1,6 +1,9 @@
 package sidecar
 
-import "math/rand/v2"
+import (
+	"math/rand/v2"
+	"slices"
+)
 
 // ZoneMembers gives the other nodes of the zone.
 func (m *membership) ZoneMembers() []string {
@@ -27,6 +30,22 @@
 	return len(found)
 }
 
+// ZoneNames gives the zones that have a node, the own one among them, in order.
+func (m *membership) ZoneNames() []string {
+	found := map[string]bool{m.node.settings().Zone: true}
+	m.mutex.Lock()
+	for _, record := range m.records {
+		found[record.Zone] = true
+	}
+	m.mutex.Unlock()
+	names := make([]string, 0, len(found))
+	for name := range found {
+		names = append(names, name)
+	}
+	slices.Sort(names)
+	return names
+}
+
 // Addresses gives those of the other nodes by zone, in a random order. Nodes that
 // are taken for dead are left out.
 func (m *membership) Addresses() map[string][]string {
--- a/internal/sidecar/quotas.go
+++ b/internal/sidecar/quotas.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"net/http"
 	"slices"
 	"strings"
 	"sync"
@@ -10,9 +9,7 @@
 	"time"
 
 	"github.com/landingmast/landingmast/internal/core/intent"
-	"github.com/landingmast/landingmast/internal/core/outcome"
 	"github.com/landingmast/landingmast/internal/core/quota"
-	"github.com/landingmast/landingmast/internal/core/retryafter"
 	"github.com/landingmast/landingmast/internal/sidecar/wait"
 	"github.com/landingmast/landingmast/internal/store"
 	"github.com/landingmast/landingmast/internal/wire"
@@ -27,11 +24,6 @@
 	quotaTimeout  = 150 * time.Millisecond // of one question; below quota.Travel
 	quotaRest     = 20 * time.Millisecond  // after one that failed
 	quotaFailed   = 100 * time.Millisecond // after more than one
-	// tokenWait is how long a request waits for a token at most: as long as one question.
-	tokenWait = 150 * time.Millisecond
-	// tokenWaitShare is the part of the time inside which its answer is wanted that a
-	// request waits at most: a refusal after an eighth still leaves time to come back.
-	tokenWaitShare = 8
 	// gatherEach is the time, for each node, in which requests without a token are asked for
 	// together, within gatherLeast and gatherMost: the questions to a keeper then do not
 	// grow with the fleet. In a profile of 32 nodes with 40 tenants at their limits and
@@ -105,27 +97,6 @@
 	return one
 }
 
-// withinQuota lets the request in, or refuses it.
-func (x *exchange) withinQuota(ctx context.Context) bool {
-	if x.holder == nil || !x.holder.Limited() {
-		return true
-	}
-	q := x.node.quotas
-	if q.Admit(ctx, x.holder, x.tokenWait()) {
-		return true
-	}
-	spent, comeBack := q.Refusal(x.holder, retryafter.QuotaMost(x.clientTime()))
-	if spent {
-		x.refuse(http.StatusTooManyRequests, outcome.ReasonQuota, retryafter.Span{Least: comeBack})
-		return false
-	}
-	x.refuse(http.StatusServiceUnavailable, outcome.ReasonNoAllowance, retryafter.NoAllowance())
-	return false
-}
-
-// tokenWait is how long the request may wait for a token.
-func (x *exchange) tokenWait() time.Duration { return min(tokenWait, x.limit()/tokenWaitShare) }
-
 // Admit takes a token for a request of the tenant; where there is none it waits for one.
 func (q *quotas) Admit(ctx context.Context, tenant *intent.Tenant, wait time.Duration) bool {
 	q.mutex.Lock()
