--- a/internal/sidecar/follow.go
+++ b/internal/sidecar/follow.go
@@ -28,9 +28,9 @@
 	prefix := f.node.options.NodePrefix
 	m := f.node.membership
 	f.follow(ctx, f.node.options.RecordPrefix, restOfRecords, func(items []store.Item, whole bool, at int64) {
-		f.node.takeKeepers(items)
+		f.node.keepers.TakeStored(items)
 		if whole {
-			f.node.noteAbsentKeepers(items, at)
+			f.node.keepers.NoteAbsent(items, at)
 		}
 		seen := map[string]bool{}
 		for _, item := range items {
--- a/internal/sidecar/keepers.go
+++ b/internal/sidecar/keepers.go
@@ -1,9 +1,13 @@
 package sidecar
 
 import (
+	"slices"
+	"strconv"
+	"strings"
 	"sync"
 
 	"github.com/cespare/xxhash/v2"
+	"github.com/landingmast/landingmast/internal/store"
 	"github.com/landingmast/landingmast/internal/wire"
 )
 
@@ -18,11 +22,56 @@
 // directory holds which node keeps the quotas of each group, as the store or other nodes
 // told it. What is old here only costs a question: a node that keeps them no longer says so.
 type directory struct {
+	prefix string // of the keepers' keys in the store
+
 	mutex   sync.Mutex
 	keepers [quotaShards]*wire.Keeper
 	absent  [quotaShards]bool // the store has no keeper of the group
 }
 
+func newDirectory(prefix string) *directory { return &directory{prefix: prefix} }
+
+// Key gives the key in the store that names the keeper of a group.
+func (d *directory) Key(shard int) string { return d.prefix + strconv.Itoa(shard) }
+
+// TakeStored learns the keepers that the store has.
+func (d *directory) TakeStored(items []store.Item) {
+	for index := range items {
+		item := &items[index]
+		name, below := strings.CutPrefix(item.Key, d.prefix)
+		shard, is := shardOfKey(name)
+		if !below || !is {
+			continue
+		}
+		if item.Gone {
+			d.Lapsed(shard, item.Revision)
+			continue
+		}
+		if record, err := wire.KeeperRecordCodec.Decode(item.Value); err == nil {
+			d.Learn(&wire.Keeper{Shard: shard, Node: record.Node, Address: record.Address, Incarnation: record.Incarnation, Revision: item.Revision})
+		}
+	}
+}
+
+// NoteAbsent notes the groups that the store has no keeper of; items are all that it has at
+// a revision.
+func (d *directory) NoteAbsent(items []store.Item, at int64) {
+	for shard := range quotaShards {
+		key := d.Key(shard)
+		if !slices.ContainsFunc(items, func(item store.Item) bool { return item.Key == key }) {
+			d.Lapsed(shard, at+1)
+		}
+	}
+}
+
+// shardOfKey reads the last part of a keeper's key.
+func shardOfKey(text string) (int, bool) {
+	if len(text) != 1 || text[0] < '0' || text[0] >= '0'+quotaShards {
+		return 0, false
+	}
+	return int(text[0] - '0'), true
+}
+
 // Learn takes in who keeps a group; false when it is not news.
 func (d *directory) Learn(one *wire.Keeper) bool {
 	if one.Shard < 0 || one.Shard >= quotaShards {
--- a/internal/sidecar/node.go
+++ b/internal/sidecar/node.go
@@ -77,7 +77,7 @@
 	exchanger     *exchanger
 	news          *spreader
 	freshness     *prover
-	keepers       directory
+	keepers       *directory
 	quotaServer   *quotaServer
 	quotas        *quotas
 	heldBack      *heldBack
@@ -120,6 +120,7 @@
 	n.exchanger = &exchanger{node: n}
 	n.news = &spreader{node: n}
 	n.freshness = newProver(n)
+	n.keepers = newDirectory(options.QuotaPrefix)
 	n.quotaServer = newQuotaServer(n)
 	n.quotas = newQuotas(n)
 	n.heldBack = newHeldBack(n)
--- a/internal/sidecar/quotaask.go
+++ b/internal/sidecar/quotaask.go
@@ -191,6 +191,6 @@
 	items, _, err := q.node.store.List(call, q.node.options.QuotaPrefix)
 	q.node.storeHealth.Note("read", err)
 	if err == nil {
-		q.node.takeKeepers(items)
+		q.node.keepers.TakeStored(items)
 	}
 }
--- a/internal/sidecar/quotas.go
+++ b/internal/sidecar/quotas.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"slices"
-	"strings"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -11,8 +10,6 @@
 	"github.com/landingmast/landingmast/internal/core/intent"
 	"github.com/landingmast/landingmast/internal/core/quota"
 	"github.com/landingmast/landingmast/internal/sidecar/wait"
-	"github.com/landingmast/landingmast/internal/store"
-	"github.com/landingmast/landingmast/internal/wire"
 )
 
 // Times of the questions for parts of limits.
@@ -162,41 +159,3 @@
 func (q *quotas) kick(shard int) {
 	wait.Signal(q.kicks[shard])
 }
-
-// takeKeepers learns the keepers that the store has.
-func (n *Node) takeKeepers(items []store.Item) {
-	for index := range items {
-		item := &items[index]
-		name, below := strings.CutPrefix(item.Key, n.options.QuotaPrefix)
-		shard, is := shardOfKey(name)
-		if !below || !is {
-			continue
-		}
-		if item.Gone {
-			n.keepers.Lapsed(shard, item.Revision)
-			continue
-		}
-		if record, err := wire.KeeperRecordCodec.Decode(item.Value); err == nil {
-			n.keepers.Learn(&wire.Keeper{Shard: shard, Node: record.Node, Address: record.Address, Incarnation: record.Incarnation, Revision: item.Revision})
-		}
-	}
-}
-
-// noteAbsentKeepers notes the groups that the store has no keeper of; items are all that it
-// has at a revision.
-func (n *Node) noteAbsentKeepers(items []store.Item, at int64) {
-	for shard := range quotaShards {
-		key := n.quotaServer.Key(shard)
-		if !slices.ContainsFunc(items, func(item store.Item) bool { return item.Key == key }) {
-			n.keepers.Lapsed(shard, at+1)
-		}
-	}
-}
-
-// shardOfKey reads the last part of a keeper's key.
-func shardOfKey(text string) (int, bool) {
-	if len(text) != 1 || text[0] < '0' || text[0] >= '0'+quotaShards {
-		return 0, false
-	}
-	return int(text[0] - '0'), true
-}
--- a/internal/sidecar/quotatakeover.go
+++ b/internal/sidecar/quotatakeover.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"slices"
-	"strconv"
 	"strings"
 	"sync"
 	"syscall"
@@ -211,7 +210,7 @@
 func (s *quotaServer) read(ctx context.Context, shard int) (*store.Item, *wire.KeeperRecord, error) {
 	call, cancel := context.WithTimeout(ctx, keeperCall)
 	defer cancel()
-	item, _, err := s.node.store.Get(call, s.Key(shard))
+	item, _, err := s.node.store.Get(call, s.node.keepers.Key(shard))
 	s.node.storeHealth.Note("read", err)
 	if err != nil || item == nil {
 		return nil, nil, err
@@ -244,10 +243,6 @@
 	return s.lease, nil
 }
 
-func (s *quotaServer) Key(shard int) string {
-	return s.node.options.QuotaPrefix + strconv.Itoa(shard)
-}
-
 func (s *quotaServer) record(shard int, revision int64) *wire.Keeper {
 	own := s.node.settings()
 	return &wire.Keeper{Shard: shard, Node: own.Node, Address: own.Listen.Inbound, Incarnation: s.node.incarnation, Revision: revision}
@@ -264,7 +259,7 @@
 	}
 	call, cancel := context.WithTimeout(ctx, keeperCall)
 	defer cancel()
-	written, err := s.node.store.Put(call, store.Write{Key: s.Key(shard), Value: value, Lease: lease, IfRevision: &revision})
+	written, err := s.node.store.Put(call, store.Write{Key: s.node.keepers.Key(shard), Value: value, Lease: lease, IfRevision: &revision})
 	s.node.storeHealth.Note("keeper", err)
 	return written, err
 }
