--- a/internal/sidecar/keepers_test.go
+++ b/internal/sidecar/keepers_test.go
@@ -3,7 +3,6 @@
 import (
 	"testing"
 
-	"github.com/landingmast/landingmast/internal/sidecar/configuration"
 	"github.com/landingmast/landingmast/internal/sidecar/settings"
 	"github.com/landingmast/landingmast/internal/wire"
 	. "github.com/onsi/gomega"
@@ -63,9 +62,8 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
-			node := &Node{configuration: configuration.New(nil, nil), incarnation: "own"}
-			node.checked.Store(&settings.Settings{Node: tc.self})
-			g.Expect(newQuotaServer(node).mayFollow(gone, tc.record)).To(Equal(tc.want))
+			own := func() *settings.Settings { return &settings.Settings{Node: tc.self} }
+			g.Expect(newQuotaServer(quotaOptions{Settings: own, Incarnation: "own"}, nil).mayFollow(gone, tc.record)).To(Equal(tc.want))
 		})
 	}
 }
--- a/internal/sidecar/node.go
+++ b/internal/sidecar/node.go
@@ -121,8 +121,8 @@
 	n.news = &spreader{node: n}
 	n.freshness = newProver(n)
 	n.keepers = newDirectory(options.QuotaPrefix)
-	n.quotaServer = newQuotaServer(n)
-	n.quotas = newQuotas(n)
+	n.quotaServer = newQuotaServer(n.quotaOptions(), n.keepers)
+	n.quotas = newQuotas(n.quotaOptions(), n.keepers, n.quotaServer)
 	n.heldBack = newHeldBack(n)
 	n.liveness = peer.NewLiveness(n.now, n.peers.PingPeer, peer.Events{Lost: n.silent, Still: n.services.Suspect, Back: n.heardAgain})
 	n.target = &localTarget{now: n.now, roster: roster.New(), changed: n.targetChanged, link: n.newLink, identify: n.identify, followed: n.ingress.instanceReplaced, beginAll: !n.policyOn(inTime)}
@@ -139,6 +139,15 @@
 	})
 }
 
+func (n *Node) quotaOptions() quotaOptions {
+	return quotaOptions{
+		Settings: n.settings, Incarnation: n.incarnation, Now: n.now, Configuration: n.configuration, Events: n.events,
+		Store: n.store, StoreHealth: n.storeHealth, Peers: n.peers, Membership: n.membership, Follower: n.follower,
+		AskPeer:  func(ctx context.Context, address string) { n.freshness.Ask(ctx, address) },
+		Stopping: n.planned.stopping.Load,
+	}
+}
+
 // settings gives the settings in force.
 func (n *Node) settings() *settings.Settings { return n.checked.Load() }
 
--- a/internal/sidecar/quotaask.go
+++ b/internal/sidecar/quotaask.go
@@ -18,7 +18,7 @@
 func (q *quotas) Run(ctx context.Context, shard int) {
 	failed := 0
 	for ctx.Err() == nil {
-		if q.Wanted() {
+		if q.options.limited() {
 			if q.ask(ctx, shard) {
 				failed = 0
 			} else {
@@ -48,7 +48,7 @@
 
 // gather is the time in which requests of a group are gathered for one question.
 func (q *quotas) gather(shard int) time.Duration {
-	span := min(max(time.Duration(q.node.membership.Others())*gatherEach, gatherLeast), gatherMost)
+	span := min(max(time.Duration(q.options.Membership.Others())*gatherEach, gatherLeast), gatherMost)
 	if q.short[shard].Load() {
 		span = min(gatherShort*span, gatherMost)
 	}
@@ -57,11 +57,11 @@
 
 // ask asks the keeper of a group for parts of the limits of its tenants.
 func (q *quotas) ask(ctx context.Context, shard int) bool {
-	keeper := q.node.keepers.Of(shard)
+	keeper := q.keepers.Of(shard)
 	if keeper == nil {
 		return false
 	}
-	asked := q.node.now()
+	asked := q.options.Now()
 	message := q.question(shard)
 	if message == nil {
 		return true
@@ -70,7 +70,7 @@
 	defer cancel()
 	answer, err := q.send(call, keeper.Address, message)
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		q.node.quotaServer.Replace(ctx, keeper)
+		q.server.Replace(ctx, keeper)
 	}
 	if err != nil || !answer.Keeps || !answer.Listed {
 		return false
@@ -80,10 +80,10 @@
 }
 
 func (q *quotas) send(ctx context.Context, address string, message *wire.QuotaAsk) (*wire.QuotaAnswer, error) {
-	if address == q.node.settings().Listen.Inbound {
-		return q.node.quotaServer.Answer(message), nil
+	if address == q.options.Settings().Listen.Inbound {
+		return q.server.Answer(message), nil
 	}
-	return peer.Ask(ctx, q.node.peers, address, quotaPath, wire.QuotaAskCodec, message, wire.QuotaAnswerCodec)
+	return peer.Ask(ctx, q.options.Peers, address, quotaPath, wire.QuotaAskCodec, message, wire.QuotaAnswerCodec)
 }
 
 // question tells what the node needs of the tenants of a group, now and then with all that
@@ -91,12 +91,12 @@
 func (q *quotas) question(shard int) *wire.QuotaAsk {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	now := q.node.now()
+	now := q.options.Now()
 	message := &wire.QuotaAsk{
-		Holder: holderName(q.node.settings().Node, q.node.settings().Listen.Inbound), Incarnation: q.node.incarnation, Shard: shard, Reports: []wire.QuotaReport{},
+		Holder: holderName(q.options.Settings().Node, q.options.Settings().Listen.Inbound), Incarnation: q.options.Incarnation, Shard: shard, Reports: []wire.QuotaReport{},
 		Complete: q.told[shard].at == 0 || now-q.told[shard].at >= completeEvery,
 	}
-	current := q.node.configuration.Load()
+	current := q.options.Configuration.Load()
 	for name, one := range q.stocks {
 		if shardOf(name) != shard {
 			continue
@@ -122,7 +122,7 @@
 func (q *quotas) take(asked time.Duration, message *wire.QuotaAsk, answer *wire.QuotaAnswer) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	now := q.node.now()
+	now := q.options.Now()
 	if told := &q.told[message.Shard]; message.Complete {
 		told.at, told.epoch = asked, answer.Epoch
 	} else if told.epoch != answer.Epoch {
@@ -160,24 +160,24 @@
 // find looks for the keeper of a group: at the zone's follower, in the store where nobody
 // knows of any.
 func (q *quotas) find(ctx context.Context, shard int) {
-	address := q.node.follower.Address()
+	address := q.options.Follower.Address()
 	if address == "" {
-		address = q.node.membership.AddressElsewhere()
+		address = q.options.Membership.AddressElsewhere()
 	}
-	q.node.freshness.Ask(ctx, address)
-	if q.node.keepers.Of(shard) == nil {
+	q.options.AskPeer(ctx, address)
+	if q.keepers.Of(shard) == nil {
 		q.look(ctx)
 	}
-	q.node.quotaServer.Resume(ctx)
+	q.server.Resume(ctx)
 }
 
 // look reads the keepers in the store, not too often.
 func (q *quotas) look(ctx context.Context) {
-	if q.node.store == nil {
+	if q.options.Store == nil {
 		return
 	}
 	q.mutex.Lock()
-	now := q.node.now()
+	now := q.options.Now()
 	due := q.looked == 0 || now-q.looked >= lookEvery
 	if due {
 		q.looked = now
@@ -188,9 +188,9 @@
 	}
 	call, cancel := context.WithTimeout(ctx, keeperCall)
 	defer cancel()
-	items, _, err := q.node.store.List(call, q.node.options.QuotaPrefix)
-	q.node.storeHealth.Note("read", err)
+	items, _, err := q.options.Store.List(call, q.keepers.prefix)
+	q.options.StoreHealth.Note("read", err)
 	if err == nil {
-		q.node.keepers.TakeStored(items)
+		q.keepers.TakeStored(items)
 	}
 }
--- a/internal/sidecar/quotas.go
+++ b/internal/sidecar/quotas.go
@@ -38,8 +38,10 @@
 // nodes. A request is let in for a token of the node's stock; where there is none it waits
 // for the answer of the tenant's keeper.
 type quotas struct {
-	node  *Node
-	kicks [quotaShards]chan struct{}
+	options quotaOptions
+	keepers *directory
+	server  *quotaServer
+	kicks   [quotaShards]chan struct{}
 	// lost tells that the keeper of a group gives no answers: nobody waits for it.
 	lost [quotaShards]atomic.Bool
 	// short tells that the last answer of the keeper had too few tokens.
@@ -63,31 +65,19 @@
 	waiters []chan bool // each is told once whether it may go on
 }
 
-func newQuotas(node *Node) *quotas {
-	q := &quotas{node: node, stocks: map[string]*stock{}}
+func newQuotas(options quotaOptions, keepers *directory, server *quotaServer) *quotas {
+	q := &quotas{options: options, keepers: keepers, server: server, stocks: map[string]*stock{}}
 	for shard := range q.kicks {
 		q.kicks[shard] = make(chan struct{}, 1)
 	}
 	return q
 }
 
-// Config gives the users' bound.
-func (q *quotas) Config() quota.Config {
-	bounds := q.node.settings().Quotas
-	return quota.Config{Window: time.Duration(bounds.Window), Overshoot: bounds.Overshoot, Slack: bounds.Slack}
-}
-
-// Wanted tells whether some tenant has a limit.
-func (q *quotas) Wanted() bool {
-	current := q.node.configuration.Load()
-	return current != nil && current.Limited()
-}
-
 func (q *quotas) stockLocked(now time.Duration, tenant *intent.Tenant) *stock {
 	limit := quota.Limit{Rate: tenant.Rate, Burst: tenant.Burst}
 	one := q.stocks[tenant.Name]
 	if one == nil {
-		one = &stock{holder: quota.NewHolder(q.Config(), limit, now)}
+		one = &stock{holder: quota.NewHolder(q.options.bound(), limit, now)}
 		q.stocks[tenant.Name] = one
 	}
 	one.holder.SetLimit(now, limit)
@@ -97,7 +87,7 @@
 // Admit takes a token for a request of the tenant; where there is none it waits for one.
 func (q *quotas) Admit(ctx context.Context, tenant *intent.Tenant, wait time.Duration) bool {
 	q.mutex.Lock()
-	now := q.node.now()
+	now := q.options.Now()
 	one := q.stockLocked(now, tenant)
 	if one.holder.Arrive(now) {
 		q.mutex.Unlock()
@@ -139,7 +129,7 @@
 func (q *quotas) Refusal(tenant *intent.Tenant, most time.Duration) (spent bool, comeBack time.Duration) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	now := q.node.now()
+	now := q.options.Now()
 	one := q.stockLocked(now, tenant)
 	return one.holder.Spent(), one.holder.ComeBack(now, most)
 }
@@ -151,7 +141,7 @@
 	}
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	now := q.node.now()
+	now := q.options.Now()
 	q.stockLocked(now, tenant).holder.GiveBack(now)
 }
 
--- a/internal/sidecar/quotaserver.go
+++ b/internal/sidecar/quotaserver.go
@@ -45,7 +45,8 @@
 // key in the store with a lease, so that there is one keeper at most; beside it stand the
 // names of the nodes that may hold parts, for the one that takes over.
 type quotaServer struct {
-	node *Node
+	options quotaOptions
+	keepers *directory
 
 	overtake chan struct{} // one group is taken over at a time: all share a lease
 
@@ -68,8 +69,8 @@
 	writing  bool
 }
 
-func newQuotaServer(node *Node) *quotaServer {
-	return &quotaServer{node: node, overtake: make(chan struct{}, 1), held: map[int]*quotaGroup{}, absence: map[int]time.Duration{}, taking: map[int]bool{}}
+func newQuotaServer(options quotaOptions, keepers *directory) *quotaServer {
+	return &quotaServer{options: options, keepers: keepers, overtake: make(chan struct{}, 1), held: map[int]*quotaGroup{}, absence: map[int]time.Duration{}, taking: map[int]bool{}}
 }
 
 // Run renews the right until ctx ends.
@@ -93,7 +94,7 @@
 	if len(s.held) == 0 {
 		return nil
 	}
-	if ended := s.node.now() >= s.right; ended != s.paused {
+	if ended := s.options.Now() >= s.right; ended != s.paused {
 		s.pauseLocked(ended)
 	}
 	return s.lease
@@ -107,7 +108,7 @@
 		change = "paused"
 	}
 	for shard, one := range s.held {
-		s.node.events.Add(eventlog.Keeper{Shard: shard, Change: change, Epoch: one.epoch}, eventlog.State)
+		s.options.Events.Add(eventlog.Keeper{Shard: shard, Change: change, Epoch: one.epoch}, eventlog.State)
 	}
 }
 
@@ -120,17 +121,17 @@
 
 func (s *quotaServer) dropLocked(why string) {
 	for shard, one := range s.held {
-		s.node.events.Add(eventlog.Keeper{Shard: shard, Change: "ended", Epoch: one.epoch, Error: why}, eventlog.State)
+		s.options.Events.Add(eventlog.Keeper{Shard: shard, Change: "ended", Epoch: one.epoch, Error: why}, eventlog.State)
 	}
 	s.held, s.lease, s.paused = map[int]*quotaGroup{}, nil, false
 }
 
 func (s *quotaServer) renew(ctx context.Context, lease *store.Lease) bool {
-	began := s.node.now()
+	began := s.options.Now()
 	call, cancel := context.WithTimeout(ctx, keeperCall)
 	defer cancel()
-	err := s.node.store.Keep(call, lease.ID)
-	s.node.storeHealth.Note("lease", err)
+	err := s.options.Store.Keep(call, lease.ID)
+	s.options.StoreHealth.Note("lease", err)
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	switch {
@@ -147,7 +148,7 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for shard, one := range s.held {
-		if one.keeper.Prune(s.node.now(), pruneAfter) && !one.writing {
+		if one.keeper.Prune(s.options.Now(), pruneAfter) && !one.writing {
 			one.writing = true
 			go s.writeNames(shard, one)
 		}
@@ -166,10 +167,10 @@
 // Answer gives a process its parts of the limits of a group.
 func (s *quotaServer) Answer(asked *wire.QuotaAsk) *wire.QuotaAnswer {
 	answer := &wire.QuotaAnswer{Allotments: []wire.QuotaAllotment{}}
-	current := s.node.configuration.Load()
+	current := s.options.Configuration.Load()
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	one, now := s.held[asked.Shard], s.node.now()
+	one, now := s.held[asked.Shard], s.options.Now()
 	if one == nil || now >= s.right || current == nil {
 		return answer
 	}
@@ -225,15 +226,15 @@
 	defer s.mutex.Unlock()
 	one.writing = false
 	if err != nil {
-		s.node.events.Add(eventlog.Keeper{Shard: shard, Change: "names not written", Epoch: one.epoch, Error: err.Error()}, eventlog.Failure)
+		s.options.Events.Add(eventlog.Keeper{Shard: shard, Change: "names not written", Epoch: one.epoch, Error: err.Error()}, eventlog.Failure)
 		return // the nodes ask again
 	}
 	one.revision = written
-	one.keeper.List(s.node.now(), added)
+	one.keeper.List(s.options.Now(), added)
 	for _, name := range added {
 		delete(one.joining, name)
 	}
-	s.node.keepers.Learn(s.record(shard, written))
+	s.keepers.Learn(s.record(shard, written))
 }
 
 // lookAgain reads the key after a write without an answer. Names that stand there count as
@@ -244,7 +245,7 @@
 	if err != nil {
 		return 0, err
 	}
-	if record == nil || record.Incarnation != s.node.incarnation {
+	if record == nil || record.Incarnation != s.options.Incarnation {
 		return 0, errors.New("another node keeps the group")
 	}
 	s.mutex.Lock()
--- a/internal/sidecar/quotatakeover.go
+++ b/internal/sidecar/quotatakeover.go
@@ -20,19 +20,19 @@
 // Fill takes over the groups that have no keeper, when it is the turn of the follower of
 // this zone.
 func (s *quotaServer) Fill(ctx context.Context) {
-	if s.node.planned.stopping.Load() || !s.node.quotas.Wanted() {
+	if s.options.Stopping() || !s.options.limited() {
 		return
 	}
-	now := s.node.now()
-	zones := s.node.membership.ZoneNames()
+	now := s.options.Now()
+	zones := s.options.Membership.ZoneNames()
 	without := map[int]bool{}
-	for _, shard := range s.node.keepers.Without() {
+	for _, shard := range s.keepers.Without() {
 		without[shard] = true
 		since, seen := s.absence[shard]
 		if !seen {
 			s.absence[shard], since = now, now
 		}
-		if now-since >= turnStep*time.Duration(turnOf(shard, s.node.settings().Zone, zones)) {
+		if now-since >= turnStep*time.Duration(turnOf(shard, s.options.Settings().Zone, zones)) {
 			s.begin(ctx, shard, nil)
 		}
 	}
@@ -46,9 +46,9 @@
 // Resume takes over again what an earlier process of this node kept, before its lease is
 // over: nobody else can have it until then.
 func (s *quotaServer) Resume(ctx context.Context) {
-	own := s.node.settings()
-	for _, one := range s.node.keepers.All() {
-		if one.Node == own.Node && one.Address == own.Listen.Inbound && one.Incarnation != s.node.incarnation {
+	own := s.options.Settings()
+	for _, one := range s.keepers.All() {
+		if one.Node == own.Node && one.Address == own.Listen.Inbound && one.Incarnation != s.options.Incarnation {
 			s.begin(ctx, one.Shard, &one)
 		}
 	}
@@ -57,12 +57,12 @@
 // Replace takes over a group whose keeper's process is gone: nobody listens at its address
 // any more. What it gave is told by the nodes, and by those of which nobody listens either.
 func (s *quotaServer) Replace(ctx context.Context, gone *wire.Keeper) {
-	if s.node.planned.stopping.Load() || !s.node.follower.Reaches() {
+	if s.options.Stopping() || !s.options.Follower.Reaches() {
 		return
 	}
-	turn := turnOf(gone.Shard, s.node.settings().Zone, s.node.membership.ZoneNames())
+	turn := turnOf(gone.Shard, s.options.Settings().Zone, s.options.Membership.ZoneNames())
 	wait.For(ctx, replaceStep*time.Duration(turn))
-	if known := s.node.keepers.Of(gone.Shard); known != nil && known.Revision == gone.Revision {
+	if known := s.keepers.Of(gone.Shard); known != nil && known.Revision == gone.Revision {
 		s.begin(ctx, gone.Shard, gone)
 	}
 }
@@ -86,13 +86,13 @@
 func (s *quotaServer) settleOne(ctx context.Context, holder string) {
 	call, cancel := context.WithTimeout(ctx, peer.PingTimeout)
 	defer cancel()
-	if err := s.node.peers.PingPeer(call, addressOfHolder(holder)); !errors.Is(err, syscall.ECONNREFUSED) {
+	if err := s.options.Peers.PingPeer(call, addressOfHolder(holder)); !errors.Is(err, syscall.ECONNREFUSED) {
 		return
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for _, one := range s.held {
-		one.keeper.Heard(s.node.now(), holder)
+		one.keeper.Heard(s.options.Now(), holder)
 	}
 }
 
@@ -102,7 +102,7 @@
 	defer s.mutex.Unlock()
 	var found []string
 	for _, one := range s.held {
-		for _, holder := range one.keeper.Awaited(s.node.now()) {
+		for _, holder := range one.keeper.Awaited(s.options.Now()) {
 			if !slices.Contains(found, holder) {
 				found = append(found, holder)
 			}
@@ -131,7 +131,7 @@
 	go func() {
 		err := s.takeOver(ctx, shard, before)
 		if err != nil {
-			s.node.events.Add(eventlog.Keeper{Shard: shard, Change: "not taken over", Error: err.Error()}, eventlog.Failure)
+			s.options.Events.Add(eventlog.Keeper{Shard: shard, Change: "not taken over", Error: err.Error()}, eventlog.Failure)
 		}
 		s.mutex.Lock()
 		defer s.mutex.Unlock()
@@ -152,7 +152,7 @@
 			return nil
 		}
 		// The one before may have given parts that last until its lease would have ended.
-		revision, known = item.Revision, quota.Before{Listed: record.Listed, Part: record.Part, Ends: s.node.now() + keeperLease}
+		revision, known = item.Revision, quota.Before{Listed: record.Listed, Part: record.Part, Ends: s.options.Now() + keeperLease}
 	}
 	lease, err := s.leased(ctx)
 	if err != nil {
@@ -160,7 +160,7 @@
 	}
 	names := known.Listed
 	if before == nil {
-		for _, record := range s.node.membership.All() {
+		for _, record := range s.options.Membership.All() {
 			names = append(names, holderName(record.Node, record.Address))
 		}
 	}
@@ -179,17 +179,17 @@
 	if s.lease != lease {
 		return errors.New("lease ended meanwhile")
 	}
-	now := s.node.now()
-	keeper := quota.NewKeeper(s.node.quotas.Config(), written, now, part, known)
+	now := s.options.Now()
+	keeper := quota.NewKeeper(s.options.bound(), written, now, part, known)
 	if before == nil {
 		keeper.List(now, names)
 	}
 	s.held[shard] = &quotaGroup{keeper: keeper, part: part, epoch: written, revision: written, joining: map[string]bool{}}
-	s.node.keepers.Learn(s.record(shard, written))
+	s.keepers.Learn(s.record(shard, written))
 	if before != nil {
 		go s.settle(ctx)
 	}
-	s.node.events.Add(eventlog.Keeper{Shard: shard, Change: "taken over", Epoch: written, Listed: len(known.Listed)}, eventlog.State)
+	s.options.Events.Add(eventlog.Keeper{Shard: shard, Change: "taken over", Epoch: written, Listed: len(known.Listed)}, eventlog.State)
 	return nil
 }
 
@@ -199,8 +199,8 @@
 	switch {
 	case record == nil || record.Node != gone.Node || record.Address != gone.Address:
 		return false
-	case gone.Node == s.node.settings().Node:
-		return record.Incarnation != s.node.incarnation
+	case gone.Node == s.options.Settings().Node:
+		return record.Incarnation != s.options.Incarnation
 	default:
 		return record.Incarnation == gone.Incarnation
 	}
@@ -210,8 +210,8 @@
 func (s *quotaServer) read(ctx context.Context, shard int) (*store.Item, *wire.KeeperRecord, error) {
 	call, cancel := context.WithTimeout(ctx, keeperCall)
 	defer cancel()
-	item, _, err := s.node.store.Get(call, s.node.keepers.Key(shard))
-	s.node.storeHealth.Note("read", err)
+	item, _, err := s.options.Store.Get(call, s.keepers.Key(shard))
+	s.options.StoreHealth.Note("read", err)
 	if err != nil || item == nil {
 		return nil, nil, err
 	}
@@ -223,16 +223,16 @@
 func (s *quotaServer) leased(ctx context.Context) (*store.Lease, error) {
 	s.inUse()
 	s.mutex.Lock()
-	known, left := s.lease, s.right-s.node.now()
+	known, left := s.lease, s.right-s.options.Now()
 	s.mutex.Unlock()
 	if known != nil && (s.Keeps() || left > keeperLease/2) {
 		return known, nil
 	}
-	began := s.node.now()
+	began := s.options.Now()
 	call, cancel := context.WithTimeout(ctx, keeperCall)
 	defer cancel()
-	lease, err := s.node.store.Grant(call, keeperLease)
-	s.node.storeHealth.Note("lease", err)
+	lease, err := s.options.Store.Grant(call, keeperLease)
+	s.options.StoreHealth.Note("lease", err)
 	if err != nil {
 		return nil, err
 	}
@@ -244,22 +244,22 @@
 }
 
 func (s *quotaServer) record(shard int, revision int64) *wire.Keeper {
-	own := s.node.settings()
-	return &wire.Keeper{Shard: shard, Node: own.Node, Address: own.Listen.Inbound, Incarnation: s.node.incarnation, Revision: revision}
+	own := s.options.Settings()
+	return &wire.Keeper{Shard: shard, Node: own.Node, Address: own.Listen.Inbound, Incarnation: s.options.Incarnation, Revision: revision}
 }
 
 // write writes the key of a group if it still has a revision.
 func (s *quotaServer) write(ctx context.Context, shard int, lease int64, names []string, part float64, revision int64) (int64, error) {
-	own := s.node.settings()
+	own := s.options.Settings()
 	value, err := wire.KeeperRecordCodec.Encode(&wire.KeeperRecord{
-		Node: own.Node, Incarnation: s.node.incarnation, Address: own.Listen.Inbound, Listed: names, Part: part,
+		Node: own.Node, Incarnation: s.options.Incarnation, Address: own.Listen.Inbound, Listed: names, Part: part,
 	})
 	if err != nil {
 		return 0, err
 	}
 	call, cancel := context.WithTimeout(ctx, keeperCall)
 	defer cancel()
-	written, err := s.node.store.Put(call, store.Write{Key: s.node.keepers.Key(shard), Value: value, Lease: lease, IfRevision: &revision})
-	s.node.storeHealth.Note("keeper", err)
+	written, err := s.options.Store.Put(call, store.Write{Key: s.keepers.Key(shard), Value: value, Lease: lease, IfRevision: &revision})
+	s.options.StoreHealth.Note("keeper", err)
 	return written, err
 }
