--- a/internal/sidecar/node.go
+++ b/internal/sidecar/node.go
@@ -25,6 +25,7 @@
 	"github.com/landingmast/landingmast/internal/sidecar/headers"
 	"github.com/landingmast/landingmast/internal/sidecar/metrics"
 	"github.com/landingmast/landingmast/internal/sidecar/peer"
+	"github.com/landingmast/landingmast/internal/sidecar/quotas"
 	"github.com/landingmast/landingmast/internal/sidecar/settings"
 	"github.com/landingmast/landingmast/internal/sidecar/storehealth"
 	"github.com/landingmast/landingmast/internal/sidecar/targetlink"
@@ -77,9 +78,9 @@
 	exchanger     *exchanger
 	news          *spreader
 	freshness     *prover
-	keepers       *directory
-	quotaServer   *quotaServer
-	quotas        *quotas
+	keepers       *quotas.Keepers
+	quotaServer   *quotas.Server
+	quotas        *quotas.Limiter
 	heldBack      *heldBack
 	liveness      *peer.Liveness
 	planned       plannedStop
@@ -120,9 +121,9 @@
 	n.exchanger = &exchanger{node: n}
 	n.news = &spreader{node: n}
 	n.freshness = newProver(n)
-	n.keepers = newDirectory(options.QuotaPrefix)
-	n.quotaServer = newQuotaServer(n.quotaOptions(), n.keepers)
-	n.quotas = newQuotas(n.quotaOptions(), n.keepers, n.quotaServer)
+	n.keepers = quotas.NewKeepers(options.QuotaPrefix)
+	n.quotaServer = quotas.NewServer(n.quotaOptions(), n.keepers)
+	n.quotas = quotas.NewLimiter(n.quotaOptions(), n.keepers, n.quotaServer)
 	n.heldBack = newHeldBack(n)
 	n.liveness = peer.NewLiveness(n.now, n.peers.PingPeer, peer.Events{Lost: n.silent, Still: n.services.Suspect, Back: n.heardAgain})
 	n.target = &localTarget{now: n.now, roster: roster.New(), changed: n.targetChanged, link: n.newLink, identify: n.identify, followed: n.ingress.instanceReplaced, beginAll: !n.policyOn(inTime)}
@@ -139,8 +140,8 @@
 	})
 }
 
-func (n *Node) quotaOptions() quotaOptions {
-	return quotaOptions{
+func (n *Node) quotaOptions() quotas.Options {
+	return quotas.Options{
 		Settings: n.settings, Incarnation: n.incarnation, Now: n.now, Configuration: n.configuration, Events: n.events,
 		Store: n.store, StoreHealth: n.storeHealth, Peers: n.peers, Membership: n.membership, Follower: n.follower,
 		AskPeer:  func(ctx context.Context, address string) { n.freshness.Ask(ctx, address) },
@@ -244,7 +245,7 @@
 	mux.Handle("POST "+exchangePath, n.exchanger)
 	mux.Handle("POST "+newsPath, n.news)
 	mux.Handle("POST "+freshnessPath, n.freshness)
-	mux.Handle("POST "+quotaPath, n.quotaServer)
+	mux.Handle("POST "+quotas.Path, n.quotaServer)
 	mux.Handle("POST "+crashPath, n.heldBack)
 	mux.HandleFunc("GET "+peer.PingPath, n.servePing)
 	return mux
@@ -277,7 +278,7 @@
 		n.background.Go(func() { n.findConfiguration(background) })
 		n.background.Go(func() { n.freshness.Run(background) })
 		n.background.Go(func() { n.quotaServer.Run(background) })
-		for shard := range quotaShards {
+		for shard := range quotas.Shards {
 			n.background.Go(func() { n.quotas.Run(background, shard) })
 		}
 	}
--- a/internal/sidecar/quotaask.go
+++ b/internal/sidecar/quotas/ask.go
@@ -1,4 +1,4 @@
-package sidecar
+package quotas
 
 import (
 	"context"
@@ -15,7 +15,7 @@
 
 // Run asks the keeper of a group until ctx ends. There is one question at a time, as
 // quota.Report demands.
-func (q *quotas) Run(ctx context.Context, shard int) {
+func (q *Limiter) Run(ctx context.Context, shard int) {
 	failed := 0
 	for ctx.Err() == nil {
 		if q.options.limited() {
@@ -47,7 +47,7 @@
 }
 
 // gather is the time in which requests of a group are gathered for one question.
-func (q *quotas) gather(shard int) time.Duration {
+func (q *Limiter) gather(shard int) time.Duration {
 	span := min(max(time.Duration(q.options.Membership.Others())*gatherEach, gatherLeast), gatherMost)
 	if q.short[shard].Load() {
 		span = min(gatherShort*span, gatherMost)
@@ -56,7 +56,7 @@
 }
 
 // ask asks the keeper of a group for parts of the limits of its tenants.
-func (q *quotas) ask(ctx context.Context, shard int) bool {
+func (q *Limiter) ask(ctx context.Context, shard int) bool {
 	keeper := q.keepers.Of(shard)
 	if keeper == nil {
 		return false
@@ -79,16 +79,16 @@
 	return true
 }
 
-func (q *quotas) send(ctx context.Context, address string, message *wire.QuotaAsk) (*wire.QuotaAnswer, error) {
+func (q *Limiter) send(ctx context.Context, address string, message *wire.QuotaAsk) (*wire.QuotaAnswer, error) {
 	if address == q.options.Settings().Listen.Inbound {
 		return q.server.Answer(message), nil
 	}
-	return peer.Ask(ctx, q.options.Peers, address, quotaPath, wire.QuotaAskCodec, message, wire.QuotaAnswerCodec)
+	return peer.Ask(ctx, q.options.Peers, address, Path, wire.QuotaAskCodec, message, wire.QuotaAnswerCodec)
 }
 
 // question tells what the node needs of the tenants of a group, now and then with all that
 // it holds; nil when there is nothing to tell.
-func (q *quotas) question(shard int) *wire.QuotaAsk {
+func (q *Limiter) question(shard int) *wire.QuotaAsk {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	now := q.options.Now()
@@ -119,7 +119,7 @@
 }
 
 // take takes in a keeper's answer and tells the requests that wait.
-func (q *quotas) take(asked time.Duration, message *wire.QuotaAsk, answer *wire.QuotaAnswer) {
+func (q *Limiter) take(asked time.Duration, message *wire.QuotaAsk, answer *wire.QuotaAnswer) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	now := q.options.Now()
@@ -159,7 +159,7 @@
 
 // find looks for the keeper of a group: at the zone's follower, in the store where nobody
 // knows of any.
-func (q *quotas) find(ctx context.Context, shard int) {
+func (q *Limiter) find(ctx context.Context, shard int) {
 	address := q.options.Follower.Address()
 	if address == "" {
 		address = q.options.Membership.AddressElsewhere()
@@ -172,7 +172,7 @@
 }
 
 // look reads the keepers in the store, not too often.
-func (q *quotas) look(ctx context.Context) {
+func (q *Limiter) look(ctx context.Context) {
 	if q.options.Store == nil {
 		return
 	}
--- a/internal/sidecar/keepers.go
+++ b/internal/sidecar/quotas/keepers.go
@@ -1,4 +1,4 @@
-package sidecar
+package quotas
 
 import (
 	"slices"
@@ -11,31 +11,32 @@
 	"github.com/landingmast/landingmast/internal/wire"
 )
 
-// quotaShards is the number of groups into which the tenants fall; each has a keeper. Four
+// Shards is the number of groups into which the tenants fall; each has a keeper. Four
 // share the work among the followers of as many zones. All nodes have to reckon with the
 // same number.
-const quotaShards = 4
+const Shards = 4
 
 // shardOf gives the group of a tenant.
-func shardOf(tenant string) int { return int(xxhash.Sum64String(tenant) % quotaShards) }
+func shardOf(tenant string) int { return int(xxhash.Sum64String(tenant) % Shards) }
 
-// directory holds which node keeps the quotas of each group, as the store or other nodes
+// Keepers is which node keeps the quotas of each group, as the store or other nodes
 // told it. What is old here only costs a question: a node that keeps them no longer says so.
-type directory struct {
+type Keepers struct {
 	prefix string // of the keepers' keys in the store
 
 	mutex   sync.Mutex
-	keepers [quotaShards]*wire.Keeper
-	absent  [quotaShards]bool // the store has no keeper of the group
+	keepers [Shards]*wire.Keeper
+	absent  [Shards]bool // the store has no keeper of the group
 }
 
-func newDirectory(prefix string) *directory { return &directory{prefix: prefix} }
+// NewKeepers makes an empty list; prefix stands before a shard's number in its key.
+func NewKeepers(prefix string) *Keepers { return &Keepers{prefix: prefix} }
 
 // Key gives the key in the store that names the keeper of a group.
-func (d *directory) Key(shard int) string { return d.prefix + strconv.Itoa(shard) }
+func (d *Keepers) Key(shard int) string { return d.prefix + strconv.Itoa(shard) }
 
 // TakeStored learns the keepers that the store has.
-func (d *directory) TakeStored(items []store.Item) {
+func (d *Keepers) TakeStored(items []store.Item) {
 	for index := range items {
 		item := &items[index]
 		name, below := strings.CutPrefix(item.Key, d.prefix)
@@ -55,8 +56,8 @@
 
 // NoteAbsent notes the groups that the store has no keeper of; items are all that it has at
 // a revision.
-func (d *directory) NoteAbsent(items []store.Item, at int64) {
-	for shard := range quotaShards {
+func (d *Keepers) NoteAbsent(items []store.Item, at int64) {
+	for shard := range Shards {
 		key := d.Key(shard)
 		if !slices.ContainsFunc(items, func(item store.Item) bool { return item.Key == key }) {
 			d.Lapsed(shard, at+1)
@@ -66,15 +67,15 @@
 
 // shardOfKey reads the last part of a keeper's key.
 func shardOfKey(text string) (int, bool) {
-	if len(text) != 1 || text[0] < '0' || text[0] >= '0'+quotaShards {
+	if len(text) != 1 || text[0] < '0' || text[0] >= '0'+Shards {
 		return 0, false
 	}
 	return int(text[0] - '0'), true
 }
 
 // Learn takes in who keeps a group; false when it is not news.
-func (d *directory) Learn(one *wire.Keeper) bool {
-	if one.Shard < 0 || one.Shard >= quotaShards {
+func (d *Keepers) Learn(one *wire.Keeper) bool {
+	if one.Shard < 0 || one.Shard >= Shards {
 		return false
 	}
 	d.mutex.Lock()
@@ -87,8 +88,8 @@
 }
 
 // Lapsed notes that the store has no keeper of a group any more.
-func (d *directory) Lapsed(shard int, revision int64) {
-	if shard < 0 || shard >= quotaShards {
+func (d *Keepers) Lapsed(shard int, revision int64) {
+	if shard < 0 || shard >= Shards {
 		return
 	}
 	d.mutex.Lock()
@@ -99,14 +100,14 @@
 }
 
 // Of gives the keeper of a group, nil when none is known.
-func (d *directory) Of(shard int) *wire.Keeper {
+func (d *Keepers) Of(shard int) *wire.Keeper {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.keepers[shard]
 }
 
 // Without gives the groups that the store has no keeper of.
-func (d *directory) Without() (shards []int) {
+func (d *Keepers) Without() (shards []int) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	for shard, absent := range d.absent {
@@ -118,7 +119,7 @@
 }
 
 // All gives the keepers that are known.
-func (d *directory) All() []wire.Keeper {
+func (d *Keepers) All() []wire.Keeper {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	found := []wire.Keeper{}
--- a/internal/sidecar/keepers_test.go
+++ b/internal/sidecar/quotas/keepers_test.go
@@ -1,4 +1,4 @@
-package sidecar
+package quotas
 
 import (
 	"testing"
@@ -10,7 +10,7 @@
 
 func TestTheNewestKeeperCounts(t *testing.T) {
 	g := NewWithT(t)
-	var d directory
+	var d Keepers
 	g.Expect(d.Learn(&wire.Keeper{Shard: 1, Node: "a", Revision: 5})).To(BeTrue())
 	g.Expect(d.Learn(&wire.Keeper{Shard: 1, Node: "b", Revision: 4})).To(BeFalse())
 	g.Expect(d.Of(1).Node).To(Equal("a"))
@@ -20,7 +20,7 @@
 	g.Expect(d.Without()).To(ConsistOf(1))
 	g.Expect(d.Learn(&wire.Keeper{Shard: 1, Node: "c", Revision: 7})).To(BeTrue())
 	g.Expect(d.Without()).To(BeEmpty())
-	g.Expect(d.Learn(&wire.Keeper{Shard: quotaShards, Revision: 9})).To(BeFalse())
+	g.Expect(d.Learn(&wire.Keeper{Shard: Shards, Revision: 9})).To(BeFalse())
 	g.Expect(d.All()).To(HaveLen(1))
 }
 
@@ -29,7 +29,7 @@
 	g := NewWithT(t)
 	zones := []string{"hall-a", "hall-b", "hall-c", "hall-d"}
 	first := map[string]int{}
-	for shard := range quotaShards {
+	for shard := range Shards {
 		turns := map[int]bool{}
 		for _, zone := range zones {
 			turn := turnOf(shard, zone, zones)
@@ -63,7 +63,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
 			own := func() *settings.Settings { return &settings.Settings{Node: tc.self} }
-			g.Expect(newQuotaServer(quotaOptions{Settings: own, Incarnation: "own"}, nil).mayFollow(gone, tc.record)).To(Equal(tc.want))
+			g.Expect(NewServer(Options{Settings: own, Incarnation: "own"}, nil).mayFollow(gone, tc.record)).To(Equal(tc.want))
 		})
 	}
 }
--- a/internal/sidecar/quotas.go
+++ b/internal/sidecar/quotas/limiter.go
@@ -1,4 +1,4 @@
-package sidecar
+package quotas
 
 import (
 	"context"
@@ -34,22 +34,22 @@
 	lookEvery = 900 * time.Millisecond
 )
 
-// quotas keeps the requests that begin here within the limits of their tenants over all
+// Limiter keeps the requests that begin here within the limits of their tenants over all
 // nodes. A request is let in for a token of the node's stock; where there is none it waits
 // for the answer of the tenant's keeper.
-type quotas struct {
-	options quotaOptions
-	keepers *directory
-	server  *quotaServer
-	kicks   [quotaShards]chan struct{}
+type Limiter struct {
+	options Options
+	keepers *Keepers
+	server  *Server
+	kicks   [Shards]chan struct{}
 	// lost tells that the keeper of a group gives no answers: nobody waits for it.
-	lost [quotaShards]atomic.Bool
+	lost [Shards]atomic.Bool
 	// short tells that the last answer of the keeper had too few tokens.
-	short [quotaShards]atomic.Bool
+	short [Shards]atomic.Bool
 
 	mutex  sync.Mutex
 	stocks map[string]*stock // by tenant
-	told   [quotaShards]completeness
+	told   [Shards]completeness
 	looked time.Duration // last look for the keepers in the store
 }
 
@@ -65,15 +65,16 @@
 	waiters []chan bool // each is told once whether it may go on
 }
 
-func newQuotas(options quotaOptions, keepers *directory, server *quotaServer) *quotas {
-	q := &quotas{options: options, keepers: keepers, server: server, stocks: map[string]*stock{}}
+// NewLimiter makes a limiter that holds no tokens yet; server is that of the same node.
+func NewLimiter(options Options, keepers *Keepers, server *Server) *Limiter {
+	q := &Limiter{options: options, keepers: keepers, server: server, stocks: map[string]*stock{}}
 	for shard := range q.kicks {
 		q.kicks[shard] = make(chan struct{}, 1)
 	}
 	return q
 }
 
-func (q *quotas) stockLocked(now time.Duration, tenant *intent.Tenant) *stock {
+func (q *Limiter) stockLocked(now time.Duration, tenant *intent.Tenant) *stock {
 	limit := quota.Limit{Rate: tenant.Rate, Burst: tenant.Burst}
 	one := q.stocks[tenant.Name]
 	if one == nil {
@@ -85,7 +86,7 @@
 }
 
 // Admit takes a token for a request of the tenant; where there is none it waits for one.
-func (q *quotas) Admit(ctx context.Context, tenant *intent.Tenant, wait time.Duration) bool {
+func (q *Limiter) Admit(ctx context.Context, tenant *intent.Tenant, wait time.Duration) bool {
 	q.mutex.Lock()
 	now := q.options.Now()
 	one := q.stockLocked(now, tenant)
@@ -113,7 +114,7 @@
 }
 
 // giveUp ends the wait of a request; a token that came at the last moment counts.
-func (q *quotas) giveUp(one *stock, told chan bool) bool {
+func (q *Limiter) giveUp(one *stock, told chan bool) bool {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	select {
@@ -126,7 +127,7 @@
 }
 
 // Refusal tells whether the limit is reached, and when there is room again.
-func (q *quotas) Refusal(tenant *intent.Tenant, most time.Duration) (spent bool, comeBack time.Duration) {
+func (q *Limiter) Refusal(tenant *intent.Tenant, most time.Duration) (spent bool, comeBack time.Duration) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	now := q.options.Now()
@@ -135,7 +136,7 @@
 }
 
 // GiveBack returns the token of a request that has not run and never will.
-func (q *quotas) GiveBack(tenant *intent.Tenant) {
+func (q *Limiter) GiveBack(tenant *intent.Tenant) {
 	if tenant == nil || !tenant.Limited() {
 		return
 	}
@@ -146,6 +147,6 @@
 }
 
 // kick has the keeper of a group asked now.
-func (q *quotas) kick(shard int) {
+func (q *Limiter) kick(shard int) {
 	wait.Signal(q.kicks[shard])
 }
--- a/internal/sidecar/quotaforms.go
+++ b/internal/sidecar/quotas/messages.go
@@ -1,4 +1,4 @@
-package sidecar
+package quotas
 
 import (
 	"time"
--- a/internal/sidecar/quotaserver.go
+++ b/internal/sidecar/quotas/server.go
@@ -1,4 +1,4 @@
-package sidecar
+package quotas
 
 import (
 	"context"
@@ -38,15 +38,15 @@
 	listGather = 20 * time.Millisecond
 )
 
-// quotaPath takes the questions of other nodes for parts of limits.
-const quotaPath = "/quota"
+// Path is where a node takes the questions of other nodes for parts of limits.
+const Path = "/quota"
 
-// quotaServer are the groups of tenants whose quotas the node keeps. The right to do so is a
+// Server holds the groups of tenants whose quotas the node keeps. The right to do so is a
 // key in the store with a lease, so that there is one keeper at most; beside it stand the
 // names of the nodes that may hold parts, for the one that takes over.
-type quotaServer struct {
-	options quotaOptions
-	keepers *directory
+type Server struct {
+	options Options
+	keepers *Keepers
 
 	overtake chan struct{} // one group is taken over at a time: all share a lease
 
@@ -54,13 +54,13 @@
 	lease   *store.Lease
 	right   time.Duration // end of the right to give, on the node's clock
 	paused  bool          // it has ended, and the lease may still be in the store
-	held    map[int]*quotaGroup
+	held    map[int]*group
 	absence map[int]time.Duration // since when a group is seen without a keeper
 	taking  map[int]bool
 }
 
-// quotaGroup is one group. Its fields belong to the mutex of quotaServer.
-type quotaGroup struct {
+// group is one group. Its fields belong to the mutex of Server.
+type group struct {
 	keeper   *quota.Keeper
 	part     float64 // most of a limit that one share is
 	epoch    int64
@@ -69,12 +69,13 @@
 	writing  bool
 }
 
-func newQuotaServer(options quotaOptions, keepers *directory) *quotaServer {
-	return &quotaServer{options: options, keepers: keepers, overtake: make(chan struct{}, 1), held: map[int]*quotaGroup{}, absence: map[int]time.Duration{}, taking: map[int]bool{}}
+// NewServer makes a server that keeps no shard yet.
+func NewServer(options Options, keepers *Keepers) *Server {
+	return &Server{options: options, keepers: keepers, overtake: make(chan struct{}, 1), held: map[int]*group{}, absence: map[int]time.Duration{}, taking: map[int]bool{}}
 }
 
 // Run renews the right until ctx ends.
-func (s *quotaServer) Run(ctx context.Context) {
+func (s *Server) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		rest := keeperRenew
 		s.prune()
@@ -88,7 +89,7 @@
 // inUse gives the lease of the groups that are kept, nil when there is none. It is renewed
 // also when the right to give has ended: the store's leases may wait while it is away, and
 // as long as the key is there nobody else can have it.
-func (s *quotaServer) inUse() *store.Lease {
+func (s *Server) inUse() *store.Lease {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if len(s.held) == 0 {
@@ -101,7 +102,7 @@
 }
 
 // pauseLocked notes that the right to give has ended or come back.
-func (s *quotaServer) pauseLocked(ended bool) {
+func (s *Server) pauseLocked(ended bool) {
 	s.paused = ended
 	change := "resumed"
 	if ended {
@@ -113,20 +114,20 @@
 }
 
 // Keeps tells whether the node keeps the quotas of any group.
-func (s *quotaServer) Keeps() bool {
+func (s *Server) Keeps() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return len(s.held) > 0
 }
 
-func (s *quotaServer) dropLocked(why string) {
+func (s *Server) dropLocked(why string) {
 	for shard, one := range s.held {
 		s.options.Events.Add(eventlog.Keeper{Shard: shard, Change: "ended", Epoch: one.epoch, Error: why}, eventlog.State)
 	}
-	s.held, s.lease, s.paused = map[int]*quotaGroup{}, nil, false
+	s.held, s.lease, s.paused = map[int]*group{}, nil, false
 }
 
-func (s *quotaServer) renew(ctx context.Context, lease *store.Lease) bool {
+func (s *Server) renew(ctx context.Context, lease *store.Lease) bool {
 	began := s.options.Now()
 	call, cancel := context.WithTimeout(ctx, keeperCall)
 	defer cancel()
@@ -144,7 +145,7 @@
 }
 
 // prune takes the names of nodes that are gone out of the records.
-func (s *quotaServer) prune() {
+func (s *Server) prune() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for shard, one := range s.held {
@@ -156,7 +157,7 @@
 }
 
 // ServeHTTP answers the question of another node for parts of limits.
-func (s *quotaServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	asked, read := peer.ReadMessage(w, r, wire.QuotaAskCodec)
 	if !read {
 		return
@@ -165,7 +166,7 @@
 }
 
 // Answer gives a process its parts of the limits of a group.
-func (s *quotaServer) Answer(asked *wire.QuotaAsk) *wire.QuotaAnswer {
+func (s *Server) Answer(asked *wire.QuotaAsk) *wire.QuotaAnswer {
 	answer := &wire.QuotaAnswer{Allotments: []wire.QuotaAllotment{}}
 	current := s.options.Configuration.Load()
 	s.mutex.Lock()
@@ -196,7 +197,7 @@
 }
 
 // join has the name of a node kept that asks for the first time; it gets nothing before.
-func (s *quotaServer) join(shard int, one *quotaGroup, name string) {
+func (s *Server) join(shard int, one *group, name string) {
 	one.joining[name] = true
 	if one.writing {
 		return
@@ -205,7 +206,7 @@
 	time.AfterFunc(listGather, func() { s.writeNames(shard, one) })
 }
 
-func (s *quotaServer) writeNames(shard int, one *quotaGroup) {
+func (s *Server) writeNames(shard int, one *group) {
 	s.mutex.Lock()
 	names := one.keeper.Listed()
 	added := make([]string, 0, len(one.joining))
@@ -240,7 +241,7 @@
 // lookAgain reads the key after a write without an answer. Names that stand there count as
 // written; a write that is done later changes nothing, since the next one goes by another
 // revision.
-func (s *quotaServer) lookAgain(shard int, added []string) (int64, error) {
+func (s *Server) lookAgain(shard int, added []string) (int64, error) {
 	item, record, err := s.read(context.Background(), shard)
 	if err != nil {
 		return 0, err
--- a/internal/sidecar/quotatakeover.go
+++ b/internal/sidecar/quotas/takeover.go
@@ -1,4 +1,4 @@
-package sidecar
+package quotas
 
 import (
 	"context"
@@ -19,7 +19,7 @@
 
 // Fill takes over the groups that have no keeper, when it is the turn of the follower of
 // this zone.
-func (s *quotaServer) Fill(ctx context.Context) {
+func (s *Server) Fill(ctx context.Context) {
 	if s.options.Stopping() || !s.options.limited() {
 		return
 	}
@@ -45,7 +45,7 @@
 
 // Resume takes over again what an earlier process of this node kept, before its lease is
 // over: nobody else can have it until then.
-func (s *quotaServer) Resume(ctx context.Context) {
+func (s *Server) Resume(ctx context.Context) {
 	own := s.options.Settings()
 	for _, one := range s.keepers.All() {
 		if one.Node == own.Node && one.Address == own.Listen.Inbound && one.Incarnation != s.options.Incarnation {
@@ -56,7 +56,7 @@
 
 // Replace takes over a group whose keeper's process is gone: nobody listens at its address
 // any more. What it gave is told by the nodes, and by those of which nobody listens either.
-func (s *quotaServer) Replace(ctx context.Context, gone *wire.Keeper) {
+func (s *Server) Replace(ctx context.Context, gone *wire.Keeper) {
 	if s.options.Stopping() || !s.options.Follower.Reaches() {
 		return
 	}
@@ -69,7 +69,7 @@
 
 // settle asks the nodes that a group's keeper has not heard of yet, until there are none: of
 // one at whose address nobody listens the process is gone, and what it held with it.
-func (s *quotaServer) settle(ctx context.Context) {
+func (s *Server) settle(ctx context.Context) {
 	for wait.For(ctx, settleAfter); ctx.Err() == nil; wait.For(ctx, settleEvery) {
 		awaited := s.awaited()
 		if len(awaited) == 0 {
@@ -83,7 +83,7 @@
 	}
 }
 
-func (s *quotaServer) settleOne(ctx context.Context, holder string) {
+func (s *Server) settleOne(ctx context.Context, holder string) {
 	call, cancel := context.WithTimeout(ctx, peer.PingTimeout)
 	defer cancel()
 	if err := s.options.Peers.PingPeer(call, addressOfHolder(holder)); !errors.Is(err, syscall.ECONNREFUSED) {
@@ -97,7 +97,7 @@
 }
 
 // awaited gives the nodes that keepers here have not heard of.
-func (s *quotaServer) awaited() []string {
+func (s *Server) awaited() []string {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	var found []string
@@ -121,7 +121,7 @@
 }
 
 // begin takes a group over unless that is under way.
-func (s *quotaServer) begin(ctx context.Context, shard int, before *wire.Keeper) {
+func (s *Server) begin(ctx context.Context, shard int, before *wire.Keeper) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.taking[shard] || s.held[shard] != nil {
@@ -139,7 +139,7 @@
 	}()
 }
 
-func (s *quotaServer) takeOver(ctx context.Context, shard int, before *wire.Keeper) error {
+func (s *Server) takeOver(ctx context.Context, shard int, before *wire.Keeper) error {
 	s.overtake <- struct{}{}
 	defer func() { <-s.overtake }()
 	revision, known := int64(0), quota.Before{}
@@ -184,7 +184,7 @@
 	if before == nil {
 		keeper.List(now, names)
 	}
-	s.held[shard] = &quotaGroup{keeper: keeper, part: part, epoch: written, revision: written, joining: map[string]bool{}}
+	s.held[shard] = &group{keeper: keeper, part: part, epoch: written, revision: written, joining: map[string]bool{}}
 	s.keepers.Learn(s.record(shard, written))
 	if before != nil {
 		go s.settle(ctx)
@@ -195,7 +195,7 @@
 
 // mayFollow tells whether the record of a group is that of a process which is gone: the one
 // that was found gone, or any earlier one of this node.
-func (s *quotaServer) mayFollow(gone *wire.Keeper, record *wire.KeeperRecord) bool {
+func (s *Server) mayFollow(gone *wire.Keeper, record *wire.KeeperRecord) bool {
 	switch {
 	case record == nil || record.Node != gone.Node || record.Address != gone.Address:
 		return false
@@ -207,7 +207,7 @@
 }
 
 // read gives the key of a group; nil when there is none.
-func (s *quotaServer) read(ctx context.Context, shard int) (*store.Item, *wire.KeeperRecord, error) {
+func (s *Server) read(ctx context.Context, shard int) (*store.Item, *wire.KeeperRecord, error) {
 	call, cancel := context.WithTimeout(ctx, keeperCall)
 	defer cancel()
 	item, _, err := s.options.Store.Get(call, s.keepers.Key(shard))
@@ -220,7 +220,7 @@
 }
 
 // leased gives the lease of the groups that the node keeps.
-func (s *quotaServer) leased(ctx context.Context) (*store.Lease, error) {
+func (s *Server) leased(ctx context.Context) (*store.Lease, error) {
 	s.inUse()
 	s.mutex.Lock()
 	known, left := s.lease, s.right-s.options.Now()
@@ -243,13 +243,13 @@
 	return s.lease, nil
 }
 
-func (s *quotaServer) record(shard int, revision int64) *wire.Keeper {
+func (s *Server) record(shard int, revision int64) *wire.Keeper {
 	own := s.options.Settings()
 	return &wire.Keeper{Shard: shard, Node: own.Node, Address: own.Listen.Inbound, Incarnation: s.options.Incarnation, Revision: revision}
 }
 
 // write writes the key of a group if it still has a revision.
-func (s *quotaServer) write(ctx context.Context, shard int, lease int64, names []string, part float64, revision int64) (int64, error) {
+func (s *Server) write(ctx context.Context, shard int, lease int64, names []string, part float64, revision int64) (int64, error) {
 	own := s.options.Settings()
 	value, err := wire.KeeperRecordCodec.Encode(&wire.KeeperRecord{
 		Node: own.Node, Incarnation: s.options.Incarnation, Address: own.Listen.Inbound, Listed: names, Part: part,
