--- a/internal/sidecar/configuration.go
+++ b/internal/sidecar/configuration.go
@@ -5,7 +5,6 @@
 	"math/rand/v2"
 	"time"
 
-	"github.com/landingmast/landingmast/internal/sidecar/configuration"
 	"github.com/landingmast/landingmast/internal/sidecar/wait"
 	"github.com/landingmast/landingmast/internal/store"
 	"github.com/landingmast/landingmast/internal/wire"
@@ -22,7 +21,7 @@
 		before := n.configuration.Version()
 		for _, item := range items {
 			if item.Key == n.options.ConfigurationKey && !item.Gone {
-				_, _ = n.installStored(&item) // an error is logged where it occurs
+				_, _ = n.freshness.InstallStored(&item) // an error is logged where it occurs
 			}
 		}
 		if n.configuration.Version() > before {
@@ -55,13 +54,3 @@
 		wait.For(ctx, configurationAgain+time.Duration(rand.Int64N(int64(configurationSpread))))
 	}
 }
-
-// installStored puts a configuration of the store in force unless a newer one is. It gives
-// its version.
-func (n *Node) installStored(item *store.Item) (uint64, error) {
-	version, err := n.configuration.Install(item.Value, configuration.FromStore)
-	if err == nil {
-		n.freshness.Stored(version, item.Revision)
-	}
-	return version, err
-}
--- a/internal/sidecar/freshness.go
+++ b/internal/sidecar/freshness.go
@@ -9,8 +9,11 @@
 
 	"github.com/juju/errors"
 	"github.com/landingmast/landingmast/internal/core/freshness"
+	"github.com/landingmast/landingmast/internal/sidecar/configuration"
 	"github.com/landingmast/landingmast/internal/sidecar/eventlog"
 	"github.com/landingmast/landingmast/internal/sidecar/peer"
+	"github.com/landingmast/landingmast/internal/sidecar/settings"
+	"github.com/landingmast/landingmast/internal/sidecar/storehealth"
 	"github.com/landingmast/landingmast/internal/sidecar/wait"
 	"github.com/landingmast/landingmast/internal/store"
 	"github.com/landingmast/landingmast/internal/wire"
@@ -36,12 +39,46 @@
 // freshnessPath tells how fresh a node's configuration is.
 const freshnessPath = "/freshness"
 
+// freshnessOptions are what the proof of freshness needs of the node's other parts.
+type freshnessOptions struct {
+	Settings         func() *settings.Settings // in force
+	Now              func() time.Duration      // since the start, suspensions of the machine included
+	Configuration    *configuration.InForce
+	ConfigurationKey string // of the operators' configuration in the store
+	Events           *eventlog.Log
+	Store            store.Store // nil: none
+	StoreHealth      *storehealth.Health
+	Peers            *peer.Client
+	Membership       freshnessMembership
+	Follower         freshnessFollower
+	Keepers          freshnessKeepers
+	// Fetch fetches the configuration of the node at an address, unless one is being fetched.
+	Fetch func(address string)
+}
+
+// freshnessMembership is what is known of the nodes.
+type freshnessMembership interface {
+	AddressElsewhere() string // of a node in another zone; empty: no other node is known
+}
+
+// freshnessFollower is the election of the node that follows the store for the zone.
+type freshnessFollower interface {
+	Address() string // of another follower of the zone that hears the store; empty: none is known
+	Reaches() bool   // this node follows the store, and the store answers
+}
+
+// freshnessKeepers are the keepers of quotas that are known; answers carry them along.
+type freshnessKeepers interface {
+	Learn(keeper *wire.Keeper) (isNew bool)
+	All() []wire.Keeper
+}
+
 // prover keeps the evidence that the node's configuration is fresh. Followers confirm it
 // at the store, the other nodes ask their zone's follower. An age that somebody pushed
 // would prove nothing, since the message may have lain anywhere for long; an age that was
 // asked for proves that it was no greater when the question began.
 type prover struct {
-	node *Node
+	options freshnessOptions
 
 	mutex    sync.Mutex
 	evidence freshness.Evidence
@@ -53,38 +90,50 @@
 	now chan struct{} // the evidence is to be renewed now
 }
 
-func newProver(node *Node) *prover { return &prover{node: node, now: make(chan struct{}, 1)} }
+func newProver(options freshnessOptions) *prover {
+	return &prover{options: options, now: make(chan struct{}, 1)}
+}
 
 // RenewNow has the evidence renewed before its time.
 func (p *prover) RenewNow() { wait.Signal(p.now) }
 
 // Holds tells whether the configuration is fresh enough for a key to be believed.
 func (p *prover) Holds() bool {
-	bound := p.node.settings().Keys.Bound()
+	bound := p.options.Settings().Keys.Bound()
 	if bound == 0 {
 		return true
 	}
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return p.evidence.Within(p.node.now(), bound)
+	return p.evidence.Within(p.options.Now(), bound)
 }
 
 // Age gives how old the evidence is; false: there is none.
 func (p *prover) Age() (age time.Duration, version uint64, known bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return p.evidence.Age(p.node.now())
+	return p.evidence.Age(p.options.Now())
 }
 
 // confirm takes in that version was the newest as of a moment.
 func (p *prover) confirm(asOf time.Duration, version uint64) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return p.evidence.Confirm(asOf, version, p.node.configuration.Version())
+	return p.evidence.Confirm(asOf, version, p.options.Configuration.Version())
+}
+
+// InstallStored puts a configuration of the store in force unless a newer one is. It gives
+// its version.
+func (p *prover) InstallStored(item *store.Item) (uint64, error) {
+	version, err := p.options.Configuration.Install(item.Value, configuration.FromStore)
+	if err == nil {
+		p.stored(version, item.Revision)
+	}
+	return version, err
 }
 
-// Stored notes the revision with which the store has a version.
-func (p *prover) Stored(version uint64, revision int64) {
+// stored notes the revision with which the store has a version.
+func (p *prover) stored(version uint64, revision int64) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if version >= p.version {
@@ -94,8 +143,8 @@
 
 // wanted tells whether evidence is of use: some tenant holds keys that may be taken away.
 func (p *prover) wanted() bool {
-	current := p.node.configuration.Load()
-	return current != nil && len(current.Tenants) > 0 && p.node.settings().Keys.Bound() > 0
+	current := p.options.Configuration.Load()
+	return current != nil && len(current.Tenants) > 0 && p.options.Settings().Keys.Bound() > 0
 }
 
 // Run keeps the evidence young until ctx ends.
@@ -119,9 +168,9 @@
 
 // renew gets younger evidence and gives the time until the next try.
 func (p *prover) renew(ctx context.Context) time.Duration {
-	nearest := p.node.follower.Address()
+	nearest := p.options.Follower.Address()
 	switch {
-	case p.node.follower.Reaches():
+	case p.options.Follower.Reaches():
 		if p.atStore(ctx) {
 			return confirmEvery
 		}
@@ -130,7 +179,7 @@
 	}
 	age, _, known := p.Age()
 	if !known || age > elsewhereAfter || nearest == "" {
-		if p.Ask(ctx, p.node.membership.AddressElsewhere()) {
+		if p.Ask(ctx, p.options.Membership.AddressElsewhere()) {
 			return askEvery
 		}
 	}
@@ -145,7 +194,7 @@
 	if address == "" {
 		return false
 	}
-	asked := p.node.now()
+	asked := p.options.Now()
 	call, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
 	told, err := p.question(call, address)
@@ -153,23 +202,23 @@
 		return false
 	}
 	for index := range told.Keepers {
-		p.node.keepers.Learn(&told.Keepers[index])
+		p.options.Keepers.Learn(&told.Keepers[index])
 	}
 	if !told.Known {
 		return false
 	}
-	if uint64(told.Version) > p.node.configuration.Version() {
-		p.node.news.Fetch(address)
+	if uint64(told.Version) > p.options.Configuration.Version() {
+		p.options.Fetch(address)
 	}
 	return p.confirm(freshness.Told(asked, time.Duration(told.Age)*time.Microsecond), uint64(told.Version))
 }
 
 // atStoreRarely reads the store on the node's own account, when nobody else can tell.
 func (p *prover) atStoreRarely(ctx context.Context) {
-	if p.node.store == nil {
+	if p.options.Store == nil {
 		return
 	}
-	now := p.node.now()
+	now := p.options.Now()
 	if p.direct != 0 && now-p.direct < directRest {
 		return
 	}
@@ -183,14 +232,14 @@
 	p.mutex.Lock()
 	version, revision := p.version, p.revision
 	p.mutex.Unlock()
-	asked := p.node.now()
+	asked := p.options.Now()
 	call, cancel := context.WithTimeout(ctx, confirmTimeout)
 	defer cancel()
-	if revision == 0 || version != p.node.configuration.Version() {
+	if revision == 0 || version != p.options.Configuration.Version() {
 		return p.Read(call, asked)
 	}
-	newer, err := p.node.store.Unchanged(call, p.node.options.ConfigurationKey, revision)
-	p.node.storeHealth.Note("confirm", err)
+	newer, err := p.options.Store.Unchanged(call, p.options.ConfigurationKey, revision)
+	p.options.StoreHealth.Note("confirm", err)
 	switch {
 	case err == nil:
 		return p.confirm(asked, version)
@@ -204,8 +253,8 @@
 // with nothing has its proof with it: after a loss of power of all 71 nodes requests with
 // keys were refused for another 0.3 s in which each asked again.
 func (p *prover) Read(ctx context.Context, asked time.Duration) bool {
-	item, _, err := p.node.store.Get(ctx, p.node.options.ConfigurationKey)
-	p.node.storeHealth.Note("read", err)
+	item, _, err := p.options.Store.Get(ctx, p.options.ConfigurationKey)
+	p.options.StoreHealth.Note("read", err)
 	if err != nil || item == nil {
 		return false
 	}
@@ -214,13 +263,13 @@
 
 // take puts a configuration of the store in force; the question for it began at asked.
 func (p *prover) take(item *store.Item, asked time.Duration) bool {
-	version, err := p.node.installStored(item)
+	version, err := p.InstallStored(item)
 	return err == nil && p.confirm(asked, version)
 }
 
 // noteLoss logs when keys are refused for want of evidence, and when no longer.
 func (p *prover) noteLoss() {
-	bound := p.node.settings().Keys.Bound()
+	bound := p.options.Settings().Keys.Bound()
 	age, version, known := p.Age()
 	lost := p.wanted() && (!known || age >= bound)
 	if lost == p.lost {
@@ -231,18 +280,18 @@
 	if lost {
 		change = "unconfirmed"
 	}
-	p.node.events.Add(eventlog.Freshness{Change: change, Version: version, AgeMS: eventlog.Milliseconds(age)}, eventlog.State)
+	p.options.Events.Add(eventlog.Freshness{Change: change, Version: version, AgeMS: eventlog.Milliseconds(age)}, eventlog.State)
 }
 
 // ServeHTTP answers the question of another node.
 func (p *prover) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	age, version, known := p.Age()
-	peer.WriteMessage(w, wire.FreshnessCodec, &wire.Freshness{Known: known, Version: int64(version), Age: age.Microseconds(), Keepers: p.node.keepers.All()})
+	peer.WriteMessage(w, wire.FreshnessCodec, &wire.Freshness{Known: known, Version: int64(version), Age: age.Microseconds(), Keepers: p.options.Keepers.All()})
 }
 
 // question asks the node at an address how fresh its configuration is.
 func (p *prover) question(ctx context.Context, address string) (*wire.Freshness, error) {
-	read, err := p.node.peers.Post(ctx, address, freshnessPath, nil)
+	read, err := p.options.Peers.Post(ctx, address, freshnessPath, nil)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/sidecar/node.go
+++ b/internal/sidecar/node.go
@@ -120,8 +120,8 @@
 	n.follower = newFollower(n)
 	n.exchanger = &exchanger{node: n}
 	n.news = &spreader{node: n}
-	n.freshness = newProver(n)
 	n.keepers = quotas.NewKeepers(options.QuotaPrefix)
+	n.freshness = newProver(n.freshnessOptions())
 	n.quotaServer = quotas.NewServer(n.quotaOptions(), n.keepers)
 	n.quotas = quotas.NewLimiter(n.quotaOptions(), n.keepers, n.quotaServer)
 	n.heldBack = newHeldBack(n)
@@ -140,6 +140,14 @@
 	})
 }
 
+func (n *Node) freshnessOptions() freshnessOptions {
+	return freshnessOptions{
+		Settings: n.settings, Now: n.now, Configuration: n.configuration, ConfigurationKey: n.options.ConfigurationKey, Events: n.events,
+		Store: n.store, StoreHealth: n.storeHealth, Peers: n.peers, Membership: n.membership, Follower: n.follower,
+		Keepers: n.keepers, Fetch: n.news.Fetch,
+	}
+}
+
 func (n *Node) quotaOptions() quotas.Options {
 	return quotas.Options{
 		Settings: n.settings, Incarnation: n.incarnation, Now: n.now, Configuration: n.configuration, Events: n.events,
--- a/internal/sidecar/wake_test.go
+++ b/internal/sidecar/wake_test.go
@@ -58,7 +58,7 @@
 func TestSignalsAreLeftOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		p := newProver(nil)
+		p := newProver(freshnessOptions{})
 		p.RenewNow()
 		p.RenewNow()
 		g.Expect(p.now).To(HaveLen(1))
