--- a/internal/sidecar/node.go
+++ b/internal/sidecar/node.go
@@ -26,6 +26,7 @@
 	"github.com/landingmast/landingmast/internal/sidecar/metrics"
 	"github.com/landingmast/landingmast/internal/sidecar/peer"
 	"github.com/landingmast/landingmast/internal/sidecar/quotas"
+	"github.com/landingmast/landingmast/internal/sidecar/revalidation"
 	"github.com/landingmast/landingmast/internal/sidecar/settings"
 	"github.com/landingmast/landingmast/internal/sidecar/storehealth"
 	"github.com/landingmast/landingmast/internal/sidecar/targetlink"
@@ -77,7 +78,7 @@
 	follower      *follower
 	exchanger     *exchanger
 	news          *spreader
-	freshness     *prover
+	freshness     *revalidation.Revalidator
 	keepers       *quotas.Keepers
 	quotaServer   *quotas.Server
 	quotas        *quotas.Limiter
@@ -121,7 +122,7 @@
 	n.exchanger = &exchanger{node: n}
 	n.news = &spreader{node: n}
 	n.keepers = quotas.NewKeepers(options.QuotaPrefix)
-	n.freshness = newProver(n.freshnessOptions())
+	n.freshness = revalidation.New(n.freshnessOptions())
 	n.quotaServer = quotas.NewServer(n.quotaOptions(), n.keepers)
 	n.quotas = quotas.NewLimiter(n.quotaOptions(), n.keepers, n.quotaServer)
 	n.heldBack = newHeldBack(n)
@@ -140,8 +141,8 @@
 	})
 }
 
-func (n *Node) freshnessOptions() freshnessOptions {
-	return freshnessOptions{
+func (n *Node) freshnessOptions() revalidation.Options {
+	return revalidation.Options{
 		Settings: n.settings, Now: n.now, Configuration: n.configuration, ConfigurationKey: n.options.ConfigurationKey, Events: n.events,
 		Store: n.store, StoreHealth: n.storeHealth, Peers: n.peers, Membership: n.membership, Follower: n.follower,
 		Keepers: n.keepers, Fetch: n.news.Fetch,
@@ -252,7 +253,7 @@
 	mux.Handle("POST "+peer.SettlePath, n.ingress.once)
 	mux.Handle("POST "+exchangePath, n.exchanger)
 	mux.Handle("POST "+newsPath, n.news)
-	mux.Handle("POST "+freshnessPath, n.freshness)
+	mux.Handle("POST "+revalidation.Path, n.freshness)
 	mux.Handle("POST "+quotas.Path, n.quotaServer)
 	mux.Handle("POST "+crashPath, n.heldBack)
 	mux.HandleFunc("GET "+peer.PingPath, n.servePing)
--- a/internal/sidecar/wake_test.go
+++ b/internal/sidecar/wake_test.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"testing"
-	"testing/synctest"
 	"time"
 
 	"github.com/landingmast/landingmast/internal/core/intent"
@@ -54,13 +53,3 @@
 		})
 	}
 }
-
-func TestSignalsAreLeftOnce(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		g := NewWithT(t)
-		p := newProver(freshnessOptions{})
-		p.RenewNow()
-		p.RenewNow()
-		g.Expect(p.now).To(HaveLen(1))
-	})
-}
