--- a/internal/sidecar/quotas/ask.go
+++ b/internal/sidecar/quotas/ask.go
@@ -15,101 +15,101 @@
 
 // Run asks the keeper of a group until ctx ends. There is one question at a time, as
 // quota.Report demands.
-func (q *Limiter) Run(ctx context.Context, shard int) {
+func (l *Limiter) Run(ctx context.Context, shard int) {
 	failed := 0
 	for ctx.Err() == nil {
-		if q.options.limited() {
-			if q.ask(ctx, shard) {
+		if l.options.limited() {
+			if l.ask(ctx, shard) {
 				failed = 0
 			} else {
 				failed++
 			}
 		}
-		q.lost[shard].Store(failed > 1)
+		l.unreachable[shard].Store(failed > 1)
 		switch {
 		case failed == 1:
-			wait.For(ctx, quotaRest)
+			wait.For(ctx, retryFirst)
 			continue
 		case failed > 1:
-			q.find(ctx, shard)
-			wait.For(ctx, quotaFailed)
+			l.findKeeper(ctx, shard)
+			wait.For(ctx, retryLater)
 			continue
 		}
-		timer := time.NewTimer(quotaEvery)
+		timer := time.NewTimer(askEvery)
 		select {
 		case <-ctx.Done():
 		case <-timer.C:
-		case <-q.kicks[shard]:
-			wait.For(ctx, q.gather(shard))
+		case <-l.urgent[shard]:
+			wait.For(ctx, l.gather(shard))
 		}
 		timer.Stop()
 	}
 }
 
 // gather is the time in which requests of a group are gathered for one question.
-func (q *Limiter) gather(shard int) time.Duration {
-	span := min(max(time.Duration(q.options.Membership.Others())*gatherEach, gatherLeast), gatherMost)
-	if q.short[shard].Load() {
+func (l *Limiter) gather(shard int) time.Duration {
+	span := min(max(time.Duration(l.options.Membership.Others())*gatherEach, gatherLeast), gatherMost)
+	if l.short[shard].Load() {
 		span = min(gatherShort*span, gatherMost)
 	}
 	return span
 }
 
 // ask asks the keeper of a group for parts of the limits of its tenants.
-func (q *Limiter) ask(ctx context.Context, shard int) bool {
-	keeper := q.keepers.Of(shard)
+func (l *Limiter) ask(ctx context.Context, shard int) bool {
+	keeper := l.keepers.Of(shard)
 	if keeper == nil {
 		return false
 	}
-	asked := q.options.Now()
-	message := q.question(shard)
+	asked := l.options.Now()
+	message := l.newAsk(shard)
 	if message == nil {
 		return true
 	}
-	call, cancel := context.WithTimeout(ctx, quotaTimeout)
+	call, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
-	answer, err := q.send(call, keeper.Address, message)
+	answer, err := l.send(call, keeper.Address, message)
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		q.server.Replace(ctx, keeper)
+		l.server.Replace(ctx, keeper)
 	}
 	if err != nil || !answer.Keeps || !answer.Listed {
 		return false
 	}
-	q.take(asked, message, answer)
+	l.applyAnswer(asked, message, answer)
 	return true
 }
 
-func (q *Limiter) send(ctx context.Context, address string, message *wire.QuotaAsk) (*wire.QuotaAnswer, error) {
-	if address == q.options.Settings().Listen.Inbound {
-		return q.server.Answer(message), nil
+func (l *Limiter) send(ctx context.Context, address string, message *wire.QuotaAsk) (*wire.QuotaAnswer, error) {
+	if address == l.options.Settings().Listen.Inbound {
+		return l.server.Answer(message), nil
 	}
-	return peer.Ask(ctx, q.options.Peers, address, Path, wire.QuotaAskCodec, message, wire.QuotaAnswerCodec)
+	return peer.Ask(ctx, l.options.Peers, address, Path, wire.QuotaAskCodec, message, wire.QuotaAnswerCodec)
 }
 
-// question tells what the node needs of the tenants of a group, now and then with all that
+// newAsk tells what the node needs of the tenants of a group, now and then with all that
 // it holds; nil when there is nothing to tell.
-func (q *Limiter) question(shard int) *wire.QuotaAsk {
-	q.mutex.Lock()
-	defer q.mutex.Unlock()
-	now := q.options.Now()
+func (l *Limiter) newAsk(shard int) *wire.QuotaAsk {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	now := l.options.Now()
 	message := &wire.QuotaAsk{
-		Holder: holderName(q.options.Settings().Node, q.options.Settings().Listen.Inbound), Incarnation: q.options.Incarnation, Shard: shard, Reports: []wire.QuotaReport{},
-		Complete: q.told[shard].at == 0 || now-q.told[shard].at >= completeEvery,
+		Holder: holderName(l.options.Settings().Node, l.options.Settings().Listen.Inbound), Incarnation: l.options.Incarnation, Shard: shard, Reports: []wire.QuotaReport{},
+		Complete: l.lastComplete[shard].at == 0 || now-l.lastComplete[shard].at >= completeEvery,
 	}
-	current := q.options.Configuration.Load()
-	for name, one := range q.stocks {
+	current := l.options.Configuration.Load()
+	for name, t := range l.tenants {
 		if shardOf(name) != shard {
 			continue
 		}
 		if tenant := current.Tenant(name); tenant != nil {
-			one.holder.SetLimit(now, quota.Limit{Rate: tenant.Rate, Burst: tenant.Burst})
+			t.holder.SetLimit(now, quota.Limit{Rate: tenant.Rate, Burst: tenant.Burst})
 		}
-		if one.holder.Idle(now) && len(one.waiters) == 0 {
-			delete(q.stocks, name)
+		if t.holder.Idle(now) && len(t.waiters) == 0 {
+			delete(l.tenants, name)
 			continue
 		}
-		if message.Complete || len(one.waiters) > 0 || one.holder.Low(now) {
-			message.Reports = append(message.Reports, reportTo(one.holder.Report(now, name, len(one.waiters))))
+		if message.Complete || len(t.waiters) > 0 || t.holder.Low(now) {
+			message.Reports = append(message.Reports, reportTo(t.holder.Report(now, name, len(t.waiters))))
 		}
 	}
 	if !message.Complete && len(message.Reports) == 0 {
@@ -118,79 +118,79 @@
 	return message
 }
 
-// take takes in a keeper's answer and tells the requests that wait.
-func (q *Limiter) take(asked time.Duration, message *wire.QuotaAsk, answer *wire.QuotaAnswer) {
-	q.mutex.Lock()
-	defer q.mutex.Unlock()
-	now := q.options.Now()
-	if told := &q.told[message.Shard]; message.Complete {
-		told.at, told.epoch = asked, answer.Epoch
-	} else if told.epoch != answer.Epoch {
-		told.at = 0 // a keeper that does not know yet what the node holds
-		q.kick(message.Shard)
-	}
-	q.short[message.Shard].Store(slices.ContainsFunc(answer.Allotments, func(a wire.QuotaAllotment) bool { return a.Again > 0 }))
+// applyAnswer takes in a keeper's answer and tells the requests that wait.
+func (l *Limiter) applyAnswer(asked time.Duration, message *wire.QuotaAsk, answer *wire.QuotaAnswer) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	now := l.options.Now()
+	if last := &l.lastComplete[message.Shard]; message.Complete {
+		last.at, last.epoch = asked, answer.Epoch
+	} else if last.epoch != answer.Epoch {
+		last.at = 0 // a keeper that does not know yet what the node holds
+		l.askNow(message.Shard)
+	}
+	l.short[message.Shard].Store(slices.ContainsFunc(answer.Allotments, func(a wire.QuotaAllotment) bool { return a.Again > 0 }))
 	for index := range answer.Allotments {
 		given := allotmentOf(answer.Epoch, &answer.Allotments[index])
-		one := q.stocks[given.Tenant]
-		if one == nil {
+		t := l.tenants[given.Tenant]
+		if t == nil {
 			continue
 		}
-		tokens := one.holder.Allot(now, asked, given)
-		for len(one.waiters) > 0 && (tokens > 0 || one.holder.Take(now)) {
+		tokens := t.holder.Allot(now, asked, given)
+		for len(t.waiters) > 0 && (tokens > 0 || t.holder.Take(now)) {
 			tokens = max(tokens-1, 0)
-			one.waiters[0] <- true
-			one.waiters = one.waiters[1:]
+			t.waiters[0] <- true
+			t.waiters = t.waiters[1:]
 		}
-		one.holder.Store(now, tokens)
-		if len(one.waiters) == 0 {
+		t.holder.Store(now, tokens)
+		if len(t.waiters) == 0 {
 			continue
 		}
-		if one.holder.MayAsk(now) {
-			time.AfterFunc(given.Again, func() { q.kick(message.Shard) })
+		if t.holder.MayAsk(now) {
+			time.AfterFunc(given.Again, func() { l.askNow(message.Shard) })
 			continue
 		}
-		for _, told := range one.waiters {
-			told <- false
+		for _, admitted := range t.waiters {
+			admitted <- false
 		}
-		one.waiters = nil
+		t.waiters = nil
 	}
 }
 
-// find looks for the keeper of a group: at the zone's follower, in the store where nobody
+// findKeeper looks for the keeper of a group: at the zone's follower, in the store where nobody
 // knows of any.
-func (q *Limiter) find(ctx context.Context, shard int) {
-	address := q.options.Follower.Address()
+func (l *Limiter) findKeeper(ctx context.Context, shard int) {
+	address := l.options.Follower.Address()
 	if address == "" {
-		address = q.options.Membership.AddressElsewhere()
+		address = l.options.Membership.AddressElsewhere()
 	}
-	q.options.AskPeer(ctx, address)
-	if q.keepers.Of(shard) == nil {
-		q.look(ctx)
+	l.options.AskPeer(ctx, address)
+	if l.keepers.Of(shard) == nil {
+		l.listStored(ctx)
 	}
-	q.server.Resume(ctx)
+	l.server.Resume(ctx)
 }
 
-// look reads the keepers in the store, not too often.
-func (q *Limiter) look(ctx context.Context) {
-	if q.options.Store == nil {
+// listStored reads the keepers in the store, not too often.
+func (l *Limiter) listStored(ctx context.Context) {
+	if l.options.Store == nil {
 		return
 	}
-	q.mutex.Lock()
-	now := q.options.Now()
-	due := q.looked == 0 || now-q.looked >= lookEvery
+	l.mutex.Lock()
+	now := l.options.Now()
+	due := l.lastList == 0 || now-l.lastList >= listEvery
 	if due {
-		q.looked = now
+		l.lastList = now
 	}
-	q.mutex.Unlock()
+	l.mutex.Unlock()
 	if !due {
 		return
 	}
-	call, cancel := context.WithTimeout(ctx, keeperCall)
+	call, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	items, _, err := q.options.Store.List(call, q.keepers.prefix)
-	q.options.StoreHealth.Note("read", err)
+	items, _, err := l.options.Store.List(call, l.keepers.prefix)
+	l.options.StoreHealth.Note("read", err)
 	if err == nil {
-		q.keepers.TakeStored(items)
+		l.keepers.TakeStored(items)
 	}
 }
--- a/internal/sidecar/quotas/keepers.go
+++ b/internal/sidecar/quotas/keepers.go
@@ -33,34 +33,34 @@
 func NewKeepers(prefix string) *Keepers { return &Keepers{prefix: prefix} }
 
 // Key gives the key in the store that names the keeper of a group.
-func (d *Keepers) Key(shard int) string { return d.prefix + strconv.Itoa(shard) }
+func (k *Keepers) Key(shard int) string { return k.prefix + strconv.Itoa(shard) }
 
 // TakeStored learns the keepers that the store has.
-func (d *Keepers) TakeStored(items []store.Item) {
+func (k *Keepers) TakeStored(items []store.Item) {
 	for index := range items {
 		item := &items[index]
-		name, below := strings.CutPrefix(item.Key, d.prefix)
+		name, below := strings.CutPrefix(item.Key, k.prefix)
 		shard, is := shardOfKey(name)
 		if !below || !is {
 			continue
 		}
 		if item.Gone {
-			d.Lapsed(shard, item.Revision)
+			k.Lapsed(shard, item.Revision)
 			continue
 		}
 		if record, err := wire.KeeperRecordCodec.Decode(item.Value); err == nil {
-			d.Learn(&wire.Keeper{Shard: shard, Node: record.Node, Address: record.Address, Incarnation: record.Incarnation, Revision: item.Revision})
+			k.Learn(&wire.Keeper{Shard: shard, Node: record.Node, Address: record.Address, Incarnation: record.Incarnation, Revision: item.Revision})
 		}
 	}
 }
 
 // NoteAbsent notes the groups that the store has no keeper of; items are all that it has at
 // a revision.
-func (d *Keepers) NoteAbsent(items []store.Item, at int64) {
+func (k *Keepers) NoteAbsent(items []store.Item, at int64) {
 	for shard := range Shards {
-		key := d.Key(shard)
+		key := k.Key(shard)
 		if !slices.ContainsFunc(items, func(item store.Item) bool { return item.Key == key }) {
-			d.Lapsed(shard, at+1)
+			k.Lapsed(shard, at+1)
 		}
 	}
 }
@@ -74,43 +74,43 @@
 }
 
 // Learn takes in who keeps a group; false when it is not news.
-func (d *Keepers) Learn(one *wire.Keeper) bool {
-	if one.Shard < 0 || one.Shard >= Shards {
+func (k *Keepers) Learn(keeper *wire.Keeper) bool {
+	if keeper.Shard < 0 || keeper.Shard >= Shards {
 		return false
 	}
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	if known := d.keepers[one.Shard]; known != nil && known.Revision >= one.Revision {
+	k.mutex.Lock()
+	defer k.mutex.Unlock()
+	if known := k.keepers[keeper.Shard]; known != nil && known.Revision >= keeper.Revision {
 		return false
 	}
-	d.keepers[one.Shard], d.absent[one.Shard] = one, false
+	k.keepers[keeper.Shard], k.absent[keeper.Shard] = keeper, false
 	return true
 }
 
 // Lapsed notes that the store has no keeper of a group any more.
-func (d *Keepers) Lapsed(shard int, revision int64) {
+func (k *Keepers) Lapsed(shard int, revision int64) {
 	if shard < 0 || shard >= Shards {
 		return
 	}
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	if known := d.keepers[shard]; known == nil || known.Revision < revision {
-		d.absent[shard] = true
+	k.mutex.Lock()
+	defer k.mutex.Unlock()
+	if known := k.keepers[shard]; known == nil || known.Revision < revision {
+		k.absent[shard] = true
 	}
 }
 
 // Of gives the keeper of a group, nil when none is known.
-func (d *Keepers) Of(shard int) *wire.Keeper {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	return d.keepers[shard]
+func (k *Keepers) Of(shard int) *wire.Keeper {
+	k.mutex.Lock()
+	defer k.mutex.Unlock()
+	return k.keepers[shard]
 }
 
 // Without gives the groups that the store has no keeper of.
-func (d *Keepers) Without() (shards []int) {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	for shard, absent := range d.absent {
+func (k *Keepers) Without() (shards []int) {
+	k.mutex.Lock()
+	defer k.mutex.Unlock()
+	for shard, absent := range k.absent {
 		if absent {
 			shards = append(shards, shard)
 		}
@@ -119,13 +119,13 @@
 }
 
 // All gives the keepers that are known.
-func (d *Keepers) All() []wire.Keeper {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
+func (k *Keepers) All() []wire.Keeper {
+	k.mutex.Lock()
+	defer k.mutex.Unlock()
 	found := []wire.Keeper{}
-	for _, one := range d.keepers {
-		if one != nil {
-			found = append(found, *one)
+	for _, keeper := range k.keepers {
+		if keeper != nil {
+			found = append(found, *keeper)
 		}
 	}
 	return found
--- a/internal/sidecar/quotas/limiter.go
+++ b/internal/sidecar/quotas/limiter.go
@@ -14,13 +14,13 @@
 
 // Times of the questions for parts of limits.
 const (
-	quotaEvery = 500 * time.Millisecond // between two of one node to one keeper
+	askEvery = 500 * time.Millisecond // between two of one node to one keeper
 	// completeEvery is the time between two that tell all that the node holds; those
 	// between tell of tenants whose stock is low, so that bytes between zones stay few.
 	completeEvery = 2 * time.Second
-	quotaTimeout  = 150 * time.Millisecond // of one question; below quota.Travel
-	quotaRest     = 20 * time.Millisecond  // after one that failed
-	quotaFailed   = 100 * time.Millisecond // after more than one
+	askTimeout    = 150 * time.Millisecond // of one question; below quota.Travel
+	retryFirst    = 20 * time.Millisecond  // after one that failed
+	retryLater    = 100 * time.Millisecond // after more than one
 	// gatherEach is the time, for each node, in which requests without a token are asked for
 	// together, within gatherLeast and gatherMost: the questions to a keeper then do not
 	// grow with the fleet. In a profile of 32 nodes with 40 tenants at their limits and
@@ -30,8 +30,8 @@
 	gatherMost  = 250 * time.Millisecond
 	// gatherShort is the factor on it after an answer with too few tokens.
 	gatherShort = 2
-	// lookEvery is the least time between two looks for the keepers in the store.
-	lookEvery = 900 * time.Millisecond
+	// listEvery is the least time between two looks for the keepers in the store.
+	listEvery = 900 * time.Millisecond
 )
 
 // Limiter keeps the requests that begin here within the limits of their tenants over all
@@ -41,112 +41,112 @@
 	options Options
 	keepers *Keepers
 	server  *Server
-	kicks   [Shards]chan struct{}
-	// lost tells that the keeper of a group gives no answers: nobody waits for it.
-	lost [Shards]atomic.Bool
+	urgent  [Shards]chan struct{}
+	// unreachable tells that the keeper of a group gives no answers: nobody waits for it.
+	unreachable [Shards]atomic.Bool
 	// short tells that the last answer of the keeper had too few tokens.
 	short [Shards]atomic.Bool
 
-	mutex  sync.Mutex
-	stocks map[string]*stock // by tenant
-	told   [Shards]completeness
-	looked time.Duration // last look for the keepers in the store
+	mutex        sync.Mutex
+	tenants      map[string]*tenantState // by tenant
+	lastComplete [Shards]completeReport
+	lastList     time.Duration // last look for the keepers in the store
 }
 
-// completeness is when all that the node holds was told last, and to whom.
-type completeness struct {
+// completeReport is when all that the node holds was told last, and to whom.
+type completeReport struct {
 	epoch int64
 	at    time.Duration
 }
 
-// stock is what the node holds of one tenant's limit, and who waits for more.
-type stock struct {
+// tenantState is what the node holds of one tenant's limit, and who waits for more.
+type tenantState struct {
 	holder  *quota.Holder
 	waiters []chan bool // each is told once whether it may go on
 }
 
 // NewLimiter makes a limiter that holds no tokens yet; server is that of the same node.
 func NewLimiter(options Options, keepers *Keepers, server *Server) *Limiter {
-	q := &Limiter{options: options, keepers: keepers, server: server, stocks: map[string]*stock{}}
-	for shard := range q.kicks {
-		q.kicks[shard] = make(chan struct{}, 1)
+	l := &Limiter{options: options, keepers: keepers, server: server, tenants: map[string]*tenantState{}}
+	for shard := range l.urgent {
+		l.urgent[shard] = make(chan struct{}, 1)
 	}
-	return q
+	return l
 }
 
-func (q *Limiter) stockLocked(now time.Duration, tenant *intent.Tenant) *stock {
+func (l *Limiter) tenantLocked(now time.Duration, tenant *intent.Tenant) *tenantState {
 	limit := quota.Limit{Rate: tenant.Rate, Burst: tenant.Burst}
-	one := q.stocks[tenant.Name]
-	if one == nil {
-		one = &stock{holder: quota.NewHolder(q.options.bound(), limit, now)}
-		q.stocks[tenant.Name] = one
+	t := l.tenants[tenant.Name]
+	if t == nil {
+		t = &tenantState{holder: quota.NewHolder(l.options.bound(), limit, now)}
+		l.tenants[tenant.Name] = t
 	}
-	one.holder.SetLimit(now, limit)
-	return one
+	t.holder.SetLimit(now, limit)
+	return t
 }
 
 // Admit takes a token for a request of the tenant; where there is none it waits for one.
-func (q *Limiter) Admit(ctx context.Context, tenant *intent.Tenant, wait time.Duration) bool {
-	q.mutex.Lock()
-	now := q.options.Now()
-	one := q.stockLocked(now, tenant)
-	if one.holder.Arrive(now) {
-		q.mutex.Unlock()
+func (l *Limiter) Admit(ctx context.Context, tenant *intent.Tenant, wait time.Duration) bool {
+	l.mutex.Lock()
+	now := l.options.Now()
+	t := l.tenantLocked(now, tenant)
+	if t.holder.Arrive(now) {
+		l.mutex.Unlock()
 		return true
 	}
-	if !one.holder.MayAsk(now) || q.lost[shardOf(tenant.Name)].Load() {
-		q.mutex.Unlock()
+	if !t.holder.MayAsk(now) || l.unreachable[shardOf(tenant.Name)].Load() {
+		l.mutex.Unlock()
 		return false
 	}
-	told := make(chan bool, 1)
-	one.waiters = append(one.waiters, told)
-	q.mutex.Unlock()
-	q.kick(shardOf(tenant.Name))
+	admitted := make(chan bool, 1)
+	t.waiters = append(t.waiters, admitted)
+	l.mutex.Unlock()
+	l.askNow(shardOf(tenant.Name))
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	select {
-	case may := <-told:
-		return may
+	case ok := <-admitted:
+		return ok
 	case <-timer.C:
 	case <-ctx.Done():
 	}
-	return q.giveUp(one, told)
+	return l.giveUp(t, admitted)
 }
 
 // giveUp ends the wait of a request; a token that came at the last moment counts.
-func (q *Limiter) giveUp(one *stock, told chan bool) bool {
-	q.mutex.Lock()
-	defer q.mutex.Unlock()
+func (l *Limiter) giveUp(t *tenantState, admitted chan bool) bool {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
 	select {
-	case may := <-told:
-		return may
+	case ok := <-admitted:
+		return ok
 	default:
 	}
-	one.waiters = slices.DeleteFunc(one.waiters, func(other chan bool) bool { return other == told })
+	t.waiters = slices.DeleteFunc(t.waiters, func(other chan bool) bool { return other == admitted })
 	return false
 }
 
 // Refusal tells whether the limit is reached, and when there is room again.
-func (q *Limiter) Refusal(tenant *intent.Tenant, most time.Duration) (spent bool, comeBack time.Duration) {
-	q.mutex.Lock()
-	defer q.mutex.Unlock()
-	now := q.options.Now()
-	one := q.stockLocked(now, tenant)
-	return one.holder.Spent(), one.holder.ComeBack(now, most)
+func (l *Limiter) Refusal(tenant *intent.Tenant, most time.Duration) (limitReached bool, retryAfter time.Duration) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	now := l.options.Now()
+	t := l.tenantLocked(now, tenant)
+	return t.holder.Spent(), t.holder.ComeBack(now, most)
 }
 
 // GiveBack returns the token of a request that has not run and never will.
-func (q *Limiter) GiveBack(tenant *intent.Tenant) {
+func (l *Limiter) GiveBack(tenant *intent.Tenant) {
 	if tenant == nil || !tenant.Limited() {
 		return
 	}
-	q.mutex.Lock()
-	defer q.mutex.Unlock()
-	now := q.options.Now()
-	q.stockLocked(now, tenant).holder.GiveBack(now)
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	now := l.options.Now()
+	l.tenantLocked(now, tenant).holder.GiveBack(now)
 }
 
-// kick has the keeper of a group asked now.
-func (q *Limiter) kick(shard int) {
-	wait.Signal(q.kicks[shard])
+// askNow has the keeper of a group asked now.
+func (l *Limiter) askNow(shard int) {
+	wait.Signal(l.urgent[shard])
 }
--- a/internal/sidecar/quotas/server.go
+++ b/internal/sidecar/quotas/server.go
@@ -17,13 +17,13 @@
 
 // Times of the keepers of quotas.
 const (
-	// keeperLease is how long the right to give parts of limits lasts without the store.
+	// leaseTTL is how long the right to give parts of limits lasts without the store.
 	// Longer than most of its outages last; after it nobody holds anything that a keeper
 	// gave that is gone.
-	keeperLease = 6 * time.Second
-	keeperRenew = 1500 * time.Millisecond
-	keeperAgain = 300 * time.Millisecond // after a call that failed
-	keeperCall  = 400 * time.Millisecond // of one call
+	leaseTTL     = 6 * time.Second
+	renewEvery   = 1500 * time.Millisecond
+	renewAgain   = 300 * time.Millisecond // after a call that failed
+	storeTimeout = 400 * time.Millisecond // of one call
 	// turnStep is the time that the follower of each zone leaves to those before it.
 	turnStep = 400 * time.Millisecond
 	// replaceStep is that time where the keeper's process is known to be gone.
@@ -34,8 +34,8 @@
 	// pruneAfter is the time after which the name of a node is dropped that holds nothing:
 	// a new keeper withholds something for each name until it hears of the node.
 	pruneAfter = 2 * time.Second
-	// listGather is the time in which the names of new nodes are written together.
-	listGather = 20 * time.Millisecond
+	// gatherNames is the time in which the names of new nodes are written together.
+	gatherNames = 20 * time.Millisecond
 )
 
 // Path is where a node takes the questions of other nodes for parts of limits.
@@ -48,19 +48,19 @@
 	options Options
 	keepers *Keepers
 
-	overtake chan struct{} // one group is taken over at a time: all share a lease
+	takeovers chan struct{} // one group is taken over at a time: all share a lease
 
-	mutex   sync.Mutex
-	lease   *store.Lease
-	right   time.Duration // end of the right to give, on the node's clock
-	paused  bool          // it has ended, and the lease may still be in the store
-	held    map[int]*group
-	absence map[int]time.Duration // since when a group is seen without a keeper
-	taking  map[int]bool
+	mutex       sync.Mutex
+	lease       *store.Lease
+	leaseEnds   time.Duration // end of the right to give, on the node's clock
+	paused      bool          // it has ended, and the lease may still be in the store
+	held        map[int]*heldShard
+	absentSince map[int]time.Duration // since when a group is seen without a keeper
+	takingOver  map[int]bool
 }
 
-// group is one group. Its fields belong to the mutex of Server.
-type group struct {
+// heldShard is one shard that the node keeps. Its fields belong to the mutex of Server.
+type heldShard struct {
 	keeper   *quota.Keeper
 	part     float64 // most of a limit that one share is
 	epoch    int64
@@ -71,31 +71,31 @@
 
 // NewServer makes a server that keeps no shard yet.
 func NewServer(options Options, keepers *Keepers) *Server {
-	return &Server{options: options, keepers: keepers, overtake: make(chan struct{}, 1), held: map[int]*group{}, absence: map[int]time.Duration{}, taking: map[int]bool{}}
+	return &Server{options: options, keepers: keepers, takeovers: make(chan struct{}, 1), held: map[int]*heldShard{}, absentSince: map[int]time.Duration{}, takingOver: map[int]bool{}}
 }
 
 // Run renews the right until ctx ends.
 func (s *Server) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		rest := keeperRenew
+		rest := renewEvery
 		s.prune()
-		if lease := s.inUse(); lease != nil && !s.renew(ctx, lease) {
-			rest = keeperAgain
+		if lease := s.leaseInUse(); lease != nil && !s.renew(ctx, lease) {
+			rest = renewAgain
 		}
 		wait.For(ctx, rest)
 	}
 }
 
-// inUse gives the lease of the groups that are kept, nil when there is none. It is renewed
+// leaseInUse gives the lease of the groups that are kept, nil when there is none. It is renewed
 // also when the right to give has ended: the store's leases may wait while it is away, and
 // as long as the key is there nobody else can have it.
-func (s *Server) inUse() *store.Lease {
+func (s *Server) leaseInUse() *store.Lease {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if len(s.held) == 0 {
 		return nil
 	}
-	if ended := s.options.Now() >= s.right; ended != s.paused {
+	if ended := s.options.Now() >= s.leaseEnds; ended != s.paused {
 		s.pauseLocked(ended)
 	}
 	return s.lease
@@ -108,8 +108,8 @@
 	if ended {
 		change = "paused"
 	}
-	for shard, one := range s.held {
-		s.options.Events.Add(eventlog.Keeper{Shard: shard, Change: change, Epoch: one.epoch}, eventlog.State)
+	for shard, held := range s.held {
+		s.options.Events.Add(eventlog.Keeper{Shard: shard, Change: change, Epoch: held.epoch}, eventlog.State)
 	}
 }
 
@@ -120,16 +120,16 @@
 	return len(s.held) > 0
 }
 
-func (s *Server) dropLocked(why string) {
-	for shard, one := range s.held {
-		s.options.Events.Add(eventlog.Keeper{Shard: shard, Change: "ended", Epoch: one.epoch, Error: why}, eventlog.State)
+func (s *Server) dropAllLocked(why string) {
+	for shard, held := range s.held {
+		s.options.Events.Add(eventlog.Keeper{Shard: shard, Change: "ended", Epoch: held.epoch, Error: why}, eventlog.State)
 	}
-	s.held, s.lease, s.paused = map[int]*group{}, nil, false
+	s.held, s.lease, s.paused = map[int]*heldShard{}, nil, false
 }
 
 func (s *Server) renew(ctx context.Context, lease *store.Lease) bool {
 	began := s.options.Now()
-	call, cancel := context.WithTimeout(ctx, keeperCall)
+	call, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	err := s.options.Store.Keep(call, lease.ID)
 	s.options.StoreHealth.Note("lease", err)
@@ -137,9 +137,9 @@
 	defer s.mutex.Unlock()
 	switch {
 	case err == nil && s.lease == lease:
-		s.right = max(s.right, began+lease.TTL)
+		s.leaseEnds = max(s.leaseEnds, began+lease.TTL)
 	case errors.Is(err, store.ErrLeaseGone) && s.lease == lease:
-		s.dropLocked("lease is gone")
+		s.dropAllLocked("lease is gone")
 	}
 	return err == nil
 }
@@ -148,10 +148,10 @@
 func (s *Server) prune() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	for shard, one := range s.held {
-		if one.keeper.Prune(s.options.Now(), pruneAfter) && !one.writing {
-			one.writing = true
-			go s.writeNames(shard, one)
+	for shard, held := range s.held {
+		if held.keeper.Prune(s.options.Now(), pruneAfter) && !held.writing {
+			held.writing = true
+			go s.writeNames(shard, held)
 		}
 	}
 }
@@ -171,78 +171,78 @@
 	current := s.options.Configuration.Load()
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	one, now := s.held[asked.Shard], s.options.Now()
-	if one == nil || now >= s.right || current == nil {
+	held, now := s.held[asked.Shard], s.options.Now()
+	if held == nil || now >= s.leaseEnds || current == nil {
 		return answer
 	}
 	answer.Keeps = true
-	if !one.keeper.Lists(asked.Holder) {
-		s.join(asked.Shard, one, asked.Holder)
+	if !held.keeper.Lists(asked.Holder) {
+		s.addName(asked.Shard, held, asked.Holder)
 		return answer
 	}
-	answer.Listed, answer.Epoch = true, one.epoch
-	process, left := asked.Holder+"/"+asked.Incarnation, s.right-now
+	answer.Listed, answer.Epoch = true, held.epoch
+	process, left := asked.Holder+"/"+asked.Incarnation, s.leaseEnds-now
 	for index := range asked.Reports {
 		report := reportOf(&asked.Reports[index])
 		limit := quota.Limit{}
 		if tenant := current.Tenant(report.Tenant); tenant != nil {
 			limit = quota.Limit{Rate: tenant.Rate, Burst: tenant.Burst}
 		}
-		answer.Allotments = append(answer.Allotments, allotmentTo(one.keeper.Answer(now, asked.Holder, process, limit, report, left)))
+		answer.Allotments = append(answer.Allotments, allotmentTo(held.keeper.Answer(now, asked.Holder, process, limit, report, left)))
 	}
 	if asked.Complete {
-		one.keeper.Heard(now, asked.Holder)
+		held.keeper.Heard(now, asked.Holder)
 	}
 	return answer
 }
 
-// join has the name of a node kept that asks for the first time; it gets nothing before.
-func (s *Server) join(shard int, one *group, name string) {
-	one.joining[name] = true
-	if one.writing {
+// addName has the name of a node kept that asks for the first time; it gets nothing before.
+func (s *Server) addName(shard int, held *heldShard, name string) {
+	held.joining[name] = true
+	if held.writing {
 		return
 	}
-	one.writing = true
-	time.AfterFunc(listGather, func() { s.writeNames(shard, one) })
+	held.writing = true
+	time.AfterFunc(gatherNames, func() { s.writeNames(shard, held) })
 }
 
-func (s *Server) writeNames(shard int, one *group) {
+func (s *Server) writeNames(shard int, held *heldShard) {
 	s.mutex.Lock()
-	names := one.keeper.Listed()
-	added := make([]string, 0, len(one.joining))
-	for name := range one.joining {
+	names := held.keeper.Listed()
+	added := make([]string, 0, len(held.joining))
+	for name := range held.joining {
 		added = append(added, name)
 	}
-	lease, revision, held := s.lease, one.revision, s.held[shard] == one
+	lease, revision, kept := s.lease, held.revision, s.held[shard] == held
 	s.mutex.Unlock()
 	var written int64
 	err := errors.New("no longer kept")
-	if held && lease != nil {
-		written, err = s.write(context.Background(), shard, lease.ID, append(names, added...), one.part, revision)
+	if kept && lease != nil {
+		written, err = s.writeRecord(context.Background(), shard, lease.ID, append(names, added...), held.part, revision)
 		if errors.Is(err, store.ErrUncertain) || errors.Is(err, store.ErrConflict) {
-			written, err = s.lookAgain(shard, added)
+			written, err = s.confirmNames(shard, added)
 		}
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	one.writing = false
+	held.writing = false
 	if err != nil {
-		s.options.Events.Add(eventlog.Keeper{Shard: shard, Change: "names not written", Epoch: one.epoch, Error: err.Error()}, eventlog.Failure)
+		s.options.Events.Add(eventlog.Keeper{Shard: shard, Change: "names not written", Epoch: held.epoch, Error: err.Error()}, eventlog.Failure)
 		return // the nodes ask again
 	}
-	one.revision = written
-	one.keeper.List(s.options.Now(), added)
+	held.revision = written
+	held.keeper.List(s.options.Now(), added)
 	for _, name := range added {
-		delete(one.joining, name)
+		delete(held.joining, name)
 	}
-	s.keepers.Learn(s.record(shard, written))
+	s.keepers.Learn(s.ownKeeper(shard, written))
 }
 
-// lookAgain reads the key after a write without an answer. Names that stand there count as
+// confirmNames reads the key after a write without an answer. Names that stand there count as
 // written; a write that is done later changes nothing, since the next one goes by another
 // revision.
-func (s *Server) lookAgain(shard int, added []string) (int64, error) {
-	item, record, err := s.read(context.Background(), shard)
+func (s *Server) confirmNames(shard int, added []string) (int64, error) {
+	item, record, err := s.readRecord(context.Background(), shard)
 	if err != nil {
 		return 0, err
 	}
@@ -251,11 +251,11 @@
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	one := s.held[shard]
-	if one == nil {
+	held := s.held[shard]
+	if held == nil {
 		return 0, errors.New("no longer kept")
 	}
-	one.revision = item.Revision
+	held.revision = item.Revision
 	for _, name := range added {
 		found := false
 		for _, listed := range record.Listed {
--- a/internal/sidecar/quotas/takeover.go
+++ b/internal/sidecar/quotas/takeover.go
@@ -28,17 +28,17 @@
 	without := map[int]bool{}
 	for _, shard := range s.keepers.Without() {
 		without[shard] = true
-		since, seen := s.absence[shard]
+		since, seen := s.absentSince[shard]
 		if !seen {
-			s.absence[shard], since = now, now
+			s.absentSince[shard], since = now, now
 		}
 		if now-since >= turnStep*time.Duration(turnOf(shard, s.options.Settings().Zone, zones)) {
-			s.begin(ctx, shard, nil)
+			s.beginTakeOver(ctx, shard, nil)
 		}
 	}
-	for shard := range s.absence {
+	for shard := range s.absentSince {
 		if !without[shard] {
-			delete(s.absence, shard)
+			delete(s.absentSince, shard)
 		}
 	}
 }
@@ -47,9 +47,9 @@
 // over: nobody else can have it until then.
 func (s *Server) Resume(ctx context.Context) {
 	own := s.options.Settings()
-	for _, one := range s.keepers.All() {
-		if one.Node == own.Node && one.Address == own.Listen.Inbound && one.Incarnation != s.options.Incarnation {
-			s.begin(ctx, one.Shard, &one)
+	for _, keeper := range s.keepers.All() {
+		if keeper.Node == own.Node && keeper.Address == own.Listen.Inbound && keeper.Incarnation != s.options.Incarnation {
+			s.beginTakeOver(ctx, keeper.Shard, &keeper)
 		}
 	}
 }
@@ -63,7 +63,7 @@
 	turn := turnOf(gone.Shard, s.options.Settings().Zone, s.options.Membership.ZoneNames())
 	wait.For(ctx, replaceStep*time.Duration(turn))
 	if known := s.keepers.Of(gone.Shard); known != nil && known.Revision == gone.Revision {
-		s.begin(ctx, gone.Shard, gone)
+		s.beginTakeOver(ctx, gone.Shard, gone)
 	}
 }
 
@@ -77,13 +77,13 @@
 		}
 		var asked sync.WaitGroup
 		for _, holder := range awaited {
-			asked.Go(func() { s.settleOne(ctx, holder) })
+			asked.Go(func() { s.settleHolder(ctx, holder) })
 		}
 		asked.Wait()
 	}
 }
 
-func (s *Server) settleOne(ctx context.Context, holder string) {
+func (s *Server) settleHolder(ctx context.Context, holder string) {
 	call, cancel := context.WithTimeout(ctx, peer.PingTimeout)
 	defer cancel()
 	if err := s.options.Peers.PingPeer(call, addressOfHolder(holder)); !errors.Is(err, syscall.ECONNREFUSED) {
@@ -91,8 +91,8 @@
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	for _, one := range s.held {
-		one.keeper.Heard(s.options.Now(), holder)
+	for _, held := range s.held {
+		held.keeper.Heard(s.options.Now(), holder)
 	}
 }
 
@@ -101,8 +101,8 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	var found []string
-	for _, one := range s.held {
-		for _, holder := range one.keeper.Awaited(s.options.Now()) {
+	for _, held := range s.held {
+		for _, holder := range held.keeper.Awaited(s.options.Now()) {
 			if !slices.Contains(found, holder) {
 				found = append(found, holder)
 			}
@@ -120,14 +120,14 @@
 	return address
 }
 
-// begin takes a group over unless that is under way.
-func (s *Server) begin(ctx context.Context, shard int, before *wire.Keeper) {
+// beginTakeOver takes a group over unless that is under way.
+func (s *Server) beginTakeOver(ctx context.Context, shard int, before *wire.Keeper) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.taking[shard] || s.held[shard] != nil {
+	if s.takingOver[shard] || s.held[shard] != nil {
 		return
 	}
-	s.taking[shard] = true
+	s.takingOver[shard] = true
 	go func() {
 		err := s.takeOver(ctx, shard, before)
 		if err != nil {
@@ -135,16 +135,16 @@
 		}
 		s.mutex.Lock()
 		defer s.mutex.Unlock()
-		delete(s.taking, shard)
+		delete(s.takingOver, shard)
 	}()
 }
 
 func (s *Server) takeOver(ctx context.Context, shard int, before *wire.Keeper) error {
-	s.overtake <- struct{}{}
-	defer func() { <-s.overtake }()
+	s.takeovers <- struct{}{}
+	defer func() { <-s.takeovers }()
 	revision, known := int64(0), quota.Before{}
 	if before != nil {
-		item, record, err := s.read(ctx, shard)
+		item, record, err := s.readRecord(ctx, shard)
 		if err != nil {
 			return err
 		}
@@ -152,9 +152,9 @@
 			return nil
 		}
 		// The one before may have given parts that last until its lease would have ended.
-		revision, known = item.Revision, quota.Before{Listed: record.Listed, Part: record.Part, Ends: s.options.Now() + keeperLease}
+		revision, known = item.Revision, quota.Before{Listed: record.Listed, Part: record.Part, Ends: s.options.Now() + leaseTTL}
 	}
-	lease, err := s.leased(ctx)
+	lease, err := s.acquireLease(ctx)
 	if err != nil {
 		return err
 	}
@@ -170,7 +170,7 @@
 	if before == nil {
 		part = quota.PartOf(len(names))
 	}
-	written, err := s.write(ctx, shard, lease.ID, names, part, revision)
+	written, err := s.writeRecord(ctx, shard, lease.ID, names, part, revision)
 	if err != nil {
 		return err
 	}
@@ -184,8 +184,8 @@
 	if before == nil {
 		keeper.List(now, names)
 	}
-	s.held[shard] = &group{keeper: keeper, part: part, epoch: written, revision: written, joining: map[string]bool{}}
-	s.keepers.Learn(s.record(shard, written))
+	s.held[shard] = &heldShard{keeper: keeper, part: part, epoch: written, revision: written, joining: map[string]bool{}}
+	s.keepers.Learn(s.ownKeeper(shard, written))
 	if before != nil {
 		go s.settle(ctx)
 	}
@@ -206,9 +206,9 @@
 	}
 }
 
-// read gives the key of a group; nil when there is none.
-func (s *Server) read(ctx context.Context, shard int) (*store.Item, *wire.KeeperRecord, error) {
-	call, cancel := context.WithTimeout(ctx, keeperCall)
+// readRecord gives the key of a group; nil when there is none.
+func (s *Server) readRecord(ctx context.Context, shard int) (*store.Item, *wire.KeeperRecord, error) {
+	call, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	item, _, err := s.options.Store.Get(call, s.keepers.Key(shard))
 	s.options.StoreHealth.Note("read", err)
@@ -219,37 +219,37 @@
 	return item, record, err
 }
 
-// leased gives the lease of the groups that the node keeps.
-func (s *Server) leased(ctx context.Context) (*store.Lease, error) {
-	s.inUse()
+// acquireLease gives the lease of the groups that the node keeps.
+func (s *Server) acquireLease(ctx context.Context) (*store.Lease, error) {
+	s.leaseInUse()
 	s.mutex.Lock()
-	known, left := s.lease, s.right-s.options.Now()
+	known, left := s.lease, s.leaseEnds-s.options.Now()
 	s.mutex.Unlock()
-	if known != nil && (s.Keeps() || left > keeperLease/2) {
+	if known != nil && (s.Keeps() || left > leaseTTL/2) {
 		return known, nil
 	}
 	began := s.options.Now()
-	call, cancel := context.WithTimeout(ctx, keeperCall)
+	call, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	lease, err := s.options.Store.Grant(call, keeperLease)
+	lease, err := s.options.Store.Grant(call, leaseTTL)
 	s.options.StoreHealth.Note("lease", err)
 	if err != nil {
 		return nil, err
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	lease.TTL = min(lease.TTL, keeperLease)
-	s.lease, s.right = &lease, began+lease.TTL
+	lease.TTL = min(lease.TTL, leaseTTL)
+	s.lease, s.leaseEnds = &lease, began+lease.TTL
 	return s.lease, nil
 }
 
-func (s *Server) record(shard int, revision int64) *wire.Keeper {
+func (s *Server) ownKeeper(shard int, revision int64) *wire.Keeper {
 	own := s.options.Settings()
 	return &wire.Keeper{Shard: shard, Node: own.Node, Address: own.Listen.Inbound, Incarnation: s.options.Incarnation, Revision: revision}
 }
 
-// write writes the key of a group if it still has a revision.
-func (s *Server) write(ctx context.Context, shard int, lease int64, names []string, part float64, revision int64) (int64, error) {
+// writeRecord writes the key of a group if it still has a revision.
+func (s *Server) writeRecord(ctx context.Context, shard int, lease int64, names []string, part float64, revision int64) (int64, error) {
 	own := s.options.Settings()
 	value, err := wire.KeeperRecordCodec.Encode(&wire.KeeperRecord{
 		Node: own.Node, Incarnation: s.options.Incarnation, Address: own.Listen.Inbound, Listed: names, Part: part,
@@ -257,7 +257,7 @@
 	if err != nil {
 		return 0, err
 	}
-	call, cancel := context.WithTimeout(ctx, keeperCall)
+	call, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	written, err := s.options.Store.Put(call, store.Write{Key: s.keepers.Key(shard), Value: value, Lease: lease, IfRevision: &revision})
 	s.options.StoreHealth.Note("keeper", err)
