--- /dev/null
+++ b/internal/sidecar/quotas/names.go
@@ -0,0 +1,92 @@
+package quotas
+
+import (
+	"context"
+	"strings"
+	"time"
+
+	"github.com/juju/errors"
+	"github.com/landingmast/landingmast/internal/sidecar/eventlog"
+	"github.com/landingmast/landingmast/internal/store"
+)
+
+// holderName names a node among those that may hold parts of limits, with its address: at
+// one address there is one process at a time.
+func holderName(node, address string) string { return node + " " + address }
+
+func addressOfHolder(holder string) string {
+	_, address, _ := strings.Cut(holder, " ")
+	return address
+}
+
+// addName has the name of a node kept that asks for the first time; it gets nothing before.
+func (s *Server) addName(shard int, held *heldShard, name string) {
+	held.joining[name] = true
+	if held.writing {
+		return
+	}
+	held.writing = true
+	time.AfterFunc(gatherNames, func() { s.writeNames(shard, held) })
+}
+
+func (s *Server) writeNames(shard int, held *heldShard) {
+	s.mutex.Lock()
+	names := held.keeper.Listed()
+	added := make([]string, 0, len(held.joining))
+	for name := range held.joining {
+		added = append(added, name)
+	}
+	lease, revision, kept := s.lease, held.revision, s.held[shard] == held
+	s.mutex.Unlock()
+	var written int64
+	err := errors.New("no longer kept")
+	if kept && lease != nil {
+		written, err = s.writeRecord(context.Background(), shard, lease.ID, append(names, added...), held.part, revision)
+		if errors.Is(err, store.ErrUncertain) || errors.Is(err, store.ErrConflict) {
+			written, err = s.confirmNames(shard, added)
+		}
+	}
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	held.writing = false
+	if err != nil {
+		s.options.Events.Add(eventlog.Keeper{Shard: shard, Change: "names not written", Epoch: held.epoch, Error: err.Error()}, eventlog.Failure)
+		return // the nodes ask again
+	}
+	held.revision = written
+	held.keeper.List(s.options.Now(), added)
+	for _, name := range added {
+		delete(held.joining, name)
+	}
+	s.keepers.Learn(s.ownKeeper(shard, written))
+}
+
+// confirmNames reads the key after a write without an answer. Names that stand there count as
+// written; a write that is done later changes nothing, since the next one goes by another
+// revision.
+func (s *Server) confirmNames(shard int, added []string) (int64, error) {
+	item, record, err := s.readRecord(context.Background(), shard)
+	if err != nil {
+		return 0, err
+	}
+	if record == nil || record.Incarnation != s.options.Incarnation {
+		return 0, errors.New("another node keeps the group")
+	}
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	held := s.held[shard]
+	if held == nil {
+		return 0, errors.New("no longer kept")
+	}
+	held.revision = item.Revision
+	for _, name := range added {
+		found := false
+		for _, listed := range record.Listed {
+			found = found || listed == name
+		}
+		if !found {
+			return 0, errors.New("names are not in the store")
+		}
+	}
+	return item.Revision, nil
+}
--- /dev/null
+++ b/internal/sidecar/quotas/record.go
@@ -0,0 +1,42 @@
+package quotas
+
+import (
+	"context"
+
+	"github.com/landingmast/landingmast/internal/store"
+	"github.com/landingmast/landingmast/internal/wire"
+)
+
+// readRecord gives the key of a group; nil when there is none.
+func (s *Server) readRecord(ctx context.Context, shard int) (*store.Item, *wire.KeeperRecord, error) {
+	call, cancel := context.WithTimeout(ctx, storeTimeout)
+	defer cancel()
+	item, _, err := s.options.Store.Get(call, s.keepers.Key(shard))
+	s.options.StoreHealth.Note("read", err)
+	if err != nil || item == nil {
+		return nil, nil, err
+	}
+	record, err := wire.KeeperRecordCodec.Decode(item.Value)
+	return item, record, err
+}
+
+func (s *Server) ownKeeper(shard int, revision int64) *wire.Keeper {
+	own := s.options.Settings()
+	return &wire.Keeper{Shard: shard, Node: own.Node, Address: own.Listen.Inbound, Incarnation: s.options.Incarnation, Revision: revision}
+}
+
+// writeRecord writes the key of a group if it still has a revision.
+func (s *Server) writeRecord(ctx context.Context, shard int, lease int64, names []string, part float64, revision int64) (int64, error) {
+	own := s.options.Settings()
+	value, err := wire.KeeperRecordCodec.Encode(&wire.KeeperRecord{
+		Node: own.Node, Incarnation: s.options.Incarnation, Address: own.Listen.Inbound, Listed: names, Part: part,
+	})
+	if err != nil {
+		return 0, err
+	}
+	call, cancel := context.WithTimeout(ctx, storeTimeout)
+	defer cancel()
+	written, err := s.options.Store.Put(call, store.Write{Key: s.keepers.Key(shard), Value: value, Lease: lease, IfRevision: &revision})
+	s.options.StoreHealth.Note("keeper", err)
+	return written, err
+}
--- a/internal/sidecar/quotas/server.go
+++ b/internal/sidecar/quotas/server.go
@@ -101,6 +101,30 @@
 	return s.lease
 }
 
+// acquireLease gives the lease of the groups that the node keeps.
+func (s *Server) acquireLease(ctx context.Context) (*store.Lease, error) {
+	s.leaseInUse()
+	s.mutex.Lock()
+	known, left := s.lease, s.leaseEnds-s.options.Now()
+	s.mutex.Unlock()
+	if known != nil && (s.Keeps() || left > leaseTTL/2) {
+		return known, nil
+	}
+	began := s.options.Now()
+	call, cancel := context.WithTimeout(ctx, storeTimeout)
+	defer cancel()
+	lease, err := s.options.Store.Grant(call, leaseTTL)
+	s.options.StoreHealth.Note("lease", err)
+	if err != nil {
+		return nil, err
+	}
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	lease.TTL = min(lease.TTL, leaseTTL)
+	s.lease, s.leaseEnds = &lease, began+lease.TTL
+	return s.lease, nil
+}
+
 // pauseLocked notes that the right to give has ended or come back.
 func (s *Server) pauseLocked(ended bool) {
 	s.paused = ended
@@ -195,75 +219,3 @@
 	}
 	return answer
 }
-
-// addName has the name of a node kept that asks for the first time; it gets nothing before.
-func (s *Server) addName(shard int, held *heldShard, name string) {
-	held.joining[name] = true
-	if held.writing {
-		return
-	}
-	held.writing = true
-	time.AfterFunc(gatherNames, func() { s.writeNames(shard, held) })
-}
-
-func (s *Server) writeNames(shard int, held *heldShard) {
-	s.mutex.Lock()
-	names := held.keeper.Listed()
-	added := make([]string, 0, len(held.joining))
-	for name := range held.joining {
-		added = append(added, name)
-	}
-	lease, revision, kept := s.lease, held.revision, s.held[shard] == held
-	s.mutex.Unlock()
-	var written int64
-	err := errors.New("no longer kept")
-	if kept && lease != nil {
-		written, err = s.writeRecord(context.Background(), shard, lease.ID, append(names, added...), held.part, revision)
-		if errors.Is(err, store.ErrUncertain) || errors.Is(err, store.ErrConflict) {
-			written, err = s.confirmNames(shard, added)
-		}
-	}
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	held.writing = false
-	if err != nil {
-		s.options.Events.Add(eventlog.Keeper{Shard: shard, Change: "names not written", Epoch: held.epoch, Error: err.Error()}, eventlog.Failure)
-		return // the nodes ask again
-	}
-	held.revision = written
-	held.keeper.List(s.options.Now(), added)
-	for _, name := range added {
-		delete(held.joining, name)
-	}
-	s.keepers.Learn(s.ownKeeper(shard, written))
-}
-
-// confirmNames reads the key after a write without an answer. Names that stand there count as
-// written; a write that is done later changes nothing, since the next one goes by another
-// revision.
-func (s *Server) confirmNames(shard int, added []string) (int64, error) {
-	item, record, err := s.readRecord(context.Background(), shard)
-	if err != nil {
-		return 0, err
-	}
-	if record == nil || record.Incarnation != s.options.Incarnation {
-		return 0, errors.New("another node keeps the group")
-	}
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	held := s.held[shard]
-	if held == nil {
-		return 0, errors.New("no longer kept")
-	}
-	held.revision = item.Revision
-	for _, name := range added {
-		found := false
-		for _, listed := range record.Listed {
-			found = found || listed == name
-		}
-		if !found {
-			return 0, errors.New("names are not in the store")
-		}
-	}
-	return item.Revision, nil
-}
--- a/internal/sidecar/quotas/takeover.go
+++ b/internal/sidecar/quotas/takeover.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"slices"
-	"strings"
 	"sync"
 	"syscall"
 	"time"
@@ -13,7 +12,6 @@
 	"github.com/landingmast/landingmast/internal/sidecar/eventlog"
 	"github.com/landingmast/landingmast/internal/sidecar/peer"
 	"github.com/landingmast/landingmast/internal/sidecar/wait"
-	"github.com/landingmast/landingmast/internal/store"
 	"github.com/landingmast/landingmast/internal/wire"
 )
 
@@ -111,15 +109,6 @@
 	return found
 }
 
-// holderName names a node among those that may hold parts of limits, with its address: at
-// one address there is one process at a time.
-func holderName(node, address string) string { return node + " " + address }
-
-func addressOfHolder(holder string) string {
-	_, address, _ := strings.Cut(holder, " ")
-	return address
-}
-
 // beginTakeOver takes a group over unless that is under way.
 func (s *Server) beginTakeOver(ctx context.Context, shard int, before *wire.Keeper) {
 	s.mutex.Lock()
@@ -205,61 +194,3 @@
 		return record.Incarnation == gone.Incarnation
 	}
 }
-
-// readRecord gives the key of a group; nil when there is none.
-func (s *Server) readRecord(ctx context.Context, shard int) (*store.Item, *wire.KeeperRecord, error) {
-	call, cancel := context.WithTimeout(ctx, storeTimeout)
-	defer cancel()
-	item, _, err := s.options.Store.Get(call, s.keepers.Key(shard))
-	s.options.StoreHealth.Note("read", err)
-	if err != nil || item == nil {
-		return nil, nil, err
-	}
-	record, err := wire.KeeperRecordCodec.Decode(item.Value)
-	return item, record, err
-}
-
-// acquireLease gives the lease of the groups that the node keeps.
-func (s *Server) acquireLease(ctx context.Context) (*store.Lease, error) {
-	s.leaseInUse()
-	s.mutex.Lock()
-	known, left := s.lease, s.leaseEnds-s.options.Now()
-	s.mutex.Unlock()
-	if known != nil && (s.Keeps() || left > leaseTTL/2) {
-		return known, nil
-	}
-	began := s.options.Now()
-	call, cancel := context.WithTimeout(ctx, storeTimeout)
-	defer cancel()
-	lease, err := s.options.Store.Grant(call, leaseTTL)
-	s.options.StoreHealth.Note("lease", err)
-	if err != nil {
-		return nil, err
-	}
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	lease.TTL = min(lease.TTL, leaseTTL)
-	s.lease, s.leaseEnds = &lease, began+lease.TTL
-	return s.lease, nil
-}
-
-func (s *Server) ownKeeper(shard int, revision int64) *wire.Keeper {
-	own := s.options.Settings()
-	return &wire.Keeper{Shard: shard, Node: own.Node, Address: own.Listen.Inbound, Incarnation: s.options.Incarnation, Revision: revision}
-}
-
-// writeRecord writes the key of a group if it still has a revision.
-func (s *Server) writeRecord(ctx context.Context, shard int, lease int64, names []string, part float64, revision int64) (int64, error) {
-	own := s.options.Settings()
-	value, err := wire.KeeperRecordCodec.Encode(&wire.KeeperRecord{
-		Node: own.Node, Incarnation: s.options.Incarnation, Address: own.Listen.Inbound, Listed: names, Part: part,
-	})
-	if err != nil {
-		return 0, err
-	}
-	call, cancel := context.WithTimeout(ctx, storeTimeout)
-	defer cancel()
-	written, err := s.options.Store.Put(call, store.Write{Key: s.keepers.Key(shard), Value: value, Lease: lease, IfRevision: &revision})
-	s.options.StoreHealth.Note("keeper", err)
-	return written, err
-}
