--- a/internal/sidecar/quotas/ask.go
+++ b/internal/sidecar/quotas/ask.go
@@ -122,41 +122,53 @@
 func (l *Limiter) applyAnswer(asked time.Duration, message *wire.QuotaAsk, answer *wire.QuotaAnswer) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	now := l.options.Now()
-	if last := &l.lastComplete[message.Shard]; message.Complete {
-		last.at, last.epoch = asked, answer.Epoch
-	} else if last.epoch != answer.Epoch {
-		last.at = 0 // a keeper that does not know yet what the node holds
-		l.askNow(message.Shard)
-	}
+	l.noteReportLocked(asked, message, answer.Epoch)
 	l.short[message.Shard].Store(slices.ContainsFunc(answer.Allotments, func(a wire.QuotaAllotment) bool { return a.Again > 0 }))
 	for index := range answer.Allotments {
 		given := allotmentOf(answer.Epoch, &answer.Allotments[index])
-		t := l.tenants[given.Tenant]
-		if t == nil {
-			continue
-		}
-		tokens := t.holder.Allot(now, asked, given)
-		for len(t.waiters) > 0 && (tokens > 0 || t.holder.Take(now)) {
-			tokens = max(tokens-1, 0)
-			t.waiters[0] <- true
-			t.waiters = t.waiters[1:]
-		}
-		t.holder.Store(now, tokens)
-		if len(t.waiters) == 0 {
-			continue
-		}
-		if t.holder.MayAsk(now) {
-			time.AfterFunc(given.Again, func() { l.askNow(message.Shard) })
-			continue
+		if t := l.tenants[given.Tenant]; t != nil {
+			l.allotLocked(t, asked, given)
 		}
-		for _, admitted := range t.waiters {
-			admitted <- false
-		}
-		t.waiters = nil
 	}
 }
 
+// noteReportLocked notes a complete report, or that the keeper which answered has had none.
+func (l *Limiter) noteReportLocked(asked time.Duration, message *wire.QuotaAsk, epoch int64) {
+	last := &l.lastComplete[message.Shard]
+	if message.Complete {
+		last.at, last.epoch = asked, epoch
+		return
+	}
+	if last.epoch != epoch {
+		last.at = 0 // a keeper that does not know yet what the node holds
+		l.askNow(message.Shard)
+	}
+}
+
+// allotLocked gives what a keeper has allotted to the requests that wait, and the rest to the
+// stock. Requests for which there is too little wait on only if the keeper may have more soon.
+func (l *Limiter) allotLocked(t *tenantState, asked time.Duration, given quota.Allotment) {
+	now := l.options.Now()
+	tokens := t.holder.Allot(now, asked, given)
+	for len(t.waiters) > 0 && (tokens > 0 || t.holder.Take(now)) {
+		tokens = max(tokens-1, 0)
+		t.waiters[0] <- true
+		t.waiters = t.waiters[1:]
+	}
+	t.holder.Store(now, tokens)
+	if len(t.waiters) == 0 {
+		return
+	}
+	if t.holder.MayAsk(now) {
+		time.AfterFunc(given.Again, func() { l.askNow(shardOf(given.Tenant)) })
+		return
+	}
+	for _, admitted := range t.waiters {
+		admitted <- false
+	}
+	t.waiters = nil
+}
+
 // findKeeper looks for the keeper of a group: at the zone's follower, in the store where nobody
 // knows of any.
 func (l *Limiter) findKeeper(ctx context.Context, shard int) {
@@ -173,17 +185,7 @@
 
 // listStored reads the keepers in the store, not too often.
 func (l *Limiter) listStored(ctx context.Context) {
-	if l.options.Store == nil {
-		return
-	}
-	l.mutex.Lock()
-	now := l.options.Now()
-	due := l.lastList == 0 || now-l.lastList >= listEvery
-	if due {
-		l.lastList = now
-	}
-	l.mutex.Unlock()
-	if !due {
+	if l.options.Store == nil || !l.listDue() {
 		return
 	}
 	call, cancel := context.WithTimeout(ctx, storeTimeout)
@@ -194,3 +196,15 @@
 		l.keepers.TakeStored(items)
 	}
 }
+
+// listDue reports whether the store may be read again, and notes that it is.
+func (l *Limiter) listDue() bool {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	now := l.options.Now()
+	if l.lastList != 0 && now-l.lastList < listEvery {
+		return false
+	}
+	l.lastList = now
+	return true
+}
--- a/internal/sidecar/quotas/names.go
+++ b/internal/sidecar/quotas/names.go
@@ -2,6 +2,8 @@
 
 import (
 	"context"
+	"maps"
+	"slices"
 	"strings"
 	"time"
 
@@ -30,22 +32,7 @@
 }
 
 func (s *Server) writeNames(shard int, held *heldShard) {
-	s.mutex.Lock()
-	names := held.keeper.Listed()
-	added := make([]string, 0, len(held.joining))
-	for name := range held.joining {
-		added = append(added, name)
-	}
-	lease, revision, kept := s.lease, held.revision, s.held[shard] == held
-	s.mutex.Unlock()
-	var written int64
-	err := errors.New("no longer kept")
-	if kept && lease != nil {
-		written, err = s.writeRecord(context.Background(), shard, lease.ID, append(names, added...), held.part, revision)
-		if errors.Is(err, store.ErrUncertain) || errors.Is(err, store.ErrConflict) {
-			written, err = s.confirmNames(shard, added)
-		}
-	}
+	added, written, err := s.storeNames(shard, held)
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	held.writing = false
@@ -61,6 +48,24 @@
 	s.keepers.Learn(s.ownKeeper(shard, written))
 }
 
+// storeNames writes the record of a shard with the names of the nodes that join. It gives
+// those names and the record's revision.
+func (s *Server) storeNames(shard int, held *heldShard) (added []string, written int64, err error) {
+	s.mutex.Lock()
+	names := held.keeper.Listed()
+	added = slices.Collect(maps.Keys(held.joining))
+	lease, revision, kept := s.lease, held.revision, s.held[shard] == held
+	s.mutex.Unlock()
+	if !kept || lease == nil {
+		return added, 0, errors.New("no longer kept")
+	}
+	written, err = s.writeRecord(context.Background(), shard, lease.ID, append(names, added...), held.part, revision)
+	if errors.Is(err, store.ErrUncertain) || errors.Is(err, store.ErrConflict) {
+		written, err = s.confirmNames(shard, added)
+	}
+	return added, written, err
+}
+
 // confirmNames reads the key after a write without an answer. Names that stand there count as
 // written; a write that is done later changes nothing, since the next one goes by another
 // revision.
@@ -80,11 +85,7 @@
 	}
 	held.revision = item.Revision
 	for _, name := range added {
-		found := false
-		for _, listed := range record.Listed {
-			found = found || listed == name
-		}
-		if !found {
+		if !slices.Contains(record.Listed, name) {
 			return 0, errors.New("names are not in the store")
 		}
 	}
--- a/internal/sidecar/quotas/takeover.go
+++ b/internal/sidecar/quotas/takeover.go
@@ -12,6 +12,7 @@
 	"github.com/landingmast/landingmast/internal/sidecar/eventlog"
 	"github.com/landingmast/landingmast/internal/sidecar/peer"
 	"github.com/landingmast/landingmast/internal/sidecar/wait"
+	"github.com/landingmast/landingmast/internal/store"
 	"github.com/landingmast/landingmast/internal/wire"
 )
 
@@ -110,7 +111,7 @@
 }
 
 // beginTakeOver takes a group over unless that is under way.
-func (s *Server) beginTakeOver(ctx context.Context, shard int, before *wire.Keeper) {
+func (s *Server) beginTakeOver(ctx context.Context, shard int, gone *wire.Keeper) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.takingOver[shard] || s.held[shard] != nil {
@@ -118,7 +119,7 @@
 	}
 	s.takingOver[shard] = true
 	go func() {
-		err := s.takeOver(ctx, shard, before)
+		err := s.takeOver(ctx, shard, gone)
 		if err != nil {
 			s.options.Events.Add(eventlog.Keeper{Shard: shard, Change: "not taken over", Error: err.Error()}, eventlog.Failure)
 		}
@@ -128,57 +129,83 @@
 	}()
 }
 
-func (s *Server) takeOver(ctx context.Context, shard int, before *wire.Keeper) error {
+// takeover is one takeover of a shard.
+type takeover struct {
+	shard    int
+	gone     *wire.Keeper // whose process has ended; nil: the store has no keeper
+	revision int64        // that the record must still have; 0: there must be none
+	before   quota.Before // what the record says of the keeper before
+	names    []string     // of the nodes that may hold shares
+	part     float64      // most of a limit that one share is
+}
+
+func (s *Server) takeOver(ctx context.Context, shard int, gone *wire.Keeper) error {
 	s.takeovers <- struct{}{}
 	defer func() { <-s.takeovers }()
-	revision, known := int64(0), quota.Before{}
-	if before != nil {
-		item, record, err := s.readRecord(ctx, shard)
-		if err != nil {
+	t := &takeover{shard: shard, gone: gone}
+	if gone != nil {
+		follows, err := s.readBefore(ctx, t)
+		if err != nil || !follows {
 			return err
 		}
-		if !s.mayFollow(before, record) {
-			return nil
-		}
-		// The one before may have given parts that last until its lease would have ended.
-		revision, known = item.Revision, quota.Before{Listed: record.Listed, Part: record.Part, Ends: s.options.Now() + leaseTTL}
 	}
 	lease, err := s.acquireLease(ctx)
 	if err != nil {
 		return err
 	}
-	names := known.Listed
-	if before == nil {
-		for _, record := range s.options.Membership.All() {
-			names = append(names, holderName(record.Node, record.Address))
-		}
-	}
-	// A node that this keeper does not hear of may be heard by the next one: the part that
-	// it may hold stays as it was.
-	part := known.Part
-	if before == nil {
-		part = quota.PartOf(len(names))
-	}
-	written, err := s.writeRecord(ctx, shard, lease.ID, names, part, revision)
+	s.listHolders(t)
+	epoch, err := s.writeRecord(ctx, shard, lease.ID, t.names, t.part, t.revision)
 	if err != nil {
 		return err
 	}
+	return s.keep(ctx, t, lease, epoch)
+}
+
+// readBefore reads what the keeper before has written; false when the record is not that of
+// the process which is gone.
+func (s *Server) readBefore(ctx context.Context, t *takeover) (bool, error) {
+	item, record, err := s.readRecord(ctx, t.shard)
+	if err != nil || !s.mayFollow(t.gone, record) {
+		return false, err
+	}
+	t.revision = item.Revision
+	// The one before may have given parts that last until its lease would have ended.
+	t.before = quota.Before{Listed: record.Listed, Part: record.Part, Ends: s.options.Now() + leaseTTL}
+	return true, nil
+}
+
+// listHolders chooses the names and the largest share for the record.
+func (s *Server) listHolders(t *takeover) {
+	if t.gone != nil {
+		// A node that this keeper does not hear of may be heard by the next one: the part that
+		// it may hold stays as it was.
+		t.names, t.part = t.before.Listed, t.before.Part
+		return
+	}
+	for _, record := range s.options.Membership.All() {
+		t.names = append(t.names, holderName(record.Node, record.Address))
+	}
+	t.part = quota.PartOf(len(t.names))
+}
+
+// keep begins to keep a shard whose record has been written as of epoch.
+func (s *Server) keep(ctx context.Context, t *takeover, lease *store.Lease, epoch int64) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.lease != lease {
 		return errors.New("lease ended meanwhile")
 	}
 	now := s.options.Now()
-	keeper := quota.NewKeeper(s.options.bound(), written, now, part, known)
-	if before == nil {
-		keeper.List(now, names)
+	keeper := quota.NewKeeper(s.options.bound(), epoch, now, t.part, t.before)
+	if t.gone == nil {
+		keeper.List(now, t.names)
 	}
-	s.held[shard] = &heldShard{keeper: keeper, part: part, epoch: written, revision: written, joining: map[string]bool{}}
-	s.keepers.Learn(s.ownKeeper(shard, written))
-	if before != nil {
+	s.held[t.shard] = &heldShard{keeper: keeper, part: t.part, epoch: epoch, revision: epoch, joining: map[string]bool{}}
+	s.keepers.Learn(s.ownKeeper(t.shard, epoch))
+	if t.gone != nil {
 		go s.settle(ctx)
 	}
-	s.options.Events.Add(eventlog.Keeper{Shard: shard, Change: "taken over", Epoch: written, Listed: len(known.Listed)}, eventlog.State)
+	s.options.Events.Add(eventlog.Keeper{Shard: t.shard, Change: "taken over", Epoch: epoch, Listed: len(t.before.Listed)}, eventlog.State)
 	return nil
 }
 
