--- a/internal/sidecar/configuration.go
+++ b/internal/sidecar/configuration.go
@@ -46,7 +46,7 @@
 	}
 	for wait.For(ctx, rest); ctx.Err() == nil && n.configuration.Version() == 0; {
 		call, cancel := context.WithTimeout(ctx, callTimeout)
-		found := n.freshness.Read(call, n.now())
+		found := n.freshness.ReadStored(call, n.now())
 		cancel()
 		if found {
 			return
--- a/internal/sidecar/egress.go
+++ b/internal/sidecar/egress.go
@@ -75,7 +75,7 @@
 	x := &exchange{node: e.node, writer: w, request: r, id: r.Header.Get(names.RequestID), started: e.node.now()}
 	// Freshness is looked at before the configuration is taken: one that comes in between
 	// is newer than what was confirmed, the other way round it might be older.
-	x.fresh = e.node.freshness.Holds()
+	x.fresh = e.node.freshness.Fresh()
 	x.intent = e.node.configuration.Load()
 	switch {
 	case refused && !isCall:
--- a/internal/sidecar/node.go
+++ b/internal/sidecar/node.go
@@ -153,7 +153,7 @@
 	return quotas.Options{
 		Settings: n.settings, Incarnation: n.incarnation, Now: n.now, Configuration: n.configuration, Events: n.events,
 		Store: n.store, StoreHealth: n.storeHealth, Peers: n.peers, Membership: n.membership, Follower: n.follower,
-		AskPeer:  func(ctx context.Context, address string) { n.freshness.Ask(ctx, address) },
+		AskPeer:  func(ctx context.Context, address string) { n.freshness.AskPeer(ctx, address) },
 		Stopping: n.planned.stopping.Load,
 	}
 }
--- a/internal/sidecar/revalidation/revalidation.go
+++ b/internal/sidecar/revalidation/revalidation.go
@@ -44,12 +44,12 @@
 	confirmTimeout = 400 * time.Millisecond
 	askEvery       = 600 * time.Millisecond // of the others, at their follower
 	askTimeout     = 250 * time.Millisecond
-	// elsewhereAfter is the age from which a node asks nodes of other zones too,
+	// otherZoneAfter is the age from which a node asks nodes of other zones too,
 	// directAfter that from which it reads the store itself.
-	elsewhereAfter = 1800 * time.Millisecond
+	otherZoneAfter = 1800 * time.Millisecond
 	directAfter    = 2500 * time.Millisecond
-	// directRest is the least time between two such reads of one node.
-	directRest = 900 * time.Millisecond
+	// directEvery is the least time between two such reads of one node.
+	directEvery = 900 * time.Millisecond
 )
 
 // Path is where a node answers how fresh a node's configuration is.
@@ -96,26 +96,26 @@
 type Revalidator struct {
 	options Options
 
-	mutex    sync.Mutex
-	evidence freshness.Evidence
-	revision int64 // of the configuration in the store, for the version in force; 0: not known
-	version  uint64
-	lost     bool // the evidence was too old for keys at the last look
-	direct   time.Duration
+	mutex          sync.Mutex
+	evidence       freshness.Evidence
+	storedRevision int64 // of the configuration in the store, for the version in force; 0: not known
+	storedVersion  uint64
+	unconfirmed    bool // the evidence was too old for keys at the last look
+	lastDirect     time.Duration
 
-	now chan struct{} // the evidence is to be renewed now
+	early chan struct{} // the evidence is to be renewed now
 }
 
 // New makes a revalidator without evidence.
 func New(options Options) *Revalidator {
-	return &Revalidator{options: options, now: make(chan struct{}, 1)}
+	return &Revalidator{options: options, early: make(chan struct{}, 1)}
 }
 
-// RenewNow has the evidence renewed before its time.
-func (r *Revalidator) RenewNow() { wait.Signal(r.now) }
+// RevalidateNow has the evidence renewed before its time.
+func (r *Revalidator) RevalidateNow() { wait.Signal(r.early) }
 
-// Holds tells whether the configuration is fresh enough for a key to be believed.
-func (r *Revalidator) Holds() bool {
+// Fresh tells whether the configuration is fresh enough for a key to be believed.
+func (r *Revalidator) Fresh() bool {
 	bound := r.options.Settings().Keys.Bound()
 	if bound == 0 {
 		return true
@@ -144,22 +144,22 @@
 func (r *Revalidator) InstallStored(item *store.Item) (uint64, error) {
 	version, err := r.options.Configuration.Install(item.Value, configuration.FromStore)
 	if err == nil {
-		r.stored(version, item.Revision)
+		r.noteStored(version, item.Revision)
 	}
 	return version, err
 }
 
-// stored notes the revision with which the store has a version.
-func (r *Revalidator) stored(version uint64, revision int64) {
+// noteStored notes the revision with which the store has a version.
+func (r *Revalidator) noteStored(version uint64, revision int64) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if version >= r.version {
-		r.version, r.revision = version, revision
+	if version >= r.storedVersion {
+		r.storedVersion, r.storedRevision = version, revision
 	}
 }
 
-// wanted tells whether evidence is of use: some tenant holds keys that may be taken away.
-func (r *Revalidator) wanted() bool {
+// needed tells whether evidence is of use: some tenant holds keys that may be taken away.
+func (r *Revalidator) needed() bool {
 	current := r.options.Configuration.Load()
 	return current != nil && len(current.Tenants) > 0 && r.options.Settings().Keys.Bound() > 0
 }
@@ -169,14 +169,14 @@
 	wait.For(ctx, time.Duration(rand.Int64N(int64(askEvery))))
 	for ctx.Err() == nil {
 		rest := askEvery
-		if r.wanted() {
+		if r.needed() {
 			rest = r.renew(ctx)
 		}
-		r.noteLoss()
+		r.logChange()
 		timer := time.NewTimer(rest)
 		select {
 		case <-ctx.Done():
-		case <-r.now:
+		case <-r.early:
 		case <-timer.C:
 		}
 		timer.Stop()
@@ -188,72 +188,72 @@
 	nearest := r.options.Follower.Address()
 	switch {
 	case r.options.Follower.Reaches():
-		if r.atStore(ctx) {
+		if r.confirmAtStore(ctx) {
 			return confirmEvery
 		}
-	case r.Ask(ctx, nearest):
+	case r.AskPeer(ctx, nearest):
 		return askEvery
 	}
 	age, _, known := r.Age()
-	if !known || age > elsewhereAfter || nearest == "" {
-		if r.Ask(ctx, r.options.Membership.AddressElsewhere()) {
+	if !known || age > otherZoneAfter || nearest == "" {
+		if r.AskPeer(ctx, r.options.Membership.AddressElsewhere()) {
 			return askEvery
 		}
 	}
 	if !known || age > directAfter {
-		r.atStoreRarely(ctx)
+		r.confirmDirectly(ctx)
 	}
 	return askEvery / 2
 }
 
-// Ask asks another node how fresh its configuration is.
-func (r *Revalidator) Ask(ctx context.Context, address string) bool {
+// AskPeer asks another node how fresh its configuration is.
+func (r *Revalidator) AskPeer(ctx context.Context, address string) bool {
 	if address == "" {
 		return false
 	}
 	asked := r.options.Now()
 	call, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
-	told, err := r.question(call, address)
+	answer, err := r.request(call, address)
 	if err != nil {
 		return false
 	}
-	for index := range told.Keepers {
-		r.options.Keepers.Learn(&told.Keepers[index])
+	for index := range answer.Keepers {
+		r.options.Keepers.Learn(&answer.Keepers[index])
 	}
-	if !told.Known {
+	if !answer.Known {
 		return false
 	}
-	if uint64(told.Version) > r.options.Configuration.Version() {
+	if uint64(answer.Version) > r.options.Configuration.Version() {
 		r.options.Fetch(address)
 	}
-	return r.confirm(freshness.Told(asked, time.Duration(told.Age)*time.Microsecond), uint64(told.Version))
+	return r.confirm(freshness.Told(asked, time.Duration(answer.Age)*time.Microsecond), uint64(answer.Version))
 }
 
-// atStoreRarely reads the store on the node's own account, when nobody else can tell.
-func (r *Revalidator) atStoreRarely(ctx context.Context) {
+// confirmDirectly reads the store on the node's own account, when nobody else can tell.
+func (r *Revalidator) confirmDirectly(ctx context.Context) {
 	if r.options.Store == nil {
 		return
 	}
 	now := r.options.Now()
-	if r.direct != 0 && now-r.direct < directRest {
+	if r.lastDirect != 0 && now-r.lastDirect < directEvery {
 		return
 	}
-	r.direct = now
-	r.atStore(ctx)
+	r.lastDirect = now
+	r.confirmAtStore(ctx)
 }
 
-// atStore confirms at the store that the configuration in force is the newest, or takes
+// confirmAtStore confirms at the store that the configuration in force is the newest, or takes
 // the newest one.
-func (r *Revalidator) atStore(ctx context.Context) bool {
+func (r *Revalidator) confirmAtStore(ctx context.Context) bool {
 	r.mutex.Lock()
-	version, revision := r.version, r.revision
+	version, revision := r.storedVersion, r.storedRevision
 	r.mutex.Unlock()
 	asked := r.options.Now()
 	call, cancel := context.WithTimeout(ctx, confirmTimeout)
 	defer cancel()
 	if revision == 0 || version != r.options.Configuration.Version() {
-		return r.Read(call, asked)
+		return r.ReadStored(call, asked)
 	}
 	newer, err := r.options.Store.Unchanged(call, r.options.ConfigurationKey, revision)
 	r.options.StoreHealth.Note("confirm", err)
@@ -261,38 +261,38 @@
 	case err == nil:
 		return r.confirm(asked, version)
 	case errors.Is(err, store.ErrConflict) && newer != nil:
-		return r.take(newer, asked)
+		return r.install(newer, asked)
 	}
 	return false
 }
 
-// Read reads the configuration whole; the question began at asked. A node that comes back
+// ReadStored reads the configuration whole; the question began at asked. A node that comes back
 // with nothing has its proof with it: after a loss of power of all 71 nodes requests with
 // keys were refused for another 0.3 s in which each asked again.
-func (r *Revalidator) Read(ctx context.Context, asked time.Duration) bool {
+func (r *Revalidator) ReadStored(ctx context.Context, asked time.Duration) bool {
 	item, _, err := r.options.Store.Get(ctx, r.options.ConfigurationKey)
 	r.options.StoreHealth.Note("read", err)
 	if err != nil || item == nil {
 		return false
 	}
-	return r.take(item, asked)
+	return r.install(item, asked)
 }
 
-// take puts a configuration of the store in force; the question for it began at asked.
-func (r *Revalidator) take(item *store.Item, asked time.Duration) bool {
+// install puts a configuration of the store in force; the question for it began at asked.
+func (r *Revalidator) install(item *store.Item, asked time.Duration) bool {
 	version, err := r.InstallStored(item)
 	return err == nil && r.confirm(asked, version)
 }
 
-// noteLoss logs when keys are refused for want of evidence, and when no longer.
-func (r *Revalidator) noteLoss() {
+// logChange logs when keys are refused for want of evidence, and when no longer.
+func (r *Revalidator) logChange() {
 	bound := r.options.Settings().Keys.Bound()
 	age, version, known := r.Age()
-	lost := r.wanted() && (!known || age >= bound)
-	if lost == r.lost {
+	lost := r.needed() && (!known || age >= bound)
+	if lost == r.unconfirmed {
 		return
 	}
-	r.lost = lost
+	r.unconfirmed = lost
 	change := "confirmed"
 	if lost {
 		change = "unconfirmed"
@@ -306,8 +306,8 @@
 	peer.WriteMessage(w, wire.FreshnessCodec, &wire.Freshness{Known: known, Version: int64(version), Age: age.Microseconds(), Keepers: r.options.Keepers.All()})
 }
 
-// question asks the node at an address how fresh its configuration is.
-func (r *Revalidator) question(ctx context.Context, address string) (*wire.Freshness, error) {
+// request asks the node at an address how fresh its configuration is.
+func (r *Revalidator) request(ctx context.Context, address string) (*wire.Freshness, error) {
 	read, err := r.options.Peers.Post(ctx, address, Path, nil)
 	if err != nil {
 		return nil, err
--- a/internal/sidecar/revalidation/revalidation_test.go
+++ b/internal/sidecar/revalidation/revalidation_test.go
@@ -11,8 +11,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		r := New(Options{})
-		r.RenewNow()
-		r.RenewNow()
-		g.Expect(r.now).To(HaveLen(1))
+		r.RevalidateNow()
+		r.RevalidateNow()
+		g.Expect(r.early).To(HaveLen(1))
 	})
 }
--- a/internal/sidecar/wake.go
+++ b/internal/sidecar/wake.go
@@ -42,6 +42,6 @@
 	n.events.Add(eventlog.Node{Change: "woke", Incarnation: n.incarnation, InFlight: n.inFlight.Load(), TookMS: eventlog.Milliseconds(span)}, eventlog.State)
 	n.peers.CloseIdle()
 	n.registration.RenewNow()
-	n.freshness.RenewNow()
+	n.freshness.RevalidateNow()
 	n.registration.Meet(ctx)
 }
