--- a/internal/sidecar/quotas/ask.go
+++ b/internal/sidecar/quotas/ask.go
@@ -74,7 +74,7 @@
 		l.server.Replace(ctx, keeper)
 	}
 	if err != nil || !answer.Keeps || !answer.Listed {
-		return false
+		return false // Run counts failures and looks for another keeper
 	}
 	l.applyAnswer(asked, message, answer)
 	return true
@@ -93,10 +93,10 @@
 func (l *Limiter) newAsk(shard int) *wire.QuotaAsk {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	now := l.options.Now()
+	own, now, last := l.options.Settings(), l.options.Now(), l.lastComplete[shard].at
 	message := &wire.QuotaAsk{
-		Holder: holderName(l.options.Settings().Node, l.options.Settings().Listen.Inbound), Incarnation: l.options.Incarnation, Shard: shard, Reports: []wire.QuotaReport{},
-		Complete: l.lastComplete[shard].at == 0 || now-l.lastComplete[shard].at >= completeEvery,
+		Holder: holderName(own.Node, own.Listen.Inbound), Incarnation: l.options.Incarnation, Shard: shard,
+		Complete: last == 0 || now-last >= completeEvery, Reports: []wire.QuotaReport{},
 	}
 	current := l.options.Configuration.Load()
 	for name, t := range l.tenants {
--- a/internal/sidecar/quotas/keepers.go
+++ b/internal/sidecar/quotas/keepers.go
@@ -31,8 +31,8 @@
 // NewKeepers makes an empty list. prefix is that of the records' keys in the store.
 func NewKeepers(prefix string) *Keepers { return &Keepers{prefix: prefix} }
 
-// Key returns the key of a shard's record in the store.
-func (k *Keepers) Key(shard int) string { return k.prefix + strconv.Itoa(shard) }
+// key returns the key of a shard's record in the store.
+func (k *Keepers) key(shard int) string { return k.prefix + strconv.Itoa(shard) }
 
 // TakeStored takes in records of the store; other keys are passed over.
 func (k *Keepers) TakeStored(items []store.Item) {
@@ -57,7 +57,7 @@
 // revision.
 func (k *Keepers) NoteAbsent(items []store.Item, at int64) {
 	for shard := range Shards {
-		key := k.Key(shard)
+		key := k.key(shard)
 		if !slices.ContainsFunc(items, func(item store.Item) bool { return item.Key == key }) {
 			k.Lapsed(shard, at+1)
 		}
--- a/internal/sidecar/quotas/names.go
+++ b/internal/sidecar/quotas/names.go
@@ -21,8 +21,8 @@
 	return address
 }
 
-// addName has a node that asks for the first time added to the record of a shard.
-func (s *Server) addName(shard int, held *heldShard, name string) {
+// addNameLocked has a node that asks for the first time added to the record of a shard.
+func (s *Server) addNameLocked(shard int, held *heldShard, name string) {
 	held.joining[name] = true
 	if held.writing {
 		return
--- a/internal/sidecar/quotas/quotas.go
+++ b/internal/sidecar/quotas/quotas.go
@@ -1,21 +1,21 @@
 // Package quotas keeps the requests that begin at a node within the limits of their tenants
-// over all nodes. The rules are those of package core/quota; this package asks, answers and
-// writes for them.
+// over all nodes. Package core/quota decides how many tokens a node gets and uses; this
+// package does the messages, the store and the timing for it.
 //
-// The tenants fall into Shards shards. Of each shard one node at most is the keeper, which
-// gives the others shares of its tenants' limits; the right to be it is a key in the store
-// with a lease. A Limiter admits requests for the tokens that the node holds, and asks the
-// keepers for more. A Server keeps the shards that this node holds: it renews their lease,
-// answers limiters, and takes a shard over whose keeper's process has ended or whose key
-// the store has lost. Keepers is what the node knows of who keeps which shard.
+// The tenants fall into shards. At most one node is the keeper of a shard and gives the others
+// shares of its tenants' limits. Which one it is stands in the shard's record in the store,
+// under a lease of the keeper. A Limiter admits requests for the tokens that its node holds,
+// and asks the keepers for more. A Server does the work of a keeper: it renews the lease,
+// answers limiters, and takes over a shard whose keeper's process has ended or whose record
+// the store no longer has. Keepers is what the node knows of the keeper of each shard.
 //
-// The package owns the stocks of tokens at this node, the shards that it keeps with their
-// lease and their keys in the store, and the list of known keepers. It relies on the lease
-// for there being one keeper at a time, on Options.Now counting the time for which the
-// machine was suspended, and on the follower of the zone to report keepers that the store
-// has lost. While the store is away keepers give shares until their right ends; while no
-// keeper answers, a node admits what its shares still allow and refuses the rest. All
-// types are safe for concurrent use.
+// The package owns the tokens at this node, the shards that it keeps with their lease and
+// records, and the list of known keepers. It relies on the store's leases for there being one
+// keeper at a time, on Options.Now counting the time for which the machine was suspended, and
+// on the follower of the zone to pass on the records of the store and to call Server.Fill.
+// While the store is away keepers give shares until their lease ends; while no keeper
+// answers, a node admits what its shares still allow and refuses the rest. All types are safe
+// for concurrent use.
 package quotas
 
 import (
--- a/internal/sidecar/quotas/record.go
+++ b/internal/sidecar/quotas/record.go
@@ -11,7 +11,7 @@
 func (s *Server) readRecord(ctx context.Context, shard int) (*store.Item, *wire.KeeperRecord, error) {
 	call, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	item, _, err := s.options.Store.Get(call, s.keepers.Key(shard))
+	item, _, err := s.options.Store.Get(call, s.keepers.key(shard))
 	s.options.StoreHealth.Note("read", err)
 	if err != nil || item == nil {
 		return nil, nil, err
@@ -38,7 +38,7 @@
 	}
 	call, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	written, err := s.options.Store.Put(call, store.Write{Key: s.keepers.Key(shard), Value: value, Lease: lease, IfRevision: &revision})
+	written, err := s.options.Store.Put(call, store.Write{Key: s.keepers.key(shard), Value: value, Lease: lease, IfRevision: &revision})
 	s.options.StoreHealth.Note("keeper", err)
 	return written, err
 }
--- a/internal/sidecar/quotas/server.go
+++ b/internal/sidecar/quotas/server.go
@@ -108,7 +108,8 @@
 	s.mutex.Lock()
 	known, left := s.lease, s.leaseEnds-s.options.Now()
 	s.mutex.Unlock()
-	if known != nil && (s.Keeps() || left > leaseTTL/2) {
+	// A lease without shards is not renewed, so it is only used again while it is young.
+	if known != nil && (s.keeps() || left > leaseTTL/2) {
 		return known, nil
 	}
 	began := s.options.Now()
@@ -138,8 +139,8 @@
 	}
 }
 
-// Keeps reports whether the node is the keeper of any shard.
-func (s *Server) Keeps() bool {
+// keeps reports whether the node is the keeper of any shard.
+func (s *Server) keeps() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return len(s.held) > 0
@@ -205,7 +206,7 @@
 	}
 	answer.Keeps = true
 	if !held.keeper.Lists(asked.Holder) {
-		s.addName(asked.Shard, held, asked.Holder)
+		s.addNameLocked(asked.Shard, held, asked.Holder)
 		return answer
 	}
 	answer.Listed, answer.Epoch = true, held.epoch
--- a/internal/sidecar/quotas/takeover.go
+++ b/internal/sidecar/quotas/takeover.go
@@ -166,7 +166,7 @@
 }
 
 // readBefore reads the record of the keeper before. It returns false if the record is not that
-// of the process that has ended: the shard then has a keeper, or has none for Fill.
+// of the process that has ended: then there is nothing to follow.
 func (s *Server) readBefore(ctx context.Context, t *takeover) (bool, error) {
 	item, record, err := s.readRecord(ctx, t.shard)
 	if err != nil || !s.mayFollow(t.gone, record) {
--- a/internal/sidecar/withinquota.go
+++ b/internal/sidecar/withinquota.go
@@ -11,14 +11,15 @@
 
 // Times for which a request waits for a token of its tenant's limit.
 const (
-	// tokenWait is how long a request waits for a token at most: as long as one question.
+	// tokenWait is how long a request waits for a token at most: as long as a keeper has to answer.
 	tokenWait = 150 * time.Millisecond
-	// tokenWaitShare is the part of the time inside which its answer is wanted that a
-	// request waits at most: a refusal after an eighth still leaves time to come back.
+	// tokenWaitShare is the part, one in so many, of the time inside which its answer is wanted
+	// that a request waits at most: after a refusal there is still time to come back.
 	tokenWaitShare = 8
 )
 
-// withinQuota lets the request in, or refuses it.
+// withinQuota reports whether the request is within its tenant's limit. If not, it has been
+// refused: with 429 if the limit is reached, with 503 if no keeper could say.
 func (x *exchange) withinQuota(ctx context.Context) bool {
 	if x.holder == nil || !x.holder.Limited() {
 		return true
@@ -27,14 +28,14 @@
 	if q.Admit(ctx, x.holder, x.tokenWait()) {
 		return true
 	}
-	spent, comeBack := q.Refusal(x.holder, retryafter.QuotaMost(x.clientTime()))
-	if spent {
-		x.refuse(http.StatusTooManyRequests, outcome.ReasonQuota, retryafter.Span{Least: comeBack})
+	limitReached, retryAfter := q.Refusal(x.holder, retryafter.QuotaMost(x.clientTime()))
+	if limitReached {
+		x.refuse(http.StatusTooManyRequests, outcome.ReasonQuota, retryafter.Span{Least: retryAfter})
 		return false
 	}
 	x.refuse(http.StatusServiceUnavailable, outcome.ReasonNoAllowance, retryafter.NoAllowance())
 	return false
 }
 
-// tokenWait is how long the request may wait for a token.
+// tokenWait returns how long the request may wait for a token.
 func (x *exchange) tokenWait() time.Duration { return min(tokenWait, x.limit()/tokenWaitShare) }
