--- a/internal/sidecar/node.go
+++ b/internal/sidecar/node.go
@@ -25,6 +25,8 @@
 	"github.com/landingmast/landingmast/internal/sidecar/headers"
 	"github.com/landingmast/landingmast/internal/sidecar/metrics"
 	"github.com/landingmast/landingmast/internal/sidecar/peer"
+	"github.com/landingmast/landingmast/internal/sidecar/quotas"
+	"github.com/landingmast/landingmast/internal/sidecar/revalidation"
 	"github.com/landingmast/landingmast/internal/sidecar/services"
 	"github.com/landingmast/landingmast/internal/sidecar/settings"
 	"github.com/landingmast/landingmast/internal/sidecar/storehealth"
@@ -77,10 +79,10 @@
 	follower      *follower
 	exchanger     *exchanger
 	news          *spreader
-	freshness     *prover
-	keepers       directory
-	quotaServer   *quotaServer
-	quotas        *quotas
+	freshness     *revalidation.Revalidator
+	keepers       *quotas.Keepers
+	quotaServer   *quotas.Server
+	quotas        *quotas.Limiter
 	heldBack      *heldBack
 	liveness      *peer.Liveness
 	planned       plannedStop
@@ -121,9 +123,10 @@
 	n.follower = newFollower(n)
 	n.exchanger = &exchanger{node: n}
 	n.news = &spreader{node: n}
-	n.freshness = newProver(n)
-	n.quotaServer = newQuotaServer(n)
-	n.quotas = newQuotas(n)
+	n.keepers = quotas.NewKeepers(options.QuotaPrefix)
+	n.freshness = revalidation.New(n.freshnessOptions())
+	n.quotaServer = quotas.NewServer(n.quotaOptions(), n.keepers)
+	n.quotas = quotas.NewLimiter(n.quotaOptions(), n.keepers, n.quotaServer)
 	n.heldBack = newHeldBack(n)
 	n.liveness = peer.NewLiveness(n.now, n.peers.PingPeer, peer.Events{Lost: n.silent, Still: n.services.Suspect, Back: n.heardAgain})
 	n.target = &localTarget{now: n.now, roster: roster.New(), changed: n.targetChanged, link: n.newLink, identify: n.identify, followed: n.ingress.instanceReplaced, beginAll: !n.policyOn(inTime)}
@@ -140,6 +143,23 @@
 	})
 }
 
+func (n *Node) freshnessOptions() revalidation.Options {
+	return revalidation.Options{
+		Settings: n.settings, Now: n.now, Configuration: n.configuration, ConfigurationKey: n.options.ConfigurationKey, Events: n.events,
+		Store: n.store, StoreHealth: n.storeHealth, Peers: n.peers, Membership: n.membership, Follower: n.follower,
+		Keepers: n.keepers, Fetch: n.news.Fetch,
+	}
+}
+
+func (n *Node) quotaOptions() quotas.Options {
+	return quotas.Options{
+		Settings: n.settings, Incarnation: n.incarnation, Now: n.now, Configuration: n.configuration, Events: n.events,
+		Store: n.store, StoreHealth: n.storeHealth, Peers: n.peers, Membership: n.membership, Follower: n.follower,
+		AskPeer:  func(ctx context.Context, address string) { n.freshness.AskPeer(ctx, address) },
+		Stopping: n.planned.stopping.Load,
+	}
+}
+
 // settings gives the settings in force.
 func (n *Node) settings() *settings.Settings { return n.checked.Load() }
 
@@ -235,8 +255,8 @@
 	mux.Handle("POST "+peer.SettlePath, n.ingress.once)
 	mux.Handle("POST "+exchangePath, n.exchanger)
 	mux.Handle("POST "+newsPath, n.news)
-	mux.Handle("POST "+freshnessPath, n.freshness)
-	mux.Handle("POST "+quotaPath, n.quotaServer)
+	mux.Handle("POST "+revalidation.Path, n.freshness)
+	mux.Handle("POST "+quotas.Path, n.quotaServer)
 	mux.Handle("POST "+crashPath, n.heldBack)
 	mux.HandleFunc("GET "+peer.PingPath, n.servePing)
 	return mux
@@ -269,7 +289,7 @@
 		n.background.Go(func() { n.findConfiguration(background) })
 		n.background.Go(func() { n.freshness.Run(background) })
 		n.background.Go(func() { n.quotaServer.Run(background) })
-		for shard := range quotaShards {
+		for shard := range quotas.Shards {
 			n.background.Go(func() { n.quotas.Run(background, shard) })
 		}
 	}
--- /dev/null
+++ b/internal/sidecar/revalidation/revalidation_test.go
@@ -0,0 +1,18 @@
+package revalidation
+
+import (
+	"testing"
+	"testing/synctest"
+
+	. "github.com/onsi/gomega"
+)
+
+func TestSignalsAreLeftOnce(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		g := NewWithT(t)
+		r := New(Options{})
+		r.RevalidateNow()
+		r.RevalidateNow()
+		g.Expect(r.early).To(HaveLen(1))
+	})
+}
--- a/internal/sidecar/steps.go
+++ b/internal/sidecar/steps.go
@@ -54,7 +54,7 @@
 // a configuration that comes in between is newer than what was confirmed; the other way round
 // it might be older.
 func (x *exchange) isReady() bool {
-	x.fresh = x.node.freshness.Holds()
+	x.fresh = x.node.freshness.Fresh()
 	x.intent = x.node.configuration.Load()
 	switch {
 	case x.closing:
