--- a/internal/sidecar/egress.go
+++ b/internal/sidecar/egress.go
@@ -10,6 +10,7 @@
 	"github.com/landingmast/landingmast/internal/core/importance"
 	"github.com/landingmast/landingmast/internal/core/intent"
 	"github.com/landingmast/landingmast/internal/core/outcome"
+	"github.com/landingmast/landingmast/internal/sidecar/admission"
 	"github.com/landingmast/landingmast/internal/sidecar/eventlog"
 	"github.com/landingmast/landingmast/internal/sidecar/reply"
 	"github.com/landingmast/landingmast/internal/sidecar/settings"
@@ -52,7 +53,7 @@
 
 	// What the log tells of the request.
 	hold  time.Duration
-	door  doorView
+	door  admission.Decision
 	sends []eventlog.Send
 }
 
@@ -142,9 +143,9 @@
 // release tells how a client's request ended that was let in. One whose time ran out has
 // not told what it waited for: there was no room for it in time, whatever was short.
 func (x *exchange) release() {
-	x.node.overload.End(ending{
-		route: x.route, limit: x.limit(), took: x.node.now() - x.started, needs: x.needs,
-		lacked: x.lacked || x.status == http.StatusGatewayTimeout, left: x.request.Context().Err() != nil,
+	x.node.overload.End(admission.Ended{
+		Route: x.route, Limit: x.limit(), Took: x.node.now() - x.started, Needs: x.needs,
+		Lacked: x.lacked || x.status == http.StatusGatewayTimeout, Left: x.request.Context().Err() != nil,
 	})
 }
 
@@ -170,7 +171,7 @@
 func (x *exchange) learn(answer *reply.Reply) {
 	needs := answer.Needs
 	if pressure, known := x.node.services.Get(x.service).Pressure(x.node.now()); known && answer.Load.Slots > 0 {
-		needs = append(needs, wire.Need{Service: x.service, Calls: 1, Occupancy: int(pressure.Occupancy * occupancyScale), Wait: answer.Waited})
+		needs = append(needs, wire.Need{Service: x.service, Calls: 1, Occupancy: int(pressure.Occupancy * wire.OccupancyScale), Wait: answer.Waited})
 	}
 	x.needs = needs
 	if x.parent != nil {
--- a/internal/sidecar/node.go
+++ b/internal/sidecar/node.go
@@ -20,6 +20,7 @@
 	"github.com/landingmast/landingmast/internal/core/repeats"
 	"github.com/landingmast/landingmast/internal/core/roster"
 	"github.com/landingmast/landingmast/internal/failure"
+	"github.com/landingmast/landingmast/internal/sidecar/admission"
 	"github.com/landingmast/landingmast/internal/sidecar/configuration"
 	"github.com/landingmast/landingmast/internal/sidecar/eventlog"
 	"github.com/landingmast/landingmast/internal/sidecar/headers"
@@ -69,7 +70,7 @@
 	configuration *configuration.InForce
 	services      *services.Services
 	splitter      *splitter
-	overload      *overloadControl
+	overload      *admission.Control
 	target        *localTarget
 	ingress       *ingress
 	egress        *egress
@@ -111,7 +112,7 @@
 	n.configuration = configuration.New(options.ReadIntent, n.events)
 	n.metrics = metrics.New(n.gauges())
 	n.storeHealth = storehealth.New(n.events, n.metrics.StoreCalls)
-	n.overload = newOverloadControl(n)
+	n.overload = admission.New(n.now, n.configuration, !n.policyOn(window))
 	n.services = services.New(services.Options{
 		Node: settings.Node, Zone: settings.Zone, Now: n.now, Budget: budget(settings), FirstStart: settings.FirstStart, Policy: settings.Policy,
 	})
@@ -163,8 +164,11 @@
 // settings gives the settings in force.
 func (n *Node) settings() *settings.Settings { return n.checked.Load() }
 
-// inTime stands in New, where the settings hide the package.
-const inTime = settings.InTime
+// Mechanisms that New asks for, where the settings hide the package.
+const (
+	inTime = settings.InTime
+	window = settings.Window
+)
 
 // policyOn tells whether a mechanism is in use.
 func (n *Node) policyOn(m settings.Mechanism) bool {
--- a/internal/sidecar/observe.go
+++ b/internal/sidecar/observe.go
@@ -103,8 +103,8 @@
 	}
 	event := eventlog.Request{
 		Request: x.id, Tenant: x.tenant, Service: x.service, Version: x.node.configuration.Version(), Importance: x.importance, Status: status, Reason: string(reason),
-		TookMS: eventlog.Milliseconds(took), HoldMS: eventlog.Milliseconds(x.hold), Share: x.door.share, Decisive: x.door.decisive, Occupancy: x.door.occupancy,
-		RetryAfterMS: eventlog.Milliseconds(retryAfter), Sends: x.sends, InFlight: x.door.inFlight, Fits: x.door.fits,
+		TookMS: eventlog.Milliseconds(took), HoldMS: eventlog.Milliseconds(x.hold), Share: x.door.Share, Decisive: x.door.Decisive, Occupancy: x.door.Occupancy,
+		RetryAfterMS: eventlog.Milliseconds(retryAfter), Sends: x.sends, InFlight: x.door.InFlight, Fits: x.door.Fits,
 	}
 	if x.route != nil {
 		event.Route = x.route.Name
--- a/internal/sidecar/release_test.go
+++ b/internal/sidecar/release_test.go
@@ -7,13 +7,14 @@
 	"time"
 
 	"github.com/landingmast/landingmast/internal/core/intent"
+	"github.com/landingmast/landingmast/internal/sidecar/admission"
 	"github.com/landingmast/landingmast/internal/sidecar/configuration"
 	. "github.com/onsi/gomega"
 )
 
 func admittingNode() *Node {
 	n := &Node{configuration: configuration.New(nil, nil), clock: steadyClock{}}
-	n.overload = newOverloadControl(n)
+	n.overload = admission.New(n.now, n.configuration, false)
 	return n
 }
 
@@ -38,9 +39,9 @@
 			x := &exchange{node: n, route: route, request: httptest.NewRequest(http.MethodGet, "/", nil), hold: time.Second, status: tc.status, lacked: tc.lacked}
 			admitted, _ := n.overload.Admit(route)
 			g.Expect(admitted).To(BeTrue())
-			_, before := n.overload.core.Window(n.now(), "read")
+			_, before := n.overload.Window(route)
 			x.release()
-			_, after := n.overload.core.Window(n.now(), "read")
+			_, after := n.overload.Window(route)
 			g.Expect(after < before).To(Equal(tc.shrinks), "%g, then %g", before, after)
 		})
 	}
--- a/internal/sidecar/steps.go
+++ b/internal/sidecar/steps.go
@@ -159,7 +159,7 @@
 	x.service = x.node.splitter.choose(x.route)
 	x.granted = x.countRequest()
 	if x.parent != nil {
-		x.door.share = 1
+		x.door.Share = 1
 		return true
 	}
 	var admitted bool
--- a/internal/wire/sidecar.go
+++ b/internal/wire/sidecar.go
@@ -66,6 +66,9 @@
 	Below       []Need `avro:"below"` // what the request needed of other services
 }
 
+// OccupancyScale is the factor of occupancies in messages: they travel in thousandths.
+const OccupancyScale = 1000
+
 // Need is what one request, with all calls below it, needed of a service.
 type Need struct {
 	Service   string `avro:"service"`
