--- a/internal/testbed/fleet/held_test.go
+++ b/internal/testbed/fleet/held_test.go
@@ -158,10 +158,3 @@
 		})
 	}
 }
-
-// writes gives the number of writing calls.
-func (s *Store) writes() int {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	return s.Calls["/-/kv-txn"]
-}
--- a/internal/testbed/fleet/quota_test.go
+++ b/internal/testbed/fleet/quota_test.go
@@ -152,15 +152,6 @@
 	return served, asked
 }
 
-// wait has the leases last longer, as a store does that counts no time while it is away.
-func (s *Store) wait(span time.Duration) {
-	s.Set(func(s *Store) {
-		for _, one := range s.leases {
-			one.until = one.until.Add(span)
-		}
-	})
-}
-
 // Keepers whose right ran out while the store was away go on when it is back and has kept
 // their leases: nobody else can take over before those end.
 func TestKeepersGoOnWhenTheStoreKeptTheirLeases(t *testing.T) {
--- a/internal/testbed/fleet/records_test.go
+++ b/internal/testbed/fleet/records_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"math/rand/v2"
-	"strings"
 	"testing"
 	"testing/synctest"
 	"time"
@@ -12,39 +11,15 @@
 )
 
 // recorded counts the records of nodes that the store has.
-func (s *Store) recorded() (count int) {
-	s.Set(func(s *Store) {
-		for key := range s.items {
-			if strings.HasPrefix(key, platform.NodePrefix) {
-				count++
-			}
-		}
-	})
-	return count
-}
+func (m *Mesh) recorded() int { return m.Store.count(platform.NodePrefix) }
 
 // revoke takes the records of some machines away; no call of theirs shows it.
-func (s *Store) revoke(machines []*Machine) {
-	s.Set(func(s *Store) {
-		for _, machine := range machines {
-			s.remove(platform.NodePrefix + "node-" + machine.IP)
-		}
-	})
-}
-
-// total sums up the calls that the store got since the counts were cleared, at their
-// prices: a renewal and a stale read cost a tenth.
-func (s *Store) total() (calls float64) {
-	s.Set(func(s *Store) {
-		for path, count := range s.Calls {
-			price := 1.0
-			if path == keeps || path == stales {
-				price = 0.1
-			}
-			calls += price * float64(count)
-		}
-	})
-	return calls
+func (m *Mesh) revoke(machines []*Machine) {
+	keys := make([]string, 0, len(machines))
+	for _, machine := range machines {
+		keys = append(keys, platform.NodePrefix+"node-"+machine.IP)
+	}
+	m.Store.revoke(keys)
 }
 
 // returnBound is the users' bound for records to be back after the store's return.
@@ -64,19 +39,19 @@
 			mesh.Store.EndLeases()
 			mesh.Store.Set(func(s *Store) { s.Down = false })
 		}},
-		{"records taken away", func(mesh *Mesh, chosen []*Machine) { mesh.Store.revoke(chosen) }},
+		{"records taken away", func(mesh *Mesh, chosen []*Machine) { mesh.revoke(chosen) }},
 		{"records of machines taken away that are turned away", func(mesh *Mesh, chosen []*Machine) {
 			mesh.Store.Set(func(s *Store) {
 				for _, machine := range chosen {
 					s.Refuse[machine.IP] = true
 				}
 			})
-			mesh.Store.revoke(chosen)
+			mesh.revoke(chosen)
 			time.Sleep(9 * time.Second)
 			mesh.Store.Set(func(s *Store) { clear(s.Refuse) })
 		}},
 		{"all restart after their records were taken away", func(mesh *Mesh, _ []*Machine) {
-			mesh.Store.revoke(mesh.Machines)
+			mesh.revoke(mesh.Machines)
 			killAndRestart(mesh.Machines)
 		}},
 	} {
@@ -88,10 +63,10 @@
 				g.Expect(err).NotTo(HaveOccurred())
 				defer mesh.Close()
 				time.Sleep(settle)
-				g.Expect(mesh.Store.recorded()).To(Equal(nodes))
+				g.Expect(mesh.recorded()).To(Equal(nodes))
 				tc.play(mesh, some(mesh, rand.New(rand.NewPCG(3, 4)), 0.35))
 				time.Sleep(returnBound)
-				g.Expect(mesh.Store.recorded()).To(Equal(nodes))
+				g.Expect(mesh.recorded()).To(Equal(nodes))
 				for _, machine := range mesh.Machines {
 					g.Expect(machine.peers()).To(Equal(nodes-1), machine.IP)
 				}
@@ -112,14 +87,14 @@
 		time.Sleep(settle)
 		lost := mesh.Machines[:1]
 		mesh.Network.Dark(lost[0].IP, true)
-		mesh.Store.revoke(lost)
+		mesh.revoke(lost)
 		time.Sleep(4 * time.Second)
 		for _, machine := range mesh.Machines[1:] {
 			g.Expect(machine.peers()).To(Equal(nodes-2), machine.IP)
 		}
 		mesh.Network.Dark(lost[0].IP, false)
 		time.Sleep(4 * time.Second)
-		g.Expect(mesh.Store.recorded()).To(Equal(nodes), "it comes back when it is told that it is gone")
+		g.Expect(mesh.recorded()).To(Equal(nodes), "it comes back when it is told that it is gone")
 		for _, machine := range mesh.Machines[1:] {
 			g.Expect(machine.peers()).To(Equal(nodes-1), machine.IP)
 		}
--- a/internal/testbed/fleet/store_test.go
+++ b/internal/testbed/fleet/store_test.go
@@ -403,3 +403,55 @@
 	one.until = time.Now().Add(one.ttl)
 	write(w, http.StatusOK, map[string]any{"ttl_time": one.ttl.String()})
 }
+
+// count gives the number of keys with a prefix.
+func (s *Store) count(prefix string) (count int) {
+	s.Set(func(s *Store) {
+		for key := range s.items {
+			if strings.HasPrefix(key, prefix) {
+				count++
+			}
+		}
+	})
+	return count
+}
+
+// revoke removes keys; no call of those that wrote them shows it.
+func (s *Store) revoke(keys []string) {
+	s.Set(func(s *Store) {
+		for _, key := range keys {
+			s.remove(key)
+		}
+	})
+}
+
+// total sums up the calls that the store got since the counts were cleared, at their
+// prices: a renewal and a stale read cost a tenth.
+func (s *Store) total() (calls float64) {
+	s.Set(func(s *Store) {
+		for path, count := range s.Calls {
+			price := 1.0
+			if path == keeps || path == stales {
+				price = 0.1
+			}
+			calls += price * float64(count)
+		}
+	})
+	return calls
+}
+
+// wait has the leases last longer, as a store does that counts no time while it is away.
+func (s *Store) wait(span time.Duration) {
+	s.Set(func(s *Store) {
+		for _, one := range s.leases {
+			one.until = one.until.Add(span)
+		}
+	})
+}
+
+// writes gives the number of writing calls.
+func (s *Store) writes() int {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return s.Calls["/-/kv-txn"]
+}
