--- a/internal/testbed/fleet/crash_test.go
+++ b/internal/testbed/fleet/crash_test.go
@@ -7,6 +7,7 @@
 	"testing"
 	"time"
 
+	"github.com/landingmast/landingmast/internal/testbed/store"
 	. "github.com/onsi/gomega"
 )
 
@@ -79,9 +80,9 @@
 			cutFromOthers(mesh, some(mesh, rand.New(rand.NewPCG(2, 2)), 0.3), 5*time.Second)
 		}},
 		{"writes of the store are lost, then all nodes are killed", []string{"/front/a"}, func(mesh *Mesh) {
-			mesh.Store.Set(func(s *Store) { s.LoseWrites = true })
+			mesh.Store.Set(func(s *store.Store) { s.LoseWrites = true })
 			time.Sleep(8 * time.Second)
-			mesh.Store.Set(func(s *Store) { s.LoseWrites = false })
+			mesh.Store.Set(func(s *store.Store) { s.LoseWrites = false })
 			killAndRestart(all(mesh))
 		}},
 	} {
@@ -174,9 +175,9 @@
 
 // storeAway has the store answer nothing for some time.
 func (m *Mesh) storeAway(span time.Duration) {
-	m.Store.Set(func(s *Store) { s.Down = true })
+	m.Store.Set(func(s *store.Store) { s.Down = true })
 	m.Judge.storeTrouble(span)
-	m.Store.Set(func(s *Store) { s.Down = false })
+	m.Store.Set(func(s *store.Store) { s.Down = false })
 }
 
 // comesAgain sends a harmful request some times, every few seconds, at any machine.
--- a/internal/testbed/fleet/held_test.go
+++ b/internal/testbed/fleet/held_test.go
@@ -140,13 +140,13 @@
 				time.Sleep(settle)
 				path := mesh.Plan.Routes[0].Prefix + "harmful"
 				mesh.Harmful.Add(path, "")
-				before := mesh.Store.writes()
+				before := mesh.Store.Writes()
 				for range 3 { // with many nodes, one has no repeat of its own to spend
 					mesh.statusWith(mesh.Machines[0], http.MethodGet, path, "")
 				}
 				time.Sleep(contact)
-				t.Logf("%d nodes: %d writes of the store for three ends", tc.nodes, mesh.Store.writes()-before)
-				g.Expect(mesh.Store.writes() - before).To(BeNumerically("<=", tc.most))
+				t.Logf("%d nodes: %d writes of the store for three ends", tc.nodes, mesh.Store.Writes()-before)
+				g.Expect(mesh.Store.Writes() - before).To(BeNumerically("<=", tc.most))
 				sent := 0
 				for _, machine := range mesh.Machines {
 					if _, _, text := mesh.statusWith(machine, http.MethodGet, path, ""); text != heldBackText {
--- a/internal/testbed/fleet/keys_test.go
+++ b/internal/testbed/fleet/keys_test.go
@@ -9,6 +9,7 @@
 	"testing/synctest"
 	"time"
 
+	"github.com/landingmast/landingmast/internal/testbed/store"
 	. "github.com/onsi/gomega"
 )
 
@@ -83,12 +84,12 @@
 		end   func(mesh *Mesh, chosen []*Machine)
 	}{
 		{"the store turns some away", 0.7, func(mesh *Mesh, chosen []*Machine) {
-			mesh.Store.Set(func(s *Store) {
+			mesh.Store.Set(func(s *store.Store) {
 				for _, machine := range chosen {
 					s.Refuse[machine.IP] = true
 				}
 			})
-		}, func(mesh *Mesh, _ []*Machine) { mesh.Store.Set(func(s *Store) { clear(s.Refuse) }) }},
+		}, func(mesh *Mesh, _ []*Machine) { mesh.Store.Set(func(s *store.Store) { clear(s.Refuse) }) }},
 		{
 			"some are cut from the store", 0.7, func(mesh *Mesh, chosen []*Machine) { cutFromStore(mesh, chosen, true) },
 			func(mesh *Mesh, chosen []*Machine) { cutFromStore(mesh, chosen, false) },
@@ -102,8 +103,8 @@
 			func(mesh *Mesh, _ []*Machine) { mesh.Store.Compact() },
 		},
 		{
-			"the store is down", 0, func(mesh *Mesh, _ []*Machine) { mesh.Store.Set(func(s *Store) { s.Down = true }) },
-			func(mesh *Mesh, _ []*Machine) { mesh.Store.Set(func(s *Store) { s.Down = false }) },
+			"the store is down", 0, func(mesh *Mesh, _ []*Machine) { mesh.Store.Set(func(s *store.Store) { s.Down = true }) },
+			func(mesh *Mesh, _ []*Machine) { mesh.Store.Set(func(s *store.Store) { s.Down = false }) },
 		},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -136,9 +137,9 @@
 	g := NewWithT(t)
 	mesh := play(t, withTenants(4), 8*time.Second, func(mesh *Mesh) {
 		time.Sleep(2 * time.Second)
-		mesh.Store.Set(func(s *Store) { s.Down = true })
+		mesh.Store.Set(func(s *store.Store) { s.Down = true })
 		time.Sleep(3 * time.Second)
-		mesh.Store.Set(func(s *Store) { s.Down = false })
+		mesh.Store.Set(func(s *store.Store) { s.Down = false })
 	})
 	g.Expect(mesh.Judge.Broken()).To(BeEmpty())
 	g.Expect(mesh.Tally.Share("/front/")).To(BeNumerically(">", 0.99), "%v", mesh.Tally.Status)
--- a/internal/testbed/fleet/mesh_test.go
+++ b/internal/testbed/fleet/mesh_test.go
@@ -1,3 +1,6 @@
+// Package fleet tests whole fleets of sidecar nodes, which run in one process, in virtual time
+// and over a network in memory. Beside the tests it holds the deployment that they play, its
+// targets and clients, the judge of what those saw, and the kinds of trouble.
 package fleet
 
 import (
@@ -17,6 +20,7 @@
 	"github.com/landingmast/landingmast/internal/sidecar"
 	"github.com/landingmast/landingmast/internal/sidecar/settings"
 	"github.com/landingmast/landingmast/internal/testbed/memnet"
+	"github.com/landingmast/landingmast/internal/testbed/store"
 	"github.com/landingmast/landingmast/platform"
 )
 
@@ -80,7 +84,7 @@
 type Mesh struct {
 	Plan     Plan
 	Network  *memnet.Network // nil in a soak
-	Store    *Store
+	Store    *store.Store
 	Judge    *Judge
 	Harmful  *Harmful
 	Machines []*Machine
@@ -139,7 +143,7 @@
 func newMesh(plan Plan, soak *soak) (*Mesh, error) {
 	running, end := context.WithCancel(context.Background())
 	m := &Mesh{
-		Plan: plan, Store: NewStore(), Judge: NewJudge(DrainBound), Harmful: NewHarmful(), running: running, end: end,
+		Plan: plan, Store: store.New(), Judge: NewJudge(DrainBound), Harmful: NewHarmful(), running: running, end: end,
 		Tally: &Tally{Asked: map[string]int{}, Served: map[string]int{}, InTime: map[string]int{}, Status: map[int]int{}},
 	}
 	m.Store.ReadsPerSecond = plan.ReadsPerSecond
--- a/internal/testbed/fleet/quota_test.go
+++ b/internal/testbed/fleet/quota_test.go
@@ -5,6 +5,7 @@
 	"testing"
 	"time"
 
+	"github.com/landingmast/landingmast/internal/testbed/store"
 	. "github.com/onsi/gomega"
 )
 
@@ -161,10 +162,10 @@
 	mesh := play(t, plan, 16*time.Second, func(mesh *Mesh) {
 		const away = 8 * time.Second
 		time.Sleep(2 * time.Second)
-		mesh.Store.Set(func(s *Store) { s.Down = true })
-		mesh.Store.wait(away)
+		mesh.Store.Set(func(s *store.Store) { s.Down = true })
+		mesh.Store.ExtendLeases(away)
 		time.Sleep(away)
-		mesh.Store.Set(func(s *Store) { s.Down = false })
+		mesh.Store.Set(func(s *store.Store) { s.Down = false })
 		time.Sleep(1500 * time.Millisecond)
 		mesh.Tally.clear()
 		time.Sleep(2 * time.Second)
--- a/internal/testbed/fleet/records_test.go
+++ b/internal/testbed/fleet/records_test.go
@@ -6,12 +6,13 @@
 	"testing/synctest"
 	"time"
 
+	"github.com/landingmast/landingmast/internal/testbed/store"
 	"github.com/landingmast/landingmast/platform"
 	. "github.com/onsi/gomega"
 )
 
 // recorded counts the records of nodes that the store has.
-func (m *Mesh) recorded() int { return m.Store.count(platform.NodePrefix) }
+func (m *Mesh) recorded() int { return m.Store.Count(platform.NodePrefix) }
 
 // revoke takes the records of some machines away; no call of theirs shows it.
 func (m *Mesh) revoke(machines []*Machine) {
@@ -19,7 +20,7 @@
 	for _, machine := range machines {
 		keys = append(keys, platform.NodePrefix+"node-"+machine.IP)
 	}
-	m.Store.revoke(keys)
+	m.Store.Revoke(keys)
 }
 
 // returnBound is the users' bound for records to be back after the store's return.
@@ -34,21 +35,21 @@
 		play func(mesh *Mesh, chosen []*Machine)
 	}{
 		{"leases run out while the store is away", func(mesh *Mesh, _ []*Machine) {
-			mesh.Store.Set(func(s *Store) { s.Down = true })
+			mesh.Store.Set(func(s *store.Store) { s.Down = true })
 			time.Sleep(4 * time.Second)
 			mesh.Store.EndLeases()
-			mesh.Store.Set(func(s *Store) { s.Down = false })
+			mesh.Store.Set(func(s *store.Store) { s.Down = false })
 		}},
 		{"records taken away", func(mesh *Mesh, chosen []*Machine) { mesh.revoke(chosen) }},
 		{"records of machines taken away that are turned away", func(mesh *Mesh, chosen []*Machine) {
-			mesh.Store.Set(func(s *Store) {
+			mesh.Store.Set(func(s *store.Store) {
 				for _, machine := range chosen {
 					s.Refuse[machine.IP] = true
 				}
 			})
 			mesh.revoke(chosen)
 			time.Sleep(9 * time.Second)
-			mesh.Store.Set(func(s *Store) { clear(s.Refuse) })
+			mesh.Store.Set(func(s *store.Store) { clear(s.Refuse) })
 		}},
 		{"all restart after their records were taken away", func(mesh *Mesh, _ []*Machine) {
 			mesh.revoke(mesh.Machines)
@@ -135,10 +136,10 @@
 					g.Expect(err).NotTo(HaveOccurred())
 					defer mesh.Close()
 					time.Sleep(settle)
-					mesh.Store.Set(func(s *Store) { s.Calls = map[string]int{} })
+					mesh.Store.Set(func(s *store.Store) { s.Calls = map[string]int{} })
 					tc.disturb(mesh)
-					mesh.Store.Set(func(s *Store) { t.Logf("%d nodes: %v", nodes, s.Calls) })
-					g.Expect(mesh.Store.total() / float64(nodes)).To(BeNumerically("<=", tc.most))
+					mesh.Store.Set(func(s *store.Store) { t.Logf("%d nodes: %v", nodes, s.Calls) })
+					g.Expect(mesh.Store.Cost() / float64(nodes)).To(BeNumerically("<=", tc.most))
 				})
 			})
 		}
@@ -170,14 +171,14 @@
 			}
 		}},
 		{"one zone is turned away", func(mesh *Mesh, _ []*Machine) {
-			mesh.Store.Set(func(s *Store) {
+			mesh.Store.Set(func(s *store.Store) {
 				for _, machine := range mesh.Machines {
 					if machine.Zone == "a" {
 						s.Refuse[machine.IP] = true
 					}
 				}
 			})
-			mesh.Store.cut()
+			mesh.Store.CutWatches()
 		}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
--- a/internal/testbed/fleet/scale_test.go
+++ b/internal/testbed/fleet/scale_test.go
@@ -7,6 +7,7 @@
 	"testing/synctest"
 	"time"
 
+	"github.com/landingmast/landingmast/internal/testbed/store"
 	. "github.com/onsi/gomega"
 )
 
@@ -65,10 +66,10 @@
 				g.Expect(err).NotTo(HaveOccurred())
 				defer mesh.Close()
 				time.Sleep(settle)
-				mesh.Store.Set(func(s *Store) { s.Limited, s.Calls = 0, map[string]int{} })
+				mesh.Store.Set(func(s *store.Store) { s.Limited, s.Calls = 0, map[string]int{} })
 				tc.disturb(mesh, rand.New(rand.NewPCG(1, 2)))
 				time.Sleep(applyBound)
-				mesh.Store.Set(func(s *Store) {
+				mesh.Store.Set(func(s *store.Store) {
 					t.Logf("calls %v, limited %d", s.Calls, s.Limited)
 					g.Expect(s.Limited).To(BeZero())
 				})
--- a/internal/testbed/fleet/soak_test.go
+++ b/internal/testbed/fleet/soak_test.go
@@ -15,6 +15,7 @@
 	"time"
 
 	"github.com/landingmast/landingmast/internal/sidecar/settings"
+	"github.com/landingmast/landingmast/internal/testbed/store"
 )
 
 // Settings of a soak; `make soak` plays longer ones.
@@ -238,7 +239,7 @@
 }
 
 // storeFor brings a fault of the store for one to four seconds.
-func storeFor(begin, end func(s *Store)) func(m *Mesh, random *rand.Rand) {
+func storeFor(begin, end func(s *store.Store)) func(m *Mesh, random *rand.Rand) {
 	return func(m *Mesh, random *rand.Rand) {
 		m.Store.Set(begin)
 		m.Judge.storeTrouble(time.Duration(1+random.IntN(4)) * time.Second)
@@ -322,9 +323,9 @@
 			time.Sleep(100 * time.Millisecond)
 		}
 	}},
-	{"store down", storeFor(func(s *Store) { s.Down = true }, func(s *Store) { s.Down = false })},
-	{"store slow", storeFor(func(s *Store) { s.Slow = 300 * time.Millisecond }, func(s *Store) { s.Slow = 0 })},
-	{"store loses answers", storeFor(func(s *Store) { s.LoseWrites = true }, func(s *Store) { s.LoseWrites = false })},
+	{"store down", storeFor(func(s *store.Store) { s.Down = true }, func(s *store.Store) { s.Down = false })},
+	{"store slow", storeFor(func(s *store.Store) { s.Slow = 300 * time.Millisecond }, func(s *store.Store) { s.Slow = 0 })},
+	{"store loses answers", storeFor(func(s *store.Store) { s.LoseWrites = true }, func(s *store.Store) { s.LoseWrites = false })},
 	{"store forgets", func(m *Mesh, _ *rand.Rand) { m.Store.Compact(); m.Store.EndLeases() }},
 	{"store silent for some", onRelays(0, 0.3, func(r *relay) { r.set(func(r *relay) { r.cut = [2]bool{true, true} }) }, func(r *relay) { r.cut = [2]bool{} })},
 	{"store cut one way for some", onRelays(0, 0.3, func(r *relay) { r.set(func(r *relay) { r.cut[back] = true }) }, func(r *relay) { r.cut = [2]bool{} })},
--- a/internal/testbed/fleet/troubles_test.go
+++ b/internal/testbed/fleet/troubles_test.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"github.com/landingmast/landingmast/internal/sidecar/settings"
+	"github.com/landingmast/landingmast/internal/testbed/store"
 )
 
 // Trouble is one kind of disruption that a mesh can meet.
@@ -53,7 +54,7 @@
 	}
 }
 
-func storeFault(begin, end func(s *Store), span time.Duration) func(*Mesh, *rand.Rand) {
+func storeFault(begin, end func(s *store.Store), span time.Duration) func(*Mesh, *rand.Rand) {
 	return func(mesh *Mesh, _ *rand.Rand) {
 		mesh.Store.Set(begin)
 		mesh.Judge.storeTrouble(span)
@@ -134,14 +135,14 @@
 			target.Drain(DrainBound + time.Second)
 			_ = target.Start()
 		}},
-		{"platform_down", 0.99, storeFault(func(s *Store) { s.Down = true }, func(s *Store) { s.Down = false }, 4*time.Second)},
-		{"platform_slow", 0.99, storeFault(func(s *Store) { s.Slow = 300 * time.Millisecond }, func(s *Store) { s.Slow = 0 }, 4*time.Second)},
-		{"platform_lost", 0.99, storeFault(func(s *Store) { s.LoseWrites = true }, func(s *Store) { s.LoseWrites = false }, 4*time.Second)},
+		{"platform_down", 0.99, storeFault(func(s *store.Store) { s.Down = true }, func(s *store.Store) { s.Down = false }, 4*time.Second)},
+		{"platform_slow", 0.99, storeFault(func(s *store.Store) { s.Slow = 300 * time.Millisecond }, func(s *store.Store) { s.Slow = 0 }, 4*time.Second)},
+		{"platform_lost", 0.99, storeFault(func(s *store.Store) { s.LoseWrites = true }, func(s *store.Store) { s.LoseWrites = false }, 4*time.Second)},
 		{"platform_down lapse", 0.99, func(mesh *Mesh, _ *rand.Rand) {
-			mesh.Store.Set(func(s *Store) { s.Down = true })
+			mesh.Store.Set(func(s *store.Store) { s.Down = true })
 			mesh.Judge.storeTrouble(2 * time.Second)
 			mesh.Store.EndLeases()
-			mesh.Store.Set(func(s *Store) { s.Down = false })
+			mesh.Store.Set(func(s *store.Store) { s.Down = false })
 		}},
 		{"platform_compact", 0.99, func(mesh *Mesh, random *rand.Rand) {
 			mesh.Store.Deafen()
@@ -151,14 +152,14 @@
 		}},
 		{"store refuses some", 0.97, func(mesh *Mesh, random *rand.Rand) {
 			chosen := some(mesh, random, 0.3)
-			mesh.Store.Set(func(s *Store) {
+			mesh.Store.Set(func(s *store.Store) {
 				for _, machine := range chosen {
 					s.Refuse[machine.IP] = true
 				}
 			})
 			killAndRestart(chosen)
 			mesh.Judge.storeTrouble(4 * time.Second)
-			mesh.Store.Set(func(s *Store) { clear(s.Refuse) })
+			mesh.Store.Set(func(s *store.Store) { clear(s.Refuse) })
 		}},
 		{"burst", 0.9, func(mesh *Mesh, _ *rand.Rand) {
 			mesh.burst.Store(2)
--- a/internal/testbed/fleet/store_test.go
+++ b/internal/testbed/store/store.go
@@ -1,7 +1,8 @@
-// Package fleet plays whole fleets of sidecar nodes. It holds stand-ins of the users' platform for tests: its metadata
-// store, targets, clients, and a judge of what they saw. They are written from the
-// users' pages and speak over any net.Listener.
-package fleet
+// Package store is a stand-in of the platform's metadata store: keys with revisions, leases,
+// transactions and watches, in memory and over HTTP, with the faults that a test sets. It
+// owns all that it stores and counts the calls that it gets; it relies on nothing but the
+// clock, which is virtual in a bubble of testing/synctest. Only tests import it.
+package store
 
 import (
 	"encoding/base64"
@@ -59,8 +60,8 @@
 	until time.Time
 }
 
-// NewStore makes an empty store.
-func NewStore() *Store {
+// New makes an empty store.
+func New() *Store {
 	return &Store{
 		items: map[string]*record{}, leases: map[int64]*lease{}, changed: make(chan struct{}), cutting: make(chan struct{}),
 		Refuse: map[string]bool{}, Calls: map[string]int{},
@@ -95,8 +96,8 @@
 	s.cutting = make(chan struct{})
 }
 
-// cut cuts the watches.
-func (s *Store) cut() {
+// CutWatches cuts the watches.
+func (s *Store) CutWatches() {
 	s.Set(func(s *Store) {
 		close(s.cutting)
 		s.cutting = make(chan struct{})
@@ -404,8 +405,8 @@
 	write(w, http.StatusOK, map[string]any{"ttl_time": one.ttl.String()})
 }
 
-// count gives the number of keys with a prefix.
-func (s *Store) count(prefix string) (count int) {
+// Count gives the number of keys with a prefix.
+func (s *Store) Count(prefix string) (count int) {
 	s.Set(func(s *Store) {
 		for key := range s.items {
 			if strings.HasPrefix(key, prefix) {
@@ -416,8 +417,8 @@
 	return count
 }
 
-// revoke removes keys; no call of those that wrote them shows it.
-func (s *Store) revoke(keys []string) {
+// Revoke removes keys; no call of those that wrote them shows it.
+func (s *Store) Revoke(keys []string) {
 	s.Set(func(s *Store) {
 		for _, key := range keys {
 			s.remove(key)
@@ -425,9 +426,9 @@
 	})
 }
 
-// total sums up the calls that the store got since the counts were cleared, at their
+// Cost sums up the calls that the store got since the counts were cleared, at their
 // prices: a renewal and a stale read cost a tenth.
-func (s *Store) total() (calls float64) {
+func (s *Store) Cost() (calls float64) {
 	s.Set(func(s *Store) {
 		for path, count := range s.Calls {
 			price := 1.0
@@ -440,8 +441,8 @@
 	return calls
 }
 
-// wait has the leases last longer, as a store does that counts no time while it is away.
-func (s *Store) wait(span time.Duration) {
+// ExtendLeases has the leases last longer, as a store does that counts no time while it is away.
+func (s *Store) ExtendLeases(span time.Duration) {
 	s.Set(func(s *Store) {
 		for _, one := range s.leases {
 			one.until = one.until.Add(span)
@@ -449,8 +450,8 @@
 	})
 }
 
-// writes gives the number of writing calls.
-func (s *Store) writes() int {
+// Writes gives the number of writing calls.
+func (s *Store) Writes() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.Calls["/-/kv-txn"]
