--- a/internal/testbed/store/store.go
+++ b/internal/testbed/store/store.go
@@ -17,28 +17,28 @@
 
 // Store is a stand-in of the platform's metadata store.
 type Store struct {
-	mutex     sync.Mutex
+	mu        sync.Mutex
 	revision  int64
-	compacted int64 // history up to here is gone
+	compacted int64 // history up to this revision is gone
 	items     map[string]*record
 	events    []record
 	leases    map[int64]*lease
 	nextLease int64
-	changed   chan struct{}
-	deaf      bool
+	changed   chan struct{} // closed by the next event
+	deaf      bool          // watches see no events
 	cutting   chan struct{} // closed to cut the watches
 
-	// Down has every call answered 503.
+	// Down makes the store answer every call with 503.
 	Down bool
-	// Slow is added to every answer.
+	// Slow delays every answer.
 	Slow time.Duration
-	// Refuse has the calls of some machines answered 429, by their IP.
+	// Refuse holds the IPs of the machines whose calls are answered with 429.
 	Refuse map[string]bool
-	// LoseWrites has writes done and not answered.
+	// LoseWrites makes the store carry writes out without answering them.
 	LoseWrites bool
-	// ReadsPerSecond is how many reading calls are served in a second; 0: any.
+	// ReadsPerSecond limits the reading calls that are served in a second; 0: no limit.
 	ReadsPerSecond int
-	// Calls counts the calls by path, Limited those that were too many.
+	// Calls counts all calls by path, Limited those that exceeded ReadsPerSecond.
 	Calls   map[string]int
 	Limited int
 
@@ -46,18 +46,19 @@
 	reads  int // in the second
 }
 
+// record is the value of a key, or an event of a watch.
 type record struct {
 	Key      string `json:"key"`
 	Value    string `json:"value,omitempty"`
 	Revision int64  `json:"revision"`
-	Made     int64  `json:"made,omitempty"`
+	Created  int64  `json:"made,omitempty"`
 	Lease    int64  `json:"lease,omitempty"`
 	Gone     bool   `json:"gone,omitempty"`
 }
 
 type lease struct {
-	ttl   time.Duration
-	until time.Time
+	ttl     time.Duration
+	expires time.Time
 }
 
 // New makes an empty store.
@@ -68,27 +69,27 @@
 	}
 }
 
-// Set changes the store's faults.
+// Set runs a change of the exported fields, which calls read concurrently.
 func (s *Store) Set(change func(s *Store)) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	change(s)
 }
 
-// Write puts a key, as the operator does.
+// Write sets a key without a lease, as an operator does.
 func (s *Store) Write(key string, value []byte) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	s.put(key, base64.StdEncoding.EncodeToString(value), 0)
 }
 
-// Deafen has the watches hear nothing until Compact.
+// Deafen hides all events from the watches until Compact.
 func (s *Store) Deafen() { s.Set(func(s *Store) { s.deaf = true }) }
 
-// Compact drops the history and cuts the watches.
+// Compact drops the history of events and closes the connections of all watches.
 func (s *Store) Compact() {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	s.deaf = false
 	s.compacted = s.revision
 	s.events = nil
@@ -96,7 +97,7 @@
 	s.cutting = make(chan struct{})
 }
 
-// CutWatches cuts the watches.
+// CutWatches closes the connections of all watches.
 func (s *Store) CutWatches() {
 	s.Set(func(s *Store) {
 		close(s.cutting)
@@ -104,18 +105,19 @@
 	})
 }
 
-// put writes a key; the mutex is held.
+// put sets a key; mu is held.
 func (s *Store) put(key, value string, lease int64) {
 	s.revision++
-	made := s.revision
+	created := s.revision
 	if old := s.items[key]; old != nil {
-		made = old.Made
+		created = old.Created
 	}
-	one := record{Key: key, Value: value, Revision: s.revision, Made: made, Lease: lease}
-	s.items[key] = &one
-	s.announce(one)
+	item := record{Key: key, Value: value, Revision: s.revision, Created: created, Lease: lease}
+	s.items[key] = &item
+	s.announce(item)
 }
 
+// remove deletes a key; mu is held.
 func (s *Store) remove(key string) {
 	if s.items[key] == nil {
 		return
@@ -125,21 +127,23 @@
 	s.announce(record{Key: key, Revision: s.revision, Gone: true})
 }
 
+// announce adds an event to the history and wakes the watches; mu is held.
 func (s *Store) announce(event record) {
 	s.events = append(s.events, event)
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// expire ends leases that have run out; the mutex is held.
+// expire ends leases that have run out; mu is held.
 func (s *Store) expire() {
-	for id, one := range s.leases {
-		if time.Now().After(one.until) {
+	for id, granted := range s.leases {
+		if time.Now().After(granted.expires) {
 			s.end(id)
 		}
 	}
 }
 
+// end ends a lease and removes its keys; mu is held.
 func (s *Store) end(id int64) {
 	delete(s.leases, id)
 	for key, item := range s.items {
@@ -149,10 +153,10 @@
 	}
 }
 
-// EndLeases ends every lease, as a store does that was down for long.
+// EndLeases ends every lease, as a store does that was down for longer than their time.
 func (s *Store) EndLeases() {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	for id := range s.leases {
 		s.end(id)
 	}
@@ -160,13 +164,13 @@
 
 // ServeHTTP implements http.Handler.
 func (s *Store) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	s.mutex.Lock()
+	s.mu.Lock()
 	s.Calls[pathOf(r)]++
 	slow, down := s.Slow, s.Down
 	host, _, _ := strings.Cut(r.RemoteAddr, ":")
 	refused := s.Refuse[host] || s.tooMany(r)
 	s.expire()
-	s.mutex.Unlock()
+	s.mu.Unlock()
 	time.Sleep(slow)
 	switch {
 	case down:
@@ -186,15 +190,15 @@
 	case strings.HasPrefix(r.URL.Path, "/-/kv-keep/"):
 		s.keep(w, r)
 	case strings.HasPrefix(r.URL.Path, "/-/kv-lease-end/"):
-		s.mutex.Lock()
+		s.mu.Lock()
 		s.end(leaseOf(r))
-		s.mutex.Unlock()
+		s.mu.Unlock()
 	default:
 		w.WriteHeader(http.StatusNotFound)
 	}
 }
 
-// Paths by which calls are counted that cost a tenth.
+// Keys of Calls for the calls that cost a tenth.
 const (
 	keeps  = "/-/kv-keep"
 	stales = "stale reads"
@@ -202,7 +206,7 @@
 
 func stale(r *http.Request) bool { return r.URL.Query().Get("stale") == "1" }
 
-// pathOf gives the path by which a call is counted.
+// pathOf returns the key of Calls by which a call is counted.
 func pathOf(r *http.Request) string {
 	switch {
 	case stale(r):
@@ -213,7 +217,7 @@
 	return r.URL.Path
 }
 
-// tooMany counts a reading call against the limit; the mutex is held.
+// tooMany counts a reading call and reports whether it exceeds ReadsPerSecond; mu is held.
 func (s *Store) tooMany(r *http.Request) bool {
 	if r.Method != http.MethodGet || s.ReadsPerSecond == 0 || stale(r) {
 		return false
@@ -229,11 +233,14 @@
 	return true
 }
 
+// leaseOf returns the id of the lease at the end of the path; 0, which is no lease, if it is
+// malformed.
 func leaseOf(r *http.Request) int64 {
 	id, _ := strconv.ParseInt(r.URL.Path[strings.LastIndexByte(r.URL.Path, '/')+1:], 10, 64)
 	return id
 }
 
+// write sends an answer; an error means that the client is gone.
 func write(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
@@ -241,8 +248,8 @@
 }
 
 func (s *Store) key(w http.ResponseWriter, r *http.Request) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	item := s.items[r.URL.Query().Get("key")]
 	if item == nil {
 		write(w, http.StatusNotFound, map[string]any{"at": s.revision})
@@ -254,11 +261,12 @@
 	}{*item, s.revision})
 }
 
+// pageItems is the largest number of items in one answer to a range, as in the platform's store.
 const pageItems = 500
 
 func (s *Store) list(w http.ResponseWriter, r *http.Request) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	query := r.URL.Query()
 	found := []record{}
 	for key, item := range s.items {
@@ -281,15 +289,15 @@
 	timer := time.NewTimer(time.Duration(wait) * time.Millisecond)
 	defer timer.Stop()
 	for {
-		s.mutex.Lock()
+		s.mu.Lock()
 		if after < s.compacted {
-			s.mutex.Unlock()
+			s.mu.Unlock()
 			w.WriteHeader(http.StatusGone)
 			return
 		}
 		found := s.after(after, query.Get("path_prefix"))
 		at, changed, cutting := s.revision, s.changed, s.cutting
-		s.mutex.Unlock()
+		s.mu.Unlock()
 		if len(found) > 0 {
 			write(w, http.StatusOK, map[string]any{"events": found, "at": at})
 			return
@@ -307,7 +315,7 @@
 	}
 }
 
-// after gives the events after a revision; the mutex is held.
+// after returns the events of keys with a prefix after a revision; mu is held.
 func (s *Store) after(revision int64, prefix string) []record {
 	found := []record{}
 	if s.deaf {
@@ -340,8 +348,8 @@
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	found, holds := []record{}, true
 	for _, condition := range change.Conditions {
 		revision := int64(0)
@@ -355,14 +363,14 @@
 		write(w, http.StatusPreconditionFailed, map[string]any{"items": found})
 		return
 	}
-	for _, one := range change.Put {
-		if one.Lease != 0 && s.leases[one.Lease] == nil {
+	for _, put := range change.Put {
+		if put.Lease != 0 && s.leases[put.Lease] == nil {
 			w.WriteHeader(http.StatusNotFound)
 			return
 		}
 	}
-	for _, one := range change.Put {
-		s.put(one.Key, one.Value, one.Lease)
+	for _, put := range change.Put {
+		s.put(put.Key, put.Value, put.Lease)
 	}
 	for _, key := range change.Remove {
 		s.remove(key)
@@ -386,26 +394,26 @@
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	s.nextLease++
-	s.leases[s.nextLease] = &lease{ttl: ttl, until: time.Now().Add(ttl)}
+	s.leases[s.nextLease] = &lease{ttl: ttl, expires: time.Now().Add(ttl)}
 	write(w, http.StatusOK, map[string]any{"lease": s.nextLease, "ttl_time": asked.TTL})
 }
 
 func (s *Store) keep(w http.ResponseWriter, r *http.Request) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	one := s.leases[leaseOf(r)]
-	if one == nil {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	renewed := s.leases[leaseOf(r)]
+	if renewed == nil {
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	one.until = time.Now().Add(one.ttl)
-	write(w, http.StatusOK, map[string]any{"ttl_time": one.ttl.String()})
+	renewed.expires = time.Now().Add(renewed.ttl)
+	write(w, http.StatusOK, map[string]any{"ttl_time": renewed.ttl.String()})
 }
 
-// Count gives the number of keys with a prefix.
+// Count returns the number of keys with a prefix.
 func (s *Store) Count(prefix string) (count int) {
 	s.Set(func(s *Store) {
 		for key := range s.items {
@@ -417,7 +425,7 @@
 	return count
 }
 
-// Revoke removes keys; no call of those that wrote them shows it.
+// Revoke removes keys without ending their leases, so that those who wrote them get no error.
 func (s *Store) Revoke(keys []string) {
 	s.Set(func(s *Store) {
 		for _, key := range keys {
@@ -426,33 +434,32 @@
 	})
 }
 
-// Cost sums up the calls that the store got since the counts were cleared, at their
-// prices: a renewal and a stale read cost a tenth.
+// Cost sums up Calls: a renewal and a stale read count as a tenth of a call.
 func (s *Store) Cost() (calls float64) {
 	s.Set(func(s *Store) {
 		for path, count := range s.Calls {
-			price := 1.0
+			weight := 1.0
 			if path == keeps || path == stales {
-				price = 0.1
+				weight = 0.1
 			}
-			calls += price * float64(count)
+			calls += weight * float64(count)
 		}
 	})
 	return calls
 }
 
-// ExtendLeases has the leases last longer, as a store does that counts no time while it is away.
+// ExtendLeases lengthens all leases, as a store does that counts no time while it is down.
 func (s *Store) ExtendLeases(span time.Duration) {
 	s.Set(func(s *Store) {
-		for _, one := range s.leases {
-			one.until = one.until.Add(span)
+		for _, granted := range s.leases {
+			granted.expires = granted.expires.Add(span)
 		}
 	})
 }
 
-// Writes gives the number of writing calls.
+// Writes returns the number of transactions that were called for.
 func (s *Store) Writes() int {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	return s.Calls["/-/kv-txn"]
 }
