--- a/internal/testbed/fleet/judge_test.go
+++ b/internal/testbed/fleet/judge_test.go
@@ -2,8 +2,10 @@
 
 import (
 	"fmt"
+	"hash/fnv"
 	"net/http"
 	"sort"
+	"strconv"
 	"sync"
 	"time"
 )
@@ -12,6 +14,7 @@
 // for concurrent use.
 type Judge struct {
 	Drain time.Duration // the bound of the rule DRAIN
+	Late  time.Duration // borne beyond the bounds of time, for real processes
 
 	mutex    sync.Mutex
 	requests map[string]*request
@@ -24,7 +27,6 @@
 	tenancy  tenancy
 	harm     harmSeen
 	stops    stopsSeen
-	late     time.Duration // borne beyond the bounds of time, for real processes
 }
 
 type request struct {
@@ -104,17 +106,24 @@
 // goneSlack is the time after which a request whose client left must not reach a target.
 const goneSlack = 500 * time.Millisecond
 
+// place is where a request arrived.
+type place struct {
+	service  string
+	ip       string // of the machine
+	instance string // of the target
+}
+
 // declined tells that a target turns a request away: an arrival, but no run.
-func (j *Judge) declined(t *Target, r *http.Request) {
+func (j *Judge) declined(service string, r *http.Request) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
 	if one := j.requests[r.Header.Get("X-Request-Id")]; one != nil {
-		j.countArrival(one, t.Service, time.Now())
+		j.countArrival(one, service, time.Now())
 	}
 }
 
 // ran tells that a target begins with a request.
-func (j *Judge) ran(t *Target, r *http.Request, body []byte) *run {
+func (j *Judge) ran(at place, r *http.Request, body []byte) *run {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
 	id := r.Header.Get("X-Request-Id")
@@ -125,8 +134,8 @@
 		one = &request{id: id}
 		j.requests[id] = one
 	}
-	j.countArrival(one, t.Service, now)
-	began := &run{request: one, instance: t.instance, began: now}
+	j.countArrival(one, at.service, now)
+	began := &run{request: one, instance: at.instance, began: now}
 	one.runs = append(one.runs, began)
 	j.ranFor(one, r, now)
 	j.ranHarmful(began, r, body, now)
@@ -136,8 +145,8 @@
 	if one.unsafe && one.denied {
 		j.breach("REFUSED", "request %s runs after its client was told that it never will", id)
 	}
-	if one.service != "" && one.service != t.Service {
-		j.breach("ROUTE", "request %s for %s runs at %s", id, one.service, t.Service)
+	if one.service != "" && one.service != at.service {
+		j.breach("ROUTE", "request %s for %s runs at %s", id, one.service, at.service)
 	}
 	if one.uri != "" && one.uri != r.RequestURI {
 		j.breach("UNASKED", "request %s runs with %s instead of %s", id, r.RequestURI, one.uri)
@@ -148,14 +157,14 @@
 	if one.tries > 0 && len(one.runs) > one.tries {
 		j.breach("BUDGET", "request %s reached %d targets of at most %d", id, len(one.runs), one.tries)
 	}
-	if j.heldUp(one, t) {
+	if j.heldUp(one, at.ip) {
 		return began
 	}
-	if !one.left.IsZero() && now.Sub(one.left) > goneSlack+j.late {
+	if !one.left.IsZero() && now.Sub(one.left) > goneSlack+j.Late {
 		j.breach("GONE", "request %s reaches a target %s after its client left", id, now.Sub(one.left))
 	}
-	if at, leaving := j.drained[t.instance]; leaving && now.Sub(at) > j.Drain+j.late {
-		j.breach("DRAIN", "request %s reaches a leaving target %s after the acknowledgement", id, now.Sub(at))
+	if since, leaving := j.drained[at.instance]; leaving && now.Sub(since) > j.Drain+j.Late {
+		j.breach("DRAIN", "request %s reaches a leaving target %s after the acknowledgement", id, now.Sub(since))
 	}
 	return began
 }
@@ -172,8 +181,8 @@
 
 // heldUp tells that a request may come late because of the links; the users'
 // pages do not count it then.
-func (j *Judge) heldUp(one *request, t *Target) bool {
-	for _, ip := range []string{one.origin, ipOf(t.Address)} {
+func (j *Judge) heldUp(one *request, targetIP string) bool {
+	for _, ip := range []string{one.origin, targetIP} {
 		if at, harmed := j.harmed[ip]; harmed && time.Since(at) < contact {
 			return true
 		}
@@ -181,16 +190,14 @@
 	return false
 }
 
-func (j *Judge) ended(*run) {}
-
 func (j *Judge) answered(one *run, status int, signature string) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
 	one.status, one.signature = status, signature
 }
 
-// received tells of an answer that a client got whole.
-func (j *Judge) received(id string, status int, signature string, content []byte) {
+// Received tells of an answer that a client got whole.
+func (j *Judge) Received(id string, status int, signature string, content []byte) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
 	one := j.requests[id]
@@ -216,11 +223,6 @@
 	}
 }
 
-// Received tells of an answer that a client got whole.
-func (j *Judge) Received(id string, status int, signature string, content []byte) {
-	j.received(id, status, signature, content)
-}
-
 func (r *request) gave(status int, signature string) bool {
 	for _, one := range r.runs {
 		if one.status == status && one.signature == signature {
@@ -229,3 +231,11 @@
 	}
 	return false
 }
+
+// SignatureOf gives the target's mark on an answer.
+func SignatureOf(id string, status int, content []byte) string {
+	sum := fnv.New64a()
+	_, _ = fmt.Fprintf(sum, "%s %d ", id, status)
+	_, _ = sum.Write(content)
+	return strconv.FormatUint(sum.Sum64(), 16)
+}
--- a/internal/testbed/fleet/judges_test.go
+++ b/internal/testbed/fleet/judges_test.go
@@ -69,27 +69,29 @@
 // than contact after that.
 func endAndSend(j *Judge, more int) {
 	j.expectHarm("/deep/harmful", "")
-	target := &Target{Service: "deep", Address: "10.1.0.1:8001", Judge: j}
 	for send := range harmKnownAfter + more {
 		if send == harmKnownAfter {
 			time.Sleep(contact + time.Millisecond)
 		}
 		id := "harmful-" + strconv.Itoa(send)
 		j.Expect(id, "10.1.0.2", "/deep/harmful", "deep", "front", false, 1)
-		request, _ := http.ReadRequest(bufio.NewReader(strings.NewReader("GET /deep/harmful HTTP/1.1\r\nHost: h\r\nX-Request-Id: " + id + "\r\nX-Caller-Service: front\r\n\r\n")))
-		j.crashed(j.ran(target, request, nil))
+		j.crashed(j.ran(place{service: "deep", ip: "10.1.0.1"}, requestFor("/deep/harmful", id), nil))
 	}
 }
 
+// requestFor is a request as it arrives at a target.
+func requestFor(path, id string) *http.Request {
+	request, _ := http.ReadRequest(bufio.NewReader(strings.NewReader("GET " + path + " HTTP/1.1\r\nHost: h\r\nX-Request-Id: " + id + "\r\nX-Caller-Service: front\r\n\r\n")))
+	return request
+}
+
 // cutAround has requests that a target had begun be cut while their node stops as planned.
 func cutAround(j *Judge, requests int) {
-	target := &Target{Service: "deep", Address: "10.1.0.2:8001", Judge: j}
 	j.stopping("10.1.0.1")
 	for number := range requests {
 		id := "cut-" + strconv.Itoa(number)
 		j.Expect(id, "10.1.0.1", "/deep/x", "deep", "front", false, 1)
-		request, _ := http.ReadRequest(bufio.NewReader(strings.NewReader("GET /deep/x HTTP/1.1\r\nHost: h\r\nX-Request-Id: " + id + "\r\nX-Caller-Service: front\r\n\r\n")))
-		j.ran(target, request, nil)
+		j.ran(place{service: "deep", ip: "10.1.0.2"}, requestFor("/deep/x", id), nil)
 		j.cut(id, time.Now().Add(time.Second))
 	}
 }
@@ -99,11 +101,8 @@
 	for i := range requests {
 		id := string(rune('a' + i))
 		j.Expect(id, "10.1.0.1", "/x", "deep", "front", false, times)
-		j.mutex.Lock()
 		for range times {
-			j.countArrival(j.requests[id], "deep", time.Now())
-			j.requests[id].runs = append(j.requests[id].runs, &run{request: j.requests[id]})
+			j.ran(place{service: "deep", ip: "10.1.0.1"}, requestFor("/x", id), nil)
 		}
-		j.mutex.Unlock()
 	}
 }
--- a/internal/testbed/fleet/mesh_test.go
+++ b/internal/testbed/fleet/mesh_test.go
@@ -170,7 +170,7 @@
 	for _, tenant := range plan.Tenants {
 		m.firstKeys = append(m.firstKeys, tenant.Keys)
 	}
-	m.Judge.tenants(nil, plan.Tenants)
+	m.Judge.tenants(nil, tenantsOf(plan.Tenants))
 	m.Configure(nil)
 	for _, machine := range m.Machines {
 		if err := machine.Target.Start(); err != nil {
@@ -589,3 +589,20 @@
 	}
 	return float64(t.Served[prefix]) / float64(t.Asked[prefix])
 }
+
+// inForceAfter is when the last version must be in force on every node, whatever
+// happened before: the bound, and its stretch after disruptions of the store.
+const inForceAfter = 7 * time.Second
+
+// checkEnd ends a day: rules that count are held against what was seen, and after
+// some quiet time the last configuration is in force everywhere.
+func (m *Mesh) checkEnd() {
+	m.Judge.checkWhole()
+	time.Sleep(inForceAfter)
+	m.mutex.Lock()
+	last := uint64(m.version)
+	m.mutex.Unlock()
+	for _, machine := range m.Machines {
+		m.Judge.checkVersion(machine.IP, machine.Version(), last)
+	}
+}
--- a/internal/testbed/fleet/quota_test.go
+++ b/internal/testbed/fleet/quota_test.go
@@ -35,30 +35,6 @@
 	}
 }
 
-// ranOf counts the requests of a tenant that ran.
-func (j *Judge) ranOf(tenant string) int {
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
-	return len(j.tenancy.runs[tenant])
-}
-
-// shareOf is the share of a tenant's attempts that ran.
-func (j *Judge) shareOf(tenant string) float64 {
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
-	asked, ran := 0, 0
-	for _, one := range j.requests {
-		if one.tenant != tenant || one.key == "" {
-			continue
-		}
-		asked++
-		if len(one.runs) > 0 {
-			ran++
-		}
-	}
-	return float64(ran) / float64(max(asked, 1))
-}
-
 // The limit holds in every trouble, also where keepers go and come, and the tenants below
 // theirs are served afterwards.
 func TestLimitHoldsInTrouble(t *testing.T) {
@@ -90,16 +66,9 @@
 		from = time.Now().Add(configBound)
 	})
 	g.Expect(mesh.Judge.Broken()).To(BeEmpty())
-	mesh.Judge.mutex.Lock()
-	defer mesh.Judge.mutex.Unlock()
-	var late []quotaRun
-	for _, one := range mesh.Judge.tenancy.runs["tenant0"] {
-		if one.sent.After(from) {
-			late = append(late, one)
-		}
-	}
-	g.Expect(mostInWindow(late)).To(BeNumerically("<=", int((10*quotaWindow.Seconds()+5)*(1+quotaOvershoot)+quotaSlack)))
-	g.Expect(len(late)).To(BeNumerically(">", 50))
+	inWindow, late := mesh.Judge.ranSince("tenant0", from)
+	g.Expect(inWindow).To(BeNumerically("<=", int((10*quotaWindow.Seconds()+5)*(1+quotaOvershoot)+quotaSlack)))
+	g.Expect(late).To(BeNumerically(">", 50))
 }
 
 // configBound is the users' bound for a configuration to be in force.
--- a/internal/testbed/fleet/rules_test.go
+++ b/internal/testbed/fleet/rules_test.go
@@ -72,23 +72,12 @@
 	}
 }
 
-// inForceAfter is when the last version must be in force on every node, whatever
-// happened before: the bound, and its stretch after disruptions of the store.
-const inForceAfter = 7 * time.Second
-
-// checkEnd ends a day: rules that count are held against what was seen, and after
-// some quiet time the last configuration is in force everywhere.
-func (m *Mesh) checkEnd() {
-	m.Judge.checkWhole()
-	time.Sleep(inForceAfter)
-	m.mutex.Lock()
-	last := uint64(m.version)
-	m.mutex.Unlock()
-	m.Judge.mutex.Lock()
-	defer m.Judge.mutex.Unlock()
-	for _, machine := range m.Machines {
-		if version := machine.Version(); version != last {
-			m.Judge.breach("CONFIG", "%s has version %d in force instead of %d", machine.IP, version, last)
-		}
+// checkVersion holds the configuration that is in force on a machine at the end against the
+// last one.
+func (j *Judge) checkVersion(ip string, inForce, last uint64) {
+	j.mutex.Lock()
+	defer j.mutex.Unlock()
+	if inForce != last {
+		j.breach("CONFIG", "%s has version %d in force instead of %d", ip, inForce, last)
 	}
 }
--- a/internal/testbed/fleet/soak_test.go
+++ b/internal/testbed/fleet/soak_test.go
@@ -81,7 +81,7 @@
 		}
 	}
 	defer closeAll()
-	mesh.Judge.late = soakLate
+	mesh.Judge.Late = soakLate
 	time.Sleep(settle)
 	played := mesh.troubled(*soakFor, seed)
 	if !mesh.calmDown() {
@@ -90,7 +90,7 @@
 	served := mesh.servedInCalm()
 	mesh.checkEnd()
 	ended, innocent := mesh.Judge.harmFigures()
-	t.Logf("seed %d: %s; answers %v; %.3f served in calm; %d targets ended by harmful requests, %d harmless refused on suspicion, %d cut around planned stops", seed, played, mesh.Tally.Status, served, ended, innocent, mesh.Judge.stops.lost)
+	t.Logf("seed %d: %s; answers %v; %.3f served in calm; %d targets ended by harmful requests, %d harmless refused on suspicion, %d cut around planned stops", seed, played, mesh.Tally.Status, served, ended, innocent, mesh.Judge.lostAroundStops())
 	closeAll()
 	for _, broken := range append(mesh.Judge.Broken(), soak.unasked()...) {
 		t.Error(broken)
--- a/internal/testbed/fleet/stops_test.go
+++ b/internal/testbed/fleet/stops_test.go
@@ -47,3 +47,10 @@
 		j.breach("LOST", "%d requests that a target had begun were cut around planned stops", j.stops.lost)
 	}
 }
+
+// lostAroundStops gives the number of requests that were cut around planned stops.
+func (j *Judge) lostAroundStops() int {
+	j.mutex.Lock()
+	defer j.mutex.Unlock()
+	return j.stops.lost
+}
--- a/internal/testbed/fleet/target_test.go
+++ b/internal/testbed/fleet/target_test.go
@@ -5,7 +5,6 @@
 	"context"
 	"encoding/json"
 	"fmt"
-	"hash/fnv"
 	"io"
 	"math/rand/v2"
 	"net"
@@ -244,7 +243,7 @@
 	case r.Header.Get("X-Expected-Instance") != "" && r.Header.Get("X-Expected-Instance") != instance:
 		return reply(conn, http.StatusMisdirectedRequest, id, load, nil)
 	case running >= t.Slots || rand.Float64() < faults.Decline:
-		t.Judge.declined(t, r)
+		t.Judge.declined(t.Service, r)
 		return reply(conn, http.StatusServiceUnavailable, id, "X-Not-Executed: 1\r\n", nil)
 	}
 	return t.run(conn, reader, r, body, faults, load)
@@ -252,7 +251,8 @@
 
 func (t *Target) run(conn net.Conn, reader *bufio.Reader, r *http.Request, body []byte, faults Faults, load string) bool {
 	id := r.Header.Get("X-Request-Id")
-	one := t.Judge.ran(t, r, body)
+	instance := t.Instance()
+	one := t.Judge.ran(place{service: t.Service, ip: ipOf(t.Address), instance: instance}, r, body)
 	t.mutex.Lock()
 	t.running++
 	t.mutex.Unlock()
@@ -260,13 +260,12 @@
 		t.mutex.Lock()
 		t.running--
 		t.mutex.Unlock()
-		t.Judge.ended(one)
 	}()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	closed := t.watchClose(conn, reader, cancel)
 	if t.Harmful.endsTarget(r, body) {
-		t.crash(ctx, one)
+		t.crash(ctx, one, instance)
 	}
 	status := t.work(ctx, r, faults)
 	_ = conn.SetReadDeadline(time.Now())
@@ -381,7 +380,7 @@
 	if err != nil || response.StatusCode != http.StatusOK {
 		return false
 	}
-	t.Judge.received(request.Header.Get("X-Request-Id"), response.StatusCode, response.Header.Get("X-Response-Signature"), content)
+	t.Judge.Received(request.Header.Get("X-Request-Id"), response.StatusCode, response.Header.Get("X-Response-Signature"), content)
 	return true
 }
 
@@ -403,14 +402,6 @@
 	return []byte(strings.Repeat(id+" ", length/(len(id)+1)+1)[:length])
 }
 
-// SignatureOf gives the target's mark on an answer.
-func SignatureOf(id string, status int, content []byte) string {
-	sum := fnv.New64a()
-	_, _ = fmt.Fprintf(sum, "%s %d ", id, status)
-	_, _ = sum.Write(content)
-	return strconv.FormatUint(sum.Sum64(), 16)
-}
-
 func reply(conn net.Conn, status int, id, header string, content []byte) bool {
 	_, err := fmt.Fprintf(conn, "HTTP/1.1 %d %s\r\nX-Request-Id: %s\r\n%sContent-Length: %d\r\nKeep-Alive: timeout=10\r\n\r\n%s",
 		status, http.StatusText(status), id, header, len(content), content)
