--- a/internal/testbed/fleet/crash_test.go
+++ b/internal/testbed/fleet/crash_test.go
@@ -39,7 +39,7 @@
 			plan := withSpares()
 			mesh := play(t, plan, 30*time.Second, func(mesh *Mesh) { mesh.comesAgain(plan.Routes[tc.route], 7) })
 			g.Expect(mesh.Judge.Broken()).To(BeEmpty())
-			ended, innocent := mesh.Judge.harmFigures()
+			ended, innocent := mesh.Judge.HarmFigures()
 			t.Logf("%d targets ended, %d harmless requests refused on suspicion, %v", ended, innocent, mesh.Tally.Status)
 			g.Expect(innocent).To(BeZero())
 		})
@@ -99,7 +99,7 @@
 				group.Wait()
 			})
 			g.Expect(mesh.Judge.Broken()).To(BeEmpty())
-			ended, innocent := mesh.Judge.harmFigures()
+			ended, innocent := mesh.Judge.HarmFigures()
 			t.Logf("%d targets ended, %d harmless requests refused on suspicion, %v", ended, innocent, mesh.Tally.Status)
 			g.Expect(innocent).To(BeZero())
 		})
@@ -125,7 +125,7 @@
 		}
 	})
 	g.Expect(mesh.Judge.Broken()).To(BeEmpty())
-	_, innocent := mesh.Judge.harmFigures()
+	_, innocent := mesh.Judge.HarmFigures()
 	g.Expect(innocent).To(BeZero())
 	g.Expect(mesh.Tally.Share("/front/")).To(BeNumerically(">", 0.95), "%v", mesh.Tally.Status)
 }
@@ -176,7 +176,7 @@
 // storeAway has the store answer nothing for some time.
 func (m *Mesh) storeAway(span time.Duration) {
 	m.Store.Set(func(s *store.Store) { s.Down = true })
-	m.Judge.storeTrouble(span)
+	m.Judge.StoreTrouble(span)
 	m.Store.Set(func(s *store.Store) { s.Down = false })
 }
 
--- a/internal/testbed/fleet/harm_test.go
+++ b/internal/testbed/fleet/harm_test.go
@@ -7,6 +7,8 @@
 	"strings"
 	"sync"
 	"time"
+
+	"github.com/landingmast/landingmast/internal/testbed/judge"
 )
 
 // Harmful holds the requests that end each target that begins to run them, by path and
@@ -83,7 +85,7 @@
 )
 
 // crash ends the target some time after a run began, and starts it again later.
-func (t *Target) crash(ctx context.Context, one *run, instance string) {
+func (t *Target) crash(ctx context.Context, one *judge.Run, instance string) {
 	select {
 	case <-ctx.Done():
 		return
@@ -95,7 +97,7 @@
 	if !same {
 		return
 	}
-	t.Judge.crashed(one)
+	t.Judge.Crashed(one)
 	go func() {
 		t.Stop()
 		time.Sleep(t.Harmful.untilBack())
@@ -124,6 +126,6 @@
 	if route.Kind == "unsafe" {
 		body = strings.Repeat("b", max(route.Body, 1))
 	}
-	m.Judge.expectHarm(path, body)
+	m.Judge.ExpectHarmful(path, body)
 	m.Harmful.Add(path, body)
 }
--- a/internal/testbed/fleet/held_test.go
+++ b/internal/testbed/fleet/held_test.go
@@ -15,6 +15,7 @@
 	"github.com/alecthomas/kingpin/v2"
 	"github.com/landingmast/landingmast/internal/operator"
 	"github.com/landingmast/landingmast/internal/store"
+	"github.com/landingmast/landingmast/internal/testbed/judge"
 	"github.com/landingmast/landingmast/platform"
 	. "github.com/onsi/gomega"
 )
@@ -78,7 +79,7 @@
 			status, header, text := mesh.statusWith(machine, http.MethodPost, "/order/harmful", "bad")
 			g.Expect(status).To(Equal(http.StatusServiceUnavailable))
 			g.Expect(header.Get("Retry-After")).To(BeEmpty())
-			g.Expect(text).To(Equal(heldBackText))
+			g.Expect(text).To(Equal(judge.HeldBackText))
 			for _, other := range []struct{ method, uri, body string }{
 				{http.MethodPost, "/order/harmful", "good"},
 				{http.MethodPost, "/order/other", "bad"},
@@ -144,12 +145,12 @@
 				for range 3 { // with many nodes, one has no repeat of its own to spend
 					mesh.statusWith(mesh.Machines[0], http.MethodGet, path, "")
 				}
-				time.Sleep(contact)
+				time.Sleep(judge.Contact)
 				t.Logf("%d nodes: %d writes of the store for three ends", tc.nodes, mesh.Store.Writes()-before)
 				g.Expect(mesh.Store.Writes() - before).To(BeNumerically("<=", tc.most))
 				sent := 0
 				for _, machine := range mesh.Machines {
-					if _, _, text := mesh.statusWith(machine, http.MethodGet, path, ""); text != heldBackText {
+					if _, _, text := mesh.statusWith(machine, http.MethodGet, path, ""); text != judge.HeldBackText {
 						sent++
 					}
 				}
--- a/internal/testbed/fleet/judges_test.go
+++ b/internal/testbed/fleet/judges_test.go
@@ -9,6 +9,7 @@
 	"testing/synctest"
 	"time"
 
+	"github.com/landingmast/landingmast/internal/testbed/judge"
 	. "github.com/onsi/gomega"
 )
 
@@ -24,7 +25,7 @@
 		{"repeats within the allowance", "", func(mesh *Mesh) { arrive(mesh.Judge, 10, 4) }},
 		{"repeats beyond it", "BUDGET", func(mesh *Mesh) { arrive(mesh.Judge, 10, 8) }},
 		{"proper requests denied", "DENIED", func(mesh *Mesh) {
-			for range deniedAtMost + 1 {
+			for range judge.DeniedAtMost + 1 {
 				mesh.Judge.Expect("r", "10.1.0.1", "/x", "deep", "front", false, 1)
 				mesh.Judge.Received("r", 404, "", nil)
 			}
@@ -67,15 +68,15 @@
 
 // endAndSend has a harmful request end three targets and be sent so many times more, later
 // than contact after that.
-func endAndSend(j *Judge, more int) {
-	j.expectHarm("/deep/harmful", "")
-	for send := range harmKnownAfter + more {
-		if send == harmKnownAfter {
-			time.Sleep(contact + time.Millisecond)
+func endAndSend(j *judge.Judge, more int) {
+	j.ExpectHarmful("/deep/harmful", "")
+	for send := range judge.HarmKnownAfter + more {
+		if send == judge.HarmKnownAfter {
+			time.Sleep(judge.Contact + time.Millisecond)
 		}
 		id := "harmful-" + strconv.Itoa(send)
 		j.Expect(id, "10.1.0.2", "/deep/harmful", "deep", "front", false, 1)
-		j.crashed(j.ran(place{service: "deep", ip: "10.1.0.1"}, requestFor("/deep/harmful", id), nil))
+		j.Crashed(j.Ran(judge.Place{Service: "deep", IP: "10.1.0.1"}, requestFor("/deep/harmful", id), nil))
 	}
 }
 
@@ -86,23 +87,23 @@
 }
 
 // cutAround has requests that a target had begun be cut while their node stops as planned.
-func cutAround(j *Judge, requests int) {
-	j.stopping("10.1.0.1")
+func cutAround(j *judge.Judge, requests int) {
+	j.Stopping("10.1.0.1")
 	for number := range requests {
 		id := "cut-" + strconv.Itoa(number)
 		j.Expect(id, "10.1.0.1", "/deep/x", "deep", "front", false, 1)
-		j.ran(place{service: "deep", ip: "10.1.0.2"}, requestFor("/deep/x", id), nil)
-		j.cut(id, time.Now().Add(time.Second))
+		j.Ran(judge.Place{Service: "deep", IP: "10.1.0.2"}, requestFor("/deep/x", id), nil)
+		j.Cut(id, time.Now().Add(time.Second))
 	}
 }
 
 // arrive has requests reach a target several times each.
-func arrive(j *Judge, requests, times int) {
+func arrive(j *judge.Judge, requests, times int) {
 	for i := range requests {
 		id := string(rune('a' + i))
 		j.Expect(id, "10.1.0.1", "/x", "deep", "front", false, times)
 		for range times {
-			j.ran(place{service: "deep", ip: "10.1.0.1"}, requestFor("/x", id), nil)
+			j.Ran(judge.Place{Service: "deep", IP: "10.1.0.1"}, requestFor("/x", id), nil)
 		}
 	}
 }
--- a/internal/testbed/fleet/keys_test.go
+++ b/internal/testbed/fleet/keys_test.go
@@ -9,6 +9,7 @@
 	"testing/synctest"
 	"time"
 
+	"github.com/landingmast/landingmast/internal/testbed/judge"
 	"github.com/landingmast/landingmast/internal/testbed/store"
 	. "github.com/onsi/gomega"
 )
@@ -61,7 +62,7 @@
 			g.Expect(mesh.statusOf(machine, tc.uri, tc.key)).To(Equal(tc.want), tc.name)
 		}
 		mesh.TakeKey(0, 0)
-		time.Sleep(revokeBound)
+		time.Sleep(judge.RevokeBound)
 		g.Expect(mesh.statusOf(machine, "/deep/x", "key-tenant0-a")).To(Equal(http.StatusUnauthorized))
 		g.Expect(mesh.statusOf(machine, "/deep/x", "key-tenant0-b")).To(Equal(http.StatusOK))
 		g.Expect(mesh.Judge.Broken()).To(BeEmpty())
--- a/internal/testbed/fleet/mesh_test.go
+++ b/internal/testbed/fleet/mesh_test.go
@@ -19,6 +19,7 @@
 
 	"github.com/landingmast/landingmast/internal/sidecar"
 	"github.com/landingmast/landingmast/internal/sidecar/settings"
+	"github.com/landingmast/landingmast/internal/testbed/judge"
 	"github.com/landingmast/landingmast/internal/testbed/memnet"
 	"github.com/landingmast/landingmast/internal/testbed/store"
 	"github.com/landingmast/landingmast/platform"
@@ -85,7 +86,7 @@
 	Plan     Plan
 	Network  *memnet.Network // nil in a soak
 	Store    *store.Store
-	Judge    *Judge
+	Judge    *judge.Judge
 	Harmful  *Harmful
 	Machines []*Machine
 	Tally    *Tally
@@ -143,7 +144,7 @@
 func newMesh(plan Plan, soak *soak) (*Mesh, error) {
 	running, end := context.WithCancel(context.Background())
 	m := &Mesh{
-		Plan: plan, Store: store.New(), Judge: NewJudge(DrainBound), Harmful: NewHarmful(), running: running, end: end,
+		Plan: plan, Store: store.New(), Judge: judge.New(DrainBound), Harmful: NewHarmful(), running: running, end: end,
 		Tally: &Tally{Asked: map[string]int{}, Served: map[string]int{}, InTime: map[string]int{}, Status: map[int]int{}},
 	}
 	m.Store.ReadsPerSecond = plan.ReadsPerSecond
@@ -170,7 +171,7 @@
 	for _, tenant := range plan.Tenants {
 		m.firstKeys = append(m.firstKeys, tenant.Keys)
 	}
-	m.Judge.tenants(nil, tenantsOf(plan.Tenants))
+	m.Judge.SetTenants(nil, tenantsOf(plan.Tenants))
 	m.Configure(nil)
 	for _, machine := range m.Machines {
 		if err := machine.Target.Start(); err != nil {
@@ -327,7 +328,7 @@
 
 // Start starts the node of a machine.
 func (m *Machine) Start() error {
-	m.mesh.Judge.restarted(m.IP)
+	m.mesh.Judge.Restarted(m.IP)
 	if m.mesh.soak != nil {
 		return m.mesh.soak.start(m)
 	}
@@ -524,11 +525,11 @@
 	}
 	ctx, cancel := context.WithDeadline(m.running, leaves)
 	defer cancel()
-	m.Judge.signed(id, tenant, key)
+	m.Judge.Signed(id, tenant, key)
 	status, header, content, err := m.roundTrip(ctx, machine, route, id, uri, key, deadline)
 	if err != nil {
 		if ctx.Err() == nil {
-			m.Judge.cut(id, deadline)
+			m.Judge.Cut(id, deadline)
 		}
 		m.Judge.Left(id)
 		status = 0
@@ -597,12 +598,12 @@
 // checkEnd ends a day: rules that count are held against what was seen, and after
 // some quiet time the last configuration is in force everywhere.
 func (m *Mesh) checkEnd() {
-	m.Judge.checkWhole()
+	m.Judge.CheckDay()
 	time.Sleep(inForceAfter)
 	m.mutex.Lock()
 	last := uint64(m.version)
 	m.mutex.Unlock()
 	for _, machine := range m.Machines {
-		m.Judge.checkVersion(machine.IP, machine.Version(), last)
+		m.Judge.CheckVersion(machine.IP, machine.Version(), last)
 	}
 }
--- a/internal/testbed/fleet/quota_test.go
+++ b/internal/testbed/fleet/quota_test.go
@@ -5,6 +5,7 @@
 	"testing"
 	"time"
 
+	"github.com/landingmast/landingmast/internal/testbed/judge"
 	"github.com/landingmast/landingmast/internal/testbed/store"
 	. "github.com/onsi/gomega"
 )
@@ -28,10 +29,10 @@
 	g := NewWithT(t)
 	mesh := play(t, hotTenant(), 12*time.Second, nil)
 	g.Expect(mesh.Judge.Broken()).To(BeEmpty())
-	ran := mesh.Judge.ranOf("tenant0")
+	ran := mesh.Judge.RanOf("tenant0")
 	g.Expect(ran).To(BeNumerically(">", 0.9*40*12), "what lies below the limit is let in")
 	for _, other := range []string{"tenant1", "tenant2", "tenant3"} {
-		g.Expect(mesh.Judge.shareOf(other)).To(BeNumerically(">", 0.97), other)
+		g.Expect(mesh.Judge.ShareOf(other)).To(BeNumerically(">", 0.97), other)
 	}
 }
 
@@ -47,7 +48,7 @@
 				trouble.Play(mesh, rand.New(rand.NewPCG(1, 2)))
 			})
 			g.Expect(mesh.Judge.Broken()).To(BeEmpty())
-			g.Expect(mesh.Judge.shareOf("tenant1")).To(BeNumerically(">", 0.5), "%v", mesh.Tally.Status)
+			g.Expect(mesh.Judge.ShareOf("tenant1")).To(BeNumerically(">", 0.5), "%v", mesh.Tally.Status)
 		})
 	}
 }
@@ -66,8 +67,8 @@
 		from = time.Now().Add(configBound)
 	})
 	g.Expect(mesh.Judge.Broken()).To(BeEmpty())
-	inWindow, late := mesh.Judge.ranSince("tenant0", from)
-	g.Expect(inWindow).To(BeNumerically("<=", int((10*quotaWindow.Seconds()+5)*(1+quotaOvershoot)+quotaSlack)))
+	inWindow, late := mesh.Judge.RanSince("tenant0", from)
+	g.Expect(inWindow).To(BeNumerically("<=", int((10*judge.QuotaWindow.Seconds()+5)*(1+judge.QuotaOvershoot)+judge.QuotaSlack)))
 	g.Expect(late).To(BeNumerically(">", 50))
 }
 
--- a/internal/testbed/fleet/randomdays_test.go
+++ b/internal/testbed/fleet/randomdays_test.go
@@ -26,7 +26,7 @@
 			for _, count := range mesh.Tally.Served {
 				served += count
 			}
-			ended, innocent := mesh.Judge.harmFigures()
+			ended, innocent := mesh.Judge.HarmFigures()
 			t.Logf("asked %d, served %.3f, %d targets ended, %d harmless refused on suspicion; %s", asked, float64(served)/float64(max(asked, 1)), ended, innocent, day.Describe())
 			for _, broken := range mesh.Judge.Broken() {
 				t.Error(broken)
--- a/internal/testbed/fleet/soak_test.go
+++ b/internal/testbed/fleet/soak_test.go
@@ -15,6 +15,7 @@
 	"time"
 
 	"github.com/landingmast/landingmast/internal/sidecar/settings"
+	"github.com/landingmast/landingmast/internal/testbed/judge"
 	"github.com/landingmast/landingmast/internal/testbed/store"
 )
 
@@ -89,8 +90,8 @@
 	}
 	served := mesh.servedInCalm()
 	mesh.checkEnd()
-	ended, innocent := mesh.Judge.harmFigures()
-	t.Logf("seed %d: %s; answers %v; %.3f served in calm; %d targets ended by harmful requests, %d harmless refused on suspicion, %d cut around planned stops", seed, played, mesh.Tally.Status, served, ended, innocent, mesh.Judge.lostAroundStops())
+	ended, innocent := mesh.Judge.HarmFigures()
+	t.Logf("seed %d: %s; answers %v; %.3f served in calm; %d targets ended by harmful requests, %d harmless refused on suspicion, %d cut around planned stops", seed, played, mesh.Tally.Status, served, ended, innocent, mesh.Judge.LostAroundStops())
 	closeAll()
 	for _, broken := range append(mesh.Judge.Broken(), soak.unasked()...) {
 		t.Error(broken)
@@ -160,7 +161,7 @@
 func (m *Mesh) calmDown() bool {
 	for end := time.Now().Add(calmTime); time.Now().Before(end); time.Sleep(200 * time.Millisecond) {
 		if !slices.ContainsFunc(m.Machines, func(machine *Machine) bool { return !machine.Ready() }) {
-			time.Sleep(contact)
+			time.Sleep(judge.Contact)
 			return true
 		}
 	}
@@ -242,7 +243,7 @@
 func storeFor(begin, end func(s *store.Store)) func(m *Mesh, random *rand.Rand) {
 	return func(m *Mesh, random *rand.Rand) {
 		m.Store.Set(begin)
-		m.Judge.storeTrouble(time.Duration(1+random.IntN(4)) * time.Second)
+		m.Judge.StoreTrouble(time.Duration(1+random.IntN(4)) * time.Second)
 		m.Store.Set(end)
 	}
 }
--- a/internal/testbed/fleet/soakrun_test.go
+++ b/internal/testbed/fleet/soakrun_test.go
@@ -17,6 +17,7 @@
 	"time"
 
 	"github.com/landingmast/landingmast/internal/sidecar/settings"
+	"github.com/landingmast/landingmast/internal/testbed/judge"
 )
 
 // Ports of a machine in a soak besides those of a mesh: before the store and the target.
@@ -147,14 +148,14 @@
 
 // stop sends SIGTERM, and SIGKILL when the grace is over.
 func (s *soak) stop(m *Machine) {
-	m.mesh.Judge.stopping(m.IP)
+	m.mesh.Judge.Stopping(m.IP)
 	one := s.signal(m, syscall.SIGTERM, true)
 	if one == nil {
 		return
 	}
 	select {
 	case <-one.done:
-	case <-time.After(stopGrace + stopAfter):
+	case <-time.After(judge.StopGrace + judge.StopAfter):
 		s.mutex.Lock()
 		s.ended = append(s.ended, "the node of "+m.IP+" was still there at the end of its grace")
 		s.mutex.Unlock()
@@ -254,7 +255,7 @@
 		content, err = io.ReadAll(response.Body)
 	}
 	if err != nil {
-		m.Judge.cut(id, deadline)
+		m.Judge.Cut(id, deadline)
 		m.Judge.Left(id)
 		return false
 	}
--- a/internal/testbed/fleet/suspend_test.go
+++ b/internal/testbed/fleet/suspend_test.go
@@ -10,6 +10,7 @@
 	"testing/synctest"
 	"time"
 
+	"github.com/landingmast/landingmast/internal/testbed/judge"
 	"github.com/landingmast/landingmast/internal/wire"
 	. "github.com/onsi/gomega"
 )
@@ -99,7 +100,7 @@
 				mesh.TakeKey(0, 0)
 				mesh.Suspend([]*Machine{machine}, span)
 				g.Expect(mesh.statusOf(machine, "/front/x", "key-tenant0-a")).NotTo(Equal(http.StatusOK))
-				time.Sleep(contact)
+				time.Sleep(judge.Contact)
 				g.Expect(mesh.statusOf(machine, "/front/x", "key-tenant0-a")).To(Equal(http.StatusUnauthorized))
 				g.Expect(mesh.servedWithin(machine, "key-tenant0-b", time.Second)).To(BeTrue())
 			})
--- a/internal/testbed/fleet/target_test.go
+++ b/internal/testbed/fleet/target_test.go
@@ -13,6 +13,8 @@
 	"strings"
 	"sync"
 	"time"
+
+	"github.com/landingmast/landingmast/internal/testbed/judge"
 )
 
 // Call is a call that a target makes while it runs a request.
@@ -50,7 +52,7 @@
 	Slots    int
 	Speed    float64 // factor on the time of work; 0: 1
 	Works    []Work
-	Judge    *Judge
+	Judge    *judge.Judge
 	Harmful  *Harmful // requests that end it; nil: none
 	// Listening is told when the target begins and ceases to listen; nil: nobody is.
 	Listening func(listens bool)
@@ -138,7 +140,7 @@
 	for !t.tell() {
 		time.Sleep(200 * time.Millisecond)
 	}
-	t.Judge.draining(t.Instance())
+	t.Judge.Draining(t.Instance())
 	time.Sleep(serve)
 	t.send(http.MethodDelete, nil)
 	t.Stop()
@@ -243,7 +245,7 @@
 	case r.Header.Get("X-Expected-Instance") != "" && r.Header.Get("X-Expected-Instance") != instance:
 		return reply(conn, http.StatusMisdirectedRequest, id, load, nil)
 	case running >= t.Slots || rand.Float64() < faults.Decline:
-		t.Judge.declined(t.Service, r)
+		t.Judge.Declined(t.Service, r)
 		return reply(conn, http.StatusServiceUnavailable, id, "X-Not-Executed: 1\r\n", nil)
 	}
 	return t.run(conn, reader, r, body, faults, load)
@@ -252,7 +254,7 @@
 func (t *Target) run(conn net.Conn, reader *bufio.Reader, r *http.Request, body []byte, faults Faults, load string) bool {
 	id := r.Header.Get("X-Request-Id")
 	instance := t.Instance()
-	one := t.Judge.ran(place{service: t.Service, ip: ipOf(t.Address), instance: instance}, r, body)
+	one := t.Judge.Ran(judge.Place{Service: t.Service, IP: ipOf(t.Address), Instance: instance}, r, body)
 	t.mutex.Lock()
 	t.running++
 	t.mutex.Unlock()
@@ -279,8 +281,8 @@
 	if status != http.StatusOK || rand.Float64() < faults.Fail {
 		status, content = max(status, http.StatusInternalServerError), nil
 	}
-	signature := SignatureOf(id, status, content)
-	t.Judge.answered(one, status, signature)
+	signature := judge.Signature(id, status, content)
+	t.Judge.Answered(one, status, signature)
 	switch {
 	case rand.Float64() < faults.LoseAnswer:
 		return false
@@ -370,7 +372,7 @@
 	request.Host = call.Host
 	request.Header.Set("X-Request-Id", r.Header.Get("X-Request-Id")+"."+strconv.Itoa(number)+strconv.FormatUint(rand.Uint64N(1<<20), 36))
 	request.Header.Set("X-Deadline-Ms", strconv.FormatInt(max(time.Until(deadline).Milliseconds(), 1), 10))
-	t.Judge.asked(request.Header.Get("X-Request-Id"), ipOf(t.Address), t.Service)
+	t.Judge.ExpectCall(request.Header.Get("X-Request-Id"), ipOf(t.Address), t.Service)
 	response, err := t.calls.Do(request)
 	if err != nil {
 		return false
--- a/internal/testbed/fleet/tenants_test.go
+++ b/internal/testbed/fleet/tenants_test.go
@@ -5,6 +5,8 @@
 	"math/rand/v2"
 	"net/http"
 	"strconv"
+
+	"github.com/landingmast/landingmast/internal/testbed/judge"
 )
 
 // TenantPlan is one tenant of a mesh.
@@ -48,14 +50,14 @@
 	m.Plan.Tenants = change(after)
 	m.mutex.Unlock()
 	m.Configure(nil)
-	m.Judge.tenants(tenantsOf(before), tenantsOf(m.Plan.Tenants))
+	m.Judge.SetTenants(tenantsOf(before), tenantsOf(m.Plan.Tenants))
 }
 
 // tenantsOf gives what the judge knows of tenants.
-func tenantsOf(plans []TenantPlan) []tenant {
-	tenants := make([]tenant, 0, len(plans))
+func tenantsOf(plans []TenantPlan) []judge.Tenant {
+	tenants := make([]judge.Tenant, 0, len(plans))
 	for _, one := range plans {
-		tenants = append(tenants, tenant{name: one.Name, keys: one.Keys, rate: one.Rate, burst: one.Burst})
+		tenants = append(tenants, judge.Tenant{Name: one.Name, Keys: one.Keys, Rate: one.Rate, Burst: one.Burst})
 	}
 	return tenants
 }
@@ -110,7 +112,7 @@
 	if key != "" {
 		request.Header.Set("Authorization", keyScheme+key)
 	}
-	m.Judge.asked(id, machine.IP, machine.Target.Service)
+	m.Judge.ExpectCall(id, machine.IP, machine.Target.Service)
 	transport := &http.Transport{DisableKeepAlives: true, DialContext: m.Network.Dialer(machine.IP)}
 	response, err := transport.RoundTrip(request)
 	if err != nil {
--- a/internal/testbed/fleet/troubles_test.go
+++ b/internal/testbed/fleet/troubles_test.go
@@ -57,7 +57,7 @@
 func storeFault(begin, end func(s *store.Store), span time.Duration) func(*Mesh, *rand.Rand) {
 	return func(mesh *Mesh, _ *rand.Rand) {
 		mesh.Store.Set(begin)
-		mesh.Judge.storeTrouble(span)
+		mesh.Judge.StoreTrouble(span)
 		mesh.Store.Set(end)
 	}
 }
@@ -104,7 +104,7 @@
 				mesh.Network.Cut(machine.IP, storeHost, true)
 				mesh.Network.Cut(storeHost, machine.IP, true)
 			}
-			mesh.Judge.storeTrouble(4 * time.Second)
+			mesh.Judge.StoreTrouble(4 * time.Second)
 			for _, machine := range chosen {
 				mesh.Network.Cut(machine.IP, storeHost, false)
 				mesh.Network.Cut(storeHost, machine.IP, false)
@@ -140,14 +140,14 @@
 		{"platform_lost", 0.99, storeFault(func(s *store.Store) { s.LoseWrites = true }, func(s *store.Store) { s.LoseWrites = false }, 4*time.Second)},
 		{"platform_down lapse", 0.99, func(mesh *Mesh, _ *rand.Rand) {
 			mesh.Store.Set(func(s *store.Store) { s.Down = true })
-			mesh.Judge.storeTrouble(2 * time.Second)
+			mesh.Judge.StoreTrouble(2 * time.Second)
 			mesh.Store.EndLeases()
 			mesh.Store.Set(func(s *store.Store) { s.Down = false })
 		}},
 		{"platform_compact", 0.99, func(mesh *Mesh, random *rand.Rand) {
 			mesh.Store.Deafen()
 			newRoute(mesh, random)
-			mesh.Judge.storeTrouble(time.Second)
+			mesh.Judge.StoreTrouble(time.Second)
 			mesh.Store.Compact()
 		}},
 		{"store refuses some", 0.97, func(mesh *Mesh, random *rand.Rand) {
@@ -158,7 +158,7 @@
 				}
 			})
 			killAndRestart(chosen)
-			mesh.Judge.storeTrouble(4 * time.Second)
+			mesh.Judge.StoreTrouble(4 * time.Second)
 			mesh.Store.Set(func(s *store.Store) { clear(s.Refuse) })
 		}},
 		{"burst", 0.9, func(mesh *Mesh, _ *rand.Rand) {
--- a/internal/testbed/fleet/rules_test.go
+++ b/internal/testbed/judge/budget.go
@@ -1,4 +1,4 @@
-package fleet
+package judge
 
 import (
 	"strings"
@@ -29,17 +29,17 @@
 	}
 }
 
-// deniedAtMost is how many proper requests may get a 4xx of a node's own in a day.
-const deniedAtMost = 5
+// DeniedAtMost is how many proper requests may get a 4xx of a node's own in a day.
+const DeniedAtMost = 5
 
 // windowStep is the distance of the windows that are looked at.
 const windowStep = 250 * time.Millisecond
 
-// checkWhole holds what was seen of the whole day against the rules that count.
-func (j *Judge) checkWhole() {
+// CheckDay holds what was seen of the whole day against the rules that count.
+func (j *Judge) CheckDay() {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
-	if j.denied > deniedAtMost {
+	if j.denied > DeniedAtMost {
 		j.breach("DENIED", "%d proper requests got a 4xx of a node's own", j.denied)
 	}
 	j.checkQuota()
@@ -72,9 +72,9 @@
 	}
 }
 
-// checkVersion holds the configuration that is in force on a machine at the end against the
+// CheckVersion holds the configuration that is in force on a machine at the end against the
 // last one.
-func (j *Judge) checkVersion(ip string, inForce, last uint64) {
+func (j *Judge) CheckVersion(ip string, inForce, last uint64) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
 	if inForce != last {
--- a/internal/testbed/fleet/judgeharm_test.go
+++ b/internal/testbed/judge/harm.go
@@ -1,4 +1,4 @@
-package fleet
+package judge
 
 import (
 	"net/http"
@@ -27,22 +27,22 @@
 	touched bool // its machine was in touch
 }
 
-// expectHarm tells of a harmful request that clients send.
-func (j *Judge) expectHarm(path, body string) {
+// ExpectHarmful tells of a harmful request that clients send.
+func (j *Judge) ExpectHarmful(path, body string) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
 	j.harm.requests[harmOf(path, body)] = &harmfulSeen{path: path}
 }
 
-// restarted tells that the process of a machine comes back.
-func (j *Judge) restarted(ip string) {
+// Restarted tells that the process of a machine comes back.
+func (j *Judge) Restarted(ip string) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
 	j.harm.restarted[ip] = time.Now()
 }
 
 // ranHarmful notes a run of a harmful request; the mutex is held.
-func (j *Judge) ranHarmful(one *run, r *http.Request, body []byte, now time.Time) {
+func (j *Judge) ranHarmful(one *Run, r *http.Request, body []byte, now time.Time) {
 	harm := harmOf(r.URL.Path, string(body))
 	seen := j.harm.requests[harm]
 	if seen == nil {
@@ -50,12 +50,12 @@
 	}
 	one.harm = harm
 	origin := one.request.origin
-	touched := now.Sub(j.harmed[origin]) >= contact && now.Sub(j.harm.restarted[origin]) >= contact && now.Sub(j.harm.unstable) >= contact
+	touched := now.Sub(j.harmed[origin]) >= Contact && now.Sub(j.harm.restarted[origin]) >= Contact && now.Sub(j.harm.unstable) >= Contact
 	seen.runs = append(seen.runs, harmfulRun{at: now, touched: touched})
 }
 
-// crashed tells that a run ends its target.
-func (j *Judge) crashed(one *run) {
+// Crashed tells that a run ends its target.
+func (j *Judge) Crashed(one *Run) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
 	if seen := j.harm.requests[one.harm]; seen != nil {
@@ -63,8 +63,8 @@
 	}
 }
 
-// storeTrouble waits for some time, in which the store is in trouble: no machine is in touch.
-func (j *Judge) storeTrouble(span time.Duration) {
+// StoreTrouble waits for some time, in which the store is in trouble: no machine is in touch.
+func (j *Judge) StoreTrouble(span time.Duration) {
 	for end := time.Now().Add(span); time.Now().Before(end); time.Sleep(min(100*time.Millisecond, time.Until(end))) {
 		j.mutex.Lock()
 		j.harm.unstable = time.Now()
@@ -72,14 +72,14 @@
 	}
 }
 
-// heldBackText begins the answer to a request that is held back on suspicion.
-const heldBackText = "ends_targets"
+// HeldBackText begins the answer to a request that is held back on suspicion.
+const HeldBackText = "ends_targets"
 
 // refusedForHarm notes a refusal on suspicion of a request that ends no target; the mutex
 // is held.
 func (j *Judge) refusedForHarm(one *request, content string) {
 	path, _, _ := strings.Cut(one.uri, "?")
-	if !strings.HasPrefix(content, heldBackText) {
+	if !strings.HasPrefix(content, HeldBackText) {
 		return
 	}
 	for _, seen := range j.harm.requests {
@@ -92,17 +92,17 @@
 
 // Bounds of the rule on requests that end their targets.
 const (
-	harmKnownAfter = 3 // targets that it ended
+	HarmKnownAfter = 3 // targets that it ended
 	harmRetries    = 3 // arrivals that are borne later than contact after that
 )
 
 // checkHarm holds the harmful requests against the rule; the mutex is held.
 func (j *Judge) checkHarm() {
 	for _, seen := range j.harm.requests {
-		if len(seen.ends) < harmKnownAfter {
+		if len(seen.ends) < HarmKnownAfter {
 			continue
 		}
-		from, late := seen.ends[harmKnownAfter-1].Add(contact), 0
+		from, late := seen.ends[HarmKnownAfter-1].Add(Contact), 0
 		for _, run := range seen.runs {
 			if run.touched && run.at.After(from) {
 				late++
@@ -114,9 +114,9 @@
 	}
 }
 
-// harmFigures gives how many targets the harmful requests ended, in order of their paths'
+// HarmFigures gives how many targets the harmful requests ended, in order of their paths'
 // first run, and how many refusals on suspicion met harmless ones.
-func (j *Judge) harmFigures() (ended, innocent int) {
+func (j *Judge) HarmFigures() (ended, innocent int) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
 	for _, seen := range j.harm.requests {
--- a/internal/testbed/fleet/judge_test.go
+++ b/internal/testbed/judge/judge.go
@@ -1,4 +1,13 @@
-package fleet
+// Package judge holds what clients and targets of a test saw against the rules that nodes
+// keep: a request that may run once at most does, an answer is whole and one's own, repeats
+// stay within their budget, limits of tenants hold, keys that were taken away let nothing in,
+// requests that end their targets are held back, planned stops cut next to nothing.
+//
+// It owns a record of every request of a day. It relies on being told of each request before
+// it is sent, of each arrival and each answer, and of what disturbs machines, since some rules
+// bear more while a machine is out of touch. It knows no node and asks none. Only tests
+// import it.
+package judge
 
 import (
 	"fmt"
@@ -37,7 +46,7 @@
 	caller  string // service on the machine where it began
 	uri     string
 	tries   int // targets that one attempt may go to
-	runs    []*run
+	runs    []*Run
 	left    time.Time // its client went away
 	denied  bool      // its client was told that it did not run
 	sent    time.Time // by its client
@@ -45,7 +54,8 @@
 	key     string
 }
 
-type run struct {
+// Run is a request that a target began to run.
+type Run struct {
 	request   *request
 	instance  string
 	began     time.Time
@@ -54,8 +64,8 @@
 	harm      string // what it ends its target as; empty: nothing
 }
 
-// NewJudge makes a judge.
-func NewJudge(drain time.Duration) *Judge {
+// New makes a judge.
+func New(drain time.Duration) *Judge {
 	return &Judge{Drain: drain, requests: map[string]*request{}, drained: map[string]time.Time{}, harmed: map[string]time.Time{}, asks: map[string][]time.Time{}, repeats: map[string][]time.Time{}, tenancy: tenancy{
 		taken: map[string]time.Time{}, limits: map[string]quotaLimit{}, runs: map[string][]quotaRun{},
 	}, stops: stopsSeen{planned: map[string]time.Time{}}, harm: harmSeen{requests: map[string]*harmfulSeen{}, restarted: map[string]time.Time{}}}
@@ -90,14 +100,14 @@
 	}
 }
 
-// asked tells of a call of a target.
-func (j *Judge) asked(id, origin, caller string) {
+// ExpectCall tells of a call of a target.
+func (j *Judge) ExpectCall(id, origin, caller string) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
 	j.requests[id] = &request{id: id, origin: origin, caller: caller}
 }
 
-func (j *Judge) draining(instance string) {
+func (j *Judge) Draining(instance string) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
 	j.drained[instance] = time.Now()
@@ -106,15 +116,15 @@
 // goneSlack is the time after which a request whose client left must not reach a target.
 const goneSlack = 500 * time.Millisecond
 
-// place is where a request arrived.
-type place struct {
-	service  string
-	ip       string // of the machine
-	instance string // of the target
+// Place is where a request arrived.
+type Place struct {
+	Service  string
+	IP       string // of the machine
+	Instance string // of the target
 }
 
-// declined tells that a target turns a request away: an arrival, but no run.
-func (j *Judge) declined(service string, r *http.Request) {
+// Declined tells that a target turns a request away: an arrival, but no run.
+func (j *Judge) Declined(service string, r *http.Request) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
 	if one := j.requests[r.Header.Get("X-Request-Id")]; one != nil {
@@ -122,8 +132,8 @@
 	}
 }
 
-// ran tells that a target begins with a request.
-func (j *Judge) ran(at place, r *http.Request, body []byte) *run {
+// Ran tells that a target begins with a request.
+func (j *Judge) Ran(at Place, r *http.Request, body []byte) *Run {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
 	id := r.Header.Get("X-Request-Id")
@@ -134,8 +144,8 @@
 		one = &request{id: id}
 		j.requests[id] = one
 	}
-	j.countArrival(one, at.service, now)
-	began := &run{request: one, instance: at.instance, began: now}
+	j.countArrival(one, at.Service, now)
+	began := &Run{request: one, instance: at.Instance, began: now}
 	one.runs = append(one.runs, began)
 	j.ranFor(one, r, now)
 	j.ranHarmful(began, r, body, now)
@@ -145,8 +155,8 @@
 	if one.unsafe && one.denied {
 		j.breach("REFUSED", "request %s runs after its client was told that it never will", id)
 	}
-	if one.service != "" && one.service != at.service {
-		j.breach("ROUTE", "request %s for %s runs at %s", id, one.service, at.service)
+	if one.service != "" && one.service != at.Service {
+		j.breach("ROUTE", "request %s for %s runs at %s", id, one.service, at.Service)
 	}
 	if one.uri != "" && one.uri != r.RequestURI {
 		j.breach("UNASKED", "request %s runs with %s instead of %s", id, r.RequestURI, one.uri)
@@ -157,20 +167,20 @@
 	if one.tries > 0 && len(one.runs) > one.tries {
 		j.breach("BUDGET", "request %s reached %d targets of at most %d", id, len(one.runs), one.tries)
 	}
-	if j.heldUp(one, at.ip) {
+	if j.heldUp(one, at.IP) {
 		return began
 	}
 	if !one.left.IsZero() && now.Sub(one.left) > goneSlack+j.Late {
 		j.breach("GONE", "request %s reaches a target %s after its client left", id, now.Sub(one.left))
 	}
-	if since, leaving := j.drained[at.instance]; leaving && now.Sub(since) > j.Drain+j.Late {
+	if since, leaving := j.drained[at.Instance]; leaving && now.Sub(since) > j.Drain+j.Late {
 		j.breach("DRAIN", "request %s reaches a leaving target %s after the acknowledgement", id, now.Sub(since))
 	}
 	return began
 }
 
-// contact is the time after which a machine whose links were harmed counts again.
-const contact = 3 * time.Second
+// Contact is the time after which a machine whose links were harmed counts again.
+const Contact = 3 * time.Second
 
 // Harmed tells that links of a machine are cut or harmed now.
 func (j *Judge) Harmed(ip string) {
@@ -183,14 +193,14 @@
 // pages do not count it then.
 func (j *Judge) heldUp(one *request, targetIP string) bool {
 	for _, ip := range []string{one.origin, targetIP} {
-		if at, harmed := j.harmed[ip]; harmed && time.Since(at) < contact {
+		if at, harmed := j.harmed[ip]; harmed && time.Since(at) < Contact {
 			return true
 		}
 	}
 	return false
 }
 
-func (j *Judge) answered(one *run, status int, signature string) {
+func (j *Judge) Answered(one *Run, status int, signature string) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
 	one.status, one.signature = status, signature
@@ -205,7 +215,7 @@
 		return
 	}
 	switch {
-	case status >= 200 && status < 300 && signature != SignatureOf(id, status, content):
+	case status >= 200 && status < 300 && signature != Signature(id, status, content):
 		j.breach("MIXED", "request %s got a success that no target gave", id)
 	case signature != "" && !one.gave(status, signature):
 		j.breach("MIXED", "request %s got status %d, which no target gave with this signature", id, status)
@@ -232,8 +242,8 @@
 	return false
 }
 
-// SignatureOf gives the target's mark on an answer.
-func SignatureOf(id string, status int, content []byte) string {
+// Signature gives the target's mark on an answer.
+func Signature(id string, status int, content []byte) string {
 	sum := fnv.New64a()
 	_, _ = fmt.Fprintf(sum, "%s %d ", id, status)
 	_, _ = sum.Write(content)
--- a/internal/testbed/fleet/stops_test.go
+++ b/internal/testbed/judge/stops.go
@@ -1,4 +1,4 @@
-package fleet
+package judge
 
 import "time"
 
@@ -11,23 +11,23 @@
 // lostAtMost is how many requests may be cut around planned stops in a day.
 const lostAtMost = 3
 
-// stopGrace is the time between SIGTERM and SIGKILL, and the second after it in which a cut
+// StopGrace is the time between SIGTERM and SIGKILL, and the second after it in which a cut
 // still counts as one of the stop.
 const (
-	stopGrace = 6 * time.Second
-	stopAfter = time.Second
+	StopGrace = 6 * time.Second
+	StopAfter = time.Second
 )
 
-// stopping tells that a machine's node gets SIGTERM now.
-func (j *Judge) stopping(ip string) {
+// Stopping tells that a machine's node gets SIGTERM now.
+func (j *Judge) Stopping(ip string) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
 	j.stops.planned[ip] = time.Now()
 }
 
-// cut tells that a connection ended before the answer to a request. It counts around planned
+// Cut tells that a connection ended before the answer to a request. It counts around planned
 // stops where nothing else has happened to the machine, once the request has reached a target.
-func (j *Judge) cut(id string, deadline time.Time) {
+func (j *Judge) Cut(id string, deadline time.Time) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
 	one, now := j.requests[id], time.Now()
@@ -35,7 +35,7 @@
 		return
 	}
 	at, planned := j.stops.planned[one.origin]
-	if !planned || now.Sub(at) > stopGrace+stopAfter || now.Sub(j.harmed[one.origin]) < contact+now.Sub(at) {
+	if !planned || now.Sub(at) > StopGrace+StopAfter || now.Sub(j.harmed[one.origin]) < Contact+now.Sub(at) {
 		return
 	}
 	j.stops.lost++
@@ -48,8 +48,8 @@
 	}
 }
 
-// lostAroundStops gives the number of requests that were cut around planned stops.
-func (j *Judge) lostAroundStops() int {
+// LostAroundStops gives the number of requests that were cut around planned stops.
+func (j *Judge) LostAroundStops() int {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
 	return j.stops.lost
--- a/internal/testbed/fleet/judgetenants_test.go
+++ b/internal/testbed/judge/tenants.go
@@ -1,4 +1,4 @@
-package fleet
+package judge
 
 import (
 	"net/http"
@@ -10,18 +10,18 @@
 
 // Bounds of keys and quotas in a mesh; those of the users' pages.
 const (
-	revokeBound    = settings.DefaultRevoke
-	quotaWindow    = settings.DefaultQuotaWindow
-	quotaOvershoot = settings.DefaultQuotaOvershoot
-	quotaSlack     = settings.DefaultQuotaSlack
+	RevokeBound    = settings.DefaultRevoke
+	QuotaWindow    = settings.DefaultQuotaWindow
+	QuotaOvershoot = settings.DefaultQuotaOvershoot
+	QuotaSlack     = settings.DefaultQuotaSlack
 )
 
-// tenant is a tenant with its keys and its limit.
-type tenant struct {
-	name  string
-	keys  []string
-	rate  float64 // requests a second over all nodes; 0: no limit
-	burst float64
+// Tenant is a tenant with its keys and its limit.
+type Tenant struct {
+	Name  string
+	Keys  []string
+	Rate  float64 // requests a second over all nodes; 0: no limit
+	Burst float64
 }
 
 // tenancy is what the judge knows of tenants.
@@ -35,21 +35,21 @@
 
 type quotaRun struct{ sent, ran time.Time }
 
-// tenants takes in changed tenants.
-func (j *Judge) tenants(before, after []tenant) {
+// SetTenants takes in changed tenants.
+func (j *Judge) SetTenants(before, after []Tenant) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
 	held := map[string]bool{}
 	for _, one := range after {
-		for _, key := range one.keys {
+		for _, key := range one.Keys {
 			held[key] = true
 		}
 		// Of limits that change in a day the highest counts; checkQuota looks at whole days.
-		limit := j.tenancy.limits[one.name]
-		j.tenancy.limits[one.name] = quotaLimit{max(limit.rate, one.rate), max(limit.burst, one.burst)}
+		limit := j.tenancy.limits[one.Name]
+		j.tenancy.limits[one.Name] = quotaLimit{max(limit.rate, one.Rate), max(limit.burst, one.Burst)}
 	}
 	for _, one := range before {
-		for _, key := range one.keys {
+		for _, key := range one.Keys {
 			if !held[key] {
 				j.tenancy.taken[key] = time.Now()
 			}
@@ -57,8 +57,8 @@
 	}
 }
 
-// signed tells of the key that a client's request carries.
-func (j *Judge) signed(id, tenant, key string) {
+// Signed tells of the key that a client's request carries.
+func (j *Judge) Signed(id, tenant, key string) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
 	one := j.requests[id]
@@ -78,7 +78,7 @@
 	if len(j.tenancy.limits) > 0 && one.key != "" && r.Header.Get("X-Tenant") != one.tenant {
 		j.breach("UNASKED", "request %s of %s runs as of %q", one.id, one.tenant, r.Header.Get("X-Tenant"))
 	}
-	if at, taken := j.tenancy.taken[one.key]; taken && one.sent.Sub(at) > revokeBound {
+	if at, taken := j.tenancy.taken[one.key]; taken && one.sent.Sub(at) > RevokeBound {
 		j.breach("CONFIG", "request %s was sent %s after its key was taken away", one.id, one.sent.Sub(at))
 	}
 	if one.key != "" && len(one.runs) == 1 {
@@ -93,7 +93,7 @@
 		if limit.rate <= 0 {
 			continue
 		}
-		allowed := (limit.rate*quotaWindow.Seconds()+limit.burst)*(1+quotaOvershoot) + quotaSlack
+		allowed := (limit.rate*QuotaWindow.Seconds()+limit.burst)*(1+QuotaOvershoot) + QuotaSlack
 		if most := mostInWindow(runs); float64(most) > allowed {
 			j.breach("QUOTA", "%d requests of %s ran in a window; allowed are %.0f", most, tenant, allowed)
 		}
@@ -106,10 +106,10 @@
 	for from := range runs {
 		count := 0
 		for _, one := range runs[from:] {
-			if one.sent.Sub(runs[from].sent) >= quotaWindow {
+			if one.sent.Sub(runs[from].sent) >= QuotaWindow {
 				break
 			}
-			if one.ran.Sub(runs[from].sent) < quotaWindow {
+			if one.ran.Sub(runs[from].sent) < QuotaWindow {
 				count++
 			}
 		}
@@ -118,15 +118,15 @@
 	return most
 }
 
-// ranOf counts the requests of a tenant that ran.
-func (j *Judge) ranOf(tenant string) int {
+// RanOf counts the requests of a tenant that ran.
+func (j *Judge) RanOf(tenant string) int {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
 	return len(j.tenancy.runs[tenant])
 }
 
-// shareOf is the share of a tenant's attempts that ran.
-func (j *Judge) shareOf(tenant string) float64 {
+// ShareOf is the share of a tenant's attempts that ran.
+func (j *Judge) ShareOf(tenant string) float64 {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
 	asked, ran := 0, 0
@@ -142,9 +142,9 @@
 	return float64(ran) / float64(max(asked, 1))
 }
 
-// ranSince gives the highest number of requests of a tenant in a window, of those that were
+// RanSince gives the highest number of requests of a tenant in a window, of those that were
 // sent after a time, and the number of all of these.
-func (j *Judge) ranSince(tenant string, from time.Time) (inWindow, all int) {
+func (j *Judge) RanSince(tenant string, from time.Time) (inWindow, all int) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
 	var late []quotaRun
