--- a/internal/testbed/judge/budget.go
+++ b/internal/testbed/judge/budget.go
@@ -7,13 +7,13 @@
 	"github.com/landingmast/landingmast/internal/sidecar/settings"
 )
 
-// countArrival counts an arrival for the budget of repeats; the mutex is held. A
+// countArrival counts an arrival for the budget of repeats; mu is held. A
 // call made for a request that has run more than once counts as a repeat, whichever
-// of the runs made it: a little more than the users' rule counts.
-func (j *Judge) countArrival(one *request, service string, now time.Time) {
-	parent, again := one, len(one.runs) > 0
-	if dot := strings.LastIndexByte(one.id, '.'); dot > 0 {
-		if len(one.runs) == 0 {
+// of the runs made it, since the judge cannot see which one did.
+func (j *Judge) countArrival(req *request, service string, now time.Time) {
+	parent, again := req, len(req.runs) > 0
+	if dot := strings.LastIndexByte(req.id, '.'); dot > 0 {
+		if len(req.runs) == 0 {
 			j.asks[service] = append(j.asks[service], now)
 		}
 		for parent != nil && !again && dot > 0 {
@@ -29,16 +29,16 @@
 	}
 }
 
-// DeniedAtMost is how many proper requests may get a 4xx of a node's own in a day.
+// DeniedAtMost is how many well-formed requests a day nodes may answer with a 4xx of their own.
 const DeniedAtMost = 5
 
-// windowStep is the distance of the windows that are looked at.
+// windowStep is the distance between the windows that are checked.
 const windowStep = 250 * time.Millisecond
 
-// CheckDay holds what was seen of the whole day against the rules that count.
+// CheckDay checks the rules that count over a whole day, at its end.
 func (j *Judge) CheckDay() {
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
+	j.mu.Lock()
+	defer j.mu.Unlock()
 	if j.denied > DeniedAtMost {
 		j.breach("DENIED", "%d proper requests got a 4xx of a node's own", j.denied)
 	}
@@ -50,7 +50,7 @@
 	}
 }
 
-// checkBudget slides the users' window over the repeats of a service.
+// checkBudget slides the window of the budget over the repeats of a service; mu is held.
 func (j *Judge) checkBudget(service string, asks, repeats []time.Time) {
 	within := func(times []time.Time, end time.Time) (n int) {
 		for _, at := range times {
@@ -72,11 +72,10 @@
 	}
 }
 
-// CheckVersion holds the configuration that is in force on a machine at the end against the
-// last one.
+// CheckVersion checks that the configuration in force on a machine is the last one.
 func (j *Judge) CheckVersion(ip string, inForce, last uint64) {
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
+	j.mu.Lock()
+	defer j.mu.Unlock()
 	if inForce != last {
 		j.breach("CONFIG", "%s has version %d in force instead of %d", ip, inForce, last)
 	}
--- a/internal/testbed/judge/harm.go
+++ b/internal/testbed/judge/harm.go
@@ -6,16 +6,18 @@
 	"time"
 )
 
+// harmOf returns the key of a harmful request.
 func harmOf(path, body string) string { return path + "\x00" + body }
 
-// harmSeen is what the judge saw of harmful requests and of refusals on suspicion.
+// harmSeen is what was seen of requests that end their targets and of refusals on suspicion.
 type harmSeen struct {
 	requests  map[string]*harmfulSeen
 	restarted map[string]time.Time // processes that came back, by IP
-	unstable  time.Time            // when the store was last away
+	unstable  time.Time            // when the store was last disturbed
 	innocent  int                  // refusals of requests that end no target
 }
 
+// harmfulSeen is what was seen of one harmful request.
 type harmfulSeen struct {
 	path string
 	ends []time.Time
@@ -24,61 +26,62 @@
 
 type harmfulRun struct {
 	at      time.Time
-	touched bool // its machine was in touch
+	inTouch bool // the machine where it began was in touch with the others and the store
 }
 
-// ExpectHarmful tells of a harmful request that clients send.
+// ExpectHarmful reports a harmful request before clients send it.
 func (j *Judge) ExpectHarmful(path, body string) {
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
+	j.mu.Lock()
+	defer j.mu.Unlock()
 	j.harm.requests[harmOf(path, body)] = &harmfulSeen{path: path}
 }
 
-// Restarted tells that the process of a machine comes back.
+// Restarted reports that the node of a machine starts.
 func (j *Judge) Restarted(ip string) {
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
+	j.mu.Lock()
+	defer j.mu.Unlock()
 	j.harm.restarted[ip] = time.Now()
 }
 
-// ranHarmful notes a run of a harmful request; the mutex is held.
-func (j *Judge) ranHarmful(one *Run, r *http.Request, body []byte, now time.Time) {
+// ranHarmful records a run of a harmful request; mu is held.
+func (j *Judge) ranHarmful(run *Run, r *http.Request, body []byte, now time.Time) {
 	harm := harmOf(r.URL.Path, string(body))
 	seen := j.harm.requests[harm]
 	if seen == nil {
 		return
 	}
-	one.harm = harm
-	origin := one.request.origin
-	touched := now.Sub(j.harmed[origin]) >= Contact && now.Sub(j.harm.restarted[origin]) >= Contact && now.Sub(j.harm.unstable) >= Contact
-	seen.runs = append(seen.runs, harmfulRun{at: now, touched: touched})
+	run.harm = harm
+	origin := run.request.origin
+	inTouch := now.Sub(j.harmed[origin]) >= Contact && now.Sub(j.harm.restarted[origin]) >= Contact && now.Sub(j.harm.unstable) >= Contact
+	seen.runs = append(seen.runs, harmfulRun{at: now, inTouch: inTouch})
 }
 
-// Crashed tells that a run ends its target.
-func (j *Judge) Crashed(one *Run) {
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
-	if seen := j.harm.requests[one.harm]; seen != nil {
+// Crashed reports that a run ends its target.
+func (j *Judge) Crashed(run *Run) {
+	j.mu.Lock()
+	defer j.mu.Unlock()
+	if seen := j.harm.requests[run.harm]; seen != nil {
 		seen.ends = append(seen.ends, time.Now())
 	}
 }
 
-// StoreTrouble waits for some time, in which the store is in trouble: no machine is in touch.
+// StoreTrouble returns after a span in which the store is disturbed: no machine counts as in
+// touch.
 func (j *Judge) StoreTrouble(span time.Duration) {
 	for end := time.Now().Add(span); time.Now().Before(end); time.Sleep(min(100*time.Millisecond, time.Until(end))) {
-		j.mutex.Lock()
+		j.mu.Lock()
 		j.harm.unstable = time.Now()
-		j.mutex.Unlock()
+		j.mu.Unlock()
 	}
 }
 
 // HeldBackText begins the answer to a request that is held back on suspicion.
 const HeldBackText = "ends_targets"
 
-// refusedForHarm notes a refusal on suspicion of a request that ends no target; the mutex
+// refusedForHarm counts a refusal on suspicion of a request that ends no target; mu
 // is held.
-func (j *Judge) refusedForHarm(one *request, content string) {
-	path, _, _ := strings.Cut(one.uri, "?")
+func (j *Judge) refusedForHarm(req *request, content string) {
+	path, _, _ := strings.Cut(req.uri, "?")
 	if !strings.HasPrefix(content, HeldBackText) {
 		return
 	}
@@ -93,10 +96,10 @@
 // Bounds of the rule on requests that end their targets.
 const (
 	HarmKnownAfter = 3 // targets that it ended
-	harmRetries    = 3 // arrivals that are borne later than contact after that
+	harmRetries    = 3 // arrivals that are allowed later than Contact after that
 )
 
-// checkHarm holds the harmful requests against the rule; the mutex is held.
+// checkHarm checks the runs of each harmful request; mu is held.
 func (j *Judge) checkHarm() {
 	for _, seen := range j.harm.requests {
 		if len(seen.ends) < HarmKnownAfter {
@@ -104,7 +107,7 @@
 		}
 		from, late := seen.ends[HarmKnownAfter-1].Add(Contact), 0
 		for _, run := range seen.runs {
-			if run.touched && run.at.After(from) {
+			if run.inTouch && run.at.After(from) {
 				late++
 			}
 		}
@@ -114,11 +117,11 @@
 	}
 }
 
-// HarmFigures gives how many targets the harmful requests ended, in order of their paths'
-// first run, and how many refusals on suspicion met harmless ones.
+// HarmFigures returns how many targets harmful requests ended and how many harmless requests
+// were refused on suspicion.
 func (j *Judge) HarmFigures() (ended, innocent int) {
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
+	j.mu.Lock()
+	defer j.mu.Unlock()
 	for _, seen := range j.harm.requests {
 		ended += len(seen.ends)
 	}
--- a/internal/testbed/judge/judge.go
+++ b/internal/testbed/judge/judge.go
@@ -19,18 +19,17 @@
 	"time"
 )
 
-// Judge holds what clients and targets saw against the users' rules. It is safe
-// for concurrent use.
+// Judge checks what clients and targets see. It is safe for concurrent use.
 type Judge struct {
-	Drain time.Duration // the bound of the rule DRAIN
-	Late  time.Duration // borne beyond the bounds of time, for real processes
+	Drain time.Duration // how long after its acknowledgement a leaving target may be reached
+	Late  time.Duration // added to the bounds of time where nodes are real processes
 
-	mutex    sync.Mutex
+	mu       sync.Mutex
 	requests map[string]*request
 	drained  map[string]time.Time   // acknowledged, by instance
-	harmed   map[string]time.Time   // when links of a machine were last cut, by IP
+	harmed   map[string]time.Time   // when links of a machine were last disturbed, by IP
 	denied   int                    // proper requests that a node answered with a 4xx of its own
-	asks     map[string][]time.Time // requests by service, clients' and calls
+	asks     map[string][]time.Time // requests by service, of clients and of targets
 	repeats  map[string][]time.Time // arrivals beyond the first, by service
 	broken   []string
 	tenancy  tenancy
@@ -38,82 +37,84 @@
 	stops    stopsSeen
 }
 
+// request is what clients and targets saw of one request id.
 type request struct {
 	id      string
 	origin  string // IP of the machine where it began
 	unsafe  bool
 	service string // that may run it
-	caller  string // service on the machine where it began
+	caller  string // service of the target on the machine where it began
 	uri     string
-	tries   int // targets that one attempt may go to
+	tries   int // targets that it may reach; 0: no bound
 	runs    []*Run
 	left    time.Time // its client went away
-	denied  bool      // its client was told that it did not run
+	denied  bool      // its client got an answer that means that it did not run
 	sent    time.Time // by its client
-	tenant  string    // that holds key
+	tenant  string    // holder of key
 	key     string
 }
 
 // Run is a request that a target began to run.
 type Run struct {
 	request   *request
-	instance  string
-	began     time.Time
 	status    int
 	signature string
-	harm      string // what it ends its target as; empty: nothing
+	harm      string // key of the harmful request that it is; empty: none
 }
 
-// New makes a judge.
+// New makes a judge with a bound for leaving targets.
 func New(drain time.Duration) *Judge {
 	return &Judge{Drain: drain, requests: map[string]*request{}, drained: map[string]time.Time{}, harmed: map[string]time.Time{}, asks: map[string][]time.Time{}, repeats: map[string][]time.Time{}, tenancy: tenancy{
 		taken: map[string]time.Time{}, limits: map[string]quotaLimit{}, runs: map[string][]quotaRun{},
 	}, stops: stopsSeen{planned: map[string]time.Time{}}, harm: harmSeen{requests: map[string]*harmfulSeen{}, restarted: map[string]time.Time{}}}
 }
 
+// breach records that a rule was broken; mu is held.
 func (j *Judge) breach(rule, format string, arguments ...any) {
 	j.broken = append(j.broken, rule+": "+fmt.Sprintf(format, arguments...))
 }
 
-// Broken gives the rules that were broken, with what was seen.
+// Broken returns a line for each breach: the rule and what was seen, sorted.
 func (j *Judge) Broken() []string {
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
+	j.mu.Lock()
+	defer j.mu.Unlock()
 	sort.Strings(j.broken)
 	return append([]string(nil), j.broken...)
 }
 
-// Expect tells of a client's request before it is sent.
+// Expect reports a client's request before it is sent: where it begins, the service that may
+// run it, the service that it is sent for, and how many targets it may reach.
 func (j *Judge) Expect(id, origin, uri, service, caller string, unsafe bool, tries int) {
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
+	j.mu.Lock()
+	defer j.mu.Unlock()
 	j.requests[id] = &request{id: id, origin: origin, uri: uri, service: service, caller: caller, unsafe: unsafe, tries: tries}
 	j.asks[service] = append(j.asks[service], time.Now())
 }
 
-// Left tells that the client of a request went away.
+// Left reports that the client of a request went away.
 func (j *Judge) Left(id string) {
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
-	if one := j.requests[id]; one != nil {
-		one.left = time.Now()
+	j.mu.Lock()
+	defer j.mu.Unlock()
+	if req := j.requests[id]; req != nil {
+		req.left = time.Now()
 	}
 }
 
-// ExpectCall tells of a call of a target.
+// ExpectCall reports a call of a target before it is sent.
 func (j *Judge) ExpectCall(id, origin, caller string) {
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
+	j.mu.Lock()
+	defer j.mu.Unlock()
 	j.requests[id] = &request{id: id, origin: origin, caller: caller}
 }
 
+// Draining reports that the node of a target acknowledged that the target leaves.
 func (j *Judge) Draining(instance string) {
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
+	j.mu.Lock()
+	defer j.mu.Unlock()
 	j.drained[instance] = time.Now()
 }
 
-// goneSlack is the time after which a request whose client left must not reach a target.
+// goneSlack is how long after its client left a request may still reach a target.
 const goneSlack = 500 * time.Millisecond
 
 // Place is where a request arrived.
@@ -123,55 +124,55 @@
 	Instance string // of the target
 }
 
-// Declined tells that a target turns a request away: an arrival, but no run.
+// Declined reports a request that a target turns away: it arrived and did not run.
 func (j *Judge) Declined(service string, r *http.Request) {
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
-	if one := j.requests[r.Header.Get("X-Request-Id")]; one != nil {
-		j.countArrival(one, service, time.Now())
+	j.mu.Lock()
+	defer j.mu.Unlock()
+	if req := j.requests[r.Header.Get("X-Request-Id")]; req != nil {
+		j.countArrival(req, service, time.Now())
 	}
 }
 
-// Ran tells that a target begins with a request.
+// Ran reports that a target begins to run a request.
 func (j *Judge) Ran(at Place, r *http.Request, body []byte) *Run {
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
+	j.mu.Lock()
+	defer j.mu.Unlock()
 	id := r.Header.Get("X-Request-Id")
-	one := j.requests[id]
+	req := j.requests[id]
 	now := time.Now()
-	if one == nil {
+	if req == nil {
 		j.breach("UNASKED", "request %s was sent by no client", id)
-		one = &request{id: id}
-		j.requests[id] = one
+		req = &request{id: id}
+		j.requests[id] = req
 	}
-	j.countArrival(one, at.Service, now)
-	began := &Run{request: one, instance: at.Instance, began: now}
-	one.runs = append(one.runs, began)
-	j.ranFor(one, r, now)
+	j.countArrival(req, at.Service, now)
+	began := &Run{request: req}
+	req.runs = append(req.runs, began)
+	j.ranFor(req, r, now)
 	j.ranHarmful(began, r, body, now)
-	if one.unsafe && len(one.runs) > 1 {
-		j.breach("TWICE", "request %s ran %d times", id, len(one.runs))
+	if req.unsafe && len(req.runs) > 1 {
+		j.breach("TWICE", "request %s ran %d times", id, len(req.runs))
 	}
-	if one.unsafe && one.denied {
+	if req.unsafe && req.denied {
 		j.breach("REFUSED", "request %s runs after its client was told that it never will", id)
 	}
-	if one.service != "" && one.service != at.Service {
-		j.breach("ROUTE", "request %s for %s runs at %s", id, one.service, at.Service)
+	if req.service != "" && req.service != at.Service {
+		j.breach("ROUTE", "request %s for %s runs at %s", id, req.service, at.Service)
 	}
-	if one.uri != "" && one.uri != r.RequestURI {
-		j.breach("UNASKED", "request %s runs with %s instead of %s", id, r.RequestURI, one.uri)
+	if req.uri != "" && req.uri != r.RequestURI {
+		j.breach("UNASKED", "request %s runs with %s instead of %s", id, r.RequestURI, req.uri)
 	}
-	if caller := r.Header.Get("X-Caller-Service"); one.caller != "" && one.caller != caller {
-		j.breach("UNASKED", "request %s runs as of %q instead of %q", id, caller, one.caller)
+	if caller := r.Header.Get("X-Caller-Service"); req.caller != "" && req.caller != caller {
+		j.breach("UNASKED", "request %s runs as of %q instead of %q", id, caller, req.caller)
 	}
-	if one.tries > 0 && len(one.runs) > one.tries {
-		j.breach("BUDGET", "request %s reached %d targets of at most %d", id, len(one.runs), one.tries)
+	if req.tries > 0 && len(req.runs) > req.tries {
+		j.breach("BUDGET", "request %s reached %d targets of at most %d", id, len(req.runs), req.tries)
 	}
-	if j.heldUp(one, at.IP) {
+	if j.heldUp(req, at.IP) {
 		return began
 	}
-	if !one.left.IsZero() && now.Sub(one.left) > goneSlack+j.Late {
-		j.breach("GONE", "request %s reaches a target %s after its client left", id, now.Sub(one.left))
+	if !req.left.IsZero() && now.Sub(req.left) > goneSlack+j.Late {
+		j.breach("GONE", "request %s reaches a target %s after its client left", id, now.Sub(req.left))
 	}
 	if since, leaving := j.drained[at.Instance]; leaving && now.Sub(since) > j.Drain+j.Late {
 		j.breach("DRAIN", "request %s reaches a leaving target %s after the acknowledgement", id, now.Sub(since))
@@ -179,20 +180,21 @@
 	return began
 }
 
-// Contact is the time after which a machine whose links were harmed counts again.
+// Contact is how long after a disturbance of its links nothing is expected of a machine in
+// time.
 const Contact = 3 * time.Second
 
-// Harmed tells that links of a machine are cut or harmed now.
+// Harmed reports that links of a machine are disturbed now, or its node not running.
 func (j *Judge) Harmed(ip string) {
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
+	j.mu.Lock()
+	defer j.mu.Unlock()
 	j.harmed[ip] = time.Now()
 }
 
-// heldUp tells that a request may come late because of the links; the users'
-// pages do not count it then.
-func (j *Judge) heldUp(one *request, targetIP string) bool {
-	for _, ip := range []string{one.origin, targetIP} {
+// heldUp reports whether a request may come late because of disturbed links: its time is not
+// checked then. mu is held.
+func (j *Judge) heldUp(req *request, targetIP string) bool {
+	for _, ip := range []string{req.origin, targetIP} {
 		if at, harmed := j.harmed[ip]; harmed && time.Since(at) < Contact {
 			return true
 		}
@@ -200,49 +202,51 @@
 	return false
 }
 
-func (j *Judge) Answered(one *Run, status int, signature string) {
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
-	one.status, one.signature = status, signature
+// Answered reports the answer that a target sends, which may not arrive.
+func (j *Judge) Answered(run *Run, status int, signature string) {
+	j.mu.Lock()
+	defer j.mu.Unlock()
+	run.status, run.signature = status, signature
 }
 
-// Received tells of an answer that a client got whole.
+// Received reports an answer that a client got whole.
 func (j *Judge) Received(id string, status int, signature string, content []byte) {
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
-	one := j.requests[id]
-	if one == nil {
+	j.mu.Lock()
+	defer j.mu.Unlock()
+	req := j.requests[id]
+	if req == nil {
 		return
 	}
 	switch {
 	case status >= 200 && status < 300 && signature != Signature(id, status, content):
 		j.breach("MIXED", "request %s got a success that no target gave", id)
-	case signature != "" && !one.gave(status, signature):
+	case signature != "" && !req.gave(status, signature):
 		j.breach("MIXED", "request %s got status %d, which no target gave with this signature", id, status)
 	}
-	if status >= 400 && status < 500 && signature == "" && status != http.StatusTooManyRequests && status != http.StatusRequestTimeout && j.tenancy.taken[one.key].IsZero() {
+	if status >= 400 && status < 500 && signature == "" && status != http.StatusTooManyRequests && status != http.StatusRequestTimeout && j.tenancy.taken[req.key].IsZero() {
 		j.denied++
 	}
-	j.refusedForHarm(one, string(content))
+	j.refusedForHarm(req, string(content))
 	switch status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
-		one.denied = true
-		if one.unsafe && len(one.runs) > 0 {
+		req.denied = true
+		if req.unsafe && len(req.runs) > 0 {
 			j.breach("REFUSED", "request %s got %d and has run", id, status)
 		}
 	}
 }
 
+// gave reports whether a target sent this answer.
 func (r *request) gave(status int, signature string) bool {
-	for _, one := range r.runs {
-		if one.status == status && one.signature == signature {
+	for _, run := range r.runs {
+		if run.status == status && run.signature == signature {
 			return true
 		}
 	}
 	return false
 }
 
-// Signature gives the target's mark on an answer.
+// Signature returns the mark by which an answer is known as that of a target to this request.
 func Signature(id string, status int, content []byte) string {
 	sum := fnv.New64a()
 	_, _ = fmt.Fprintf(sum, "%s %d ", id, status)
--- a/internal/testbed/judge/tenants.go
+++ b/internal/testbed/judge/tenants.go
@@ -8,7 +8,7 @@
 	"github.com/landingmast/landingmast/internal/sidecar/settings"
 )
 
-// Bounds of keys and quotas in a mesh; those of the users' pages.
+// Bounds of keys and limits, as nodes have them by default.
 const (
 	RevokeBound    = settings.DefaultRevoke
 	QuotaWindow    = settings.DefaultQuotaWindow
@@ -24,32 +24,34 @@
 	Burst float64
 }
 
-// tenancy is what the judge knows of tenants.
+// tenancy is what is known of tenants and was seen of their requests.
 type tenancy struct {
-	taken  map[string]time.Time // when a key was taken away
-	limits map[string]quotaLimit
-	runs   map[string][]quotaRun
+	taken  map[string]time.Time  // when a key was taken away, by key
+	limits map[string]quotaLimit // by tenant
+	runs   map[string][]quotaRun // by tenant
 }
 
+// quotaLimit is a rate in requests a second and the burst beyond it.
 type quotaLimit struct{ rate, burst float64 }
 
+// quotaRun is the first run of a request with a key.
 type quotaRun struct{ sent, ran time.Time }
 
-// SetTenants takes in changed tenants.
+// SetTenants reports that the store has a configuration with changed tenants.
 func (j *Judge) SetTenants(before, after []Tenant) {
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
+	j.mu.Lock()
+	defer j.mu.Unlock()
 	held := map[string]bool{}
-	for _, one := range after {
-		for _, key := range one.Keys {
+	for _, tenant := range after {
+		for _, key := range tenant.Keys {
 			held[key] = true
 		}
-		// Of limits that change in a day the highest counts; checkQuota looks at whole days.
-		limit := j.tenancy.limits[one.Name]
-		j.tenancy.limits[one.Name] = quotaLimit{max(limit.rate, one.Rate), max(limit.burst, one.Burst)}
+		// Of limits that change in a day the highest counts; checkQuota checks whole days.
+		limit := j.tenancy.limits[tenant.Name]
+		j.tenancy.limits[tenant.Name] = quotaLimit{max(limit.rate, tenant.Rate), max(limit.burst, tenant.Burst)}
 	}
-	for _, one := range before {
-		for _, key := range one.Keys {
+	for _, tenant := range before {
+		for _, key := range tenant.Keys {
 			if !held[key] {
 				j.tenancy.taken[key] = time.Now()
 			}
@@ -57,36 +59,36 @@
 	}
 }
 
-// Signed tells of the key that a client's request carries.
+// Signed reports the key that a client's request carries.
 func (j *Judge) Signed(id, tenant, key string) {
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
-	one := j.requests[id]
-	one.tenant, one.key, one.sent = tenant, key, time.Now()
+	j.mu.Lock()
+	defer j.mu.Unlock()
+	req := j.requests[id]
+	req.tenant, req.key, req.sent = tenant, key, time.Now()
 }
 
-// ranFor holds a run against the rules of keys and tenants; the mutex is held.
-func (j *Judge) ranFor(one *request, r *http.Request, now time.Time) {
+// ranFor checks a run against the rules of keys and tenants; mu is held.
+func (j *Judge) ranFor(req *request, r *http.Request, now time.Time) {
 	if r.Header.Get("Authorization") != "" {
-		j.breach("UNASKED", "request %s reaches a target with the client's key", one.id)
+		j.breach("UNASKED", "request %s reaches a target with the client's key", req.id)
 	}
 	for name := range r.Header {
 		if name != "X-Tenant" && len(name) == len("X-Tenant") && name[1] == '_' {
-			j.breach("UNASKED", "request %s reaches a target with %s", one.id, name)
+			j.breach("UNASKED", "request %s reaches a target with %s", req.id, name)
 		}
 	}
-	if len(j.tenancy.limits) > 0 && one.key != "" && r.Header.Get("X-Tenant") != one.tenant {
-		j.breach("UNASKED", "request %s of %s runs as of %q", one.id, one.tenant, r.Header.Get("X-Tenant"))
+	if len(j.tenancy.limits) > 0 && req.key != "" && r.Header.Get("X-Tenant") != req.tenant {
+		j.breach("UNASKED", "request %s of %s runs as of %q", req.id, req.tenant, r.Header.Get("X-Tenant"))
 	}
-	if at, taken := j.tenancy.taken[one.key]; taken && one.sent.Sub(at) > RevokeBound {
-		j.breach("CONFIG", "request %s was sent %s after its key was taken away", one.id, one.sent.Sub(at))
+	if at, taken := j.tenancy.taken[req.key]; taken && req.sent.Sub(at) > RevokeBound {
+		j.breach("CONFIG", "request %s was sent %s after its key was taken away", req.id, req.sent.Sub(at))
 	}
-	if one.key != "" && len(one.runs) == 1 {
-		j.tenancy.runs[one.tenant] = append(j.tenancy.runs[one.tenant], quotaRun{sent: one.sent, ran: now})
+	if req.key != "" && len(req.runs) == 1 {
+		j.tenancy.runs[req.tenant] = append(j.tenancy.runs[req.tenant], quotaRun{sent: req.sent, ran: now})
 	}
 }
 
-// checkQuota slides the users' window over what ran of each tenant; the mutex is held.
+// checkQuota slides the window of limits over what ran of each tenant; mu is held.
 func (j *Judge) checkQuota() {
 	for tenant, runs := range j.tenancy.runs {
 		limit := j.tenancy.limits[tenant]
@@ -105,11 +107,11 @@
 	sort.Slice(runs, func(a, b int) bool { return runs[a].sent.Before(runs[b].sent) })
 	for from := range runs {
 		count := 0
-		for _, one := range runs[from:] {
-			if one.sent.Sub(runs[from].sent) >= QuotaWindow {
+		for _, run := range runs[from:] {
+			if run.sent.Sub(runs[from].sent) >= QuotaWindow {
 				break
 			}
-			if one.ran.Sub(runs[from].sent) < QuotaWindow {
+			if run.ran.Sub(runs[from].sent) < QuotaWindow {
 				count++
 			}
 		}
@@ -118,39 +120,39 @@
 	return most
 }
 
-// RanOf counts the requests of a tenant that ran.
+// RanOf returns the number of requests of a tenant that ran.
 func (j *Judge) RanOf(tenant string) int {
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
+	j.mu.Lock()
+	defer j.mu.Unlock()
 	return len(j.tenancy.runs[tenant])
 }
 
-// ShareOf is the share of a tenant's attempts that ran.
+// ShareOf returns the share of a tenant's attempts that ran.
 func (j *Judge) ShareOf(tenant string) float64 {
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
+	j.mu.Lock()
+	defer j.mu.Unlock()
 	asked, ran := 0, 0
-	for _, one := range j.requests {
-		if one.tenant != tenant || one.key == "" {
+	for _, req := range j.requests {
+		if req.tenant != tenant || req.key == "" {
 			continue
 		}
 		asked++
-		if len(one.runs) > 0 {
+		if len(req.runs) > 0 {
 			ran++
 		}
 	}
 	return float64(ran) / float64(max(asked, 1))
 }
 
-// RanSince gives the highest number of requests of a tenant in a window, of those that were
+// RanSince returns the highest number of requests of a tenant in a window, of those that were
 // sent after a time, and the number of all of these.
 func (j *Judge) RanSince(tenant string, from time.Time) (inWindow, all int) {
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
+	j.mu.Lock()
+	defer j.mu.Unlock()
 	var late []quotaRun
-	for _, one := range j.tenancy.runs[tenant] {
-		if one.sent.After(from) {
-			late = append(late, one)
+	for _, run := range j.tenancy.runs[tenant] {
+		if run.sent.After(from) {
+			late = append(late, run)
 		}
 	}
 	return mostInWindow(late), len(late)
