--- a/internal/testbed/fleet/alone_test.go
+++ b/internal/testbed/fleet/alone_test.go
@@ -6,6 +6,7 @@
 	"testing/synctest"
 	"time"
 
+	"github.com/landingmast/landingmast/internal/testbed/target"
 	. "github.com/onsi/gomega"
 )
 
@@ -15,9 +16,9 @@
 	return Plan{
 		Zones: []string{"a", "b"}, Delay: time.Millisecond,
 		Services: map[string]ServicePlan{
-			"front":  {Targets: 3, Slots: 20, Works: []Work{{Prefix: "/front/", Time: 20 * time.Millisecond, Bytes: 1500, Calls: []Call{{Host: Host, Path: "/middle/x", Times: 1}}}}},
-			"middle": {Targets: 2, Slots: 20, Works: []Work{{Prefix: "/middle/", Time: 5 * time.Millisecond, Bytes: 300, Calls: []Call{{Host: Host, Path: "/deep/x", Times: 2}}}, {Prefix: "/order/", Time: 30 * time.Millisecond, Bytes: 500, Calls: []Call{{Host: Host, Path: "/deep/x", Times: 1}}}}},
-			"deep":   {Targets: 3, Slots: 8, Speeds: []float64{1.4, 1.4, 0.6}, Works: []Work{{Prefix: "/deep/", Time: 10 * time.Millisecond, Bytes: 200}}},
+			"front":  {Targets: 3, Slots: 20, Works: []target.Work{{Prefix: "/front/", Time: 20 * time.Millisecond, Bytes: 1500, Calls: []target.Call{{Host: Host, Path: "/middle/x", Times: 1}}}}},
+			"middle": {Targets: 2, Slots: 20, Works: []target.Work{{Prefix: "/middle/", Time: 5 * time.Millisecond, Bytes: 300, Calls: []target.Call{{Host: Host, Path: "/deep/x", Times: 2}}}, {Prefix: "/order/", Time: 30 * time.Millisecond, Bytes: 500, Calls: []target.Call{{Host: Host, Path: "/deep/x", Times: 1}}}}},
+			"deep":   {Targets: 3, Slots: 8, Speeds: []float64{1.4, 1.4, 0.6}, Works: []target.Work{{Prefix: "/deep/", Time: 10 * time.Millisecond, Bytes: 200}}},
 		},
 		Routes: []Route{
 			{Prefix: "/front/", Kind: "safe", Service: "front", Priority: 2, MaxAttempts: 2, Timeout: time.Second, Objective: 500 * time.Millisecond, Deadline: 3 * time.Second, PerSecond: 100},
--- a/internal/testbed/fleet/crash_test.go
+++ b/internal/testbed/fleet/crash_test.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"github.com/landingmast/landingmast/internal/testbed/store"
+	"github.com/landingmast/landingmast/internal/testbed/target"
 	. "github.com/onsi/gomega"
 )
 
@@ -57,7 +58,7 @@
 	}{
 		{"several at a time", []string{"/front/a", "/front/b", "/deep/c"}, func(*Mesh) {}},
 		{"as a call", []string{"/deep/harmful"}, func(*Mesh) {}},
-		{"targets are back at once", []string{"/front/a", "/deep/c"}, func(mesh *Mesh) { mesh.Harmful.bringBackAt(0) }},
+		{"targets are back at once", []string{"/front/a", "/deep/c"}, func(mesh *Mesh) { mesh.Harmful.BringBackAfter(0) }},
 		{"all nodes are killed", []string{"/front/a"}, func(mesh *Mesh) {
 			time.Sleep(6 * time.Second)
 			killAndRestart(all(mesh))
@@ -143,7 +144,7 @@
 		plan.Services[name] = service
 	}
 	front := plan.Services["front"]
-	front.Works = append([]Work{{Prefix: "/front/chain", Time: 5 * time.Millisecond, Bytes: 100, Calls: []Call{{Host: Host, Path: "/deep/harmful", Times: 1}}}}, front.Works...)
+	front.Works = append([]target.Work{{Prefix: "/front/chain", Time: 5 * time.Millisecond, Bytes: 100, Calls: []target.Call{{Host: Host, Path: "/deep/harmful", Times: 1}}}}, front.Works...)
 	plan.Services["front"] = front
 	for index := range plan.Routes {
 		plan.Routes[index].MaxAttempts = 3
--- a/internal/testbed/fleet/days_test.go
+++ b/internal/testbed/fleet/days_test.go
@@ -7,6 +7,8 @@
 	"testing"
 	"testing/synctest"
 	"time"
+
+	"github.com/landingmast/landingmast/internal/testbed/target"
 )
 
 // Day is a day of random troubles in a random deployment, drawn from a seed. The
@@ -60,8 +62,8 @@
 	}
 	// Requests to /chain call what is harmful in the deepest service.
 	first, deepest := d.Plan.Services["s0"], len(d.Plan.Services)-1
-	call := Call{Host: Host, Path: fmt.Sprintf("/s%d/harmful-call", deepest), Times: 1}
-	first.Works = append([]Work{{Prefix: "/s0/chain", Time: 5 * time.Millisecond, Bytes: 100, Calls: []Call{call}}}, first.Works...)
+	call := target.Call{Host: Host, Path: fmt.Sprintf("/s%d/harmful-call", deepest), Times: 1}
+	first.Works = append([]target.Work{{Prefix: "/s0/chain", Time: 5 * time.Millisecond, Bytes: 100, Calls: []target.Call{call}}}, first.Works...)
 	d.Plan.Services["s0"] = first
 }
 
@@ -92,14 +94,14 @@
 	depth := 1 + random.IntN(4)
 	for level := range depth {
 		name := fmt.Sprintf("s%d", level)
-		read := Work{Prefix: "/" + name + "/", Time: time.Duration(5+random.IntN(30)) * time.Millisecond, Bytes: 100 + random.IntN(3000)}
-		order := Work{Prefix: "/order" + name + "/", Time: time.Duration(5+random.IntN(30)) * time.Millisecond, Bytes: 100 + random.IntN(1000)}
+		read := target.Work{Prefix: "/" + name + "/", Time: time.Duration(5+random.IntN(30)) * time.Millisecond, Bytes: 100 + random.IntN(3000)}
+		order := target.Work{Prefix: "/order" + name + "/", Time: time.Duration(5+random.IntN(30)) * time.Millisecond, Bytes: 100 + random.IntN(1000)}
 		if level+1 < depth {
-			call := Call{Host: Host, Path: fmt.Sprintf("/s%d/x", level+1), Times: 1 + random.IntN(2)}
-			read.Calls, order.Calls = []Call{call}, []Call{call}
+			call := target.Call{Host: Host, Path: fmt.Sprintf("/s%d/x", level+1), Times: 1 + random.IntN(2)}
+			read.Calls, order.Calls = []target.Call{call}, []target.Call{call}
 		}
 		plan.Services[name] = ServicePlan{
-			Targets: 1 + random.IntN(6), Slots: 10 + random.IntN(30), Speeds: []float64{0.6, 1, 1.5}[:1+random.IntN(3)], Works: []Work{read, order},
+			Targets: 1 + random.IntN(6), Slots: 10 + random.IntN(30), Speeds: []float64{0.6, 1, 1.5}[:1+random.IntN(3)], Works: []target.Work{read, order},
 		}
 		tries := 1 + random.IntN(3)
 		plan.Routes = append(plan.Routes, Route{
--- a/internal/testbed/fleet/mesh_test.go
+++ b/internal/testbed/fleet/mesh_test.go
@@ -22,6 +22,7 @@
 	"github.com/landingmast/landingmast/internal/testbed/judge"
 	"github.com/landingmast/landingmast/internal/testbed/memnet"
 	"github.com/landingmast/landingmast/internal/testbed/store"
+	"github.com/landingmast/landingmast/internal/testbed/target"
 	"github.com/landingmast/landingmast/platform"
 )
 
@@ -57,7 +58,7 @@
 	Targets int
 	Slots   int
 	Speeds  []float64
-	Works   []Work
+	Works   []target.Work
 }
 
 // Host is the host that all routes of a mesh have.
@@ -68,7 +69,7 @@
 	mesh   *Mesh
 	IP     string
 	Zone   string
-	Target *Target
+	Target *target.Target
 
 	out     atomic.Bool // its clients get no new work: it was not ready twice in a row
 	mutex   sync.Mutex
@@ -87,7 +88,7 @@
 	Network  *memnet.Network // nil in a soak
 	Store    *store.Store
 	Judge    *judge.Judge
-	Harmful  *Harmful
+	Harmful  *target.Harmful
 	Machines []*Machine
 	Tally    *Tally
 
@@ -144,7 +145,7 @@
 func newMesh(plan Plan, soak *soak) (*Mesh, error) {
 	running, end := context.WithCancel(context.Background())
 	m := &Mesh{
-		Plan: plan, Store: store.New(), Judge: judge.New(DrainBound), Harmful: NewHarmful(), running: running, end: end,
+		Plan: plan, Store: store.New(), Judge: judge.New(DrainBound), Harmful: target.NewHarmful(), running: running, end: end,
 		Tally: &Tally{Asked: map[string]int{}, Served: map[string]int{}, InTime: map[string]int{}, Status: map[int]int{}},
 	}
 	m.Store.ReadsPerSecond = plan.ReadsPerSecond
@@ -239,7 +240,7 @@
 			if len(service.Speeds) > 0 {
 				speed = service.Speeds[index%len(service.Speeds)]
 			}
-			m.Machines = append(m.Machines, &Machine{mesh: m, IP: ip, Zone: zone, first: true, clock: newMachineClock(), Target: &Target{
+			m.Machines = append(m.Machines, &Machine{mesh: m, IP: ip, Zone: zone, first: true, clock: newMachineClock(), Target: &target.Target{
 				Service: name, Address: ip + ":" + portTarget, Outbound: ip + ":" + portOutbound, Control: ip + ":" + portControl,
 				Zone: zone, Slots: service.Slots, Speed: speed, Works: service.Works, Judge: m.Judge, Harmful: m.Harmful,
 				Dial: m.wires.Dialer(ip), Listen: m.wires.Listen,
@@ -298,7 +299,7 @@
 // Close ends everything.
 func (m *Mesh) Close() {
 	m.end()
-	m.Harmful.close()
+	m.Harmful.Close()
 	for _, machine := range m.Machines {
 		machine.Target.Stop()
 		machine.Kill()
--- a/internal/testbed/fleet/scale_test.go
+++ b/internal/testbed/fleet/scale_test.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"github.com/landingmast/landingmast/internal/testbed/store"
+	"github.com/landingmast/landingmast/internal/testbed/target"
 	. "github.com/onsi/gomega"
 )
 
@@ -22,7 +23,7 @@
 	for i := range nodes / targets {
 		name := fmt.Sprintf("s%d", i)
 		prefix := "/" + name + "/"
-		plan.Services[name] = ServicePlan{Targets: targets, Slots: 10, Works: []Work{{Prefix: prefix, Time: 5 * time.Millisecond, Bytes: 100}}}
+		plan.Services[name] = ServicePlan{Targets: targets, Slots: 10, Works: []target.Work{{Prefix: prefix, Time: 5 * time.Millisecond, Bytes: 100}}}
 		plan.Routes = append(plan.Routes, Route{
 			Prefix: prefix, Kind: "safe", Service: name, MaxAttempts: 2, Timeout: time.Second, Objective: time.Second / 2, Deadline: 2 * time.Second,
 		})
--- a/internal/testbed/fleet/shortage_test.go
+++ b/internal/testbed/fleet/shortage_test.go
@@ -4,19 +4,20 @@
 	"testing"
 	"time"
 
+	"github.com/landingmast/landingmast/internal/testbed/target"
 	. "github.com/onsi/gomega"
 )
 
 // tenCalls is a mesh with a shortage deep down: a list makes ten calls in a row to
 // the deepest service, which can serve 80 lists a second beside the orders.
 func tenCalls(listsPerSecond float64) Plan {
-	call := func(times int) []Call { return []Call{{Host: Host, Path: "/deep/x", Times: times}} }
+	call := func(times int) []target.Call { return []target.Call{{Host: Host, Path: "/deep/x", Times: times}} }
 	return Plan{
 		Zones: []string{"a", "b"}, Delay: time.Millisecond,
 		Services: map[string]ServicePlan{
-			"front":  {Targets: 6, Slots: 60, Works: []Work{{Prefix: "/list/", Time: 50 * time.Millisecond, Bytes: 1500, Calls: call(10)}}},
-			"orders": {Targets: 2, Slots: 40, Works: []Work{{Prefix: "/order/", Time: 30 * time.Millisecond, Bytes: 500, Calls: call(2)}}},
-			"deep":   {Targets: 4, Slots: 12, Speeds: []float64{0.7, 1, 1, 1.3}, Works: []Work{{Prefix: "/deep/", Time: 50 * time.Millisecond, Bytes: 200}}},
+			"front":  {Targets: 6, Slots: 60, Works: []target.Work{{Prefix: "/list/", Time: 50 * time.Millisecond, Bytes: 1500, Calls: call(10)}}},
+			"orders": {Targets: 2, Slots: 40, Works: []target.Work{{Prefix: "/order/", Time: 30 * time.Millisecond, Bytes: 500, Calls: call(2)}}},
+			"deep":   {Targets: 4, Slots: 12, Speeds: []float64{0.7, 1, 1, 1.3}, Works: []target.Work{{Prefix: "/deep/", Time: 50 * time.Millisecond, Bytes: 200}}},
 		},
 		Routes: []Route{
 			{Prefix: "/list/", Kind: "safe", Service: "front", Priority: 2, MaxAttempts: 2, Timeout: 1500 * time.Millisecond, Objective: 1200 * time.Millisecond, Deadline: 3 * time.Second, PerSecond: listsPerSecond},
@@ -66,14 +67,14 @@
 	plan := tenCalls(40)
 	front := plan.Services["front"]
 	front.Works[0].Calls[0].Times = 4
-	front.Works = append(front.Works, Work{Prefix: "/order/", Time: 30 * time.Millisecond, Bytes: 500, Calls: front.Works[0].Calls})
+	front.Works = append(front.Works, target.Work{Prefix: "/order/", Time: 30 * time.Millisecond, Bytes: 500, Calls: front.Works[0].Calls})
 	plan.Services["front"] = front
 	plan.Routes[1].Service = "front"
 	plan.Routes[0].PerSecond, plan.Routes[1].PerSecond = 80, 15
 	mesh := play(t, plan, 10*time.Second, func(mesh *Mesh) {
 		for _, machine := range mesh.Machines {
 			if machine.Target.Service == "deep" {
-				machine.Target.SetFaults(Faults{Decline: 0.55})
+				machine.Target.SetFaults(target.Faults{Decline: 0.55})
 			}
 		}
 	})
--- a/internal/testbed/fleet/soak_test.go
+++ b/internal/testbed/fleet/soak_test.go
@@ -17,6 +17,7 @@
 	"github.com/landingmast/landingmast/internal/sidecar/settings"
 	"github.com/landingmast/landingmast/internal/testbed/judge"
 	"github.com/landingmast/landingmast/internal/testbed/store"
+	"github.com/landingmast/landingmast/internal/testbed/target"
 )
 
 // Settings of a soak; `make soak` plays longer ones.
@@ -342,9 +343,9 @@
 			_ = machine.Target.Start()
 		})
 	}},
-	{"targets lose answers", faulty(Faults{LoseAnswer: 0.1, CutShort: 0.02, Garbage: 0.02}, 0.5, 3*time.Second)},
-	{"targets slow", faulty(Faults{Slow: 5}, 0.2, 3*time.Second)},
-	{"targets decline", faulty(Faults{Decline: 0.4}, 0.2, 3*time.Second)},
+	{"targets lose answers", faulty(target.Faults{LoseAnswer: 0.1, CutShort: 0.02, Garbage: 0.02}, 0.5, 3*time.Second)},
+	{"targets slow", faulty(target.Faults{Slow: 5}, 0.2, 3*time.Second)},
+	{"targets decline", faulty(target.Faults{Decline: 0.4}, 0.2, 3*time.Second)},
 	{"harmful request", func(m *Mesh, random *rand.Rand) {
 		route := m.Plan.Routes[[]int{0, 1, 3}[random.IntN(3)]]
 		path := fmt.Sprintf("%sharmful-%d", route.Prefix, random.IntN(1000))
--- a/internal/testbed/fleet/story_test.go
+++ b/internal/testbed/fleet/story_test.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"github.com/landingmast/landingmast/internal/logquery"
+	"github.com/landingmast/landingmast/internal/testbed/target"
 	. "github.com/onsi/gomega"
 )
 
@@ -118,11 +119,11 @@
 	g := NewWithT(t)
 	var slow string
 	lines := logsOf(t, threeDeep(), func(mesh *Mesh) {
-		target := mesh.Machines[0].Target
-		slow = target.Instance()
-		target.SetFaults(Faults{Slow: 200})
+		late := mesh.Machines[0].Target
+		slow = late.Instance()
+		late.SetFaults(target.Faults{Slow: 200})
 		time.Sleep(3 * time.Second)
-		target.SetFaults(Faults{})
+		late.SetFaults(target.Faults{})
 	})
 	id := ""
 	for _, line := range lines {
--- a/internal/testbed/fleet/troubles_test.go
+++ b/internal/testbed/fleet/troubles_test.go
@@ -6,6 +6,7 @@
 
 	"github.com/landingmast/landingmast/internal/sidecar/settings"
 	"github.com/landingmast/landingmast/internal/testbed/store"
+	"github.com/landingmast/landingmast/internal/testbed/target"
 )
 
 // Trouble is one kind of disruption that a mesh can meet.
@@ -41,7 +42,7 @@
 	}
 }
 
-func faulty(faults Faults, share float64, span time.Duration) func(*Mesh, *rand.Rand) {
+func faulty(faults target.Faults, share float64, span time.Duration) func(*Mesh, *rand.Rand) {
 	return func(mesh *Mesh, random *rand.Rand) {
 		chosen := some(mesh, random, share)
 		for _, machine := range chosen {
@@ -49,7 +50,7 @@
 		}
 		time.Sleep(span)
 		for _, machine := range chosen {
-			machine.Target.SetFaults(Faults{})
+			machine.Target.SetFaults(target.Faults{})
 		}
 	}
 }
@@ -115,7 +116,7 @@
 				mesh.Network.Reset(machine.IP, func() bool { return random.IntN(2) == 0 })
 			}
 		}},
-		{"srv_slow", 0.97, faulty(Faults{Slow: 5}, 0.15, 4*time.Second)},
+		{"srv_slow", 0.97, faulty(target.Faults{Slow: 5}, 0.15, 4*time.Second)},
 		{"srv_crash", 0.9, func(mesh *Mesh, random *rand.Rand) {
 			chosen := some(mesh, random, 0.15)
 			for _, machine := range chosen {
@@ -126,10 +127,10 @@
 				_ = machine.Target.Start()
 			}
 		}},
-		{"srv_grey shed", 0.9, faulty(Faults{Decline: 0.45}, 0.15, 4*time.Second)},
-		{"answer_lost", 0.9, faulty(Faults{LoseAnswer: 0.1}, 0.5, 3*time.Second)},
-		{"garble", 0.95, faulty(Faults{CutShort: 0.02, Garbage: 0.02}, 0.5, 3*time.Second)},
-		{"garble extra late", 0.95, faulty(Faults{Surplus: 0.2}, 0.6, 4*time.Second)},
+		{"srv_grey shed", 0.9, faulty(target.Faults{Decline: 0.45}, 0.15, 4*time.Second)},
+		{"answer_lost", 0.9, faulty(target.Faults{LoseAnswer: 0.1}, 0.5, 3*time.Second)},
+		{"garble", 0.95, faulty(target.Faults{CutShort: 0.02, Garbage: 0.02}, 0.5, 3*time.Second)},
+		{"garble extra late", 0.95, faulty(target.Faults{Surplus: 0.2}, 0.6, 4*time.Second)},
 		{"scale_in", 0.98, func(mesh *Mesh, random *rand.Rand) {
 			target := some(mesh, random, 0.05)[0].Target
 			target.Drain(DrainBound + time.Second)
--- a/internal/testbed/fleet/target_test.go
+++ b/internal/testbed/target/target.go
@@ -1,4 +1,9 @@
-package fleet
+// Package target is a stand-in of an application target beside a node: it listens, sends
+// heartbeats, runs requests for as long as its work takes, makes calls through the node, and
+// does wrong what a test sets. It owns its connections and its incarnation, and reports each
+// arrival, run and answer to the judge. It relies on functions that dial and listen, so that it
+// runs over a network in memory as well as over sockets. Only tests import it.
+package target
 
 import (
 	"bufio"
