--- /dev/null
+++ b/internal/testbed/deployment/configuration.go
@@ -0,0 +1,37 @@
+package deployment
+
+import (
+	"encoding/json"
+	"strconv"
+)
+
+// Configuration returns the configuration of the deployment in the form that the platform's
+// store has.
+func (p Plan) Configuration(version int) []byte {
+	services := []map[string]any{}
+	for _, name := range p.ServiceNames() {
+		services = append(services, map[string]any{"name": name, "health_path": "/health", "max_connections": 400})
+	}
+	routes := []map[string]any{}
+	for _, route := range p.Routes {
+		routes = append(routes, map[string]any{
+			"name": "r" + route.Prefix, "path_prefix": route.Prefix, "kind": route.Kind, "service": route.Service, "priority": route.Priority,
+			"max_attempts": route.MaxAttempts, "timeout": route.Timeout.String(), "slo": route.Objective.String(), "public": route.Public,
+		})
+	}
+	data, _ := json.Marshal(map[string]any{ // of strings and finite numbers: it does not fail
+		"version": "r" + strconv.Itoa(version), "services": services, "tenants": tenantForms(p.Tenants),
+		"limits":        map[string]any{"max_header_bytes": 16384, "max_body_bytes": 1 << 26, "header_timeout": "3000ms", "idle_timeout": "15000ms"},
+		"virtual_hosts": []map[string]any{{"host": Host, "path_routes": routes}},
+	})
+	return data
+}
+
+// tenantForms gives the tenants as the configuration has them.
+func tenantForms(tenants []Tenant) []map[string]any {
+	forms := []map[string]any{}
+	for _, one := range tenants {
+		forms = append(forms, map[string]any{"name": one.Name, "api_keys": one.Keys, "priority": 1, "rate_per_s": one.Rate, "burst": one.Burst})
+	}
+	return forms
+}
--- a/internal/testbed/fleet/crash_test.go
+++ b/internal/testbed/fleet/crash_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
+	"github.com/landingmast/landingmast/internal/testbed/deployment"
 	"github.com/landingmast/landingmast/internal/testbed/store"
-	"github.com/landingmast/landingmast/internal/testbed/target"
 	. "github.com/onsi/gomega"
 )
 
@@ -37,7 +37,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
 			g := NewWithT(t)
-			plan := withSpares()
+			plan := deployment.WithSpares()
 			mesh := play(t, plan, 30*time.Second, func(mesh *Mesh) { mesh.comesAgain(plan.Routes[tc.route], 7) })
 			g.Expect(mesh.Judge.Broken()).To(BeEmpty())
 			ended, innocent := mesh.Judge.HarmFigures()
@@ -90,7 +90,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
 			g := NewWithT(t)
-			plan := withSpares()
+			plan := deployment.WithSpares()
 			mesh := play(t, plan, 30*time.Second, func(mesh *Mesh) {
 				var group sync.WaitGroup
 				for _, path := range tc.paths {
@@ -111,7 +111,7 @@
 func TestPopularRequestsAreNotHeldBack(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
-	mesh := play(t, withSpares(), 30*time.Second, func(mesh *Mesh) {
+	mesh := play(t, deployment.WithSpares(), 30*time.Second, func(mesh *Mesh) {
 		random := rand.New(rand.NewPCG(4, 4))
 		for range 8 {
 			time.Sleep(3 * time.Second)
@@ -131,28 +131,6 @@
 	g.Expect(mesh.Tally.Share("/front/")).To(BeNumerically(">", 0.95), "%v", mesh.Tally.Status)
 }
 
-// calmLoad keeps the tests short: what counts here is who is at an end, not how many.
-const calmLoad = 0.25
-
-// withSpares is the small mesh with targets enough to lose some, and the bound of the users'
-// routes on the targets of one request.
-func withSpares() Plan {
-	plan := threeDeep()
-	for _, name := range []string{"front", "middle", "deep"} {
-		service := plan.Services[name]
-		service.Targets = 6
-		plan.Services[name] = service
-	}
-	front := plan.Services["front"]
-	front.Works = append([]target.Work{{Prefix: "/front/chain", Time: 5 * time.Millisecond, Bytes: 100, Calls: []target.Call{{Host: Host, Path: "/deep/harmful", Times: 1}}}}, front.Works...)
-	plan.Services["front"] = front
-	for index := range plan.Routes {
-		plan.Routes[index].MaxAttempts = 3
-		plan.Routes[index].PerSecond *= calmLoad
-	}
-	return plan
-}
-
 // comesAgainAs sends a harmful request of a path some times, a few at a time, as a client's
 // request or, for the path of the call that requests to /front/chain make, as a call.
 func (m *Mesh) comesAgainAs(path string, times int) {
@@ -182,7 +160,7 @@
 }
 
 // comesAgain sends a harmful request some times, every few seconds, at any machine.
-func (m *Mesh) comesAgain(route Route, times int) {
+func (m *Mesh) comesAgain(route deployment.Route, times int) {
 	path := route.Prefix + "harmful"
 	m.addHarmful(route, path)
 	for range times {
--- a/internal/testbed/fleet/days_test.go
+++ b/internal/testbed/fleet/days_test.go
@@ -8,6 +8,7 @@
 	"testing/synctest"
 	"time"
 
+	"github.com/landingmast/landingmast/internal/testbed/deployment"
 	"github.com/landingmast/landingmast/internal/testbed/target"
 )
 
@@ -16,7 +17,7 @@
 // so that two plays of a day can differ by it.
 type Day struct {
 	Seed     uint64
-	Plan     Plan
+	Plan     deployment.Plan
 	Troubles []Timed
 	Harmful  []harmfulPlan
 	Span     time.Duration
@@ -62,7 +63,7 @@
 	}
 	// Requests to /chain call what is harmful in the deepest service.
 	first, deepest := d.Plan.Services["s0"], len(d.Plan.Services)-1
-	call := target.Call{Host: Host, Path: fmt.Sprintf("/s%d/harmful-call", deepest), Times: 1}
+	call := target.Call{Host: deployment.Host, Path: fmt.Sprintf("/s%d/harmful-call", deepest), Times: 1}
 	first.Works = append([]target.Work{{Prefix: "/s0/chain", Time: 5 * time.Millisecond, Bytes: 100, Calls: []target.Call{call}}}, first.Works...)
 	d.Plan.Services["s0"] = first
 }
@@ -86,8 +87,8 @@
 
 // drawPlan draws a deployment: one zone to six, services of one target to six,
 // chains one to four deep.
-func drawPlan(random *rand.Rand) Plan {
-	plan := Plan{Delay: time.Duration(1+random.IntN(4)) * 500 * time.Microsecond, Services: map[string]ServicePlan{}}
+func drawPlan(random *rand.Rand) deployment.Plan {
+	plan := deployment.Plan{Delay: time.Duration(1+random.IntN(4)) * 500 * time.Microsecond, Services: map[string]deployment.Service{}}
 	for zone := range 1 + random.IntN(6) {
 		plan.Zones = append(plan.Zones, fmt.Sprintf("zone-%d", zone))
 	}
@@ -97,17 +98,17 @@
 		read := target.Work{Prefix: "/" + name + "/", Time: time.Duration(5+random.IntN(30)) * time.Millisecond, Bytes: 100 + random.IntN(3000)}
 		order := target.Work{Prefix: "/order" + name + "/", Time: time.Duration(5+random.IntN(30)) * time.Millisecond, Bytes: 100 + random.IntN(1000)}
 		if level+1 < depth {
-			call := target.Call{Host: Host, Path: fmt.Sprintf("/s%d/x", level+1), Times: 1 + random.IntN(2)}
+			call := target.Call{Host: deployment.Host, Path: fmt.Sprintf("/s%d/x", level+1), Times: 1 + random.IntN(2)}
 			read.Calls, order.Calls = []target.Call{call}, []target.Call{call}
 		}
-		plan.Services[name] = ServicePlan{
+		plan.Services[name] = deployment.Service{
 			Targets: 1 + random.IntN(6), Slots: 10 + random.IntN(30), Speeds: []float64{0.6, 1, 1.5}[:1+random.IntN(3)], Works: []target.Work{read, order},
 		}
 		tries := 1 + random.IntN(3)
-		plan.Routes = append(plan.Routes, Route{
+		plan.Routes = append(plan.Routes, deployment.Route{
 			Prefix: read.Prefix, Kind: "safe", Service: name, Priority: random.IntN(3), MaxAttempts: tries, Timeout: time.Second,
 			Objective: 500 * time.Millisecond, Deadline: 3 * time.Second, PerSecond: float64(random.IntN(60)),
-		}, Route{
+		}, deployment.Route{
 			Prefix: order.Prefix, Kind: "unsafe", Service: name, Priority: 0, MaxAttempts: tries, Timeout: time.Second,
 			Objective: 500 * time.Millisecond, Deadline: 3 * time.Second, PerSecond: float64(random.IntN(20)), Body: 200,
 		})
@@ -149,17 +150,9 @@
 
 // Describe gives the troubles of a day on one line.
 func (d Day) Describe() string {
-	text := fmt.Sprintf("%d targets in %d services, %d zones:", targets(d.Plan), len(d.Plan.Services), len(d.Plan.Zones))
+	text := fmt.Sprintf("%d targets in %d services, %d zones:", d.Plan.Targets(), len(d.Plan.Services), len(d.Plan.Zones))
 	for _, timed := range d.Troubles {
 		text += fmt.Sprintf(" %s at %.1fs;", timed.Name, timed.At.Seconds())
 	}
 	return text + fmt.Sprintf(" %d harmful requests", len(d.Harmful))
 }
-
-func targets(plan Plan) int {
-	count := 0
-	for _, service := range plan.Services {
-		count += service.Targets
-	}
-	return count
-}
--- a/internal/testbed/fleet/harm_test.go
+++ b/internal/testbed/fleet/harm_test.go
@@ -4,10 +4,12 @@
 	"net/http"
 	"strings"
 	"time"
+
+	"github.com/landingmast/landingmast/internal/testbed/deployment"
 )
 
 // sendHarmful sends a harmful request on a route as a client does, with its retry.
-func (m *Mesh) sendHarmful(machine *Machine, route Route, path string) {
+func (m *Mesh) sendHarmful(machine *Machine, route deployment.Route, path string) {
 	deadline := time.Now().Add(route.Deadline)
 	for range 2 {
 		tenant, key := m.caller()
@@ -21,7 +23,7 @@
 }
 
 // addHarmful has requests of a path on a route end their targets.
-func (m *Mesh) addHarmful(route Route, path string) {
+func (m *Mesh) addHarmful(route deployment.Route, path string) {
 	body := ""
 	if route.Kind == "unsafe" {
 		body = strings.Repeat("b", max(route.Body, 1))
--- a/internal/testbed/fleet/held_test.go
+++ b/internal/testbed/fleet/held_test.go
@@ -15,6 +15,7 @@
 	"github.com/alecthomas/kingpin/v2"
 	"github.com/landingmast/landingmast/internal/operator"
 	"github.com/landingmast/landingmast/internal/store"
+	"github.com/landingmast/landingmast/internal/testbed/deployment"
 	"github.com/landingmast/landingmast/internal/testbed/judge"
 	"github.com/landingmast/landingmast/platform"
 	. "github.com/onsi/gomega"
@@ -26,7 +27,7 @@
 	if err != nil {
 		return 0, nil, err.Error()
 	}
-	request.Host = Host
+	request.Host = deployment.Host
 	request.Header.Set("X-Request-Id", "asked-"+strings.ReplaceAll(time.Now().String(), " ", ""))
 	request.Header.Set("X-Deadline-Ms", "2000")
 	m.Judge.Expect(request.Header.Get("X-Request-Id"), machine.IP, uri, "", machine.Target.Service, method != http.MethodGet, 3)
@@ -62,7 +63,7 @@
 func TestHeldRequestIsSeenAndLifted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		plan := withSpares()
+		plan := deployment.WithSpares()
 		for index := range plan.Routes {
 			plan.Routes[index].PerSecond = 0
 		}
--- a/internal/testbed/fleet/judges_test.go
+++ b/internal/testbed/fleet/judges_test.go
@@ -9,6 +9,7 @@
 	"testing/synctest"
 	"time"
 
+	"github.com/landingmast/landingmast/internal/testbed/deployment"
 	"github.com/landingmast/landingmast/internal/testbed/judge"
 	. "github.com/onsi/gomega"
 )
@@ -46,7 +47,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
-				mesh, err := NewMesh(threeDeep())
+				mesh, err := NewMesh(deployment.ThreeDeep())
 				g.Expect(err).NotTo(HaveOccurred())
 				defer mesh.Close()
 				time.Sleep(settle)
--- a/internal/testbed/fleet/keys_test.go
+++ b/internal/testbed/fleet/keys_test.go
@@ -9,15 +9,16 @@
 	"testing/synctest"
 	"time"
 
+	"github.com/landingmast/landingmast/internal/testbed/deployment"
 	"github.com/landingmast/landingmast/internal/testbed/judge"
 	"github.com/landingmast/landingmast/internal/testbed/store"
 	. "github.com/onsi/gomega"
 )
 
 // withTenants is the small mesh with some tenants, whose limits lie far beyond what they send.
-func withTenants(count int) Plan {
-	plan := threeDeep()
-	plan.Tenants = someTenants(count, 200, 100)
+func withTenants(count int) deployment.Plan {
+	plan := deployment.ThreeDeep()
+	plan.Tenants = deployment.Tenants(count, 200, 100)
 	return plan
 }
 
@@ -42,7 +43,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		plan := withTenants(2)
-		plan.Routes = append(plan.Routes, Route{Prefix: "/open/", Public: true, Kind: "safe", Service: "deep", MaxAttempts: 1, Timeout: time.Second})
+		plan.Routes = append(plan.Routes, deployment.Route{Prefix: "/open/", Public: true, Kind: "safe", Service: "deep", MaxAttempts: 1, Timeout: time.Second})
 		mesh, err := NewMesh(plan)
 		g.Expect(err).NotTo(HaveOccurred())
 		defer mesh.Close()
--- a/internal/testbed/fleet/mesh_test.go
+++ b/internal/testbed/fleet/mesh_test.go
@@ -5,7 +5,6 @@
 
 import (
 	"context"
-	"encoding/json"
 	"fmt"
 	"io"
 	"math/rand/v2"
@@ -19,6 +18,7 @@
 
 	"github.com/landingmast/landingmast/internal/sidecar"
 	"github.com/landingmast/landingmast/internal/sidecar/settings"
+	"github.com/landingmast/landingmast/internal/testbed/deployment"
 	"github.com/landingmast/landingmast/internal/testbed/judge"
 	"github.com/landingmast/landingmast/internal/testbed/memnet"
 	"github.com/landingmast/landingmast/internal/testbed/store"
@@ -26,44 +26,6 @@
 	"github.com/landingmast/landingmast/platform"
 )
 
-// Route is one route of a mesh and the requests that clients send on it.
-type Route struct {
-	Prefix      string
-	Kind        string
-	Service     string
-	Priority    int
-	MaxAttempts int
-	Timeout     time.Duration
-	Objective   time.Duration
-	Deadline    time.Duration // of the clients
-	PerSecond   float64       // over all clients; 0: calls of targets only
-	Body        int           // bytes that clients send
-	Public      bool          // needs no key
-}
-
-// Plan describes a mesh.
-type Plan struct {
-	Zones    []string
-	Services map[string]ServicePlan
-	Routes   []Route
-	Tenants  []TenantPlan  // none: clients send no keys
-	Delay    time.Duration // between zones; a fifth of it within
-	Output   io.Writer     // of the nodes' logs; nil: nowhere
-	// ReadsPerSecond is the rate of the store that all nodes share; 0: unbounded.
-	ReadsPerSecond int
-}
-
-// ServicePlan describes the targets of a service.
-type ServicePlan struct {
-	Targets int
-	Slots   int
-	Speeds  []float64
-	Works   []target.Work
-}
-
-// Host is the host that all routes of a mesh have.
-const Host = "mesh.example"
-
 // Machine is one machine of a mesh: a node and a target.
 type Machine struct {
 	mesh   *Mesh
@@ -84,7 +46,7 @@
 
 // Mesh is a deployment in memory: store, machines and clients.
 type Mesh struct {
-	Plan     Plan
+	Plan     deployment.Plan
 	Network  *memnet.Network // nil in a soak
 	Store    *store.Store
 	Judge    *judge.Judge
@@ -139,10 +101,10 @@
 const DrainBound = 2 * time.Second
 
 // NewMesh starts a deployment in memory. Close must follow.
-func NewMesh(plan Plan) (*Mesh, error) { return newMesh(plan, nil) }
+func NewMesh(plan deployment.Plan) (*Mesh, error) { return newMesh(plan, nil) }
 
 // newMesh starts a deployment, with processes of their own for the nodes where it is a soak.
-func newMesh(plan Plan, soak *soak) (*Mesh, error) {
+func newMesh(plan deployment.Plan, soak *soak) (*Mesh, error) {
 	running, end := context.WithCancel(context.Background())
 	m := &Mesh{
 		Plan: plan, Store: store.New(), Judge: judge.New(DrainBound), Harmful: target.NewHarmful(), running: running, end: end,
@@ -227,7 +189,7 @@
 
 // place lays the targets out over the zones in turn.
 func (m *Mesh) place(zones map[string]string) {
-	for _, name := range sortedKeys(m.Plan.Services) {
+	for _, name := range m.Plan.ServiceNames() {
 		service := m.Plan.Services[name]
 		for index := range service.Targets {
 			ip := fmt.Sprintf("10.1.%d.%d", len(m.Machines)/200, len(m.Machines)%200+1)
@@ -249,47 +211,16 @@
 	}
 }
 
-func sortedKeys(services map[string]ServicePlan) []string {
-	names := make([]string, 0, len(services))
-	for name := range services {
-		names = append(names, name)
-	}
-	for a := range names {
-		for b := a + 1; b < len(names); b++ {
-			if names[b] < names[a] {
-				names[a], names[b] = names[b], names[a]
-			}
-		}
-	}
-	return names
-}
-
 // Configure writes a new version of the configuration; change may alter the
 // routes before.
-func (m *Mesh) Configure(change func(routes []Route) []Route) int {
+func (m *Mesh) Configure(change func(routes []deployment.Route) []deployment.Route) int {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if change != nil {
-		m.Plan.Routes = change(append([]Route(nil), m.Plan.Routes...))
+		m.Plan.Routes = change(append([]deployment.Route(nil), m.Plan.Routes...))
 	}
 	m.version += 2
-	services := []map[string]any{}
-	for _, name := range sortedKeys(m.Plan.Services) {
-		services = append(services, map[string]any{"name": name, "health_path": "/health", "max_connections": 400})
-	}
-	routes := []map[string]any{}
-	for _, route := range m.Plan.Routes {
-		routes = append(routes, map[string]any{
-			"name": "r" + route.Prefix, "path_prefix": route.Prefix, "kind": route.Kind, "service": route.Service, "priority": route.Priority,
-			"max_attempts": route.MaxAttempts, "timeout": route.Timeout.String(), "slo": route.Objective.String(), "public": route.Public,
-		})
-	}
-	data, _ := json.Marshal(map[string]any{
-		"version": "r" + strconv.Itoa(m.version), "services": services, "tenants": tenantForms(m.Plan.Tenants),
-		"limits":        map[string]any{"max_header_bytes": 16384, "max_body_bytes": 1 << 26, "header_timeout": "3000ms", "idle_timeout": "15000ms"},
-		"virtual_hosts": []map[string]any{{"host": Host, "path_routes": routes}},
-	})
-	m.Store.Write(platform.ConfigurationKey, data)
+	m.Store.Write(platform.ConfigurationKey, m.Plan.Configuration(m.version))
 	return m.version
 }
 
@@ -469,7 +400,7 @@
 }
 
 // request is one client's request with the retries that the pages allow.
-func (m *Mesh) request(machine *Machine, route Route) {
+func (m *Mesh) request(machine *Machine, route deployment.Route) {
 	began := time.Now()
 	deadline := began.Add(route.Deadline)
 	m.Tally.count(m.Tally.Asked, route.Prefix)
@@ -517,7 +448,7 @@
 const giveUpOneIn = 3
 
 // attempt is one attempt of a client; the status is 0 when no whole answer came.
-func (m *Mesh) attempt(machine *Machine, route Route, uri, tenant, key string, deadline time.Time) (status int, retryAfter time.Duration) {
+func (m *Mesh) attempt(machine *Machine, route deployment.Route, uri, tenant, key string, deadline time.Time) (status int, retryAfter time.Duration) {
 	id := newID()
 	m.Judge.Expect(id, machine.IP, uri, route.Service, machine.Target.Service, route.Kind == "unsafe", route.MaxAttempts)
 	leaves := deadline
@@ -546,7 +477,7 @@
 	return status, retryAfter
 }
 
-func (m *Mesh) roundTrip(ctx context.Context, machine *Machine, route Route, id, uri, key string, deadline time.Time) (int, http.Header, []byte, error) {
+func (m *Mesh) roundTrip(ctx context.Context, machine *Machine, route deployment.Route, id, uri, key string, deadline time.Time) (int, http.Header, []byte, error) {
 	request, err := m.requestOf(ctx, machine, route, id, uri, deadline)
 	if err != nil {
 		return 0, nil, nil, err
@@ -567,7 +498,7 @@
 func newID() string { return strconv.FormatUint(rand.Uint64(), 16) }
 
 // requestOf makes a client's request.
-func (m *Mesh) requestOf(ctx context.Context, machine *Machine, route Route, id, uri string, deadline time.Time) (*http.Request, error) {
+func (m *Mesh) requestOf(ctx context.Context, machine *Machine, route deployment.Route, id, uri string, deadline time.Time) (*http.Request, error) {
 	method, body := http.MethodGet, ""
 	if route.Kind == "unsafe" {
 		method, body = http.MethodPost, strings.Repeat("b", max(route.Body, 1))
@@ -576,7 +507,7 @@
 	if err != nil {
 		return nil, err
 	}
-	request.Host = Host
+	request.Host = deployment.Host
 	request.Header.Set("X-Request-Id", id)
 	request.Header.Set("X-Deadline-Ms", strconv.FormatInt(max(time.Until(deadline).Milliseconds(), 1), 10))
 	return request, nil
--- a/internal/testbed/fleet/quota_test.go
+++ b/internal/testbed/fleet/quota_test.go
@@ -5,6 +5,7 @@
 	"testing"
 	"time"
 
+	"github.com/landingmast/landingmast/internal/testbed/deployment"
 	"github.com/landingmast/landingmast/internal/testbed/judge"
 	"github.com/landingmast/landingmast/internal/testbed/store"
 	. "github.com/onsi/gomega"
@@ -12,9 +13,9 @@
 
 // hotTenant is the small mesh with a tenant that sends far more than its limit beside
 // others that stay below theirs.
-func hotTenant() Plan {
-	plan := threeDeep()
-	plan.Tenants = someTenants(4, 40, 20)
+func hotTenant() deployment.Plan {
+	plan := deployment.ThreeDeep()
+	plan.Tenants = deployment.Tenants(4, 40, 20)
 	plan.Tenants[0].Share = 6
 	for index := range plan.Routes {
 		plan.Routes[index].PerSecond /= 2
@@ -60,7 +61,7 @@
 	var from time.Time
 	mesh := play(t, hotTenant(), 14*time.Second, func(mesh *Mesh) {
 		time.Sleep(3 * time.Second)
-		mesh.Retenant(func(tenants []TenantPlan) []TenantPlan {
+		mesh.Retenant(func(tenants []deployment.Tenant) []deployment.Tenant {
 			tenants[0].Rate, tenants[0].Burst = 10, 5
 			return tenants
 		})
@@ -81,7 +82,7 @@
 	t.Parallel()
 	g := NewWithT(t)
 	plan := wide(20)
-	plan.Tenants = someTenants(6, 200, 100)
+	plan.Tenants = deployment.Tenants(6, 200, 100)
 	for index := range plan.Routes {
 		plan.Routes[index].PerSecond = 100
 	}
--- a/internal/testbed/fleet/scale_test.go
+++ b/internal/testbed/fleet/scale_test.go
@@ -7,6 +7,7 @@
 	"testing/synctest"
 	"time"
 
+	"github.com/landingmast/landingmast/internal/testbed/deployment"
 	"github.com/landingmast/landingmast/internal/testbed/store"
 	"github.com/landingmast/landingmast/internal/testbed/target"
 	. "github.com/onsi/gomega"
@@ -14,17 +15,17 @@
 
 // wide is a mesh of many nodes without traffic. The store's rate for each node is
 // that of 300 machines on the users' smallest store.
-func wide(nodes int) Plan {
-	plan := Plan{
-		Zones: []string{"a", "b", "c", "d"}, Delay: time.Millisecond, Services: map[string]ServicePlan{},
+func wide(nodes int) deployment.Plan {
+	plan := deployment.Plan{
+		Zones: []string{"a", "b", "c", "d"}, Delay: time.Millisecond, Services: map[string]deployment.Service{},
 		ReadsPerSecond: nodes * 2000 / 300,
 	}
 	const targets = 10
 	for i := range nodes / targets {
 		name := fmt.Sprintf("s%d", i)
 		prefix := "/" + name + "/"
-		plan.Services[name] = ServicePlan{Targets: targets, Slots: 10, Works: []target.Work{{Prefix: prefix, Time: 5 * time.Millisecond, Bytes: 100}}}
-		plan.Routes = append(plan.Routes, Route{
+		plan.Services[name] = deployment.Service{Targets: targets, Slots: 10, Works: []target.Work{{Prefix: prefix, Time: 5 * time.Millisecond, Bytes: 100}}}
+		plan.Routes = append(plan.Routes, deployment.Route{
 			Prefix: prefix, Kind: "safe", Service: name, MaxAttempts: 2, Timeout: time.Second, Objective: time.Second / 2, Deadline: 2 * time.Second,
 		})
 	}
--- a/internal/testbed/fleet/shortage_test.go
+++ b/internal/testbed/fleet/shortage_test.go
@@ -4,22 +4,25 @@
 	"testing"
 	"time"
 
+	"github.com/landingmast/landingmast/internal/testbed/deployment"
 	"github.com/landingmast/landingmast/internal/testbed/target"
 	. "github.com/onsi/gomega"
 )
 
 // tenCalls is a mesh with a shortage deep down: a list makes ten calls in a row to
 // the deepest service, which can serve 80 lists a second beside the orders.
-func tenCalls(listsPerSecond float64) Plan {
-	call := func(times int) []target.Call { return []target.Call{{Host: Host, Path: "/deep/x", Times: times}} }
-	return Plan{
+func tenCalls(listsPerSecond float64) deployment.Plan {
+	call := func(times int) []target.Call {
+		return []target.Call{{Host: deployment.Host, Path: "/deep/x", Times: times}}
+	}
+	return deployment.Plan{
 		Zones: []string{"a", "b"}, Delay: time.Millisecond,
-		Services: map[string]ServicePlan{
+		Services: map[string]deployment.Service{
 			"front":  {Targets: 6, Slots: 60, Works: []target.Work{{Prefix: "/list/", Time: 50 * time.Millisecond, Bytes: 1500, Calls: call(10)}}},
 			"orders": {Targets: 2, Slots: 40, Works: []target.Work{{Prefix: "/order/", Time: 30 * time.Millisecond, Bytes: 500, Calls: call(2)}}},
 			"deep":   {Targets: 4, Slots: 12, Speeds: []float64{0.7, 1, 1, 1.3}, Works: []target.Work{{Prefix: "/deep/", Time: 50 * time.Millisecond, Bytes: 200}}},
 		},
-		Routes: []Route{
+		Routes: []deployment.Route{
 			{Prefix: "/list/", Kind: "safe", Service: "front", Priority: 2, MaxAttempts: 2, Timeout: 1500 * time.Millisecond, Objective: 1200 * time.Millisecond, Deadline: 3 * time.Second, PerSecond: listsPerSecond},
 			{Prefix: "/order/", Kind: "unsafe", Service: "orders", Priority: 0, MaxAttempts: 2, Timeout: 1500 * time.Millisecond, Objective: 600 * time.Millisecond, Deadline: 3 * time.Second, PerSecond: 40, Body: 300},
 			{Prefix: "/deep/", Kind: "safe", Service: "deep", Priority: 1, MaxAttempts: 2, Timeout: time.Second, Objective: 300 * time.Millisecond},
--- a/internal/testbed/fleet/soak_test.go
+++ b/internal/testbed/fleet/soak_test.go
@@ -15,6 +15,7 @@
 	"time"
 
 	"github.com/landingmast/landingmast/internal/sidecar/settings"
+	"github.com/landingmast/landingmast/internal/testbed/deployment"
 	"github.com/landingmast/landingmast/internal/testbed/judge"
 	"github.com/landingmast/landingmast/internal/testbed/store"
 	"github.com/landingmast/landingmast/internal/testbed/target"
@@ -58,8 +59,8 @@
 }
 
 // soakPlan has so many machines that each service has some.
-func soakPlan(machines int) Plan {
-	plan := withSpares()
+func soakPlan(machines int) deployment.Plan {
+	plan := deployment.WithSpares()
 	for _, name := range []string{"front", "middle", "deep"} {
 		service := plan.Services[name]
 		service.Targets = max(machines/3, 1)
--- a/internal/testbed/fleet/soakrun_test.go
+++ b/internal/testbed/fleet/soakrun_test.go
@@ -17,6 +17,7 @@
 	"time"
 
 	"github.com/landingmast/landingmast/internal/sidecar/settings"
+	"github.com/landingmast/landingmast/internal/testbed/deployment"
 	"github.com/landingmast/landingmast/internal/testbed/judge"
 )
 
@@ -220,7 +221,7 @@
 
 // keep sends requests one after the other on an open connection to a machine, until it is
 // gone, and goes on with another machine then.
-func (m *Mesh) keep(ctx context.Context, route Route) {
+func (m *Mesh) keep(ctx context.Context, route deployment.Route) {
 	for ctx.Err() == nil {
 		machine := m.anyIn()
 		if conn, err := m.wires.Dialer(machine.IP)(ctx, "tcp", machine.IP+":"+portOutbound); err == nil {
@@ -236,7 +237,7 @@
 
 // keptRequest sends one request; false: the connection is of no more use. net/http's client
 // is of none here, since it repeats requests by itself.
-func (m *Mesh) keptRequest(conn net.Conn, reader *bufio.Reader, machine *Machine, route Route) bool {
+func (m *Mesh) keptRequest(conn net.Conn, reader *bufio.Reader, machine *Machine, route deployment.Route) bool {
 	deadline := time.Now().Add(route.Deadline)
 	id, uri := newID(), route.Prefix+path()
 	m.Judge.Expect(id, machine.IP, uri, route.Service, machine.Target.Service, route.Kind == "unsafe", route.MaxAttempts)
--- a/internal/testbed/fleet/stop_test.go
+++ b/internal/testbed/fleet/stop_test.go
@@ -4,6 +4,7 @@
 	"testing"
 	"time"
 
+	"github.com/landingmast/landingmast/internal/testbed/deployment"
 	. "github.com/onsi/gomega"
 )
 
@@ -13,7 +14,7 @@
 func TestStoppingNodeEndsThoughClientsGoOn(t *testing.T) {
 	g := NewWithT(t)
 	var took time.Duration
-	mesh := play(t, threeDeep(), 10*time.Second, func(mesh *Mesh) {
+	mesh := play(t, deployment.ThreeDeep(), 10*time.Second, func(mesh *Mesh) {
 		machine, ended := mesh.Machines[0], make(chan struct{})
 		go func() {
 			for {
@@ -41,7 +42,7 @@
 // stopped in turn and two of three targets of one service were out of reach at once.
 func TestTargetIsReachedWhileItsNodeStops(t *testing.T) {
 	g := NewWithT(t)
-	plan := threeDeep()
+	plan := deployment.ThreeDeep()
 	deep := plan.Services["deep"]
 	deep.Targets, deep.Slots, deep.Speeds = 1, 24, nil
 	plan.Services["deep"] = deep
--- a/internal/testbed/fleet/story_test.go
+++ b/internal/testbed/fleet/story_test.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"github.com/landingmast/landingmast/internal/logquery"
+	"github.com/landingmast/landingmast/internal/testbed/deployment"
 	"github.com/landingmast/landingmast/internal/testbed/target"
 	. "github.com/onsi/gomega"
 )
@@ -36,7 +37,7 @@
 }
 
 // logsOf plays a day and gives the lines that its nodes wrote.
-func logsOf(t *testing.T, plan Plan, disturb func(mesh *Mesh)) []logquery.Line {
+func logsOf(t *testing.T, plan deployment.Plan, disturb func(mesh *Mesh)) []logquery.Line {
 	t.Helper()
 	logs := &output{}
 	plan.Output = logs
@@ -75,8 +76,8 @@
 }
 
 // scarce is a mesh whose deepest service can serve half of what is asked.
-func scarce() Plan {
-	plan := threeDeep()
+func scarce() deployment.Plan {
+	plan := deployment.ThreeDeep()
 	deep := plan.Services["deep"]
 	deep.Slots = 3
 	plan.Services["deep"] = deep
@@ -103,7 +104,7 @@
 func TestStoryOfAnUnknownOutcomeNamesTheNodeThatDied(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
-	lines := logsOf(t, threeDeep(), func(mesh *Mesh) {
+	lines := logsOf(t, deployment.ThreeDeep(), func(mesh *Mesh) {
 		for range 6 {
 			time.Sleep(time.Second)
 			killAndRestart([]*Machine{mesh.Machines[len(mesh.Machines)-1], mesh.Machines[len(mesh.Machines)-2]}) // beside middle
@@ -118,7 +119,7 @@
 	t.Parallel()
 	g := NewWithT(t)
 	var slow string
-	lines := logsOf(t, threeDeep(), func(mesh *Mesh) {
+	lines := logsOf(t, deployment.ThreeDeep(), func(mesh *Mesh) {
 		late := mesh.Machines[0].Target
 		slow = late.Instance()
 		late.SetFaults(target.Faults{Slow: 200})
--- a/internal/testbed/fleet/tenants_test.go
+++ b/internal/testbed/fleet/tenants_test.go
@@ -1,51 +1,23 @@
 package fleet
 
 import (
-	"fmt"
 	"math/rand/v2"
 	"net/http"
 	"strconv"
 
+	"github.com/landingmast/landingmast/internal/testbed/deployment"
 	"github.com/landingmast/landingmast/internal/testbed/judge"
 )
 
-// TenantPlan is one tenant of a mesh.
-type TenantPlan struct {
-	Name  string
-	Keys  []string
-	Rate  float64 // limit over all nodes; 0: none
-	Burst float64
-	Share float64 // part of the clients' requests, as a weight
-}
-
 // keyScheme begins the header that carries a key.
 const keyScheme = "Bearer "
 
-// someTenants gives so many tenants with two keys each and so much of a limit.
-func someTenants(count int, rate, burst float64) []TenantPlan {
-	tenants := make([]TenantPlan, count)
-	for index := range tenants {
-		name := fmt.Sprintf("tenant%d", index)
-		tenants[index] = TenantPlan{Name: name, Keys: []string{"key-" + name + "-a", "key-" + name + "-b"}, Rate: rate, Burst: burst, Share: 1}
-	}
-	return tenants
-}
-
-// tenantForms gives the tenants as the configuration has them.
-func tenantForms(tenants []TenantPlan) []map[string]any {
-	forms := []map[string]any{}
-	for _, one := range tenants {
-		forms = append(forms, map[string]any{"name": one.Name, "api_keys": one.Keys, "priority": 1, "rate_per_s": one.Rate, "burst": one.Burst})
-	}
-	return forms
-}
-
 // Retenant writes a configuration with changed tenants. The judge counts from the time at
 // which the store has it.
-func (m *Mesh) Retenant(change func(tenants []TenantPlan) []TenantPlan) {
+func (m *Mesh) Retenant(change func(tenants []deployment.Tenant) []deployment.Tenant) {
 	m.mutex.Lock()
 	before := m.Plan.Tenants
-	after := make([]TenantPlan, len(before))
+	after := make([]deployment.Tenant, len(before))
 	copy(after, before)
 	m.Plan.Tenants = change(after)
 	m.mutex.Unlock()
@@ -54,7 +26,7 @@
 }
 
 // tenantsOf gives what the judge knows of tenants.
-func tenantsOf(plans []TenantPlan) []judge.Tenant {
+func tenantsOf(plans []deployment.Tenant) []judge.Tenant {
 	tenants := make([]judge.Tenant, 0, len(plans))
 	for _, one := range plans {
 		tenants = append(tenants, judge.Tenant{Name: one.Name, Keys: one.Keys, Rate: one.Rate, Burst: one.Burst})
@@ -64,7 +36,7 @@
 
 // TakeKey takes a key of a tenant away.
 func (m *Mesh) TakeKey(tenant int, key int) {
-	m.Retenant(func(tenants []TenantPlan) []TenantPlan {
+	m.Retenant(func(tenants []deployment.Tenant) []deployment.Tenant {
 		keys := append([]string(nil), tenants[tenant].Keys...)
 		tenants[tenant].Keys = append(keys[:key], keys[key+1:]...)
 		return tenants
@@ -106,7 +78,7 @@
 		return 0
 	}
 	id := strconv.FormatUint(rand.Uint64(), 16)
-	request.Host = Host
+	request.Host = deployment.Host
 	request.Header.Set("X-Request-Id", id)
 	request.Header.Set("X-Deadline-Ms", "1000")
 	if key != "" {
--- a/internal/testbed/fleet/troubles_test.go
+++ b/internal/testbed/fleet/troubles_test.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"github.com/landingmast/landingmast/internal/sidecar/settings"
+	"github.com/landingmast/landingmast/internal/testbed/deployment"
 	"github.com/landingmast/landingmast/internal/testbed/store"
 	"github.com/landingmast/landingmast/internal/testbed/target"
 )
@@ -65,7 +66,7 @@
 
 // newRoute adds a route and gives its prefix.
 func newRoute(mesh *Mesh, random *rand.Rand) {
-	mesh.Configure(func(routes []Route) []Route {
+	mesh.Configure(func(routes []deployment.Route) []deployment.Route {
 		added := routes[random.IntN(len(routes))]
 		added.Prefix, added.PerSecond = added.Prefix+"new/", 0
 		return append(routes, added)
