--- a/internal/testbed/deployment/configuration.go
+++ b/internal/testbed/deployment/configuration.go
@@ -27,11 +27,11 @@
 	return data
 }
 
-// tenantForms gives the tenants as the configuration has them.
+// tenantForms returns the tenants as the configuration has them.
 func tenantForms(tenants []Tenant) []map[string]any {
 	forms := []map[string]any{}
-	for _, one := range tenants {
-		forms = append(forms, map[string]any{"name": one.Name, "api_keys": one.Keys, "priority": 1, "rate_per_s": one.Rate, "burst": one.Burst})
+	for _, tenant := range tenants {
+		forms = append(forms, map[string]any{"name": tenant.Name, "api_keys": tenant.Keys, "priority": 1, "rate_per_s": tenant.Rate, "burst": tenant.Burst})
 	}
 	return forms
 }
--- a/internal/testbed/deployment/examples.go
+++ b/internal/testbed/deployment/examples.go
@@ -6,7 +6,7 @@
 	"github.com/landingmast/landingmast/internal/testbed/target"
 )
 
-// ThreeDeep is a small mesh: front calls middle, middle calls deep twice, and
+// ThreeDeep is a small deployment: front calls middle, middle calls deep twice, and
 // orders, which may run at most once, call deep.
 func ThreeDeep() Plan {
 	return Plan{
@@ -17,19 +17,20 @@
 			"deep":   {Targets: 3, Slots: 8, Speeds: []float64{1.4, 1.4, 0.6}, Works: []target.Work{{Prefix: "/deep/", Time: 10 * time.Millisecond, Bytes: 200}}},
 		},
 		Routes: []Route{
-			{Prefix: "/front/", Kind: "safe", Service: "front", Priority: 2, MaxAttempts: 2, Timeout: time.Second, Objective: 500 * time.Millisecond, Deadline: 3 * time.Second, PerSecond: 100},
-			{Prefix: "/order/", Kind: "unsafe", Service: "middle", Priority: 0, MaxAttempts: 2, Timeout: time.Second, Objective: 500 * time.Millisecond, Deadline: 3 * time.Second, PerSecond: 40, Body: 300},
-			{Prefix: "/middle/", Kind: "safe", Service: "middle", Priority: 1, MaxAttempts: 2, Timeout: time.Second, Objective: 500 * time.Millisecond},
-			{Prefix: "/deep/", Kind: "safe", Service: "deep", Priority: 1, MaxAttempts: 2, Timeout: time.Second, Objective: 300 * time.Millisecond, Deadline: time.Second, PerSecond: 50},
+			{Prefix: "/front/", Kind: Safe, Service: "front", Priority: 2, MaxAttempts: 2, Timeout: time.Second, Objective: 500 * time.Millisecond, Deadline: 3 * time.Second, PerSecond: 100},
+			{Prefix: "/order/", Kind: Unsafe, Service: "middle", Priority: 0, MaxAttempts: 2, Timeout: time.Second, Objective: 500 * time.Millisecond, Deadline: 3 * time.Second, PerSecond: 40, Body: 300},
+			{Prefix: "/middle/", Kind: Safe, Service: "middle", Priority: 1, MaxAttempts: 2, Timeout: time.Second, Objective: 500 * time.Millisecond},
+			{Prefix: "/deep/", Kind: Safe, Service: "deep", Priority: 1, MaxAttempts: 2, Timeout: time.Second, Objective: 300 * time.Millisecond, Deadline: time.Second, PerSecond: 50},
 		},
 	}
 }
 
-// calmLoad keeps the tests short: what counts here is who is at an end, not how many.
+// calmLoad is the part of the load of ThreeDeep that WithSpares has: its tests last longer, and
+// what counts in them is which requests end targets, not how many come.
 const calmLoad = 0.25
 
-// WithSpares is the small mesh with targets enough to lose some, and the bound of the users'
-// routes on the targets of one request.
+// WithSpares is ThreeDeep with targets enough to lose some of each service and three targets
+// at most for a request. Requests to /front/chain call /deep/harmful.
 func WithSpares() Plan {
 	plan := ThreeDeep()
 	for _, name := range []string{"front", "middle", "deep"} {
--- a/internal/testbed/fleet/harm_test.go
+++ b/internal/testbed/fleet/harm_test.go
@@ -14,7 +14,7 @@
 	for range 2 {
 		tenant, key := m.caller()
 		status, retryAfter := m.attempt(machine, route, path, tenant, key, deadline)
-		if status == http.StatusOK || route.Kind == "unsafe" && status != http.StatusServiceUnavailable {
+		if status == http.StatusOK || route.Kind == deployment.Unsafe && status != http.StatusServiceUnavailable {
 			return
 		}
 		time.Sleep(min(retryAfter, time.Until(deadline)/3))
@@ -25,7 +25,7 @@
 // addHarmful has requests of a path on a route end their targets.
 func (m *Mesh) addHarmful(route deployment.Route, path string) {
 	body := ""
-	if route.Kind == "unsafe" {
+	if route.Kind == deployment.Unsafe {
 		body = strings.Repeat("b", max(route.Body, 1))
 	}
 	m.Judge.ExpectHarmful(path, body)
--- a/internal/testbed/fleet/keys_test.go
+++ b/internal/testbed/fleet/keys_test.go
@@ -43,7 +43,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		plan := withTenants(2)
-		plan.Routes = append(plan.Routes, deployment.Route{Prefix: "/open/", Public: true, Kind: "safe", Service: "deep", MaxAttempts: 1, Timeout: time.Second})
+		plan.Routes = append(plan.Routes, deployment.Route{Prefix: "/open/", Public: true, Kind: deployment.Safe, Service: "deep", MaxAttempts: 1, Timeout: time.Second})
 		mesh, err := NewMesh(plan)
 		g.Expect(err).NotTo(HaveOccurred())
 		defer mesh.Close()
--- a/internal/testbed/fleet/mesh_test.go
+++ b/internal/testbed/fleet/mesh_test.go
@@ -416,7 +416,7 @@
 			return
 		}
 		promised := status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
-		if try > 0 || (route.Kind == "unsafe" && !promised) {
+		if try > 0 || (route.Kind == deployment.Unsafe && !promised) {
 			return
 		}
 		if status == 0 {
@@ -450,7 +450,7 @@
 // attempt is one attempt of a client; the status is 0 when no whole answer came.
 func (m *Mesh) attempt(machine *Machine, route deployment.Route, uri, tenant, key string, deadline time.Time) (status int, retryAfter time.Duration) {
 	id := newID()
-	m.Judge.Expect(id, machine.IP, uri, route.Service, machine.Target.Service, route.Kind == "unsafe", route.MaxAttempts)
+	m.Judge.Expect(id, machine.IP, uri, route.Service, machine.Target.Service, route.Kind == deployment.Unsafe, route.MaxAttempts)
 	leaves := deadline
 	if after := time.Duration(m.giveUp.Load()); after > 0 && rand.IntN(giveUpOneIn) == 0 {
 		leaves = time.Now().Add(after)
@@ -500,7 +500,7 @@
 // requestOf makes a client's request.
 func (m *Mesh) requestOf(ctx context.Context, machine *Machine, route deployment.Route, id, uri string, deadline time.Time) (*http.Request, error) {
 	method, body := http.MethodGet, ""
-	if route.Kind == "unsafe" {
+	if route.Kind == deployment.Unsafe {
 		method, body = http.MethodPost, strings.Repeat("b", max(route.Body, 1))
 	}
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+machine.IP+":"+portOutbound+uri, strings.NewReader(body))
--- a/internal/testbed/fleet/scale_test.go
+++ b/internal/testbed/fleet/scale_test.go
@@ -26,7 +26,7 @@
 		prefix := "/" + name + "/"
 		plan.Services[name] = deployment.Service{Targets: targets, Slots: 10, Works: []target.Work{{Prefix: prefix, Time: 5 * time.Millisecond, Bytes: 100}}}
 		plan.Routes = append(plan.Routes, deployment.Route{
-			Prefix: prefix, Kind: "safe", Service: name, MaxAttempts: 2, Timeout: time.Second, Objective: time.Second / 2, Deadline: 2 * time.Second,
+			Prefix: prefix, Kind: deployment.Safe, Service: name, MaxAttempts: 2, Timeout: time.Second, Objective: time.Second / 2, Deadline: 2 * time.Second,
 		})
 	}
 	return plan
--- a/internal/testbed/fleet/shortage_test.go
+++ b/internal/testbed/fleet/shortage_test.go
@@ -23,9 +23,9 @@
 			"deep":   {Targets: 4, Slots: 12, Speeds: []float64{0.7, 1, 1, 1.3}, Works: []target.Work{{Prefix: "/deep/", Time: 50 * time.Millisecond, Bytes: 200}}},
 		},
 		Routes: []deployment.Route{
-			{Prefix: "/list/", Kind: "safe", Service: "front", Priority: 2, MaxAttempts: 2, Timeout: 1500 * time.Millisecond, Objective: 1200 * time.Millisecond, Deadline: 3 * time.Second, PerSecond: listsPerSecond},
-			{Prefix: "/order/", Kind: "unsafe", Service: "orders", Priority: 0, MaxAttempts: 2, Timeout: 1500 * time.Millisecond, Objective: 600 * time.Millisecond, Deadline: 3 * time.Second, PerSecond: 40, Body: 300},
-			{Prefix: "/deep/", Kind: "safe", Service: "deep", Priority: 1, MaxAttempts: 2, Timeout: time.Second, Objective: 300 * time.Millisecond},
+			{Prefix: "/list/", Kind: deployment.Safe, Service: "front", Priority: 2, MaxAttempts: 2, Timeout: 1500 * time.Millisecond, Objective: 1200 * time.Millisecond, Deadline: 3 * time.Second, PerSecond: listsPerSecond},
+			{Prefix: "/order/", Kind: deployment.Unsafe, Service: "orders", Priority: 0, MaxAttempts: 2, Timeout: 1500 * time.Millisecond, Objective: 600 * time.Millisecond, Deadline: 3 * time.Second, PerSecond: 40, Body: 300},
+			{Prefix: "/deep/", Kind: deployment.Safe, Service: "deep", Priority: 1, MaxAttempts: 2, Timeout: time.Second, Objective: 300 * time.Millisecond},
 		},
 	}
 }
--- a/internal/testbed/fleet/soakrun_test.go
+++ b/internal/testbed/fleet/soakrun_test.go
@@ -240,7 +240,7 @@
 func (m *Mesh) keptRequest(conn net.Conn, reader *bufio.Reader, machine *Machine, route deployment.Route) bool {
 	deadline := time.Now().Add(route.Deadline)
 	id, uri := newID(), route.Prefix+path()
-	m.Judge.Expect(id, machine.IP, uri, route.Service, machine.Target.Service, route.Kind == "unsafe", route.MaxAttempts)
+	m.Judge.Expect(id, machine.IP, uri, route.Service, machine.Target.Service, route.Kind == deployment.Unsafe, route.MaxAttempts)
 	request, err := m.requestOf(context.Background(), machine, route, id, uri, deadline)
 	if err != nil {
 		return false
