--- a/internal/testbed/fleet/mesh_test.go
+++ b/internal/testbed/fleet/mesh_test.go
@@ -10,8 +10,6 @@
 	"math/rand/v2"
 	"net"
 	"net/http"
-	"strconv"
-	"strings"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -53,9 +51,7 @@
 	Harmful  *target.Harmful
 	Machines []*Machine
 	Tally    *Tally
-
-	burst  atomic.Int64 // factor on the clients' requests; 0: 1
-	giveUp atomic.Int64 // time after which some clients leave, ns; 0: none does
+	Clients  *Clients
 
 	mutex     sync.Mutex // of the plan's routes and tenants, and the version
 	version   int
@@ -74,15 +70,6 @@
 	Dialer(from string) func(ctx context.Context, network, to string) (net.Conn, error)
 }
 
-// Tally counts how clients' requests ended.
-type Tally struct {
-	mutex  sync.Mutex
-	Asked  map[string]int // by route prefix
-	Served map[string]int
-	InTime map[string]int
-	Status map[int]int // 0: no answer
-}
-
 const storeHost = "10.0.0.1"
 
 // storeAddress is where the store listens.
@@ -108,7 +95,7 @@
 	running, end := context.WithCancel(context.Background())
 	m := &Mesh{
 		Plan: plan, Store: store.New(), Judge: judge.New(DrainBound), Harmful: target.NewHarmful(), running: running, end: end,
-		Tally: &Tally{Asked: map[string]int{}, Served: map[string]int{}, InTime: map[string]int{}, Status: map[int]int{}},
+		Tally: NewTally(),
 	}
 	m.Store.ReadsPerSecond = plan.ReadsPerSecond
 	zones := map[string]string{}
@@ -124,6 +111,7 @@
 		})
 		m.wires = m.Network
 	}
+	m.Clients = &Clients{Judge: m.Judge, Tally: m.Tally, Dialer: m.wires.Dialer, Caller: m.caller, Any: func() Origin { return m.anyIn().origin() }}
 	listener, err := m.wires.Listen(at)
 	if err != nil {
 		return nil, err
@@ -187,6 +175,29 @@
 	return in[rand.IntN(len(in))]
 }
 
+// origin gives the machine as clients know it.
+func (m *Machine) origin() Origin {
+	return Origin{IP: m.IP, Outbound: m.IP + ":" + portOutbound, Service: m.Target.Service}
+}
+
+// Load sends the clients' requests for some time and waits for their ends.
+func (m *Mesh) Load(span time.Duration) {
+	m.mutex.Lock()
+	routes := m.Plan.Routes
+	m.mutex.Unlock()
+	m.Clients.Load(m.running, routes, span)
+}
+
+// attempt is one attempt of a client without a key.
+func (m *Mesh) attempt(machine *Machine, route deployment.Route, uri string, deadline time.Time) {
+	m.Clients.Attempt(m.running, machine.origin(), route, uri, "", "", deadline)
+}
+
+// sendHarmful sends a harmful request on a route as a client does, with its retry.
+func (m *Mesh) sendHarmful(machine *Machine, route deployment.Route, path string) {
+	m.Clients.SendHarmful(m.running, machine.origin(), route, path)
+}
+
 // place lays the targets out over the zones in turn.
 func (m *Mesh) place(zones map[string]string) {
 	for _, name := range m.Plan.ServiceNames() {
@@ -375,154 +386,6 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// Load sends the clients' requests for some time and waits for their ends.
-func (m *Mesh) Load(span time.Duration) {
-	var requests sync.WaitGroup
-	var senders sync.WaitGroup
-	m.mutex.Lock()
-	routes := m.Plan.Routes
-	m.mutex.Unlock()
-	for _, route := range routes {
-		if route.PerSecond <= 0 {
-			continue
-		}
-		senders.Go(func() {
-			end := time.Now().Add(span)
-			for time.Now().Before(end) && m.running.Err() == nil {
-				time.Sleep(time.Duration(rand.ExpFloat64() / route.PerSecond / float64(max(m.burst.Load(), 1)) * float64(time.Second)))
-				machine := m.anyIn()
-				requests.Go(func() { m.request(machine, route) })
-			}
-		})
-	}
-	senders.Wait()
-	requests.Wait()
-}
-
-// request is one client's request with the retries that the pages allow.
-func (m *Mesh) request(machine *Machine, route deployment.Route) {
-	began := time.Now()
-	deadline := began.Add(route.Deadline)
-	m.Tally.count(m.Tally.Asked, route.Prefix)
-	tenant, key := m.caller()
-	uri := route.Prefix + path()
-	for try := range 2 {
-		status, retryAfter := m.attempt(machine, route, uri, tenant, key, deadline)
-		if status == http.StatusOK {
-			m.Tally.count(m.Tally.Served, route.Prefix)
-			if time.Since(began) <= route.Objective {
-				m.Tally.count(m.Tally.InTime, route.Prefix)
-			}
-			return
-		}
-		promised := status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
-		if try > 0 || (route.Kind == deployment.Unsafe && !promised) {
-			return
-		}
-		if status == 0 {
-			machine = m.anyIn()
-		}
-		left := time.Until(deadline)
-		if wait := min(retryAfter, left/3); wait > 0 {
-			time.Sleep(wait)
-		}
-	}
-}
-
-// path gives the last part of a request's path: half of the requests are for one popular
-// thing, each of the others for one of its own.
-func path() string {
-	if rand.IntN(2) == 0 {
-		return "x"
-	}
-	return strconv.FormatUint(rand.Uint64(), 16)
-}
-
-func (t *Tally) count(counts map[string]int, key string) {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	counts[key]++
-}
-
-// giveUpOneIn is how many clients there are to one that leaves early.
-const giveUpOneIn = 3
-
-// attempt is one attempt of a client; the status is 0 when no whole answer came.
-func (m *Mesh) attempt(machine *Machine, route deployment.Route, uri, tenant, key string, deadline time.Time) (status int, retryAfter time.Duration) {
-	id := newID()
-	m.Judge.Expect(id, machine.IP, uri, route.Service, machine.Target.Service, route.Kind == deployment.Unsafe, route.MaxAttempts)
-	leaves := deadline
-	if after := time.Duration(m.giveUp.Load()); after > 0 && rand.IntN(giveUpOneIn) == 0 {
-		leaves = time.Now().Add(after)
-	}
-	ctx, cancel := context.WithDeadline(m.running, leaves)
-	defer cancel()
-	m.Judge.Signed(id, tenant, key)
-	status, header, content, err := m.roundTrip(ctx, machine, route, id, uri, key, deadline)
-	if err != nil {
-		if ctx.Err() == nil {
-			m.Judge.Cut(id, deadline)
-		}
-		m.Judge.Left(id)
-		status = 0
-	} else {
-		m.Judge.Received(id, status, header.Get("X-Response-Signature"), content)
-	}
-	m.Tally.mutex.Lock()
-	m.Tally.Status[status]++
-	m.Tally.mutex.Unlock()
-	if seconds, err := strconv.ParseFloat(header.Get("Retry-After"), 64); err == nil {
-		retryAfter = time.Duration(seconds * float64(time.Second))
-	}
-	return status, retryAfter
-}
-
-func (m *Mesh) roundTrip(ctx context.Context, machine *Machine, route deployment.Route, id, uri, key string, deadline time.Time) (int, http.Header, []byte, error) {
-	request, err := m.requestOf(ctx, machine, route, id, uri, deadline)
-	if err != nil {
-		return 0, nil, nil, err
-	}
-	sign(request, key)
-	transport := &http.Transport{DisableKeepAlives: true, DialContext: func(ctx context.Context, network, to string) (net.Conn, error) {
-		return m.wires.Dialer(machine.IP)(ctx, network, to)
-	}}
-	response, err := transport.RoundTrip(request)
-	if err != nil {
-		return 0, nil, nil, err
-	}
-	defer response.Body.Close()
-	content, err := io.ReadAll(response.Body)
-	return response.StatusCode, response.Header, content, err
-}
-
-func newID() string { return strconv.FormatUint(rand.Uint64(), 16) }
-
-// requestOf makes a client's request.
-func (m *Mesh) requestOf(ctx context.Context, machine *Machine, route deployment.Route, id, uri string, deadline time.Time) (*http.Request, error) {
-	method, body := http.MethodGet, ""
-	if route.Kind == deployment.Unsafe {
-		method, body = http.MethodPost, strings.Repeat("b", max(route.Body, 1))
-	}
-	request, err := http.NewRequestWithContext(ctx, method, "http://"+machine.IP+":"+portOutbound+uri, strings.NewReader(body))
-	if err != nil {
-		return nil, err
-	}
-	request.Host = deployment.Host
-	request.Header.Set("X-Request-Id", id)
-	request.Header.Set("X-Deadline-Ms", strconv.FormatInt(max(time.Until(deadline).Milliseconds(), 1), 10))
-	return request, nil
-}
-
-// Share gives the served share of a route's requests; 1 when none was sent.
-func (t *Tally) Share(prefix string) float64 {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	if t.Asked[prefix] == 0 {
-		return 1
-	}
-	return float64(t.Served[prefix]) / float64(t.Asked[prefix])
-}
-
 // inForceAfter is when the last version must be in force on every node, whatever
 // happened before: the bound, and its stretch after disruptions of the store.
 const inForceAfter = 7 * time.Second
--- a/internal/testbed/fleet/quota_test.go
+++ b/internal/testbed/fleet/quota_test.go
@@ -96,9 +96,9 @@
 		time.Sleep(10 * time.Second)
 		killAndRestart(mesh.Machines[3:])
 		time.Sleep(2 * time.Second)
-		mesh.Tally.clear()
+		mesh.Tally.Clear()
 		time.Sleep(2 * time.Second)
-		served, asked := mesh.Tally.sums()
+		served, asked := mesh.Tally.Sums()
 		g.Expect(float64(served)/float64(asked)).To(BeNumerically(">", 0.9), "%v", mesh.Tally.Status)
 		for _, machine := range mesh.Machines[:3] {
 			mesh.Network.Dark(machine.IP, false)
@@ -107,23 +107,6 @@
 	g.Expect(mesh.Judge.Broken()).To(BeEmpty())
 }
 
-func (t *Tally) clear() {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	clear(t.Asked)
-	clear(t.Served)
-	clear(t.Status)
-}
-
-func (t *Tally) sums() (served, asked int) {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	for prefix := range t.Asked {
-		served, asked = served+t.Served[prefix], asked+t.Asked[prefix]
-	}
-	return served, asked
-}
-
 // Keepers whose right ran out while the store was away go on when it is back and has kept
 // their leases: nobody else can take over before those end.
 func TestKeepersGoOnWhenTheStoreKeptTheirLeases(t *testing.T) {
@@ -138,9 +121,9 @@
 		time.Sleep(away)
 		mesh.Store.Set(func(s *store.Store) { s.Down = false })
 		time.Sleep(1500 * time.Millisecond)
-		mesh.Tally.clear()
+		mesh.Tally.Clear()
 		time.Sleep(2 * time.Second)
-		served, asked := mesh.Tally.sums()
+		served, asked := mesh.Tally.Sums()
 		g.Expect(float64(served)/float64(asked)).To(BeNumerically(">", 0.9), "%v", mesh.Tally.Status)
 	})
 	g.Expect(mesh.Judge.Broken()).To(BeEmpty())
--- a/internal/testbed/fleet/shortage_test.go
+++ b/internal/testbed/fleet/shortage_test.go
@@ -98,7 +98,7 @@
 	plan.Routes[0].Timeout = 500 * time.Millisecond
 	mesh := play(t, plan, 5*time.Second, func(mesh *Mesh) {
 		time.Sleep(2 * time.Second)
-		mesh.burst.Store(3)
+		mesh.Clients.SetBurst(3)
 	})
 	answers, refused := 0, mesh.Tally.Status[503]
 	for _, count := range mesh.Tally.Status {
--- a/internal/testbed/fleet/soak_test.go
+++ b/internal/testbed/fleet/soak_test.go
@@ -127,7 +127,7 @@
 	for _, route := range m.Plan.Routes {
 		if route.PerSecond > 0 {
 			for range 4 {
-				clients.Go(func() { m.keep(ctx, route) })
+				clients.Go(func() { m.Clients.Keep(ctx, route) })
 			}
 		}
 	}
@@ -172,18 +172,9 @@
 
 // servedInCalm gives the share of some requests that are served.
 func (m *Mesh) servedInCalm() float64 {
-	m.Tally.mutex.Lock()
-	clear(m.Tally.Asked)
-	clear(m.Tally.Served)
-	m.Tally.mutex.Unlock()
+	m.Tally.ClearServed()
 	m.Load(3 * time.Second)
-	m.Tally.mutex.Lock()
-	defer m.Tally.mutex.Unlock()
-	asked, served := 0, 0
-	for prefix, count := range m.Tally.Asked {
-		asked += count
-		served += m.Tally.Served[prefix]
-	}
+	served, asked := m.Tally.Sums()
 	return float64(served) / float64(max(asked, 1))
 }
 
@@ -357,13 +348,13 @@
 		}
 	}},
 	{"burst", func(m *Mesh, _ *rand.Rand) {
-		m.burst.Store(2)
+		m.Clients.SetBurst(2)
 		time.Sleep(2 * time.Second)
-		m.burst.Store(0)
+		m.Clients.SetBurst(0)
 	}},
 	{"clients leave", func(m *Mesh, _ *rand.Rand) {
-		m.giveUp.Store(int64(20 * time.Millisecond))
+		m.Clients.SetGiveUp(20 * time.Millisecond)
 		time.Sleep(2 * time.Second)
-		m.giveUp.Store(0)
+		m.Clients.SetGiveUp(0)
 	}},
 }
--- a/internal/testbed/fleet/soakrun_test.go
+++ b/internal/testbed/fleet/soakrun_test.go
@@ -1,11 +1,8 @@
 package fleet
 
 import (
-	"bufio"
-	"context"
 	"fmt"
 	"io"
-	"net"
 	"net/http"
 	"os"
 	"os/exec"
@@ -17,7 +14,6 @@
 	"time"
 
 	"github.com/landingmast/landingmast/internal/sidecar/settings"
-	"github.com/landingmast/landingmast/internal/testbed/deployment"
 	"github.com/landingmast/landingmast/internal/testbed/judge"
 )
 
@@ -218,51 +214,3 @@
 		}
 	}
 }
-
-// keep sends requests one after the other on an open connection to a machine, until it is
-// gone, and goes on with another machine then.
-func (m *Mesh) keep(ctx context.Context, route deployment.Route) {
-	for ctx.Err() == nil {
-		machine := m.anyIn()
-		if conn, err := m.wires.Dialer(machine.IP)(ctx, "tcp", machine.IP+":"+portOutbound); err == nil {
-			reader := bufio.NewReader(conn)
-			for ctx.Err() == nil && m.keptRequest(conn, reader, machine, route) {
-				time.Sleep(5 * time.Millisecond)
-			}
-			_ = conn.Close()
-		}
-		time.Sleep(50 * time.Millisecond)
-	}
-}
-
-// keptRequest sends one request; false: the connection is of no more use. net/http's client
-// is of none here, since it repeats requests by itself.
-func (m *Mesh) keptRequest(conn net.Conn, reader *bufio.Reader, machine *Machine, route deployment.Route) bool {
-	deadline := time.Now().Add(route.Deadline)
-	id, uri := newID(), route.Prefix+path()
-	m.Judge.Expect(id, machine.IP, uri, route.Service, machine.Target.Service, route.Kind == deployment.Unsafe, route.MaxAttempts)
-	request, err := m.requestOf(context.Background(), machine, route, id, uri, deadline)
-	if err != nil {
-		return false
-	}
-	_ = conn.SetDeadline(deadline)
-	if request.Write(conn) != nil {
-		m.Judge.Left(id)
-		return false
-	}
-	response, err := http.ReadResponse(reader, request)
-	var content []byte
-	if err == nil {
-		content, err = io.ReadAll(response.Body)
-	}
-	if err != nil {
-		m.Judge.Cut(id, deadline)
-		m.Judge.Left(id)
-		return false
-	}
-	m.Judge.Received(id, response.StatusCode, response.Header.Get("X-Response-Signature"), content)
-	m.Tally.mutex.Lock()
-	m.Tally.Status[response.StatusCode]++
-	m.Tally.mutex.Unlock()
-	return !response.Close
-}
--- a/internal/testbed/fleet/tenants_test.go
+++ b/internal/testbed/fleet/tenants_test.go
@@ -9,9 +9,6 @@
 	"github.com/landingmast/landingmast/internal/testbed/judge"
 )
 
-// keyScheme begins the header that carries a key.
-const keyScheme = "Bearer "
-
 // Retenant writes a configuration with changed tenants. The judge counts from the time at
 // which the store has it.
 func (m *Mesh) Retenant(change func(tenants []deployment.Tenant) []deployment.Tenant) {
@@ -61,16 +58,6 @@
 	return "", ""
 }
 
-// sign gives a request the key and a tenant that nobody may claim.
-func sign(request *http.Request, key string) {
-	if key == "" {
-		return
-	}
-	request.Header.Set("Authorization", keyScheme+key)
-	request.Header.Set("X-Tenant", "claimed")
-	request.Header["x_tenant"] = []string{"claimed"}
-}
-
 // statusOf sends one request with a key and gives the status.
 func (m *Mesh) statusOf(machine *Machine, uri, key string) int {
 	request, err := http.NewRequest(http.MethodGet, "http://"+machine.IP+":"+portOutbound+uri, nil)
@@ -82,7 +69,7 @@
 	request.Header.Set("X-Request-Id", id)
 	request.Header.Set("X-Deadline-Ms", "1000")
 	if key != "" {
-		request.Header.Set("Authorization", keyScheme+key)
+		request.Header.Set("Authorization", KeyScheme+key)
 	}
 	m.Judge.ExpectCall(id, machine.IP, machine.Target.Service)
 	transport := &http.Transport{DisableKeepAlives: true, DialContext: m.Network.Dialer(machine.IP)}
--- a/internal/testbed/fleet/troubles_test.go
+++ b/internal/testbed/fleet/troubles_test.go
@@ -164,15 +164,15 @@
 			mesh.Store.Set(func(s *store.Store) { clear(s.Refuse) })
 		}},
 		{"burst", 0.9, func(mesh *Mesh, _ *rand.Rand) {
-			mesh.burst.Store(2)
+			mesh.Clients.SetBurst(2)
 			time.Sleep(3 * time.Second)
-			mesh.burst.Store(0)
+			mesh.Clients.SetBurst(0)
 		}},
 		// Those that leave are not served; what counts is that nothing runs for them.
 		{"give_up", 0, func(mesh *Mesh, _ *rand.Rand) {
-			mesh.giveUp.Store(int64(20 * time.Millisecond))
+			mesh.Clients.SetGiveUp(20 * time.Millisecond)
 			time.Sleep(4 * time.Second)
-			mesh.giveUp.Store(0)
+			mesh.Clients.SetGiveUp(0)
 		}},
 		{"hup", 0.99, func(mesh *Mesh, random *rand.Rand) {
 			for _, machine := range some(mesh, random, 0.5) {
