--- a/internal/testbed/fleet/client_test.go
+++ b/internal/testbed/client/client.go
@@ -1,4 +1,9 @@
-package fleet
+// Package client is a stand-in of the clients on the machines of a deployment: it sends
+// requests at the rates of the routes, repeats what may be repeated, leaves early when a test
+// wants that, and counts how requests end. It owns the connections of the clients and the
+// tally; it relies on being given a machine for each request, and reports every request and
+// answer to the judge. Only tests import it.
+package client
 
 import (
 	"context"
--- a/internal/testbed/fleet/mesh_test.go
+++ b/internal/testbed/fleet/mesh_test.go
@@ -16,6 +16,7 @@
 
 	"github.com/landingmast/landingmast/internal/sidecar"
 	"github.com/landingmast/landingmast/internal/sidecar/settings"
+	"github.com/landingmast/landingmast/internal/testbed/client"
 	"github.com/landingmast/landingmast/internal/testbed/deployment"
 	"github.com/landingmast/landingmast/internal/testbed/judge"
 	"github.com/landingmast/landingmast/internal/testbed/memnet"
@@ -50,8 +51,8 @@
 	Judge    *judge.Judge
 	Harmful  *target.Harmful
 	Machines []*Machine
-	Tally    *Tally
-	Clients  *Clients
+	Tally    *client.Tally
+	Clients  *client.Clients
 
 	mutex     sync.Mutex // of the plan's routes and tenants, and the version
 	version   int
@@ -95,7 +96,7 @@
 	running, end := context.WithCancel(context.Background())
 	m := &Mesh{
 		Plan: plan, Store: store.New(), Judge: judge.New(DrainBound), Harmful: target.NewHarmful(), running: running, end: end,
-		Tally: NewTally(),
+		Tally: client.NewTally(),
 	}
 	m.Store.ReadsPerSecond = plan.ReadsPerSecond
 	zones := map[string]string{}
@@ -111,7 +112,7 @@
 		})
 		m.wires = m.Network
 	}
-	m.Clients = &Clients{Judge: m.Judge, Tally: m.Tally, Dialer: m.wires.Dialer, Caller: m.caller, Any: func() Origin { return m.anyIn().origin() }}
+	m.Clients = &client.Clients{Judge: m.Judge, Tally: m.Tally, Dialer: m.wires.Dialer, Caller: m.caller, Any: func() client.Origin { return m.anyIn().origin() }}
 	listener, err := m.wires.Listen(at)
 	if err != nil {
 		return nil, err
@@ -176,8 +177,8 @@
 }
 
 // origin gives the machine as clients know it.
-func (m *Machine) origin() Origin {
-	return Origin{IP: m.IP, Outbound: m.IP + ":" + portOutbound, Service: m.Target.Service}
+func (m *Machine) origin() client.Origin {
+	return client.Origin{IP: m.IP, Outbound: m.IP + ":" + portOutbound, Service: m.Target.Service}
 }
 
 // Load sends the clients' requests for some time and waits for their ends.
--- a/internal/testbed/fleet/tenants_test.go
+++ b/internal/testbed/fleet/tenants_test.go
@@ -5,6 +5,7 @@
 	"net/http"
 	"strconv"
 
+	"github.com/landingmast/landingmast/internal/testbed/client"
 	"github.com/landingmast/landingmast/internal/testbed/deployment"
 	"github.com/landingmast/landingmast/internal/testbed/judge"
 )
@@ -69,7 +70,7 @@
 	request.Header.Set("X-Request-Id", id)
 	request.Header.Set("X-Deadline-Ms", "1000")
 	if key != "" {
-		request.Header.Set("Authorization", KeyScheme+key)
+		request.Header.Set("Authorization", client.KeyScheme+key)
 	}
 	m.Judge.ExpectCall(id, machine.IP, machine.Target.Service)
 	transport := &http.Transport{DisableKeepAlives: true, DialContext: m.Network.Dialer(machine.IP)}
