--- a/internal/testbed/client/client.go
+++ b/internal/testbed/client/client.go
@@ -32,27 +32,27 @@
 type Clients struct {
 	Judge *judge.Judge
 	Tally *Tally
-	// Dialer gives the function with which a host opens connections.
+	// Dialer returns the function with which a host opens connections.
 	Dialer func(from string) func(ctx context.Context, network, to string) (net.Conn, error)
-	// Any gives a machine whose clients get work.
+	// Any returns a machine whose clients get work.
 	Any func() Origin
 	// Caller picks the tenant of a request and its key; empty where clients have none.
 	Caller func() (tenant, key string)
 
-	burst  atomic.Int64 // factor on the requests; 0: 1
-	giveUp atomic.Int64 // time after which some clients leave, ns; 0: none does
+	burst  atomic.Int64 // factor on the rates; 0: 1
+	giveUp atomic.Int64 // nanoseconds after which some clients leave; 0: none does
 }
 
-// SetBurst multiplies the requests; 0 and 1: as many as the routes say.
+// SetBurst multiplies the rates of the routes; 0 and 1 leave them as they are.
 func (c *Clients) SetBurst(factor int64) { c.burst.Store(factor) }
 
-// SetGiveUp has some clients leave after a time; 0: none does.
+// SetGiveUp makes one client in giveUpOneIn leave after a time; 0: none does.
 func (c *Clients) SetGiveUp(after time.Duration) { c.giveUp.Store(int64(after)) }
 
-// KeyScheme begins the header that carries a key.
+// KeyScheme is the prefix of the header that carries a key.
 const KeyScheme = "Bearer "
 
-// Load sends the clients' requests for some time and waits for their ends.
+// Load sends requests at the rates of the routes for a span and returns when all have ended.
 func (c *Clients) Load(ctx context.Context, routes []deployment.Route, span time.Duration) {
 	var requests sync.WaitGroup
 	var senders sync.WaitGroup
@@ -73,7 +73,7 @@
 	requests.Wait()
 }
 
-// request is one client's request with the retries that the pages allow.
+// request sends a request and repeats it once, unless it is unsafe and may have run.
 func (c *Clients) request(ctx context.Context, origin Origin, route deployment.Route) {
 	began := time.Now()
 	deadline := began.Add(route.Deadline)
@@ -89,8 +89,8 @@
 			}
 			return
 		}
-		promised := status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
-		if try > 0 || (route.Kind == deployment.Unsafe && !promised) {
+		notRun := status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
+		if try > 0 || (route.Kind == deployment.Unsafe && !notRun) {
 			return
 		}
 		if status == 0 {
@@ -103,8 +103,8 @@
 	}
 }
 
-// path gives the last part of a request's path: half of the requests are for one popular
-// thing, each of the others for one of its own.
+// path returns the last part of a request's path: the same one for half of the requests, a
+// random one for each of the others.
 func path() string {
 	if rand.IntN(2) == 0 {
 		return "x"
@@ -112,10 +112,11 @@
 	return strconv.FormatUint(rand.Uint64(), 16)
 }
 
-// giveUpOneIn is how many clients there are to one that leaves early.
+// giveUpOneIn is the number of clients of which one leaves early.
 const giveUpOneIn = 3
 
-// Attempt is one attempt of a client; the status is 0 when no whole answer came.
+// Attempt sends a request once. The status is 0 when no whole answer came; retryAfter is 0 when
+// the answer has none.
 func (c *Clients) Attempt(ctx context.Context, origin Origin, route deployment.Route, uri, tenant, key string, deadline time.Time) (status int, retryAfter time.Duration) {
 	id := newID()
 	c.Judge.Expect(id, origin.IP, uri, route.Service, origin.Service, route.Kind == deployment.Unsafe, route.MaxAttempts)
@@ -143,6 +144,7 @@
 	return status, retryAfter
 }
 
+// roundTrip sends a request on a connection of its own and reads the whole answer.
 func (c *Clients) roundTrip(ctx context.Context, origin Origin, route deployment.Route, id, uri, key string, deadline time.Time) (int, http.Header, []byte, error) {
 	request, err := requestOf(ctx, origin, route, id, uri, deadline)
 	if err != nil {
@@ -161,7 +163,7 @@
 
 func newID() string { return strconv.FormatUint(rand.Uint64(), 16) }
 
-// BodyOf gives the body of clients' requests on a route.
+// BodyOf returns the body of clients' requests on a route.
 func BodyOf(route deployment.Route) string {
 	if route.Kind == deployment.Unsafe {
 		return strings.Repeat("b", max(route.Body, 1))
@@ -185,7 +187,7 @@
 	return request, nil
 }
 
-// sign gives a request the key and a tenant that nobody may claim.
+// sign adds the key, and headers that claim a tenant, which nodes have to take out.
 func sign(request *http.Request, key string) {
 	if key == "" {
 		return
@@ -195,7 +197,7 @@
 	request.Header["x_tenant"] = []string{"claimed"}
 }
 
-// SendHarmful sends a harmful request on a route as a client does, with its retry.
+// SendHarmful sends a harmful request and repeats it once at another machine.
 func (c *Clients) SendHarmful(ctx context.Context, origin Origin, route deployment.Route, path string) {
 	deadline := time.Now().Add(route.Deadline)
 	for range 2 {
--- a/internal/testbed/client/keep.go
+++ b/internal/testbed/client/keep.go
@@ -11,24 +11,30 @@
 	"github.com/landingmast/landingmast/internal/testbed/deployment"
 )
 
-// Keep sends requests one after the other on an open connection to a machine, until it is
-// gone, and goes on with another machine then.
+// Pauses of Keep.
+const (
+	keptPause   = 5 * time.Millisecond  // between requests of a connection
+	reopenPause = 50 * time.Millisecond // before the next connection
+)
+
+// Keep sends requests one after the other on an open connection, and opens one to another
+// machine when it ends, until ctx is done.
 func (c *Clients) Keep(ctx context.Context, route deployment.Route) {
 	for ctx.Err() == nil {
 		origin := c.Any()
 		if conn, err := c.Dialer(origin.IP)(ctx, "tcp", origin.Outbound); err == nil {
 			reader := bufio.NewReader(conn)
 			for ctx.Err() == nil && c.keptRequest(conn, reader, origin, route) {
-				time.Sleep(5 * time.Millisecond)
+				time.Sleep(keptPause)
 			}
 			_ = conn.Close()
 		}
-		time.Sleep(50 * time.Millisecond)
+		time.Sleep(reopenPause)
 	}
 }
 
-// keptRequest sends one request; false: the connection is of no more use. net/http's client
-// is of none here, since it repeats requests by itself.
+// keptRequest sends a request on an open connection and reports whether another one can follow.
+// It does without net/http's client, which repeats requests by itself.
 func (c *Clients) keptRequest(conn net.Conn, reader *bufio.Reader, origin Origin, route deployment.Route) bool {
 	deadline := time.Now().Add(route.Deadline)
 	id, uri := newID(), route.Prefix+path()
