--- a/internal/testbed/fleet/mesh_test.go
+++ b/internal/testbed/fleet/mesh_test.go
@@ -6,16 +6,11 @@
 import (
 	"context"
 	"fmt"
-	"io"
 	"math/rand/v2"
-	"net"
 	"net/http"
 	"sync"
-	"sync/atomic"
 	"time"
 
-	"github.com/landingmast/landingmast/internal/sidecar"
-	"github.com/landingmast/landingmast/internal/sidecar/settings"
 	"github.com/landingmast/landingmast/internal/testbed/client"
 	"github.com/landingmast/landingmast/internal/testbed/deployment"
 	"github.com/landingmast/landingmast/internal/testbed/judge"
@@ -25,28 +20,10 @@
 	"github.com/landingmast/landingmast/platform"
 )
 
-// Machine is one machine of a mesh: a node and a target.
-type Machine struct {
-	mesh   *Mesh
-	IP     string
-	Zone   string
-	Target *target.Target
-
-	out     atomic.Bool // its clients get no new work: it was not ready twice in a row
-	mutex   sync.Mutex
-	stop    context.CancelFunc
-	hurry   context.CancelFunc
-	stopped chan struct{}
-	first   bool
-	node    *sidecar.Node
-	clock   *machineClock
-	busy    sync.Mutex // held by a trouble of a soak
-}
-
 // Mesh is a deployment in memory: store, machines and clients.
 type Mesh struct {
 	Plan     deployment.Plan
-	Network  *memnet.Network // nil in a soak
+	Network  *memnet.Network // nil in another environment than memory
 	Store    *store.Store
 	Judge    *judge.Judge
 	Harmful  *target.Harmful
@@ -61,14 +38,7 @@
 	group     sync.WaitGroup
 	end       context.CancelFunc
 	running   context.Context
-	wires     wires
-	soak      *soak // nil: nodes in this process, in virtual time
-}
-
-// wires are what the stand-ins speak over.
-type wires interface {
-	Listen(address string) (net.Listener, error)
-	Dialer(from string) func(ctx context.Context, network, to string) (net.Conn, error)
+	around    Environment
 }
 
 const storeHost = "10.0.0.1"
@@ -76,90 +46,71 @@
 // storeAddress is where the store listens.
 const storeAddress = storeHost + ":80"
 
-// Ports of every machine.
-const (
-	portTarget   = "8001"
-	portOutbound = "8002"
-	portInbound  = "8003"
-	portReady    = "8004"
-	portControl  = "8005"
-)
-
 // DrainBound is the bound of the rule DRAIN in a mesh.
 const DrainBound = 2 * time.Second
 
 // NewMesh starts a deployment in memory. Close must follow.
-func NewMesh(plan deployment.Plan) (*Mesh, error) { return newMesh(plan, nil) }
+func NewMesh(plan deployment.Plan) (*Mesh, error) {
+	zones := map[string]string{}
+	network := memnet.New(func(from, to string) time.Duration {
+		if zones[from] == zones[to] {
+			return plan.Delay / 5
+		}
+		return plan.Delay
+	})
+	machineIP := func(number int) string { return fmt.Sprintf("10.1.%d.%d", number/200, number%200+1) }
+	nodes := &inProcess{network: network, output: plan.Output}
+	m := newMesh(plan, Environment{Network: network, StoreAddress: storeAddress, MachineIP: machineIP, Nodes: nodes})
+	m.Network = network
+	for _, machine := range m.Machines {
+		zones[machine.IP] = machine.Zone
+	}
+	return m, m.start()
+}
+
+// NewMeshIn starts a deployment in an environment. Close must follow.
+func NewMeshIn(plan deployment.Plan, around Environment) (*Mesh, error) {
+	m := newMesh(plan, around)
+	return m, m.start()
+}
 
-// newMesh starts a deployment, with processes of their own for the nodes where it is a soak.
-func newMesh(plan deployment.Plan, soak *soak) (*Mesh, error) {
+// newMesh makes a deployment; nothing of it runs.
+func newMesh(plan deployment.Plan, around Environment) *Mesh {
 	running, end := context.WithCancel(context.Background())
 	m := &Mesh{
 		Plan: plan, Store: store.New(), Judge: judge.New(DrainBound), Harmful: target.NewHarmful(), running: running, end: end,
-		Tally: client.NewTally(),
+		Tally: client.NewTally(), around: around,
 	}
 	m.Store.ReadsPerSecond = plan.ReadsPerSecond
-	zones := map[string]string{}
-	at := storeAddress
-	if soak != nil {
-		m.soak, m.wires, at = soak, loopback{}, soak.storeAddress()
-	} else {
-		m.Network = memnet.New(func(from, to string) time.Duration {
-			if zones[from] == zones[to] {
-				return plan.Delay / 5
-			}
-			return plan.Delay
-		})
-		m.wires = m.Network
-	}
-	m.Clients = &client.Clients{Judge: m.Judge, Tally: m.Tally, Dialer: m.wires.Dialer, Caller: m.caller, Any: func() client.Origin { return m.anyIn().origin() }}
-	listener, err := m.wires.Listen(at)
-	if err != nil {
-		return nil, err
-	}
+	m.Clients = &client.Clients{Judge: m.Judge, Tally: m.Tally, Dialer: around.Network.Dialer, Caller: m.caller, Any: func() client.Origin { return m.anyIn().origin() }}
 	m.server = &http.Server{Handler: m.Store}
-	m.group.Go(func() { _ = m.server.Serve(listener) })
-	m.place(zones)
+	m.place()
 	for _, tenant := range plan.Tenants {
 		m.firstKeys = append(m.firstKeys, tenant.Keys)
 	}
 	m.Judge.SetTenants(nil, tenantsOf(plan.Tenants))
+	return m
+}
+
+// start starts the store, the targets and the nodes.
+func (m *Mesh) start() error {
+	listener, err := m.around.Network.Listen(m.around.StoreAddress)
+	if err != nil {
+		return err
+	}
+	m.group.Go(func() { _ = m.server.Serve(listener) })
 	m.Configure(nil)
 	for _, machine := range m.Machines {
 		if err := machine.Target.Start(); err != nil {
-			return nil, err
+			return err
 		}
 		if err := machine.Start(); err != nil {
-			return nil, err
+			return err
 		}
 		machine.first = false
-		m.group.Go(func() { machine.askReady(running) })
-	}
-	return m, nil
-}
-
-// The platform asks each node once a second; after so many misses the clients on
-// its machine are given no new work until it is ready again.
-const (
-	readyEvery  = time.Second
-	readyMisses = 2
-)
-
-func (m *Machine) askReady(ctx context.Context) {
-	misses := 0
-	for ctx.Err() == nil {
-		select {
-		case <-ctx.Done():
-			return
-		case <-time.After(readyEvery):
-		}
-		if m.Ready() {
-			misses = 0
-		} else {
-			misses++
-		}
-		m.out.Store(misses >= readyMisses)
+		m.group.Go(func() { machine.askReady(m.running) })
 	}
+	return nil
 }
 
 // anyIn gives a machine whose clients get work.
@@ -176,11 +127,6 @@
 	return in[rand.IntN(len(in))]
 }
 
-// origin gives the machine as clients know it.
-func (m *Machine) origin() client.Origin {
-	return client.Origin{IP: m.IP, Outbound: m.IP + ":" + portOutbound, Service: m.Target.Service}
-}
-
 // Load sends the clients' requests for some time and waits for their ends.
 func (m *Mesh) Load(span time.Duration) {
 	m.mutex.Lock()
@@ -200,16 +146,12 @@
 }
 
 // place lays the targets out over the zones in turn.
-func (m *Mesh) place(zones map[string]string) {
+func (m *Mesh) place() {
 	for _, name := range m.Plan.ServiceNames() {
 		service := m.Plan.Services[name]
 		for index := range service.Targets {
-			ip := fmt.Sprintf("10.1.%d.%d", len(m.Machines)/200, len(m.Machines)%200+1)
-			if m.soak != nil {
-				ip = m.soak.machineIP(len(m.Machines))
-			}
+			ip := m.around.MachineIP(len(m.Machines))
 			zone := m.Plan.Zones[len(m.Machines)%len(m.Plan.Zones)]
-			zones[ip] = zone
 			speed := 0.0
 			if len(service.Speeds) > 0 {
 				speed = service.Speeds[index%len(service.Speeds)]
@@ -217,7 +159,7 @@
 			m.Machines = append(m.Machines, &Machine{mesh: m, IP: ip, Zone: zone, first: true, clock: newMachineClock(), Target: &target.Target{
 				Service: name, Address: ip + ":" + portTarget, Outbound: ip + ":" + portOutbound, Control: ip + ":" + portControl,
 				Zone: zone, Slots: service.Slots, Speed: speed, Works: service.Works, Judge: m.Judge, Harmful: m.Harmful,
-				Dial: m.wires.Dialer(ip), Listen: m.wires.Listen,
+				Dial: m.around.Network.Dialer(ip), Listen: m.around.Network.Listen,
 			}})
 		}
 	}
@@ -248,7 +190,7 @@
 		machine.Kill()
 	}
 	_ = m.server.Close()
-	if m.soak != nil {
+	if m.Network == nil {
 		m.group.Wait()
 		return
 	}
@@ -257,113 +199,6 @@
 	time.Sleep(closeTime)
 }
 
-// settings are those of the machine's node.
-func (m *Machine) settings() *settings.Settings {
-	checked := &settings.Settings{
-		Node: "node-" + m.IP, Zone: m.Zone, FirstStart: m.first,
-		Target: settings.Target{Service: m.Target.Service, Address: m.Target.Address},
-		Listen: settings.Listen{Outbound: m.IP + ":" + portOutbound, Inbound: m.IP + ":" + portInbound, Ready: m.IP + ":" + portReady, Control: m.IP + ":" + portControl},
-		Store:  settings.Store{Address: storeAddress, ReadsPerSecond: float64(m.mesh.Plan.ReadsPerSecond)},
-	}
-	checked.Keys.FailClosed = true
-	checked.SetDefaults()
-	return checked
-}
-
-// Start starts the node of a machine.
-func (m *Machine) Start() error {
-	m.mesh.Judge.Restarted(m.IP)
-	if m.mesh.soak != nil {
-		return m.mesh.soak.start(m)
-	}
-	checked := m.settings()
-	output := m.mesh.Plan.Output
-	if output == nil {
-		output = io.Discard
-	}
-	store := platform.NewStore(storeAddress, m.mesh.Network.Dialer(m.IP))
-	node, err := sidecar.New(checked, sidecar.Options{
-		Headers: platform.Headers(), Store: store, ConfigurationKey: platform.ConfigurationKey, RecordPrefix: platform.RecordPrefix, NodePrefix: platform.NodePrefix, QuotaPrefix: platform.QuotaPrefix, CrashKey: platform.CrashKey,
-		ReadIntent: platform.ReadIntent, Control: func(targets *sidecar.Targets) http.Handler { return platform.Heartbeats(targets) },
-		Ready: platform.Readiness, Output: output, Listen: m.mesh.Network.Listen, Dial: m.mesh.Network.Dialer(m.IP), Clock: m.clock,
-	})
-	if err != nil {
-		return err
-	}
-	ctx, stop := context.WithCancel(context.Background())
-	now, hurry := context.WithCancel(context.Background())
-	stopped := make(chan struct{})
-	m.mutex.Lock()
-	m.node, m.stop, m.hurry, m.stopped = node, stop, hurry, stopped
-	m.mutex.Unlock()
-	go func() {
-		defer close(stopped)
-		_ = node.Run(ctx, now)
-		store.Close()
-	}()
-	return nil
-}
-
-// Reload has the node take changed settings, as SIGHUP does.
-func (m *Machine) Reload(change func(s *settings.Settings)) {
-	changed := m.settings()
-	change(changed)
-	if m.mesh.soak != nil {
-		m.mesh.soak.reload(m, changed)
-		return
-	}
-	m.mutex.Lock()
-	defer m.mutex.Unlock()
-	m.node.Reload(changed)
-}
-
-// Stop is the planned stop of the machine's node; it returns when the node has ended.
-func (m *Machine) Stop() {
-	if m.mesh.soak != nil {
-		m.mesh.soak.stop(m)
-		return
-	}
-	m.mutex.Lock()
-	stop, stopped := m.stop, m.stopped
-	m.mutex.Unlock()
-	stop()
-	<-stopped
-}
-
-// Kill ends the machine's node at once; its target goes on.
-func (m *Machine) Kill() {
-	if m.mesh.soak != nil {
-		m.mesh.soak.kill(m)
-		return
-	}
-	m.mutex.Lock()
-	stop, hurry, stopped := m.stop, m.hurry, m.stopped
-	m.mutex.Unlock()
-	if stop == nil {
-		return
-	}
-	hurry()
-	stop()
-	<-stopped
-}
-
-// Version gives the version of the configuration that is in force on the node.
-func (m *Machine) Version() uint64 {
-	if m.mesh.soak != nil {
-		return m.mesh.soak.version(m)
-	}
-	m.mutex.Lock()
-	defer m.mutex.Unlock()
-	return m.node.Version()
-}
-
-// peers gives the number of other nodes that the node knows.
-func (m *Machine) peers() int {
-	m.mutex.Lock()
-	defer m.mutex.Unlock()
-	return m.node.Peers()
-}
-
 // followers gives the machines whose nodes follow the store.
 func (m *Mesh) followers() (found []*Machine) {
 	for _, machine := range m.Machines {
@@ -376,17 +211,6 @@
 	return found
 }
 
-// Ready asks the node whether it takes work.
-func (m *Machine) Ready() bool {
-	client := &http.Client{Transport: &http.Transport{DialContext: m.mesh.wires.Dialer(m.IP), DisableKeepAlives: true}, Timeout: time.Second}
-	response, err := client.Get("http://" + m.IP + ":" + portReady + "/-/readiness")
-	if err != nil {
-		return false
-	}
-	_ = response.Body.Close()
-	return response.StatusCode == http.StatusOK
-}
-
 // inForceAfter is when the last version must be in force on every node, whatever
 // happened before: the bound, and its stretch after disruptions of the store.
 const inForceAfter = 7 * time.Second
--- /dev/null
+++ b/internal/testbed/fleet/nodes_test.go
@@ -0,0 +1,111 @@
+package fleet
+
+import (
+	"context"
+	"io"
+	"net"
+	"net/http"
+
+	"github.com/landingmast/landingmast/internal/sidecar"
+	"github.com/landingmast/landingmast/internal/sidecar/settings"
+	"github.com/landingmast/landingmast/internal/testbed/memnet"
+	"github.com/landingmast/landingmast/platform"
+)
+
+// Environment is where a deployment runs.
+type Environment struct {
+	Network      Network
+	StoreAddress string
+	MachineIP    func(number int) string
+	Nodes        Nodes
+}
+
+// Network is what the stand-ins speak over.
+type Network interface {
+	Listen(address string) (net.Listener, error)
+	Dialer(from string) func(ctx context.Context, network, to string) (net.Conn, error)
+}
+
+// Nodes starts and ends the nodes of machines.
+type Nodes interface {
+	Start(m *Machine, chosen *settings.Settings) error
+	// Reload has a node take changed settings.
+	Reload(m *Machine, changed *settings.Settings)
+	// Stop is a planned stop; it returns when the node has ended.
+	Stop(m *Machine)
+	// Kill ends a node at once, if it runs.
+	Kill(m *Machine)
+	// Version gives the version of the configuration in force; 0: none is known.
+	Version(m *Machine) uint64
+}
+
+// inProcess runs nodes in this process, over a network in memory.
+type inProcess struct {
+	network *memnet.Network
+	output  io.Writer // of the logs; nil: nowhere
+}
+
+// Start implements Nodes.
+func (p *inProcess) Start(m *Machine, chosen *settings.Settings) error {
+	output := p.output
+	if output == nil {
+		output = io.Discard
+	}
+	store := platform.NewStore(storeAddress, p.network.Dialer(m.IP))
+	node, err := sidecar.New(chosen, sidecar.Options{
+		Headers: platform.Headers(), Store: store, ConfigurationKey: platform.ConfigurationKey, RecordPrefix: platform.RecordPrefix, NodePrefix: platform.NodePrefix, QuotaPrefix: platform.QuotaPrefix, CrashKey: platform.CrashKey,
+		ReadIntent: platform.ReadIntent, Control: func(targets *sidecar.Targets) http.Handler { return platform.Heartbeats(targets) },
+		Ready: platform.Readiness, Output: output, Listen: p.network.Listen, Dial: p.network.Dialer(m.IP), Clock: m.clock,
+	})
+	if err != nil {
+		return err
+	}
+	ctx, stop := context.WithCancel(context.Background())
+	now, hurry := context.WithCancel(context.Background())
+	stopped := make(chan struct{})
+	m.mutex.Lock()
+	m.node, m.stop, m.hurry, m.stopped = node, stop, hurry, stopped
+	m.mutex.Unlock()
+	go func() {
+		defer close(stopped)
+		_ = node.Run(ctx, now)
+		store.Close()
+	}()
+	return nil
+}
+
+// Reload implements Nodes.
+func (p *inProcess) Reload(m *Machine, changed *settings.Settings) {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	m.node.Reload(changed)
+}
+
+// Stop implements Nodes.
+func (p *inProcess) Stop(m *Machine) {
+	m.mutex.Lock()
+	stop, stopped := m.stop, m.stopped
+	m.mutex.Unlock()
+	stop()
+	<-stopped
+}
+
+// Kill implements Nodes.
+func (p *inProcess) Kill(m *Machine) {
+	m.mutex.Lock()
+	stop, hurry, stopped := m.stop, m.hurry, m.stopped
+	m.mutex.Unlock()
+	if stop == nil {
+		return
+	}
+	hurry()
+	stop()
+	<-stopped
+}
+
+// Version implements Nodes.
+func (p *inProcess) Version(m *Machine) uint64 {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	return m.node.Version()
+}
--- a/internal/testbed/fleet/soak_test.go
+++ b/internal/testbed/fleet/soak_test.go
@@ -71,7 +71,7 @@
 
 func playSoak(t *testing.T, daemon, folder string, seed uint64) {
 	soak := newSoak(daemon, folder)
-	mesh, err := newMesh(soakPlan(*soakMachines), soak)
+	mesh, err := NewMeshIn(soakPlan(*soakMachines), Environment{Network: loopback{}, StoreAddress: soak.storeAddress(), MachineIP: soak.machineIP, Nodes: soak})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -84,13 +84,14 @@
 		}
 	}
 	defer closeAll()
+	soak.mesh = mesh
 	mesh.Judge.Late = soakLate
 	time.Sleep(settle)
-	played := mesh.troubled(*soakFor, seed)
-	if !mesh.calmDown() {
+	played := soak.troubled(*soakFor, seed)
+	if !soak.calmDown() {
 		t.Error("not all machines are ready a while after the last trouble")
 	}
-	served := mesh.servedInCalm()
+	served := soak.servedInCalm()
 	mesh.checkEnd()
 	ended, innocent := mesh.Judge.HarmFigures()
 	t.Logf("seed %d: %s; answers %v; %.3f served in calm; %d targets ended by harmful requests, %d harmless refused on suspicion, %d cut around planned stops", seed, played, mesh.Tally.Status, served, ended, innocent, mesh.Judge.LostAroundStops())
@@ -120,18 +121,18 @@
 
 // troubled plays troubles for some time, beside clients of both kinds, and gives what it
 // played.
-func (m *Mesh) troubled(span time.Duration, seed uint64) string {
+func (s *soak) troubled(span time.Duration, seed uint64) string {
 	ctx, end := context.WithTimeout(context.Background(), span)
 	defer end()
 	var clients, actors sync.WaitGroup
-	for _, route := range m.Plan.Routes {
+	for _, route := range s.mesh.Plan.Routes {
 		if route.PerSecond > 0 {
 			for range 4 {
-				clients.Go(func() { m.Clients.Keep(ctx, route) })
+				clients.Go(func() { s.mesh.Clients.Keep(ctx, route) })
 			}
 		}
 	}
-	clients.Go(func() { m.Load(span) })
+	clients.Go(func() { s.mesh.Load(span) })
 	counts, mutex := map[string]int{}, sync.Mutex{}
 	for actor := range *soakActors {
 		random := rand.New(rand.NewPCG(seed, uint64(actor)))
@@ -141,7 +142,7 @@
 				mutex.Lock()
 				counts[trouble.name]++
 				mutex.Unlock()
-				trouble.play(m, random)
+				trouble.play(s, random)
 				time.Sleep(time.Duration(random.IntN(1500)) * time.Millisecond)
 			}
 		})
@@ -160,9 +161,9 @@
 const calmTime = 20 * time.Second
 
 // calmDown waits until all machines are ready and in touch.
-func (m *Mesh) calmDown() bool {
+func (s *soak) calmDown() bool {
 	for end := time.Now().Add(calmTime); time.Now().Before(end); time.Sleep(200 * time.Millisecond) {
-		if !slices.ContainsFunc(m.Machines, func(machine *Machine) bool { return !machine.Ready() }) {
+		if !slices.ContainsFunc(s.mesh.Machines, func(machine *Machine) bool { return !machine.Ready() }) {
 			time.Sleep(judge.Contact)
 			return true
 		}
@@ -171,28 +172,29 @@
 }
 
 // servedInCalm gives the share of some requests that are served.
-func (m *Mesh) servedInCalm() float64 {
-	m.Tally.ClearServed()
-	m.Load(3 * time.Second)
-	served, asked := m.Tally.Sums()
+func (s *soak) servedInCalm() float64 {
+	s.mesh.Tally.ClearServed()
+	s.mesh.Load(3 * time.Second)
+	served, asked := s.mesh.Tally.Sums()
 	return float64(served) / float64(max(asked, 1))
 }
 
 // soakTrouble is one kind of trouble of real processes.
 type soakTrouble struct {
 	name string
-	play func(m *Mesh, random *rand.Rand)
+	play func(s *soak, random *rand.Rand)
 }
 
 // alone has f play on each of some machines that no other trouble of processes holds.
-func (m *Mesh) alone(random *rand.Rand, share float64, f func(machine *Machine)) {
+func (s *soak) alone(random *rand.Rand, share float64, f func(machine *Machine)) {
 	var group sync.WaitGroup
-	for _, machine := range some(m, random, share) {
-		if !machine.busy.TryLock() {
+	for _, machine := range some(s.mesh, random, share) {
+		release, taken := s.take(machine)
+		if !taken {
 			continue
 		}
 		group.Go(func() {
-			defer machine.busy.Unlock()
+			defer release()
 			f(machine)
 		})
 	}
@@ -201,15 +203,15 @@
 
 // unplanned has the judge know that something happened to a machine, until the returned
 // function is called.
-func (m *Mesh) unplanned(machine *Machine) (over func()) {
+func (s *soak) unplanned(machine *Machine) (over func()) {
 	ended, done := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(done)
 		for {
-			m.Judge.Harmed(machine.IP)
+			s.mesh.Judge.Harmed(machine.IP)
 			select {
 			case <-ended:
-				m.Judge.Harmed(machine.IP)
+				s.mesh.Judge.Harmed(machine.IP)
 				return
 			case <-time.After(100 * time.Millisecond):
 			}
@@ -223,9 +225,9 @@
 	_ = machine.Start()
 }
 
-func killed(m *Mesh, random *rand.Rand, share float64) {
-	m.alone(random, share, func(machine *Machine) {
-		over := m.unplanned(machine)
+func killed(s *soak, random *rand.Rand, share float64) {
+	s.alone(random, share, func(machine *Machine) {
+		over := s.unplanned(machine)
 		defer over()
 		machine.Kill()
 		restart(machine)
@@ -233,27 +235,27 @@
 }
 
 // storeFor brings a fault of the store for one to four seconds.
-func storeFor(begin, end func(s *store.Store)) func(m *Mesh, random *rand.Rand) {
-	return func(m *Mesh, random *rand.Rand) {
-		m.Store.Set(begin)
-		m.Judge.StoreTrouble(time.Duration(1+random.IntN(4)) * time.Second)
-		m.Store.Set(end)
+func storeFor(begin, end func(s *store.Store)) func(s *soak, random *rand.Rand) {
+	return func(s *soak, random *rand.Rand) {
+		s.mesh.Store.Set(begin)
+		s.mesh.Judge.StoreTrouble(time.Duration(1+random.IntN(4)) * time.Second)
+		s.mesh.Store.Set(end)
 	}
 }
 
 // onRelays brings a fault to the relays before the store (0) or the target (1) of some
 // machines for one to four seconds.
-func onRelays(which int, share float64, begin, end func(r *relay)) func(m *Mesh, random *rand.Rand) {
-	return func(m *Mesh, random *rand.Rand) {
+func onRelays(which int, share float64, begin, end func(r *relay)) func(s *soak, random *rand.Rand) {
+	return func(s *soak, random *rand.Rand) {
 		span := time.Duration(1+random.IntN(4)) * time.Second
 		var group sync.WaitGroup
-		for _, machine := range some(m, random, share) {
-			relays, err := m.soak.relaysOf(machine)
+		for _, machine := range some(s.mesh, random, share) {
+			relays, err := s.relaysOf(machine)
 			if err != nil {
 				continue
 			}
 			group.Go(func() {
-				over := m.unplanned(machine)
+				over := s.unplanned(machine)
 				defer over()
 				begin(relays[which])
 				time.Sleep(span)
@@ -266,61 +268,66 @@
 
 func nothing(*relay) {}
 
+// onMesh has a trouble of a mesh play in a soak.
+func onMesh(play func(mesh *Mesh, random *rand.Rand)) func(s *soak, random *rand.Rand) {
+	return func(s *soak, random *rand.Rand) { play(s.mesh, random) }
+}
+
 var soakTroubles = []soakTrouble{
-	{"kill", func(m *Mesh, random *rand.Rand) { killed(m, random, 0.15) }},
-	{"kill many", func(m *Mesh, random *rand.Rand) { killed(m, random, 0.6) }},
-	{"kill all", func(m *Mesh, random *rand.Rand) { killed(m, random, 1) }},
-	{"freeze", func(m *Mesh, random *rand.Rand) {
+	{"kill", func(s *soak, random *rand.Rand) { killed(s, random, 0.15) }},
+	{"kill many", func(s *soak, random *rand.Rand) { killed(s, random, 0.6) }},
+	{"kill all", func(s *soak, random *rand.Rand) { killed(s, random, 1) }},
+	{"freeze", func(s *soak, random *rand.Rand) {
 		span := time.Duration(500+random.IntN(4000)) * time.Millisecond
-		m.alone(random, 0.2, func(machine *Machine) {
-			over := m.unplanned(machine)
+		s.alone(random, 0.2, func(machine *Machine) {
+			over := s.unplanned(machine)
 			defer over()
-			m.soak.pause(machine, span)
+			s.pause(machine, span)
 		})
 	}},
-	{"stop in turn", func(m *Mesh, random *rand.Rand) {
-		for _, machine := range some(m, random, 0.3) {
-			if machine.busy.TryLock() {
+	{"stop in turn", func(s *soak, random *rand.Rand) {
+		for _, machine := range some(s.mesh, random, 0.3) {
+			if release, taken := s.take(machine); taken {
 				machine.Stop()
 				restart(machine)
-				machine.busy.Unlock()
+				release()
 			}
 		}
 	}},
-	{"stop at once", func(m *Mesh, random *rand.Rand) {
-		m.alone(random, 0.3, func(machine *Machine) { machine.Stop(); restart(machine) })
+	{"stop at once", func(s *soak, random *rand.Rand) {
+		s.alone(random, 0.3, func(machine *Machine) { machine.Stop(); restart(machine) })
 	}},
-	{"stop, then kill", func(m *Mesh, random *rand.Rand) {
+	{"stop, then kill", func(s *soak, random *rand.Rand) {
 		wait := time.Duration(random.IntN(1500)) * time.Millisecond
-		m.alone(random, 0.1, func(machine *Machine) {
-			over := m.unplanned(machine)
+		s.alone(random, 0.1, func(machine *Machine) {
+			over := s.unplanned(machine)
 			defer over()
-			m.soak.stopping(machine)
+			s.stopping(machine)
 			time.Sleep(wait)
 			machine.Kill()
 			restart(machine)
 		})
 	}},
-	{"settings", func(m *Mesh, random *rand.Rand) {
+	{"settings", func(s *soak, random *rand.Rand) {
 		allowance := float64(30 + random.IntN(30))
-		for _, machine := range some(m, random, 0.5) {
-			if machine.busy.TryLock() {
+		for _, machine := range some(s.mesh, random, 0.5) {
+			if release, taken := s.take(machine); taken {
 				machine.Reload(func(s *settings.Settings) { s.Retries.Allowance = allowance })
-				machine.busy.Unlock()
+				release()
 			}
 		}
 	}},
-	{"configuration", func(m *Mesh, random *rand.Rand) { newRoute(m, random) }},
-	{"configurations in series", func(m *Mesh, random *rand.Rand) {
+	{"configuration", func(s *soak, random *rand.Rand) { newRoute(s.mesh, random) }},
+	{"configurations in series", func(s *soak, random *rand.Rand) {
 		for range 10 {
-			newRoute(m, random)
+			newRoute(s.mesh, random)
 			time.Sleep(100 * time.Millisecond)
 		}
 	}},
 	{"store down", storeFor(func(s *store.Store) { s.Down = true }, func(s *store.Store) { s.Down = false })},
 	{"store slow", storeFor(func(s *store.Store) { s.Slow = 300 * time.Millisecond }, func(s *store.Store) { s.Slow = 0 })},
 	{"store loses answers", storeFor(func(s *store.Store) { s.LoseWrites = true }, func(s *store.Store) { s.LoseWrites = false })},
-	{"store forgets", func(m *Mesh, _ *rand.Rand) { m.Store.Compact(); m.Store.EndLeases() }},
+	{"store forgets", func(s *soak, _ *rand.Rand) { s.mesh.Store.Compact(); s.mesh.Store.EndLeases() }},
 	{"store silent for some", onRelays(0, 0.3, func(r *relay) { r.set(func(r *relay) { r.cut = [2]bool{true, true} }) }, func(r *relay) { r.cut = [2]bool{} })},
 	{"store cut one way for some", onRelays(0, 0.3, func(r *relay) { r.set(func(r *relay) { r.cut[back] = true }) }, func(r *relay) { r.cut = [2]bool{} })},
 	{"connections to the store reset", onRelays(0, 0.5, (*relay).reset, nothing)},
@@ -328,33 +335,33 @@
 	{"connections to targets reset", onRelays(1, 0.3, (*relay).reset, nothing)},
 	{"connections to targets silent for good", onRelays(1, 0.2, (*relay).silence, nothing)},
 	{"targets delayed", onRelays(1, 0.2, func(r *relay) { r.set(func(r *relay) { r.delay = 50 * time.Millisecond }) }, func(r *relay) { r.delay = 0 })},
-	{"targets crash", func(m *Mesh, random *rand.Rand) {
-		m.alone(random, 0.15, func(machine *Machine) {
+	{"targets crash", func(s *soak, random *rand.Rand) {
+		s.alone(random, 0.15, func(machine *Machine) {
 			machine.Target.Stop()
 			time.Sleep(2 * time.Second)
 			_ = machine.Target.Start()
 		})
 	}},
-	{"targets lose answers", faulty(target.Faults{LoseAnswer: 0.1, CutShort: 0.02, Garbage: 0.02}, 0.5, 3*time.Second)},
-	{"targets slow", faulty(target.Faults{Slow: 5}, 0.2, 3*time.Second)},
-	{"targets decline", faulty(target.Faults{Decline: 0.4}, 0.2, 3*time.Second)},
-	{"harmful request", func(m *Mesh, random *rand.Rand) {
-		route := m.Plan.Routes[[]int{0, 1, 3}[random.IntN(3)]]
+	{"targets lose answers", onMesh(faulty(target.Faults{LoseAnswer: 0.1, CutShort: 0.02, Garbage: 0.02}, 0.5, 3*time.Second))},
+	{"targets slow", onMesh(faulty(target.Faults{Slow: 5}, 0.2, 3*time.Second))},
+	{"targets decline", onMesh(faulty(target.Faults{Decline: 0.4}, 0.2, 3*time.Second))},
+	{"harmful request", func(s *soak, random *rand.Rand) {
+		route := s.mesh.Plan.Routes[[]int{0, 1, 3}[random.IntN(3)]]
 		path := fmt.Sprintf("%sharmful-%d", route.Prefix, random.IntN(1000))
-		m.addHarmful(route, path)
+		s.mesh.addHarmful(route, path)
 		for range 4 {
-			m.sendHarmful(m.anyIn(), route, path)
+			s.mesh.sendHarmful(s.mesh.anyIn(), route, path)
 			time.Sleep(time.Second)
 		}
 	}},
-	{"burst", func(m *Mesh, _ *rand.Rand) {
-		m.Clients.SetBurst(2)
+	{"burst", func(s *soak, _ *rand.Rand) {
+		s.mesh.Clients.SetBurst(2)
 		time.Sleep(2 * time.Second)
-		m.Clients.SetBurst(0)
+		s.mesh.Clients.SetBurst(0)
 	}},
-	{"clients leave", func(m *Mesh, _ *rand.Rand) {
-		m.Clients.SetGiveUp(20 * time.Millisecond)
+	{"clients leave", func(s *soak, _ *rand.Rand) {
+		s.mesh.Clients.SetGiveUp(20 * time.Millisecond)
 		time.Sleep(2 * time.Second)
-		m.Clients.SetGiveUp(0)
+		s.mesh.Clients.SetGiveUp(0)
 	}},
 }
--- a/internal/testbed/fleet/soakrun_test.go
+++ b/internal/testbed/fleet/soakrun_test.go
@@ -30,10 +30,12 @@
 	daemon string // path of landingmastd
 	folder string // of settings and logs
 	octet  int    // second part of all its addresses
+	mesh   *Mesh
 
 	mutex     sync.Mutex
 	processes map[string]*soakProcess // by machine
 	relays    map[string][2]*relay    // before the store and the target
+	busy      map[string]*sync.Mutex  // held by a trouble of the machine
 	ended     []string                // ends that nobody asked for
 }
 
@@ -47,7 +49,7 @@
 func newSoak(daemon, folder string) *soak {
 	return &soak{
 		daemon: daemon, folder: folder, octet: 16 + os.Getpid()%200,
-		processes: map[string]*soakProcess{}, relays: map[string][2]*relay{},
+		processes: map[string]*soakProcess{}, relays: map[string][2]*relay{}, busy: map[string]*sync.Mutex{},
 	}
 }
 
@@ -59,6 +61,17 @@
 
 func (s *soak) file(m *Machine, ending string) string { return filepath.Join(s.folder, m.IP+ending) }
 
+// take has a trouble hold a machine unless another one does; release must follow.
+func (s *soak) take(m *Machine) (release func(), taken bool) {
+	s.mutex.Lock()
+	if s.busy[m.IP] == nil {
+		s.busy[m.IP] = &sync.Mutex{}
+	}
+	busy := s.busy[m.IP]
+	s.mutex.Unlock()
+	return busy.Unlock, busy.TryLock()
+}
+
 // relaysOf gives the relays of a machine, and makes them at first.
 func (s *soak) relaysOf(m *Machine) ([2]*relay, error) {
 	s.mutex.Lock()
@@ -87,11 +100,12 @@
 	return os.WriteFile(s.file(m, ".yaml"), []byte(text), 0o600)
 }
 
-func (s *soak) start(m *Machine) error {
+// Start implements Nodes.
+func (s *soak) Start(m *Machine, chosen *settings.Settings) error {
 	if _, err := s.relaysOf(m); err != nil {
 		return err
 	}
-	if err := s.write(m, m.settings()); err != nil {
+	if err := s.write(m, chosen); err != nil {
 		return err
 	}
 	log, err := os.OpenFile(s.file(m, ".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
@@ -137,15 +151,16 @@
 	return one
 }
 
-func (s *soak) kill(m *Machine) {
+// Kill implements Nodes.
+func (s *soak) Kill(m *Machine) {
 	if one := s.signal(m, syscall.SIGKILL, true); one != nil {
 		<-one.done
 	}
 }
 
-// stop sends SIGTERM, and SIGKILL when the grace is over.
-func (s *soak) stop(m *Machine) {
-	m.mesh.Judge.Stopping(m.IP)
+// Stop implements Nodes. It sends SIGTERM, and SIGKILL when the grace is over.
+func (s *soak) Stop(m *Machine) {
+	m.Target.Judge.Stopping(m.IP)
 	one := s.signal(m, syscall.SIGTERM, true)
 	if one == nil {
 		return
@@ -156,7 +171,7 @@
 		s.mutex.Lock()
 		s.ended = append(s.ended, "the node of "+m.IP+" was still there at the end of its grace")
 		s.mutex.Unlock()
-		s.kill(m)
+		s.Kill(m)
 	}
 }
 
@@ -170,14 +185,15 @@
 	s.signal(m, syscall.SIGCONT, false)
 }
 
-func (s *soak) reload(m *Machine, changed *settings.Settings) {
+// Reload implements Nodes.
+func (s *soak) Reload(m *Machine, changed *settings.Settings) {
 	if s.write(m, changed) == nil {
 		s.signal(m, syscall.SIGHUP, false)
 	}
 }
 
-// version reads the configuration in force from the node's metrics.
-func (s *soak) version(m *Machine) uint64 {
+// Version implements Nodes. It reads the configuration in force from the node's metrics.
+func (s *soak) Version(m *Machine) uint64 {
 	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	response, err := client.Get("http://" + m.IP + ":" + portMetrics + "/metrics")
 	if err != nil {
