--- a/internal/testbed/fleet/alone_test.go
+++ b/internal/testbed/fleet/alone_test.go
@@ -10,9 +10,6 @@
 	. "github.com/onsi/gomega"
 )
 
-// settle is the time that a mesh has before clients come.
-const settle = 3 * time.Second
-
 // play runs a mesh in virtual time: load for a span, and beside it what disturb does.
 func play(t *testing.T, plan deployment.Plan, span time.Duration, disturb func(mesh *Mesh)) *Mesh {
 	t.Helper()
@@ -23,7 +20,7 @@
 			t.Fatal(err)
 		}
 		defer mesh.Close()
-		time.Sleep(settle)
+		time.Sleep(Settle)
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
@@ -33,7 +30,7 @@
 		}()
 		mesh.Load(span)
 		<-done
-		mesh.checkEnd()
+		mesh.CheckEnd()
 		played = mesh
 	})
 	return played
--- a/internal/testbed/fleet/crash_test.go
+++ b/internal/testbed/fleet/crash_test.go
@@ -38,7 +38,7 @@
 			t.Parallel()
 			g := NewWithT(t)
 			plan := deployment.WithSpares()
-			mesh := play(t, plan, 30*time.Second, func(mesh *Mesh) { mesh.comesAgain(plan.Routes[tc.route], 7) })
+			mesh := play(t, plan, 30*time.Second, func(mesh *Mesh) { comesAgain(mesh, plan.Routes[tc.route], 7) })
 			g.Expect(mesh.Judge.Broken()).To(BeEmpty())
 			ended, innocent := mesh.Judge.HarmFigures()
 			t.Logf("%d targets ended, %d harmless requests refused on suspicion, %v", ended, innocent, mesh.Tally.Status)
@@ -61,30 +61,30 @@
 		{"targets are back at once", []string{"/front/a", "/deep/c"}, func(mesh *Mesh) { mesh.Harmful.BringBackAfter(0) }},
 		{"all nodes are killed", []string{"/front/a"}, func(mesh *Mesh) {
 			time.Sleep(6 * time.Second)
-			killAndRestart(all(mesh))
+			KillAndRestart(all(mesh))
 			time.Sleep(6 * time.Second)
-			killAndRestart(all(mesh))
+			KillAndRestart(all(mesh))
 		}},
 		{"nodes are killed in turn", []string{"/front/a"}, func(mesh *Mesh) {
 			for _, machine := range mesh.Machines {
 				time.Sleep(time.Second)
-				killAndRestart([]*Machine{machine})
+				KillAndRestart([]*Machine{machine})
 			}
 		}},
 		{"the store is away at the ends, then all nodes are killed", []string{"/front/a"}, func(mesh *Mesh) {
-			mesh.storeAway(8 * time.Second)
+			storeAway(mesh, 8*time.Second)
 			time.Sleep(2 * time.Second)
-			killAndRestart(all(mesh))
+			KillAndRestart(all(mesh))
 		}},
 		{"some nodes are cut off at the ends", []string{"/front/a"}, func(mesh *Mesh) {
 			time.Sleep(3 * time.Second)
-			cutFromOthers(mesh, some(mesh, rand.New(rand.NewPCG(2, 2)), 0.3), 5*time.Second)
+			cutFromOthers(mesh, mesh.Some(rand.New(rand.NewPCG(2, 2)), 0.3), 5*time.Second)
 		}},
 		{"writes of the store are lost, then all nodes are killed", []string{"/front/a"}, func(mesh *Mesh) {
 			mesh.Store.Set(func(s *store.Store) { s.LoseWrites = true })
 			time.Sleep(8 * time.Second)
 			mesh.Store.Set(func(s *store.Store) { s.LoseWrites = false })
-			killAndRestart(all(mesh))
+			KillAndRestart(all(mesh))
 		}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -94,7 +94,7 @@
 			mesh := play(t, plan, 30*time.Second, func(mesh *Mesh) {
 				var group sync.WaitGroup
 				for _, path := range tc.paths {
-					group.Go(func() { mesh.comesAgainAs(path, 7) })
+					group.Go(func() { comesAgainAs(mesh, path, 7) })
 				}
 				group.Go(func() { tc.trouble(mesh) })
 				group.Wait()
@@ -115,7 +115,7 @@
 		random := rand.New(rand.NewPCG(4, 4))
 		for range 8 {
 			time.Sleep(3 * time.Second)
-			chosen := some(mesh, random, 0.3)
+			chosen := mesh.Some(random, 0.3)
 			for _, machine := range chosen {
 				machine.Target.Stop()
 			}
@@ -133,13 +133,13 @@
 
 // comesAgainAs sends a harmful request of a path some times, a few at a time, as a client's
 // request or, for the path of the call that requests to /front/chain make, as a call.
-func (m *Mesh) comesAgainAs(path string, times int) {
+func comesAgainAs(m *Mesh, path string, times int) {
 	routes := m.Plan.Routes
 	route := routes[0]
 	if strings.HasPrefix(path, "/deep/") {
 		route = routes[3]
 	}
-	m.addHarmful(route, path)
+	m.AddHarmful(route, path)
 	sent := path
 	if path == "/deep/harmful" {
 		route, sent = routes[0], "/front/chain"
@@ -147,24 +147,24 @@
 	for range times {
 		time.Sleep(3500 * time.Millisecond)
 		for range 2 {
-			m.group.Go(func() { m.sendHarmful(m.anyIn(), route, sent) })
+			m.Go(func() { m.SendHarmful(m.Any(), route, sent) })
 		}
 	}
 }
 
 // storeAway has the store answer nothing for some time.
-func (m *Mesh) storeAway(span time.Duration) {
+func storeAway(m *Mesh, span time.Duration) {
 	m.Store.Set(func(s *store.Store) { s.Down = true })
 	m.Judge.StoreTrouble(span)
 	m.Store.Set(func(s *store.Store) { s.Down = false })
 }
 
 // comesAgain sends a harmful request some times, every few seconds, at any machine.
-func (m *Mesh) comesAgain(route deployment.Route, times int) {
+func comesAgain(m *Mesh, route deployment.Route, times int) {
 	path := route.Prefix + "harmful"
-	m.addHarmful(route, path)
+	m.AddHarmful(route, path)
 	for range times {
 		time.Sleep(3500 * time.Millisecond)
-		m.sendHarmful(m.anyIn(), route, path)
+		m.SendHarmful(m.Any(), route, path)
 	}
 }
--- a/internal/testbed/fleet/days_test.go
+++ b/internal/testbed/fleet/days_test.go
@@ -69,7 +69,7 @@
 }
 
 // sendHarm sends a harmful request again and again.
-func (m *Mesh) sendHarm(number int, one harmfulPlan, span time.Duration) {
+func sendHarm(m *Mesh, number int, one harmfulPlan, span time.Duration) {
 	route := m.Plan.Routes[one.route]
 	path := fmt.Sprintf("%sharmful-%d", route.Prefix, number)
 	harmful, sent := path, path
@@ -77,10 +77,10 @@
 		route = m.Plan.Routes[0]
 		harmful, sent = fmt.Sprintf("/s%d/harmful-call", deepest), "/s0/chain"
 	}
-	m.addHarmful(route, harmful)
+	m.AddHarmful(route, harmful)
 	for end := time.Now().Add(span); time.Now().Before(end); time.Sleep(one.every) {
 		for range one.atOnce {
-			m.group.Go(func() { m.sendHarmful(m.anyIn(), route, sent) })
+			m.Go(func() { m.SendHarmful(m.Any(), route, sent) })
 		}
 	}
 }
@@ -138,11 +138,11 @@
 			})
 		}
 		for number, harmful := range day.Harmful {
-			troubles.Go(func() { mesh.sendHarm(number, harmful, day.Span) })
+			troubles.Go(func() { sendHarm(mesh, number, harmful, day.Span) })
 		}
 		mesh.Load(day.Span)
 		troubles.Wait()
-		mesh.checkEnd()
+		mesh.CheckEnd()
 		played = mesh
 	})
 	return played
--- a/internal/testbed/fleet/held_test.go
+++ b/internal/testbed/fleet/held_test.go
@@ -22,8 +22,8 @@
 )
 
 // statusWith sends one request with a body through a machine and gives the answer.
-func (m *Mesh) statusWith(machine *Machine, method, uri, body string) (status int, header http.Header, text string) {
-	request, err := http.NewRequest(method, "http://"+machine.IP+":"+portOutbound+uri, strings.NewReader(body))
+func statusWith(m *Mesh, machine *Machine, method, uri, body string) (status int, header http.Header, text string) {
+	request, err := http.NewRequest(method, "http://"+machine.Outbound()+uri, strings.NewReader(body))
 	if err != nil {
 		return 0, nil, err.Error()
 	}
@@ -43,7 +43,7 @@
 }
 
 // command runs a command of the operators against the mesh's store.
-func (m *Mesh) command(g *WithT, input string, arguments ...string) (string, error) {
+func command(m *Mesh, g *WithT, input string, arguments ...string) (string, error) {
 	var output bytes.Buffer
 	application := kingpin.New("landingmast", "")
 	commands := operator.Register(application, &output, operator.Stores{
@@ -70,14 +70,14 @@
 		mesh, err := NewMesh(plan)
 		g.Expect(err).NotTo(HaveOccurred())
 		defer mesh.Close()
-		time.Sleep(settle)
+		time.Sleep(Settle)
 		mesh.Harmful.Add("/order/harmful", "bad")
 		for range 5 {
-			mesh.statusWith(mesh.Machines[0], http.MethodPost, "/order/harmful", "bad")
+			statusWith(mesh, mesh.Machines[0], http.MethodPost, "/order/harmful", "bad")
 			time.Sleep(4 * time.Second)
 		}
 		for _, machine := range mesh.Machines {
-			status, header, text := mesh.statusWith(machine, http.MethodPost, "/order/harmful", "bad")
+			status, header, text := statusWith(mesh, machine, http.MethodPost, "/order/harmful", "bad")
 			g.Expect(status).To(Equal(http.StatusServiceUnavailable))
 			g.Expect(header.Get("Retry-After")).To(BeEmpty())
 			g.Expect(text).To(Equal(judge.HeldBackText))
@@ -86,7 +86,7 @@
 				{http.MethodPost, "/order/other", "bad"},
 				{http.MethodGet, "/order/harmful", ""},
 			} {
-				status, _, _ = mesh.statusWith(machine, other.method, other.uri, other.body)
+				status, _, _ = statusWith(mesh, machine, other.method, other.uri, other.body)
 				g.Expect(status).To(Equal(http.StatusOK), "%v", other)
 			}
 		}
@@ -95,7 +95,7 @@
 			Digest, Service, Route string
 			Targets                []string
 		}
-		shown, err := mesh.command(g, "", "--output", "json", "held", "list", "--store", storeAddress)
+		shown, err := command(mesh, g, "", "--output", "json", "held", "list", "--store", StoreAddress)
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(json.Unmarshal([]byte(shown), &held)).To(Succeed())
 		g.Expect(held).To(HaveLen(1))
@@ -103,19 +103,19 @@
 		g.Expect(held[0].Service).To(Equal("middle"))
 		g.Expect(held[0].Route).To(Equal("r/order/"))
 
-		_, err = mesh.command(g, "no\n", "held", "lift", held[0].Digest, "--store", storeAddress)
+		_, err = command(mesh, g, "no\n", "held", "lift", held[0].Digest, "--store", StoreAddress)
 		g.Expect(err).To(MatchError(ContainSubstring("nothing was lifted")))
-		_, err = mesh.command(g, "", "held", "lift", "--yes", strings.Repeat("0", 32), "--store", storeAddress)
+		_, err = command(mesh, g, "", "held", "lift", "--yes", strings.Repeat("0", 32), "--store", StoreAddress)
 		g.Expect(err).To(MatchError(ContainSubstring("remedy")))
-		_, err = mesh.command(g, "", "held", "lift", "--yes", "0a", "--store", storeAddress)
+		_, err = command(mesh, g, "", "held", "lift", "--yes", "0a", "--store", StoreAddress)
 		g.Expect(err).To(MatchError(ContainSubstring("no digest")))
 
 		mesh.Harmful.Remove("/order/harmful", "bad")
-		_, err = mesh.command(g, "yes\n", "held", "lift", held[0].Digest, "--store", storeAddress)
+		_, err = command(mesh, g, "yes\n", "held", "lift", held[0].Digest, "--store", StoreAddress)
 		g.Expect(err).NotTo(HaveOccurred())
 		time.Sleep(2 * time.Second)
 		for _, machine := range mesh.Machines {
-			status, _, _ := mesh.statusWith(machine, http.MethodPost, "/order/harmful", "bad")
+			status, _, _ := statusWith(mesh, machine, http.MethodPost, "/order/harmful", "bad")
 			g.Expect(status).To(Equal(http.StatusOK))
 		}
 		g.Expect(mesh.Judge.Broken()).To(BeEmpty())
@@ -139,19 +139,19 @@
 				mesh, err := NewMesh(wide(tc.nodes))
 				g.Expect(err).NotTo(HaveOccurred())
 				defer mesh.Close()
-				time.Sleep(settle)
+				time.Sleep(Settle)
 				path := mesh.Plan.Routes[0].Prefix + "harmful"
 				mesh.Harmful.Add(path, "")
 				before := mesh.Store.Writes()
 				for range 3 { // with many nodes, one has no repeat of its own to spend
-					mesh.statusWith(mesh.Machines[0], http.MethodGet, path, "")
+					statusWith(mesh, mesh.Machines[0], http.MethodGet, path, "")
 				}
 				time.Sleep(judge.Contact)
 				t.Logf("%d nodes: %d writes of the store for three ends", tc.nodes, mesh.Store.Writes()-before)
 				g.Expect(mesh.Store.Writes() - before).To(BeNumerically("<=", tc.most))
 				sent := 0
 				for _, machine := range mesh.Machines {
-					if _, _, text := mesh.statusWith(machine, http.MethodGet, path, ""); text != judge.HeldBackText {
+					if _, _, text := statusWith(mesh, machine, http.MethodGet, path, ""); text != judge.HeldBackText {
 						sent++
 					}
 				}
--- a/internal/testbed/fleet/judges_test.go
+++ b/internal/testbed/fleet/judges_test.go
@@ -50,9 +50,9 @@
 				mesh, err := NewMesh(deployment.ThreeDeep())
 				g.Expect(err).NotTo(HaveOccurred())
 				defer mesh.Close()
-				time.Sleep(settle)
+				time.Sleep(Settle)
 				tc.spoil(mesh)
-				mesh.checkEnd()
+				mesh.CheckEnd()
 				broken := mesh.Judge.Broken()
 				if tc.rule == "" {
 					g.Expect(broken).To(BeEmpty())
--- a/internal/testbed/fleet/keys_test.go
+++ b/internal/testbed/fleet/keys_test.go
@@ -4,11 +4,13 @@
 	"fmt"
 	"math/rand/v2"
 	"net/http"
+	"strconv"
 	"strings"
 	"testing"
 	"testing/synctest"
 	"time"
 
+	"github.com/landingmast/landingmast/internal/testbed/client"
 	"github.com/landingmast/landingmast/internal/testbed/deployment"
 	"github.com/landingmast/landingmast/internal/testbed/judge"
 	"github.com/landingmast/landingmast/internal/testbed/store"
@@ -47,7 +49,7 @@
 		mesh, err := NewMesh(plan)
 		g.Expect(err).NotTo(HaveOccurred())
 		defer mesh.Close()
-		time.Sleep(settle)
+		time.Sleep(Settle)
 		machine := mesh.Machines[0]
 		for _, tc := range []struct {
 			name, uri, key string
@@ -60,12 +62,12 @@
 			{"no key on a public route", "/open/x", "", http.StatusOK},
 			{"an unknown key on a public route", "/open/x", "key-nobody", http.StatusOK},
 		} {
-			g.Expect(mesh.statusOf(machine, tc.uri, tc.key)).To(Equal(tc.want), tc.name)
+			g.Expect(statusOf(mesh, machine, tc.uri, tc.key)).To(Equal(tc.want), tc.name)
 		}
 		mesh.TakeKey(0, 0)
 		time.Sleep(judge.RevokeBound)
-		g.Expect(mesh.statusOf(machine, "/deep/x", "key-tenant0-a")).To(Equal(http.StatusUnauthorized))
-		g.Expect(mesh.statusOf(machine, "/deep/x", "key-tenant0-b")).To(Equal(http.StatusOK))
+		g.Expect(statusOf(mesh, machine, "/deep/x", "key-tenant0-a")).To(Equal(http.StatusUnauthorized))
+		g.Expect(statusOf(mesh, machine, "/deep/x", "key-tenant0-b")).To(Equal(http.StatusOK))
 		g.Expect(mesh.Judge.Broken()).To(BeEmpty())
 	})
 }
@@ -75,8 +77,8 @@
 func TestKeysTakenAwayStayTaken(t *testing.T) {
 	cutFromStore := func(mesh *Mesh, machines []*Machine, cut bool) {
 		for _, machine := range machines {
-			mesh.Network.Cut(machine.IP, storeHost, cut)
-			mesh.Network.Cut(storeHost, machine.IP, cut)
+			mesh.Network.Cut(machine.IP, StoreHost, cut)
+			mesh.Network.Cut(StoreHost, machine.IP, cut)
 		}
 	}
 	for _, tc := range []struct {
@@ -113,7 +115,7 @@
 			t.Parallel()
 			g := NewWithT(t)
 			mesh := play(t, withTenants(4), 14*time.Second, func(mesh *Mesh) {
-				chosen := some(mesh, rand.New(rand.NewPCG(5, 6)), 0.35)
+				chosen := mesh.Some(rand.New(rand.NewPCG(5, 6)), 0.35)
 				time.Sleep(time.Second)
 				done := make(chan struct{})
 				go func() {
@@ -146,3 +148,26 @@
 	g.Expect(mesh.Judge.Broken()).To(BeEmpty())
 	g.Expect(mesh.Tally.Share("/front/")).To(BeNumerically(">", 0.99), "%v", mesh.Tally.Status)
 }
+
+// statusOf sends one request with a key and gives the status.
+func statusOf(m *Mesh, machine *Machine, uri, key string) int {
+	request, err := http.NewRequest(http.MethodGet, "http://"+machine.Outbound()+uri, nil)
+	if err != nil {
+		return 0
+	}
+	id := strconv.FormatUint(rand.Uint64(), 16)
+	request.Host = deployment.Host
+	request.Header.Set("X-Request-Id", id)
+	request.Header.Set("X-Deadline-Ms", "1000")
+	if key != "" {
+		request.Header.Set("Authorization", client.KeyScheme+key)
+	}
+	m.Judge.ExpectCall(id, machine.IP, machine.Target.Service)
+	transport := &http.Transport{DisableKeepAlives: true, DialContext: m.Network.Dialer(machine.IP)}
+	response, err := transport.RoundTrip(request)
+	if err != nil {
+		return 0
+	}
+	_ = response.Body.Close()
+	return response.StatusCode
+}
--- a/internal/testbed/fleet/machine_test.go
+++ b/internal/testbed/fleet/machine_test.go
@@ -44,7 +44,7 @@
 	checked := &settings.Settings{
 		Node: "node-" + m.IP, Zone: m.Zone, FirstStart: m.first,
 		Target: settings.Target{Service: m.Target.Service, Address: m.Target.Address},
-		Listen: settings.Listen{Outbound: m.IP + ":" + portOutbound, Inbound: m.IP + ":" + portInbound, Ready: m.IP + ":" + portReady, Control: m.IP + ":" + portControl},
+		Listen: settings.Listen{Outbound: m.Outbound(), Inbound: m.Inbound(), Ready: m.IP + ":" + portReady, Control: m.IP + ":" + portControl},
 		Store:  settings.Store{Address: m.mesh.around.StoreAddress, ReadsPerSecond: float64(m.mesh.Plan.ReadsPerSecond)},
 	}
 	checked.Keys.FailClosed = true
@@ -74,8 +74,8 @@
 // Version gives the version of the configuration that is in force on the node.
 func (m *Machine) Version() uint64 { return m.mesh.around.Nodes.Version(m) }
 
-// peers gives the number of other nodes that the node knows.
-func (m *Machine) peers() int {
+// Peers gives the number of other nodes that the node knows.
+func (m *Machine) Peers() int {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.node.Peers()
@@ -116,7 +116,31 @@
 	}
 }
 
+// Outbound is the address of the node for requests of this machine.
+func (m *Machine) Outbound() string { return m.IP + ":" + portOutbound }
+
+// Inbound is the address of the node for other nodes.
+func (m *Machine) Inbound() string { return m.IP + ":" + portInbound }
+
+// TakeOut keeps new work from the machine's clients until it was asked next whether it is ready.
+func (m *Machine) TakeOut() { m.out.Store(true) }
+
 // origin gives the machine as clients know it.
 func (m *Machine) origin() client.Origin {
-	return client.Origin{IP: m.IP, Outbound: m.IP + ":" + portOutbound, Service: m.Target.Service}
+	return client.Origin{IP: m.IP, Outbound: m.Outbound(), Service: m.Target.Service}
+}
+
+// RestartAfter is the pause before the platform starts a process again.
+const RestartAfter = 400 * time.Millisecond
+
+// KillAndRestart breaks the connections of machines, kills their nodes and starts them again.
+func KillAndRestart(machines []*Machine) {
+	for _, machine := range machines {
+		machine.mesh.Network.Reset(machine.IP, nil)
+		machine.Kill()
+	}
+	time.Sleep(RestartAfter)
+	for _, machine := range machines {
+		_ = machine.Start()
+	}
 }
--- a/internal/testbed/fleet/mesh_test.go
+++ b/internal/testbed/fleet/mesh_test.go
@@ -41,10 +41,14 @@
 	around    Environment
 }
 
-const storeHost = "10.0.0.1"
+// StoreHost is the host of the store in memory.
+const StoreHost = "10.0.0.1"
 
-// storeAddress is where the store listens.
-const storeAddress = storeHost + ":80"
+// StoreAddress is where the store listens.
+const StoreAddress = StoreHost + ":80"
+
+// Settle is the time that a mesh has before clients come.
+const Settle = 3 * time.Second
 
 // DrainBound is the bound of the rule DRAIN in a mesh.
 const DrainBound = 2 * time.Second
@@ -60,7 +64,7 @@
 	})
 	machineIP := func(number int) string { return fmt.Sprintf("10.1.%d.%d", number/200, number%200+1) }
 	nodes := &inProcess{network: network, output: plan.Output}
-	m := newMesh(plan, Environment{Network: network, StoreAddress: storeAddress, MachineIP: machineIP, Nodes: nodes})
+	m := newMesh(plan, Environment{Network: network, StoreAddress: StoreAddress, MachineIP: machineIP, Nodes: nodes})
 	m.Network = network
 	for _, machine := range m.Machines {
 		zones[machine.IP] = machine.Zone
@@ -82,7 +86,7 @@
 		Tally: client.NewTally(), around: around,
 	}
 	m.Store.ReadsPerSecond = plan.ReadsPerSecond
-	m.Clients = &client.Clients{Judge: m.Judge, Tally: m.Tally, Dialer: around.Network.Dialer, Caller: m.caller, Any: func() client.Origin { return m.anyIn().origin() }}
+	m.Clients = &client.Clients{Judge: m.Judge, Tally: m.Tally, Dialer: around.Network.Dialer, Caller: m.caller, Any: func() client.Origin { return m.Any().origin() }}
 	m.server = &http.Server{Handler: m.Store}
 	m.place()
 	for _, tenant := range plan.Tenants {
@@ -113,8 +117,8 @@
 	return nil
 }
 
-// anyIn gives a machine whose clients get work.
-func (m *Mesh) anyIn() *Machine {
+// Any gives a machine whose clients get work.
+func (m *Mesh) Any() *Machine {
 	in := make([]*Machine, 0, len(m.Machines))
 	for _, machine := range m.Machines {
 		if !machine.out.Load() {
@@ -135,16 +139,52 @@
 	m.Clients.Load(m.running, routes, span)
 }
 
-// attempt is one attempt of a client without a key.
-func (m *Mesh) attempt(machine *Machine, route deployment.Route, uri string, deadline time.Time) {
+// Attempt is one attempt of a client without a key.
+func (m *Mesh) Attempt(machine *Machine, route deployment.Route, uri string, deadline time.Time) {
 	m.Clients.Attempt(m.running, machine.origin(), route, uri, "", "", deadline)
 }
 
-// sendHarmful sends a harmful request on a route as a client does, with its retry.
-func (m *Mesh) sendHarmful(machine *Machine, route deployment.Route, path string) {
+// SendHarmful sends a harmful request on a route as a client does, with its retry.
+func (m *Mesh) SendHarmful(machine *Machine, route deployment.Route, path string) {
 	m.Clients.SendHarmful(m.running, machine.origin(), route, path)
 }
 
+// AddHarmful has requests of a path on a route end their targets.
+func (m *Mesh) AddHarmful(route deployment.Route, path string) {
+	body := client.BodyOf(route)
+	m.Judge.ExpectHarmful(path, body)
+	m.Harmful.Add(path, body)
+}
+
+// Some draws a share of the machines, one at least.
+func (m *Mesh) Some(random *rand.Rand, share float64) []*Machine {
+	count := max(int(share*float64(len(m.Machines))+0.5), 1)
+	chosen := make([]*Machine, 0, count)
+	for _, index := range random.Perm(len(m.Machines))[:count] {
+		chosen = append(chosen, m.Machines[index])
+	}
+	return chosen
+}
+
+// HarmedFor has the judge know for some time that the links of machines are harmed.
+func (m *Mesh) HarmedFor(machines []*Machine, span time.Duration) {
+	for end := time.Now().Add(span); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
+		for _, machine := range machines {
+			m.Judge.Harmed(machine.IP)
+		}
+	}
+}
+
+// Go runs f beside the mesh; Close waits for its end.
+func (m *Mesh) Go(f func()) { m.group.Go(f) }
+
+// Version gives the last version of the configuration that was written.
+func (m *Mesh) Version() int {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	return m.version
+}
+
 // place lays the targets out over the zones in turn.
 func (m *Mesh) place() {
 	for _, name := range m.Plan.ServiceNames() {
@@ -199,8 +239,8 @@
 	time.Sleep(closeTime)
 }
 
-// followers gives the machines whose nodes follow the store.
-func (m *Mesh) followers() (found []*Machine) {
+// Followers gives the machines whose nodes follow the store.
+func (m *Mesh) Followers() (found []*Machine) {
 	for _, machine := range m.Machines {
 		machine.mutex.Lock()
 		if machine.node.Follows() {
@@ -215,14 +255,12 @@
 // happened before: the bound, and its stretch after disruptions of the store.
 const inForceAfter = 7 * time.Second
 
-// checkEnd ends a day: rules that count are held against what was seen, and after
+// CheckEnd ends a day: rules that count are held against what was seen, and after
 // some quiet time the last configuration is in force everywhere.
-func (m *Mesh) checkEnd() {
+func (m *Mesh) CheckEnd() {
 	m.Judge.CheckDay()
 	time.Sleep(inForceAfter)
-	m.mutex.Lock()
-	last := uint64(m.version)
-	m.mutex.Unlock()
+	last := uint64(m.Version())
 	for _, machine := range m.Machines {
 		m.Judge.CheckVersion(machine.IP, machine.Version(), last)
 	}
--- a/internal/testbed/fleet/nodes_test.go
+++ b/internal/testbed/fleet/nodes_test.go
@@ -51,7 +51,7 @@
 	if output == nil {
 		output = io.Discard
 	}
-	store := platform.NewStore(storeAddress, p.network.Dialer(m.IP))
+	store := platform.NewStore(StoreAddress, p.network.Dialer(m.IP))
 	node, err := sidecar.New(chosen, sidecar.Options{
 		Headers: platform.Headers(), Store: store, ConfigurationKey: platform.ConfigurationKey, RecordPrefix: platform.RecordPrefix, NodePrefix: platform.NodePrefix, QuotaPrefix: platform.QuotaPrefix, CrashKey: platform.CrashKey,
 		ReadIntent: platform.ReadIntent, Control: func(targets *sidecar.Targets) http.Handler { return platform.Heartbeats(targets) },
--- a/internal/testbed/fleet/quota_test.go
+++ b/internal/testbed/fleet/quota_test.go
@@ -40,7 +40,7 @@
 // The limit holds in every trouble, also where keepers go and come, and the tenants below
 // theirs are served afterwards.
 func TestLimitHoldsInTrouble(t *testing.T) {
-	for _, trouble := range append(Troubles(), Trouble{"all restart", 0, func(mesh *Mesh, _ *rand.Rand) { killAndRestart(mesh.Machines) }}) {
+	for _, trouble := range append(Troubles(), Trouble{"all restart", 0, func(mesh *Mesh, _ *rand.Rand) { KillAndRestart(mesh.Machines) }}) {
 		t.Run(trouble.Name, func(t *testing.T) {
 			t.Parallel()
 			g := NewWithT(t)
@@ -90,11 +90,11 @@
 		time.Sleep(2 * time.Second)
 		for _, machine := range mesh.Machines[:3] {
 			mesh.Network.Dark(machine.IP, true)
-			machine.out.Store(true)
+			machine.TakeOut()
 			machine.Kill()
 		}
 		time.Sleep(10 * time.Second)
-		killAndRestart(mesh.Machines[3:])
+		KillAndRestart(mesh.Machines[3:])
 		time.Sleep(2 * time.Second)
 		mesh.Tally.Clear()
 		time.Sleep(2 * time.Second)
--- a/internal/testbed/fleet/records_test.go
+++ b/internal/testbed/fleet/records_test.go
@@ -12,10 +12,10 @@
 )
 
 // recorded counts the records of nodes that the store has.
-func (m *Mesh) recorded() int { return m.Store.Count(platform.NodePrefix) }
+func recorded(m *Mesh) int { return m.Store.Count(platform.NodePrefix) }
 
 // revoke takes the records of some machines away; no call of theirs shows it.
-func (m *Mesh) revoke(machines []*Machine) {
+func revoke(m *Mesh, machines []*Machine) {
 	keys := make([]string, 0, len(machines))
 	for _, machine := range machines {
 		keys = append(keys, platform.NodePrefix+"node-"+machine.IP)
@@ -40,20 +40,20 @@
 			mesh.Store.EndLeases()
 			mesh.Store.Set(func(s *store.Store) { s.Down = false })
 		}},
-		{"records taken away", func(mesh *Mesh, chosen []*Machine) { mesh.revoke(chosen) }},
+		{"records taken away", func(mesh *Mesh, chosen []*Machine) { revoke(mesh, chosen) }},
 		{"records of machines taken away that are turned away", func(mesh *Mesh, chosen []*Machine) {
 			mesh.Store.Set(func(s *store.Store) {
 				for _, machine := range chosen {
 					s.Refuse[machine.IP] = true
 				}
 			})
-			mesh.revoke(chosen)
+			revoke(mesh, chosen)
 			time.Sleep(9 * time.Second)
 			mesh.Store.Set(func(s *store.Store) { clear(s.Refuse) })
 		}},
 		{"all restart after their records were taken away", func(mesh *Mesh, _ []*Machine) {
-			mesh.revoke(mesh.Machines)
-			killAndRestart(mesh.Machines)
+			revoke(mesh, mesh.Machines)
+			KillAndRestart(mesh.Machines)
 		}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -63,13 +63,13 @@
 				mesh, err := NewMesh(wide(nodes))
 				g.Expect(err).NotTo(HaveOccurred())
 				defer mesh.Close()
-				time.Sleep(settle)
-				g.Expect(mesh.recorded()).To(Equal(nodes))
-				tc.play(mesh, some(mesh, rand.New(rand.NewPCG(3, 4)), 0.35))
+				time.Sleep(Settle)
+				g.Expect(recorded(mesh)).To(Equal(nodes))
+				tc.play(mesh, mesh.Some(rand.New(rand.NewPCG(3, 4)), 0.35))
 				time.Sleep(returnBound)
-				g.Expect(mesh.recorded()).To(Equal(nodes))
+				g.Expect(recorded(mesh)).To(Equal(nodes))
 				for _, machine := range mesh.Machines {
-					g.Expect(machine.peers()).To(Equal(nodes-1), machine.IP)
+					g.Expect(machine.Peers()).To(Equal(nodes-1), machine.IP)
 				}
 			})
 		})
@@ -85,19 +85,19 @@
 		mesh, err := NewMesh(wide(nodes))
 		g.Expect(err).NotTo(HaveOccurred())
 		defer mesh.Close()
-		time.Sleep(settle)
+		time.Sleep(Settle)
 		lost := mesh.Machines[:1]
 		mesh.Network.Dark(lost[0].IP, true)
-		mesh.revoke(lost)
+		revoke(mesh, lost)
 		time.Sleep(4 * time.Second)
 		for _, machine := range mesh.Machines[1:] {
-			g.Expect(machine.peers()).To(Equal(nodes-2), machine.IP)
+			g.Expect(machine.Peers()).To(Equal(nodes-2), machine.IP)
 		}
 		mesh.Network.Dark(lost[0].IP, false)
 		time.Sleep(4 * time.Second)
-		g.Expect(mesh.recorded()).To(Equal(nodes), "it comes back when it is told that it is gone")
+		g.Expect(recorded(mesh)).To(Equal(nodes), "it comes back when it is told that it is gone")
 		for _, machine := range mesh.Machines[1:] {
-			g.Expect(machine.peers()).To(Equal(nodes-1), machine.IP)
+			g.Expect(machine.Peers()).To(Equal(nodes-1), machine.IP)
 		}
 	})
 }
@@ -135,7 +135,7 @@
 					mesh, err := NewMesh(wide(nodes))
 					g.Expect(err).NotTo(HaveOccurred())
 					defer mesh.Close()
-					time.Sleep(settle)
+					time.Sleep(Settle)
 					mesh.Store.Set(func(s *store.Store) { s.Calls = map[string]int{} })
 					tc.disturb(mesh)
 					mesh.Store.Set(func(s *store.Store) { t.Logf("%d nodes: %v", nodes, s.Calls) })
@@ -161,8 +161,8 @@
 		}},
 		{"followers are cut off from the store", func(mesh *Mesh, chosen []*Machine) {
 			for _, machine := range chosen {
-				mesh.Network.Cut(machine.IP, storeHost, true)
-				mesh.Network.Cut(storeHost, machine.IP, true)
+				mesh.Network.Cut(machine.IP, StoreHost, true)
+				mesh.Network.Cut(StoreHost, machine.IP, true)
 			}
 		}},
 		{"followers fall silent", func(mesh *Mesh, chosen []*Machine) {
@@ -188,8 +188,8 @@
 				mesh, err := NewMesh(wide(nodes))
 				g.Expect(err).NotTo(HaveOccurred())
 				defer mesh.Close()
-				time.Sleep(settle)
-				chosen := mesh.followers()
+				time.Sleep(Settle)
+				chosen := mesh.Followers()
 				g.Expect(len(chosen)).To(BeNumerically("<=", 8))
 				tc.harm(mesh, chosen)
 				mesh.Configure(nil)
@@ -200,7 +200,7 @@
 				}
 				for _, machine := range mesh.Machines {
 					if !harmed[machine] {
-						g.Expect(machine.Version()).To(Equal(uint64(mesh.version)), machine.IP)
+						g.Expect(machine.Version()).To(Equal(uint64(mesh.Version())), machine.IP)
 					}
 				}
 			})
--- a/internal/testbed/fleet/scale_test.go
+++ b/internal/testbed/fleet/scale_test.go
@@ -50,12 +50,12 @@
 			}
 		}},
 		{"mass restart", func(mesh *Mesh, random *rand.Rand) {
-			killAndRestart(some(mesh, random, 0.6))
+			KillAndRestart(mesh.Some(random, 0.6))
 			newRoute(mesh, random)
 		}},
 		{"all restart in turn", func(mesh *Mesh, random *rand.Rand) {
-			for _, m := range some(mesh, random, 0.5) {
-				killAndRestart([]*Machine{m})
+			for _, m := range mesh.Some(random, 0.5) {
+				KillAndRestart([]*Machine{m})
 			}
 			newRoute(mesh, random)
 		}},
@@ -67,7 +67,7 @@
 				mesh, err := NewMesh(wide(nodes))
 				g.Expect(err).NotTo(HaveOccurred())
 				defer mesh.Close()
-				time.Sleep(settle)
+				time.Sleep(Settle)
 				mesh.Store.Set(func(s *store.Store) { s.Limited, s.Calls = 0, map[string]int{} })
 				tc.disturb(mesh, rand.New(rand.NewPCG(1, 2)))
 				time.Sleep(applyBound)
@@ -76,7 +76,7 @@
 					g.Expect(s.Limited).To(BeZero())
 				})
 				for _, m := range mesh.Machines {
-					g.Expect(m.Version()).To(Equal(uint64(mesh.version)), m.IP)
+					g.Expect(m.Version()).To(Equal(uint64(mesh.Version())), m.IP)
 				}
 			})
 		})
--- a/internal/testbed/fleet/soak_test.go
+++ b/internal/testbed/fleet/soak_test.go
@@ -86,13 +86,13 @@
 	defer closeAll()
 	soak.mesh = mesh
 	mesh.Judge.Late = soakLate
-	time.Sleep(settle)
+	time.Sleep(Settle)
 	played := soak.troubled(*soakFor, seed)
 	if !soak.calmDown() {
 		t.Error("not all machines are ready a while after the last trouble")
 	}
 	served := soak.servedInCalm()
-	mesh.checkEnd()
+	mesh.CheckEnd()
 	ended, innocent := mesh.Judge.HarmFigures()
 	t.Logf("seed %d: %s; answers %v; %.3f served in calm; %d targets ended by harmful requests, %d harmless refused on suspicion, %d cut around planned stops", seed, played, mesh.Tally.Status, served, ended, innocent, mesh.Judge.LostAroundStops())
 	closeAll()
@@ -188,7 +188,7 @@
 // alone has f play on each of some machines that no other trouble of processes holds.
 func (s *soak) alone(random *rand.Rand, share float64, f func(machine *Machine)) {
 	var group sync.WaitGroup
-	for _, machine := range some(s.mesh, random, share) {
+	for _, machine := range s.mesh.Some(random, share) {
 		release, taken := s.take(machine)
 		if !taken {
 			continue
@@ -221,7 +221,7 @@
 }
 
 func restart(machine *Machine) {
-	time.Sleep(restartAfter)
+	time.Sleep(RestartAfter)
 	_ = machine.Start()
 }
 
@@ -249,7 +249,7 @@
 	return func(s *soak, random *rand.Rand) {
 		span := time.Duration(1+random.IntN(4)) * time.Second
 		var group sync.WaitGroup
-		for _, machine := range some(s.mesh, random, share) {
+		for _, machine := range s.mesh.Some(random, share) {
 			relays, err := s.relaysOf(machine)
 			if err != nil {
 				continue
@@ -286,7 +286,7 @@
 		})
 	}},
 	{"stop in turn", func(s *soak, random *rand.Rand) {
-		for _, machine := range some(s.mesh, random, 0.3) {
+		for _, machine := range s.mesh.Some(random, 0.3) {
 			if release, taken := s.take(machine); taken {
 				machine.Stop()
 				restart(machine)
@@ -310,7 +310,7 @@
 	}},
 	{"settings", func(s *soak, random *rand.Rand) {
 		allowance := float64(30 + random.IntN(30))
-		for _, machine := range some(s.mesh, random, 0.5) {
+		for _, machine := range s.mesh.Some(random, 0.5) {
 			if release, taken := s.take(machine); taken {
 				machine.Reload(func(s *settings.Settings) { s.Retries.Allowance = allowance })
 				release()
@@ -348,9 +348,9 @@
 	{"harmful request", func(s *soak, random *rand.Rand) {
 		route := s.mesh.Plan.Routes[[]int{0, 1, 3}[random.IntN(3)]]
 		path := fmt.Sprintf("%sharmful-%d", route.Prefix, random.IntN(1000))
-		s.mesh.addHarmful(route, path)
+		s.mesh.AddHarmful(route, path)
 		for range 4 {
-			s.mesh.sendHarmful(s.mesh.anyIn(), route, path)
+			s.mesh.SendHarmful(s.mesh.Any(), route, path)
 			time.Sleep(time.Second)
 		}
 	}},
--- a/internal/testbed/fleet/stop_test.go
+++ b/internal/testbed/fleet/stop_test.go
@@ -22,7 +22,7 @@
 				case <-ended:
 					return
 				case <-time.After(5 * time.Millisecond):
-					go mesh.attempt(machine, mesh.Plan.Routes[0], mesh.Plan.Routes[0].Prefix+"x", time.Now().Add(3*time.Second))
+					go mesh.Attempt(machine, mesh.Plan.Routes[0], mesh.Plan.Routes[0].Prefix+"x", time.Now().Add(3*time.Second))
 				}
 			}
 		}()
--- a/internal/testbed/fleet/story_test.go
+++ b/internal/testbed/fleet/story_test.go
@@ -107,7 +107,7 @@
 	lines := logsOf(t, deployment.ThreeDeep(), func(mesh *Mesh) {
 		for range 6 {
 			time.Sleep(time.Second)
-			killAndRestart([]*Machine{mesh.Machines[len(mesh.Machines)-1], mesh.Machines[len(mesh.Machines)-2]}) // beside middle
+			KillAndRestart([]*Machine{mesh.Machines[len(mesh.Machines)-1], mesh.Machines[len(mesh.Machines)-2]}) // beside middle
 		}
 	})
 	id := first(t, lines, func(fields map[string]any) bool { return fields["status"] == 502.0 })
@@ -174,7 +174,7 @@
 	plan := scarce()
 	mesh := play(t, plan, 16*time.Second, func(mesh *Mesh) {
 		time.Sleep(2 * time.Second)
-		killAndRestart(some(mesh, rand.New(rand.NewPCG(3, 4)), 1))
+		KillAndRestart(mesh.Some(rand.New(rand.NewPCG(3, 4)), 1))
 	})
 	g.Expect(mesh.Judge.Broken()).To(BeEmpty())
 	g.Expect(mesh.Tally.Share("/order/")).To(BeNumerically(">", 0.9))
--- a/internal/testbed/fleet/suspend_test.go
+++ b/internal/testbed/fleet/suspend_test.go
@@ -5,7 +5,6 @@
 	"io"
 	"net/http"
 	"strings"
-	"sync"
 	"testing"
 	"testing/synctest"
 	"time"
@@ -15,68 +14,6 @@
 	. "github.com/onsi/gomega"
 )
 
-// machineClock is the clock of a machine that may be suspended. The timers of its processes
-// go on in virtual time; a suspended machine says and hears nothing.
-type machineClock struct {
-	started time.Time
-
-	mutex sync.Mutex
-	slept time.Duration
-	since time.Time // of the suspension; zero: it runs
-}
-
-func newMachineClock() *machineClock { return &machineClock{started: time.Now()} }
-
-// Steady implements clock.Source.
-func (c *machineClock) Steady() time.Duration {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	return c.bootLocked() - c.slept
-}
-
-// Boot implements clock.Source. What runs on a suspended machine in the mesh, and would not,
-// sees it stand still.
-func (c *machineClock) Boot() time.Duration {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	return c.bootLocked()
-}
-
-func (c *machineClock) bootLocked() time.Duration {
-	if !c.since.IsZero() {
-		return c.since.Sub(c.started)
-	}
-	return time.Since(c.started)
-}
-
-func (c *machineClock) suspend() {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	c.since = time.Now()
-}
-
-func (c *machineClock) wake() {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	c.slept += time.Since(c.since)
-	c.since = time.Time{}
-}
-
-// Suspend suspends machines for some time. Their clients get no new work meanwhile.
-func (m *Mesh) Suspend(machines []*Machine, span time.Duration) {
-	for _, machine := range machines {
-		machine.out.Store(true)
-		machine.clock.suspend()
-		m.Network.Dark(machine.IP, true)
-	}
-	harmed(m, machines, span)
-	for _, machine := range machines {
-		m.Network.Dark(machine.IP, false)
-		machine.clock.wake()
-		machine.out.Store(false)
-	}
-}
-
 // Symptom: a key that was taken away lets requests in at one node.
 //
 // Sequence: the machine is suspended, the key is taken away, the machine wakes and a client
@@ -94,15 +31,15 @@
 				mesh, err := NewMesh(withTenants(2))
 				g.Expect(err).NotTo(HaveOccurred())
 				defer mesh.Close()
-				time.Sleep(settle)
+				time.Sleep(Settle)
 				machine := mesh.Machines[0]
-				g.Expect(mesh.statusOf(machine, "/front/x", "key-tenant0-a")).To(Equal(http.StatusOK))
+				g.Expect(statusOf(mesh, machine, "/front/x", "key-tenant0-a")).To(Equal(http.StatusOK))
 				mesh.TakeKey(0, 0)
 				mesh.Suspend([]*Machine{machine}, span)
-				g.Expect(mesh.statusOf(machine, "/front/x", "key-tenant0-a")).NotTo(Equal(http.StatusOK))
+				g.Expect(statusOf(mesh, machine, "/front/x", "key-tenant0-a")).NotTo(Equal(http.StatusOK))
 				time.Sleep(judge.Contact)
-				g.Expect(mesh.statusOf(machine, "/front/x", "key-tenant0-a")).To(Equal(http.StatusUnauthorized))
-				g.Expect(mesh.servedWithin(machine, "key-tenant0-b", time.Second)).To(BeTrue())
+				g.Expect(statusOf(mesh, machine, "/front/x", "key-tenant0-a")).To(Equal(http.StatusUnauthorized))
+				g.Expect(servedWithin(mesh, machine, "key-tenant0-b", time.Second)).To(BeTrue())
 			})
 		})
 	}
@@ -125,11 +62,11 @@
 		g.Expect(err).NotTo(HaveOccurred())
 		defer mesh.Close()
 		go mesh.Load(4 * time.Second)
-		time.Sleep(settle + 4*time.Second)
+		time.Sleep(Settle + 4*time.Second)
 		for shard := range 4 {
 			var keepers []*Machine
 			for _, machine := range mesh.Machines {
-				if mesh.keeps(machine, shard) {
+				if keeps(mesh, machine, shard) {
 					keepers = append(keepers, machine)
 				}
 			}
@@ -138,7 +75,7 @@
 			}
 			g.Expect(keepers).To(HaveLen(1))
 			mesh.Suspend(keepers, 10*time.Second)
-			g.Expect(mesh.keeps(keepers[0], shard)).To(BeFalse())
+			g.Expect(keeps(mesh, keepers[0], shard)).To(BeFalse())
 			return
 		}
 		t.Fatal("no group has a keeper")
@@ -155,11 +92,11 @@
 		mesh, err := NewMesh(plan)
 		g.Expect(err).NotTo(HaveOccurred())
 		defer mesh.Close()
-		time.Sleep(settle)
+		time.Sleep(Settle)
 		machine := mesh.Machines[0]
 		mesh.Suspend([]*Machine{machine}, 8*time.Second)
 		woken := time.Now()
-		g.Expect(mesh.servedWithin(machine, "key-tenant0-a", time.Second)).To(BeTrue())
+		g.Expect(servedWithin(mesh, machine, "key-tenant0-a", time.Second)).To(BeTrue())
 		t.Logf("served %s after waking", time.Since(woken))
 		time.Sleep(time.Second)
 		g.Expect(strings.Count(logs.text(), `"change":"woke"`)).To(Equal(1))
@@ -168,9 +105,9 @@
 
 // servedWithin sends requests with a key one after the other until one is served. The first one
 // of a tenant at a node whose name the keeper of the limit does not have yet may be refused.
-func (m *Mesh) servedWithin(machine *Machine, key string, span time.Duration) bool {
+func servedWithin(m *Mesh, machine *Machine, key string, span time.Duration) bool {
 	for end := time.Now().Add(span); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		if m.statusOf(machine, "/front/x", key) == http.StatusOK {
+		if statusOf(m, machine, "/front/x", key) == http.StatusOK {
 			return true
 		}
 	}
@@ -178,13 +115,13 @@
 }
 
 // keeps asks a node whether it gives parts of the limits of a group.
-func (m *Mesh) keeps(machine *Machine, shard int) bool {
+func keeps(m *Mesh, machine *Machine, shard int) bool {
 	data, err := wire.QuotaAskCodec.Encode(&wire.QuotaAsk{Holder: "asks " + machine.IP, Incarnation: "i", Shard: shard, Reports: []wire.QuotaReport{}})
 	if err != nil {
 		return false
 	}
 	client := &http.Client{Transport: &http.Transport{DialContext: m.Network.Dialer(machine.IP), DisableKeepAlives: true}, Timeout: time.Second}
-	response, err := client.Post("http://"+machine.IP+":"+portInbound+"/quota", "", bytes.NewReader(data))
+	response, err := client.Post("http://"+machine.Inbound()+"/quota", "", bytes.NewReader(data))
 	if err != nil {
 		return false
 	}
--- a/internal/testbed/fleet/tenants_test.go
+++ b/internal/testbed/fleet/tenants_test.go
@@ -2,10 +2,7 @@
 
 import (
 	"math/rand/v2"
-	"net/http"
-	"strconv"
 
-	"github.com/landingmast/landingmast/internal/testbed/client"
 	"github.com/landingmast/landingmast/internal/testbed/deployment"
 	"github.com/landingmast/landingmast/internal/testbed/judge"
 )
@@ -58,26 +55,3 @@
 	}
 	return "", ""
 }
-
-// statusOf sends one request with a key and gives the status.
-func (m *Mesh) statusOf(machine *Machine, uri, key string) int {
-	request, err := http.NewRequest(http.MethodGet, "http://"+machine.IP+":"+portOutbound+uri, nil)
-	if err != nil {
-		return 0
-	}
-	id := strconv.FormatUint(rand.Uint64(), 16)
-	request.Host = deployment.Host
-	request.Header.Set("X-Request-Id", id)
-	request.Header.Set("X-Deadline-Ms", "1000")
-	if key != "" {
-		request.Header.Set("Authorization", client.KeyScheme+key)
-	}
-	m.Judge.ExpectCall(id, machine.IP, machine.Target.Service)
-	transport := &http.Transport{DisableKeepAlives: true, DialContext: m.Network.Dialer(machine.IP)}
-	response, err := transport.RoundTrip(request)
-	if err != nil {
-		return 0
-	}
-	_ = response.Body.Close()
-	return response.StatusCode
-}
--- a/internal/testbed/fleet/troubles_test.go
+++ b/internal/testbed/fleet/troubles_test.go
@@ -20,32 +20,9 @@
 	Play func(mesh *Mesh, random *rand.Rand)
 }
 
-func some(mesh *Mesh, random *rand.Rand, share float64) []*Machine {
-	count := max(int(share*float64(len(mesh.Machines))+0.5), 1)
-	chosen := make([]*Machine, 0, count)
-	for _, index := range random.Perm(len(mesh.Machines))[:count] {
-		chosen = append(chosen, mesh.Machines[index])
-	}
-	return chosen
-}
-
-// restartAfter is the pause before the platform starts a process again.
-const restartAfter = 400 * time.Millisecond
-
-func killAndRestart(machines []*Machine) {
-	for _, machine := range machines {
-		machine.mesh.Network.Reset(machine.IP, nil)
-		machine.Kill()
-	}
-	time.Sleep(restartAfter)
-	for _, machine := range machines {
-		_ = machine.Start()
-	}
-}
-
 func faulty(faults target.Faults, share float64, span time.Duration) func(*Mesh, *rand.Rand) {
 	return func(mesh *Mesh, random *rand.Rand) {
-		chosen := some(mesh, random, share)
+		chosen := mesh.Some(random, share)
 		for _, machine := range chosen {
 			machine.Target.SetFaults(faults)
 		}
@@ -77,49 +54,49 @@
 // names are those of the users' pages.
 func Troubles() []Trouble {
 	return []Trouble{
-		{"node_kill", 0.97, func(mesh *Mesh, random *rand.Rand) { killAndRestart(some(mesh, random, 0.1)) }},
-		{"herd_kill", 0.85, func(mesh *Mesh, random *rand.Rand) { killAndRestart(some(mesh, random, 0.6)) }},
+		{"node_kill", 0.97, func(mesh *Mesh, random *rand.Rand) { KillAndRestart(mesh.Some(random, 0.1)) }},
+		{"herd_kill", 0.85, func(mesh *Mesh, random *rand.Rand) { KillAndRestart(mesh.Some(random, 0.6)) }},
 		{"roll_term", 0.98, func(mesh *Mesh, random *rand.Rand) {
-			for _, machine := range some(mesh, random, 0.4) {
+			for _, machine := range mesh.Some(random, 0.4) {
 				machine.Stop()
-				time.Sleep(restartAfter)
+				time.Sleep(RestartAfter)
 				_ = machine.Start()
 			}
 		}},
 		{"node_freeze", 0.9, func(mesh *Mesh, random *rand.Rand) {
-			chosen := some(mesh, random, 0.1)
+			chosen := mesh.Some(random, 0.1)
 			for _, machine := range chosen {
 				mesh.Network.Dark(machine.IP, true)
 			}
-			harmed(mesh, chosen, 3*time.Second)
+			mesh.HarmedFor(chosen, 3*time.Second)
 			for _, machine := range chosen {
 				mesh.Network.Dark(machine.IP, false)
 			}
 		}},
 		{"suspended", 0.9, func(mesh *Mesh, random *rand.Rand) {
-			mesh.Suspend(some(mesh, random, 0.1), time.Duration(1+random.IntN(6))*time.Second)
+			mesh.Suspend(mesh.Some(random, 0.1), time.Duration(1+random.IntN(6))*time.Second)
 		}},
-		{"node_cut", 0.85, func(mesh *Mesh, random *rand.Rand) { cutFromOthers(mesh, some(mesh, random, 0.2), 3*time.Second) }},
+		{"node_cut", 0.85, func(mesh *Mesh, random *rand.Rand) { cutFromOthers(mesh, mesh.Some(random, 0.2), 3*time.Second) }},
 		{"core_cut", 0.99, func(mesh *Mesh, random *rand.Rand) {
-			chosen := some(mesh, random, 0.2)
+			chosen := mesh.Some(random, 0.2)
 			for _, machine := range chosen {
-				mesh.Network.Cut(machine.IP, storeHost, true)
-				mesh.Network.Cut(storeHost, machine.IP, true)
+				mesh.Network.Cut(machine.IP, StoreHost, true)
+				mesh.Network.Cut(StoreHost, machine.IP, true)
 			}
 			mesh.Judge.StoreTrouble(4 * time.Second)
 			for _, machine := range chosen {
-				mesh.Network.Cut(machine.IP, storeHost, false)
-				mesh.Network.Cut(storeHost, machine.IP, false)
+				mesh.Network.Cut(machine.IP, StoreHost, false)
+				mesh.Network.Cut(StoreHost, machine.IP, false)
 			}
 		}},
 		{"reset_conns", 0.9, func(mesh *Mesh, random *rand.Rand) {
-			for _, machine := range some(mesh, random, 0.4) {
+			for _, machine := range mesh.Some(random, 0.4) {
 				mesh.Network.Reset(machine.IP, func() bool { return random.IntN(2) == 0 })
 			}
 		}},
 		{"srv_slow", 0.97, faulty(target.Faults{Slow: 5}, 0.15, 4*time.Second)},
 		{"srv_crash", 0.9, func(mesh *Mesh, random *rand.Rand) {
-			chosen := some(mesh, random, 0.15)
+			chosen := mesh.Some(random, 0.15)
 			for _, machine := range chosen {
 				machine.Target.Stop()
 			}
@@ -133,7 +110,7 @@
 		{"garble", 0.95, faulty(target.Faults{CutShort: 0.02, Garbage: 0.02}, 0.5, 3*time.Second)},
 		{"garble extra late", 0.95, faulty(target.Faults{Surplus: 0.2}, 0.6, 4*time.Second)},
 		{"scale_in", 0.98, func(mesh *Mesh, random *rand.Rand) {
-			target := some(mesh, random, 0.05)[0].Target
+			target := mesh.Some(random, 0.05)[0].Target
 			target.Drain(DrainBound + time.Second)
 			_ = target.Start()
 		}},
@@ -153,13 +130,13 @@
 			mesh.Store.Compact()
 		}},
 		{"store refuses some", 0.97, func(mesh *Mesh, random *rand.Rand) {
-			chosen := some(mesh, random, 0.3)
+			chosen := mesh.Some(random, 0.3)
 			mesh.Store.Set(func(s *store.Store) {
 				for _, machine := range chosen {
 					s.Refuse[machine.IP] = true
 				}
 			})
-			killAndRestart(chosen)
+			KillAndRestart(chosen)
 			mesh.Judge.StoreTrouble(4 * time.Second)
 			mesh.Store.Set(func(s *store.Store) { clear(s.Refuse) })
 		}},
@@ -175,7 +152,7 @@
 			mesh.Clients.SetGiveUp(0)
 		}},
 		{"hup", 0.99, func(mesh *Mesh, random *rand.Rand) {
-			for _, machine := range some(mesh, random, 0.5) {
+			for _, machine := range mesh.Some(random, 0.5) {
 				machine.Reload(func(s *settings.Settings) { s.Retries.Allowance = 40 })
 				time.Sleep(200 * time.Millisecond)
 			}
@@ -201,15 +178,6 @@
 		}
 	}
 	set(true)
-	harmed(mesh, chosen, span)
+	mesh.HarmedFor(chosen, span)
 	set(false)
 }
-
-// harmed has the judge know for some time that the links of machines are harmed.
-func harmed(mesh *Mesh, machines []*Machine, span time.Duration) {
-	for end := time.Now().Add(span); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
-		for _, machine := range machines {
-			mesh.Judge.Harmed(machine.IP)
-		}
-	}
-}
