--- a/internal/testbed/fleet/alone_test.go
+++ b/internal/testbed/fleet/alone_test.go
@@ -1,3 +1,5 @@
+// Package fleet tests whole fleets of sidecar nodes, which run in one process, in virtual time
+// and over a network in memory.
 package fleet
 
 import (
@@ -6,21 +8,22 @@
 	"testing/synctest"
 	"time"
 
+	"github.com/landingmast/landingmast/internal/testbed"
 	"github.com/landingmast/landingmast/internal/testbed/deployment"
 	. "github.com/onsi/gomega"
 )
 
 // play runs a mesh in virtual time: load for a span, and beside it what disturb does.
-func play(t *testing.T, plan deployment.Plan, span time.Duration, disturb func(mesh *Mesh)) *Mesh {
+func play(t *testing.T, plan deployment.Plan, span time.Duration, disturb func(mesh *testbed.Mesh)) *testbed.Mesh {
 	t.Helper()
-	var played *Mesh
+	var played *testbed.Mesh
 	synctest.Test(t, func(t *testing.T) {
-		mesh, err := NewMesh(plan)
+		mesh, err := testbed.New(plan)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer mesh.Close()
-		time.Sleep(Settle)
+		time.Sleep(testbed.Settle)
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
@@ -53,7 +56,7 @@
 		t.Run(trouble.Name, func(t *testing.T) {
 			t.Parallel()
 			g := NewWithT(t)
-			mesh := play(t, deployment.ThreeDeep(), 10*time.Second, func(mesh *Mesh) {
+			mesh := play(t, deployment.ThreeDeep(), 10*time.Second, func(mesh *testbed.Mesh) {
 				time.Sleep(2 * time.Second)
 				trouble.Play(mesh, rand.New(rand.NewPCG(1, 2)))
 			})
--- a/internal/testbed/fleet/crash_test.go
+++ b/internal/testbed/fleet/crash_test.go
@@ -7,6 +7,7 @@
 	"testing"
 	"time"
 
+	"github.com/landingmast/landingmast/internal/testbed"
 	"github.com/landingmast/landingmast/internal/testbed/deployment"
 	"github.com/landingmast/landingmast/internal/testbed/store"
 	. "github.com/onsi/gomega"
@@ -38,7 +39,7 @@
 			t.Parallel()
 			g := NewWithT(t)
 			plan := deployment.WithSpares()
-			mesh := play(t, plan, 30*time.Second, func(mesh *Mesh) { comesAgain(mesh, plan.Routes[tc.route], 7) })
+			mesh := play(t, plan, 30*time.Second, func(mesh *testbed.Mesh) { comesAgain(mesh, plan.Routes[tc.route], 7) })
 			g.Expect(mesh.Judge.Broken()).To(BeEmpty())
 			ended, innocent := mesh.Judge.HarmFigures()
 			t.Logf("%d targets ended, %d harmless requests refused on suspicion, %v", ended, innocent, mesh.Tally.Status)
@@ -50,48 +51,48 @@
 // A request that ends its targets is held back whatever else goes wrong, as a client's request
 // and as a call, and no harmless one with it.
 func TestHarmfulRequestsInTrouble(t *testing.T) {
-	all := func(mesh *Mesh) []*Machine { return mesh.Machines }
+	all := func(mesh *testbed.Mesh) []*testbed.Machine { return mesh.Machines }
 	for _, tc := range []struct {
 		name    string
 		paths   []string // of harmful requests
-		trouble func(mesh *Mesh)
+		trouble func(mesh *testbed.Mesh)
 	}{
-		{"several at a time", []string{"/front/a", "/front/b", "/deep/c"}, func(*Mesh) {}},
-		{"as a call", []string{"/deep/harmful"}, func(*Mesh) {}},
-		{"targets are back at once", []string{"/front/a", "/deep/c"}, func(mesh *Mesh) { mesh.Harmful.BringBackAfter(0) }},
-		{"all nodes are killed", []string{"/front/a"}, func(mesh *Mesh) {
+		{"several at a time", []string{"/front/a", "/front/b", "/deep/c"}, func(*testbed.Mesh) {}},
+		{"as a call", []string{"/deep/harmful"}, func(*testbed.Mesh) {}},
+		{"targets are back at once", []string{"/front/a", "/deep/c"}, func(mesh *testbed.Mesh) { mesh.Harmful.BringBackAfter(0) }},
+		{"all nodes are killed", []string{"/front/a"}, func(mesh *testbed.Mesh) {
 			time.Sleep(6 * time.Second)
-			KillAndRestart(all(mesh))
+			testbed.KillAndRestart(all(mesh))
 			time.Sleep(6 * time.Second)
-			KillAndRestart(all(mesh))
+			testbed.KillAndRestart(all(mesh))
 		}},
-		{"nodes are killed in turn", []string{"/front/a"}, func(mesh *Mesh) {
+		{"nodes are killed in turn", []string{"/front/a"}, func(mesh *testbed.Mesh) {
 			for _, machine := range mesh.Machines {
 				time.Sleep(time.Second)
-				KillAndRestart([]*Machine{machine})
+				testbed.KillAndRestart([]*testbed.Machine{machine})
 			}
 		}},
-		{"the store is away at the ends, then all nodes are killed", []string{"/front/a"}, func(mesh *Mesh) {
+		{"the store is away at the ends, then all nodes are killed", []string{"/front/a"}, func(mesh *testbed.Mesh) {
 			storeAway(mesh, 8*time.Second)
 			time.Sleep(2 * time.Second)
-			KillAndRestart(all(mesh))
+			testbed.KillAndRestart(all(mesh))
 		}},
-		{"some nodes are cut off at the ends", []string{"/front/a"}, func(mesh *Mesh) {
+		{"some nodes are cut off at the ends", []string{"/front/a"}, func(mesh *testbed.Mesh) {
 			time.Sleep(3 * time.Second)
 			cutFromOthers(mesh, mesh.Some(rand.New(rand.NewPCG(2, 2)), 0.3), 5*time.Second)
 		}},
-		{"writes of the store are lost, then all nodes are killed", []string{"/front/a"}, func(mesh *Mesh) {
+		{"writes of the store are lost, then all nodes are killed", []string{"/front/a"}, func(mesh *testbed.Mesh) {
 			mesh.Store.Set(func(s *store.Store) { s.LoseWrites = true })
 			time.Sleep(8 * time.Second)
 			mesh.Store.Set(func(s *store.Store) { s.LoseWrites = false })
-			KillAndRestart(all(mesh))
+			testbed.KillAndRestart(all(mesh))
 		}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
 			g := NewWithT(t)
 			plan := deployment.WithSpares()
-			mesh := play(t, plan, 30*time.Second, func(mesh *Mesh) {
+			mesh := play(t, plan, 30*time.Second, func(mesh *testbed.Mesh) {
 				var group sync.WaitGroup
 				for _, path := range tc.paths {
 					group.Go(func() { comesAgainAs(mesh, path, 7) })
@@ -111,7 +112,7 @@
 func TestPopularRequestsAreNotHeldBack(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
-	mesh := play(t, deployment.WithSpares(), 30*time.Second, func(mesh *Mesh) {
+	mesh := play(t, deployment.WithSpares(), 30*time.Second, func(mesh *testbed.Mesh) {
 		random := rand.New(rand.NewPCG(4, 4))
 		for range 8 {
 			time.Sleep(3 * time.Second)
@@ -133,7 +134,7 @@
 
 // comesAgainAs sends a harmful request of a path some times, a few at a time, as a client's
 // request or, for the path of the call that requests to /front/chain make, as a call.
-func comesAgainAs(m *Mesh, path string, times int) {
+func comesAgainAs(m *testbed.Mesh, path string, times int) {
 	routes := m.Plan.Routes
 	route := routes[0]
 	if strings.HasPrefix(path, "/deep/") {
@@ -153,14 +154,14 @@
 }
 
 // storeAway has the store answer nothing for some time.
-func storeAway(m *Mesh, span time.Duration) {
+func storeAway(m *testbed.Mesh, span time.Duration) {
 	m.Store.Set(func(s *store.Store) { s.Down = true })
 	m.Judge.StoreTrouble(span)
 	m.Store.Set(func(s *store.Store) { s.Down = false })
 }
 
 // comesAgain sends a harmful request some times, every few seconds, at any machine.
-func comesAgain(m *Mesh, route deployment.Route, times int) {
+func comesAgain(m *testbed.Mesh, route deployment.Route, times int) {
 	path := route.Prefix + "harmful"
 	m.AddHarmful(route, path)
 	for range times {
--- a/internal/testbed/fleet/days_test.go
+++ b/internal/testbed/fleet/days_test.go
@@ -8,6 +8,7 @@
 	"testing/synctest"
 	"time"
 
+	"github.com/landingmast/landingmast/internal/testbed"
 	"github.com/landingmast/landingmast/internal/testbed/deployment"
 	"github.com/landingmast/landingmast/internal/testbed/target"
 )
@@ -69,7 +70,7 @@
 }
 
 // sendHarm sends a harmful request again and again.
-func sendHarm(m *Mesh, number int, one harmfulPlan, span time.Duration) {
+func sendHarm(m *testbed.Mesh, number int, one harmfulPlan, span time.Duration) {
 	route := m.Plan.Routes[one.route]
 	path := fmt.Sprintf("%sharmful-%d", route.Prefix, number)
 	harmful, sent := path, path
@@ -117,11 +118,11 @@
 }
 
 // PlayDay plays a day in virtual time and gives the mesh as it ended.
-func PlayDay(t *testing.T, day Day) *Mesh {
+func PlayDay(t *testing.T, day Day) *testbed.Mesh {
 	t.Helper()
-	var played *Mesh
+	var played *testbed.Mesh
 	synctest.Test(t, func(t *testing.T) {
-		mesh, err := NewMesh(day.Plan)
+		mesh, err := testbed.New(day.Plan)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/testbed/fleet/held_test.go
+++ b/internal/testbed/fleet/held_test.go
@@ -15,6 +15,7 @@
 	"github.com/alecthomas/kingpin/v2"
 	"github.com/landingmast/landingmast/internal/operator"
 	"github.com/landingmast/landingmast/internal/store"
+	"github.com/landingmast/landingmast/internal/testbed"
 	"github.com/landingmast/landingmast/internal/testbed/deployment"
 	"github.com/landingmast/landingmast/internal/testbed/judge"
 	"github.com/landingmast/landingmast/platform"
@@ -22,7 +23,7 @@
 )
 
 // statusWith sends one request with a body through a machine and gives the answer.
-func statusWith(m *Mesh, machine *Machine, method, uri, body string) (status int, header http.Header, text string) {
+func statusWith(m *testbed.Mesh, machine *testbed.Machine, method, uri, body string) (status int, header http.Header, text string) {
 	request, err := http.NewRequest(method, "http://"+machine.Outbound()+uri, strings.NewReader(body))
 	if err != nil {
 		return 0, nil, err.Error()
@@ -43,7 +44,7 @@
 }
 
 // command runs a command of the operators against the mesh's store.
-func command(m *Mesh, g *WithT, input string, arguments ...string) (string, error) {
+func command(m *testbed.Mesh, g *WithT, input string, arguments ...string) (string, error) {
 	var output bytes.Buffer
 	application := kingpin.New("landingmast", "")
 	commands := operator.Register(application, &output, operator.Stores{
@@ -67,10 +68,10 @@
 		for index := range plan.Routes {
 			plan.Routes[index].PerSecond = 0
 		}
-		mesh, err := NewMesh(plan)
+		mesh, err := testbed.New(plan)
 		g.Expect(err).NotTo(HaveOccurred())
 		defer mesh.Close()
-		time.Sleep(Settle)
+		time.Sleep(testbed.Settle)
 		mesh.Harmful.Add("/order/harmful", "bad")
 		for range 5 {
 			statusWith(mesh, mesh.Machines[0], http.MethodPost, "/order/harmful", "bad")
@@ -95,7 +96,7 @@
 			Digest, Service, Route string
 			Targets                []string
 		}
-		shown, err := command(mesh, g, "", "--output", "json", "held", "list", "--store", StoreAddress)
+		shown, err := command(mesh, g, "", "--output", "json", "held", "list", "--store", testbed.StoreAddress)
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(json.Unmarshal([]byte(shown), &held)).To(Succeed())
 		g.Expect(held).To(HaveLen(1))
@@ -103,15 +104,15 @@
 		g.Expect(held[0].Service).To(Equal("middle"))
 		g.Expect(held[0].Route).To(Equal("r/order/"))
 
-		_, err = command(mesh, g, "no\n", "held", "lift", held[0].Digest, "--store", StoreAddress)
+		_, err = command(mesh, g, "no\n", "held", "lift", held[0].Digest, "--store", testbed.StoreAddress)
 		g.Expect(err).To(MatchError(ContainSubstring("nothing was lifted")))
-		_, err = command(mesh, g, "", "held", "lift", "--yes", strings.Repeat("0", 32), "--store", StoreAddress)
+		_, err = command(mesh, g, "", "held", "lift", "--yes", strings.Repeat("0", 32), "--store", testbed.StoreAddress)
 		g.Expect(err).To(MatchError(ContainSubstring("remedy")))
-		_, err = command(mesh, g, "", "held", "lift", "--yes", "0a", "--store", StoreAddress)
+		_, err = command(mesh, g, "", "held", "lift", "--yes", "0a", "--store", testbed.StoreAddress)
 		g.Expect(err).To(MatchError(ContainSubstring("no digest")))
 
 		mesh.Harmful.Remove("/order/harmful", "bad")
-		_, err = command(mesh, g, "yes\n", "held", "lift", held[0].Digest, "--store", StoreAddress)
+		_, err = command(mesh, g, "yes\n", "held", "lift", held[0].Digest, "--store", testbed.StoreAddress)
 		g.Expect(err).NotTo(HaveOccurred())
 		time.Sleep(2 * time.Second)
 		for _, machine := range mesh.Machines {
@@ -136,10 +137,10 @@
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
-				mesh, err := NewMesh(wide(tc.nodes))
+				mesh, err := testbed.New(wide(tc.nodes))
 				g.Expect(err).NotTo(HaveOccurred())
 				defer mesh.Close()
-				time.Sleep(Settle)
+				time.Sleep(testbed.Settle)
 				path := mesh.Plan.Routes[0].Prefix + "harmful"
 				mesh.Harmful.Add(path, "")
 				before := mesh.Store.Writes()
--- a/internal/testbed/fleet/judges_test.go
+++ b/internal/testbed/fleet/judges_test.go
@@ -9,6 +9,7 @@
 	"testing/synctest"
 	"time"
 
+	"github.com/landingmast/landingmast/internal/testbed"
 	"github.com/landingmast/landingmast/internal/testbed/deployment"
 	"github.com/landingmast/landingmast/internal/testbed/judge"
 	. "github.com/onsi/gomega"
@@ -20,26 +21,26 @@
 	for _, tc := range []struct {
 		name  string
 		rule  string // empty: none is broken
-		spoil func(mesh *Mesh)
+		spoil func(mesh *testbed.Mesh)
 	}{
-		{"nothing", "", func(*Mesh) {}},
-		{"repeats within the allowance", "", func(mesh *Mesh) { arrive(mesh.Judge, 10, 4) }},
-		{"repeats beyond it", "BUDGET", func(mesh *Mesh) { arrive(mesh.Judge, 10, 8) }},
-		{"proper requests denied", "DENIED", func(mesh *Mesh) {
+		{"nothing", "", func(*testbed.Mesh) {}},
+		{"repeats within the allowance", "", func(mesh *testbed.Mesh) { arrive(mesh.Judge, 10, 4) }},
+		{"repeats beyond it", "BUDGET", func(mesh *testbed.Mesh) { arrive(mesh.Judge, 10, 8) }},
+		{"proper requests denied", "DENIED", func(mesh *testbed.Mesh) {
 			for range judge.DeniedAtMost + 1 {
 				mesh.Judge.Expect("r", "10.1.0.1", "/x", "deep", "front", false, 1)
 				mesh.Judge.Received("r", 404, "", nil)
 			}
 		}},
-		{"a harmful request that three targets ended with, sent three times more", "", func(mesh *Mesh) { endAndSend(mesh.Judge, 3) }},
-		{"sent four times more", "BUDGET", func(mesh *Mesh) { endAndSend(mesh.Judge, 4) }},
-		{"three requests cut around planned stops", "", func(mesh *Mesh) { cutAround(mesh.Judge, 3) }},
-		{"four requests cut around planned stops", "LOST", func(mesh *Mesh) { cutAround(mesh.Judge, 4) }},
-		{"four requests cut where the node was killed", "", func(mesh *Mesh) {
+		{"a harmful request that three targets ended with, sent three times more", "", func(mesh *testbed.Mesh) { endAndSend(mesh.Judge, 3) }},
+		{"sent four times more", "BUDGET", func(mesh *testbed.Mesh) { endAndSend(mesh.Judge, 4) }},
+		{"three requests cut around planned stops", "", func(mesh *testbed.Mesh) { cutAround(mesh.Judge, 3) }},
+		{"four requests cut around planned stops", "LOST", func(mesh *testbed.Mesh) { cutAround(mesh.Judge, 4) }},
+		{"four requests cut where the node was killed", "", func(mesh *testbed.Mesh) {
 			mesh.Judge.Harmed("10.1.0.1")
 			cutAround(mesh.Judge, 4)
 		}},
-		{"a configuration that no watch hears of", "CONFIG", func(mesh *Mesh) {
+		{"a configuration that no watch hears of", "CONFIG", func(mesh *testbed.Mesh) {
 			mesh.Store.Deafen()
 			mesh.Configure(nil)
 		}},
@@ -47,10 +48,10 @@
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
-				mesh, err := NewMesh(deployment.ThreeDeep())
+				mesh, err := testbed.New(deployment.ThreeDeep())
 				g.Expect(err).NotTo(HaveOccurred())
 				defer mesh.Close()
-				time.Sleep(Settle)
+				time.Sleep(testbed.Settle)
 				tc.spoil(mesh)
 				mesh.CheckEnd()
 				broken := mesh.Judge.Broken()
--- a/internal/testbed/fleet/keys_test.go
+++ b/internal/testbed/fleet/keys_test.go
@@ -10,6 +10,7 @@
 	"testing/synctest"
 	"time"
 
+	"github.com/landingmast/landingmast/internal/testbed"
 	"github.com/landingmast/landingmast/internal/testbed/client"
 	"github.com/landingmast/landingmast/internal/testbed/deployment"
 	"github.com/landingmast/landingmast/internal/testbed/judge"
@@ -46,10 +47,10 @@
 		g := NewWithT(t)
 		plan := withTenants(2)
 		plan.Routes = append(plan.Routes, deployment.Route{Prefix: "/open/", Public: true, Kind: deployment.Safe, Service: "deep", MaxAttempts: 1, Timeout: time.Second})
-		mesh, err := NewMesh(plan)
+		mesh, err := testbed.New(plan)
 		g.Expect(err).NotTo(HaveOccurred())
 		defer mesh.Close()
-		time.Sleep(Settle)
+		time.Sleep(testbed.Settle)
 		machine := mesh.Machines[0]
 		for _, tc := range []struct {
 			name, uri, key string
@@ -75,46 +76,50 @@
 // Keys that are taken away stay taken at every node, whatever keeps it from the store and
 // from the others: the judge counts for all machines.
 func TestKeysTakenAwayStayTaken(t *testing.T) {
-	cutFromStore := func(mesh *Mesh, machines []*Machine, cut bool) {
+	cutFromStore := func(mesh *testbed.Mesh, machines []*testbed.Machine, cut bool) {
 		for _, machine := range machines {
-			mesh.Network.Cut(machine.IP, StoreHost, cut)
-			mesh.Network.Cut(StoreHost, machine.IP, cut)
+			mesh.Network.Cut(machine.IP, testbed.StoreHost, cut)
+			mesh.Network.Cut(testbed.StoreHost, machine.IP, cut)
 		}
 	}
 	for _, tc := range []struct {
 		name  string
 		least float64 // share served
-		begin func(mesh *Mesh, chosen []*Machine)
-		end   func(mesh *Mesh, chosen []*Machine)
+		begin func(mesh *testbed.Mesh, chosen []*testbed.Machine)
+		end   func(mesh *testbed.Mesh, chosen []*testbed.Machine)
 	}{
-		{"the store turns some away", 0.7, func(mesh *Mesh, chosen []*Machine) {
+		{"the store turns some away", 0.7, func(mesh *testbed.Mesh, chosen []*testbed.Machine) {
 			mesh.Store.Set(func(s *store.Store) {
 				for _, machine := range chosen {
 					s.Refuse[machine.IP] = true
 				}
 			})
-		}, func(mesh *Mesh, _ []*Machine) { mesh.Store.Set(func(s *store.Store) { clear(s.Refuse) }) }},
+		}, func(mesh *testbed.Mesh, _ []*testbed.Machine) {
+			mesh.Store.Set(func(s *store.Store) { clear(s.Refuse) })
+		}},
 		{
-			"some are cut from the store", 0.7, func(mesh *Mesh, chosen []*Machine) { cutFromStore(mesh, chosen, true) },
-			func(mesh *Mesh, chosen []*Machine) { cutFromStore(mesh, chosen, false) },
+			"some are cut from the store", 0.7, func(mesh *testbed.Mesh, chosen []*testbed.Machine) { cutFromStore(mesh, chosen, true) },
+			func(mesh *testbed.Mesh, chosen []*testbed.Machine) { cutFromStore(mesh, chosen, false) },
 		},
-		{"some are cut from the store and the others", 0, func(mesh *Mesh, chosen []*Machine) {
+		{"some are cut from the store and the others", 0, func(mesh *testbed.Mesh, chosen []*testbed.Machine) {
 			cutFromStore(mesh, chosen, true)
 			cutFromOthers(mesh, chosen, 9*time.Second)
-		}, func(mesh *Mesh, chosen []*Machine) { cutFromStore(mesh, chosen, false) }},
+		}, func(mesh *testbed.Mesh, chosen []*testbed.Machine) { cutFromStore(mesh, chosen, false) }},
 		{
-			"the store's watches hear nothing", 0.7, func(mesh *Mesh, _ []*Machine) { mesh.Store.Deafen() },
-			func(mesh *Mesh, _ []*Machine) { mesh.Store.Compact() },
+			"the store's watches hear nothing", 0.7, func(mesh *testbed.Mesh, _ []*testbed.Machine) { mesh.Store.Deafen() },
+			func(mesh *testbed.Mesh, _ []*testbed.Machine) { mesh.Store.Compact() },
 		},
 		{
-			"the store is down", 0, func(mesh *Mesh, _ []*Machine) { mesh.Store.Set(func(s *store.Store) { s.Down = true }) },
-			func(mesh *Mesh, _ []*Machine) { mesh.Store.Set(func(s *store.Store) { s.Down = false }) },
+			"the store is down", 0, func(mesh *testbed.Mesh, _ []*testbed.Machine) { mesh.Store.Set(func(s *store.Store) { s.Down = true }) },
+			func(mesh *testbed.Mesh, _ []*testbed.Machine) {
+				mesh.Store.Set(func(s *store.Store) { s.Down = false })
+			},
 		},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
 			g := NewWithT(t)
-			mesh := play(t, withTenants(4), 14*time.Second, func(mesh *Mesh) {
+			mesh := play(t, withTenants(4), 14*time.Second, func(mesh *testbed.Mesh) {
 				chosen := mesh.Some(rand.New(rand.NewPCG(5, 6)), 0.35)
 				time.Sleep(time.Second)
 				done := make(chan struct{})
@@ -139,7 +144,7 @@
 func TestShortTroubleOfTheStoreCostsNothing(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
-	mesh := play(t, withTenants(4), 8*time.Second, func(mesh *Mesh) {
+	mesh := play(t, withTenants(4), 8*time.Second, func(mesh *testbed.Mesh) {
 		time.Sleep(2 * time.Second)
 		mesh.Store.Set(func(s *store.Store) { s.Down = true })
 		time.Sleep(3 * time.Second)
@@ -150,7 +155,7 @@
 }
 
 // statusOf sends one request with a key and gives the status.
-func statusOf(m *Mesh, machine *Machine, uri, key string) int {
+func statusOf(m *testbed.Mesh, machine *testbed.Machine, uri, key string) int {
 	request, err := http.NewRequest(http.MethodGet, "http://"+machine.Outbound()+uri, nil)
 	if err != nil {
 		return 0
--- a/internal/testbed/fleet/quota_test.go
+++ b/internal/testbed/fleet/quota_test.go
@@ -5,6 +5,7 @@
 	"testing"
 	"time"
 
+	"github.com/landingmast/landingmast/internal/testbed"
 	"github.com/landingmast/landingmast/internal/testbed/deployment"
 	"github.com/landingmast/landingmast/internal/testbed/judge"
 	"github.com/landingmast/landingmast/internal/testbed/store"
@@ -40,11 +41,11 @@
 // The limit holds in every trouble, also where keepers go and come, and the tenants below
 // theirs are served afterwards.
 func TestLimitHoldsInTrouble(t *testing.T) {
-	for _, trouble := range append(Troubles(), Trouble{"all restart", 0, func(mesh *Mesh, _ *rand.Rand) { KillAndRestart(mesh.Machines) }}) {
+	for _, trouble := range append(Troubles(), Trouble{"all restart", 0, func(mesh *testbed.Mesh, _ *rand.Rand) { testbed.KillAndRestart(mesh.Machines) }}) {
 		t.Run(trouble.Name, func(t *testing.T) {
 			t.Parallel()
 			g := NewWithT(t)
-			mesh := play(t, hotTenant(), 12*time.Second, func(mesh *Mesh) {
+			mesh := play(t, hotTenant(), 12*time.Second, func(mesh *testbed.Mesh) {
 				time.Sleep(2 * time.Second)
 				trouble.Play(mesh, rand.New(rand.NewPCG(1, 2)))
 			})
@@ -59,7 +60,7 @@
 	t.Parallel()
 	g := NewWithT(t)
 	var from time.Time
-	mesh := play(t, hotTenant(), 14*time.Second, func(mesh *Mesh) {
+	mesh := play(t, hotTenant(), 14*time.Second, func(mesh *testbed.Mesh) {
 		time.Sleep(3 * time.Second)
 		mesh.Retenant(func(tenants []deployment.Tenant) []deployment.Tenant {
 			tenants[0].Rate, tenants[0].Burst = 10, 5
@@ -86,7 +87,7 @@
 	for index := range plan.Routes {
 		plan.Routes[index].PerSecond = 100
 	}
-	mesh := play(t, plan, 20*time.Second, func(mesh *Mesh) {
+	mesh := play(t, plan, 20*time.Second, func(mesh *testbed.Mesh) {
 		time.Sleep(2 * time.Second)
 		for _, machine := range mesh.Machines[:3] {
 			mesh.Network.Dark(machine.IP, true)
@@ -94,7 +95,7 @@
 			machine.Kill()
 		}
 		time.Sleep(10 * time.Second)
-		KillAndRestart(mesh.Machines[3:])
+		testbed.KillAndRestart(mesh.Machines[3:])
 		time.Sleep(2 * time.Second)
 		mesh.Tally.Clear()
 		time.Sleep(2 * time.Second)
@@ -113,7 +114,7 @@
 	t.Parallel()
 	g := NewWithT(t)
 	plan := withTenants(4)
-	mesh := play(t, plan, 16*time.Second, func(mesh *Mesh) {
+	mesh := play(t, plan, 16*time.Second, func(mesh *testbed.Mesh) {
 		const away = 8 * time.Second
 		time.Sleep(2 * time.Second)
 		mesh.Store.Set(func(s *store.Store) { s.Down = true })
--- a/internal/testbed/fleet/records_test.go
+++ b/internal/testbed/fleet/records_test.go
@@ -6,16 +6,17 @@
 	"testing/synctest"
 	"time"
 
+	"github.com/landingmast/landingmast/internal/testbed"
 	"github.com/landingmast/landingmast/internal/testbed/store"
 	"github.com/landingmast/landingmast/platform"
 	. "github.com/onsi/gomega"
 )
 
 // recorded counts the records of nodes that the store has.
-func recorded(m *Mesh) int { return m.Store.Count(platform.NodePrefix) }
+func recorded(m *testbed.Mesh) int { return m.Store.Count(platform.NodePrefix) }
 
 // revoke takes the records of some machines away; no call of theirs shows it.
-func revoke(m *Mesh, machines []*Machine) {
+func revoke(m *testbed.Mesh, machines []*testbed.Machine) {
 	keys := make([]string, 0, len(machines))
 	for _, machine := range machines {
 		keys = append(keys, platform.NodePrefix+"node-"+machine.IP)
@@ -32,16 +33,16 @@
 	const nodes = 30
 	for _, tc := range []struct {
 		name string
-		play func(mesh *Mesh, chosen []*Machine)
+		play func(mesh *testbed.Mesh, chosen []*testbed.Machine)
 	}{
-		{"leases run out while the store is away", func(mesh *Mesh, _ []*Machine) {
+		{"leases run out while the store is away", func(mesh *testbed.Mesh, _ []*testbed.Machine) {
 			mesh.Store.Set(func(s *store.Store) { s.Down = true })
 			time.Sleep(4 * time.Second)
 			mesh.Store.EndLeases()
 			mesh.Store.Set(func(s *store.Store) { s.Down = false })
 		}},
-		{"records taken away", func(mesh *Mesh, chosen []*Machine) { revoke(mesh, chosen) }},
-		{"records of machines taken away that are turned away", func(mesh *Mesh, chosen []*Machine) {
+		{"records taken away", func(mesh *testbed.Mesh, chosen []*testbed.Machine) { revoke(mesh, chosen) }},
+		{"records of machines taken away that are turned away", func(mesh *testbed.Mesh, chosen []*testbed.Machine) {
 			mesh.Store.Set(func(s *store.Store) {
 				for _, machine := range chosen {
 					s.Refuse[machine.IP] = true
@@ -51,19 +52,19 @@
 			time.Sleep(9 * time.Second)
 			mesh.Store.Set(func(s *store.Store) { clear(s.Refuse) })
 		}},
-		{"all restart after their records were taken away", func(mesh *Mesh, _ []*Machine) {
+		{"all restart after their records were taken away", func(mesh *testbed.Mesh, _ []*testbed.Machine) {
 			revoke(mesh, mesh.Machines)
-			KillAndRestart(mesh.Machines)
+			testbed.KillAndRestart(mesh.Machines)
 		}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
-				mesh, err := NewMesh(wide(nodes))
+				mesh, err := testbed.New(wide(nodes))
 				g.Expect(err).NotTo(HaveOccurred())
 				defer mesh.Close()
-				time.Sleep(Settle)
+				time.Sleep(testbed.Settle)
 				g.Expect(recorded(mesh)).To(Equal(nodes))
 				tc.play(mesh, mesh.Some(rand.New(rand.NewPCG(3, 4)), 0.35))
 				time.Sleep(returnBound)
@@ -82,10 +83,10 @@
 	const nodes = 30
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		mesh, err := NewMesh(wide(nodes))
+		mesh, err := testbed.New(wide(nodes))
 		g.Expect(err).NotTo(HaveOccurred())
 		defer mesh.Close()
-		time.Sleep(Settle)
+		time.Sleep(testbed.Settle)
 		lost := mesh.Machines[:1]
 		mesh.Network.Dark(lost[0].IP, true)
 		revoke(mesh, lost)
@@ -109,10 +110,10 @@
 	for _, tc := range []struct {
 		name    string
 		most    float64 // calls a node, at every size
-		disturb func(mesh *Mesh)
+		disturb func(mesh *testbed.Mesh)
 	}{
-		{"quiet", 2, func(*Mesh) { time.Sleep(30 * time.Second) }},
-		{"all stop in turn", 6, func(mesh *Mesh) {
+		{"quiet", 2, func(*testbed.Mesh) { time.Sleep(30 * time.Second) }},
+		{"all stop in turn", 6, func(mesh *testbed.Mesh) {
 			for _, machine := range mesh.Machines {
 				machine.Kill()
 				time.Sleep(300 * time.Millisecond)
@@ -120,7 +121,7 @@
 			}
 			time.Sleep(2 * time.Second)
 		}},
-		{"configurations in a row", 4, func(mesh *Mesh) {
+		{"configurations in a row", 4, func(mesh *testbed.Mesh) {
 			for range 10 {
 				mesh.Configure(nil)
 				time.Sleep(330 * time.Millisecond)
@@ -132,10 +133,10 @@
 				t.Parallel()
 				synctest.Test(t, func(t *testing.T) {
 					g := NewWithT(t)
-					mesh, err := NewMesh(wide(nodes))
+					mesh, err := testbed.New(wide(nodes))
 					g.Expect(err).NotTo(HaveOccurred())
 					defer mesh.Close()
-					time.Sleep(Settle)
+					time.Sleep(testbed.Settle)
 					mesh.Store.Set(func(s *store.Store) { s.Calls = map[string]int{} })
 					tc.disturb(mesh)
 					mesh.Store.Set(func(s *store.Store) { t.Logf("%d nodes: %v", nodes, s.Calls) })
@@ -152,25 +153,25 @@
 	const nodes = 30
 	for _, tc := range []struct {
 		name string
-		harm func(mesh *Mesh, chosen []*Machine)
+		harm func(mesh *testbed.Mesh, chosen []*testbed.Machine)
 	}{
-		{"followers die", func(_ *Mesh, chosen []*Machine) {
+		{"followers die", func(_ *testbed.Mesh, chosen []*testbed.Machine) {
 			for _, machine := range chosen {
 				machine.Kill()
 			}
 		}},
-		{"followers are cut off from the store", func(mesh *Mesh, chosen []*Machine) {
+		{"followers are cut off from the store", func(mesh *testbed.Mesh, chosen []*testbed.Machine) {
 			for _, machine := range chosen {
-				mesh.Network.Cut(machine.IP, StoreHost, true)
-				mesh.Network.Cut(StoreHost, machine.IP, true)
+				mesh.Network.Cut(machine.IP, testbed.StoreHost, true)
+				mesh.Network.Cut(testbed.StoreHost, machine.IP, true)
 			}
 		}},
-		{"followers fall silent", func(mesh *Mesh, chosen []*Machine) {
+		{"followers fall silent", func(mesh *testbed.Mesh, chosen []*testbed.Machine) {
 			for _, machine := range chosen {
 				mesh.Network.Dark(machine.IP, true)
 			}
 		}},
-		{"one zone is turned away", func(mesh *Mesh, _ []*Machine) {
+		{"one zone is turned away", func(mesh *testbed.Mesh, _ []*testbed.Machine) {
 			mesh.Store.Set(func(s *store.Store) {
 				for _, machine := range mesh.Machines {
 					if machine.Zone == "a" {
@@ -185,16 +186,16 @@
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
-				mesh, err := NewMesh(wide(nodes))
+				mesh, err := testbed.New(wide(nodes))
 				g.Expect(err).NotTo(HaveOccurred())
 				defer mesh.Close()
-				time.Sleep(Settle)
+				time.Sleep(testbed.Settle)
 				chosen := mesh.Followers()
 				g.Expect(len(chosen)).To(BeNumerically("<=", 8))
 				tc.harm(mesh, chosen)
 				mesh.Configure(nil)
 				time.Sleep(applyBound)
-				harmed := map[*Machine]bool{}
+				harmed := map[*testbed.Machine]bool{}
 				for _, machine := range chosen {
 					harmed[machine] = true
 				}
--- a/internal/testbed/fleet/scale_test.go
+++ b/internal/testbed/fleet/scale_test.go
@@ -7,6 +7,7 @@
 	"testing/synctest"
 	"time"
 
+	"github.com/landingmast/landingmast/internal/testbed"
 	"github.com/landingmast/landingmast/internal/testbed/deployment"
 	"github.com/landingmast/landingmast/internal/testbed/store"
 	"github.com/landingmast/landingmast/internal/testbed/target"
@@ -41,21 +42,21 @@
 	const nodes = 60
 	for _, tc := range []struct {
 		name    string
-		disturb func(mesh *Mesh, random *rand.Rand)
+		disturb func(mesh *testbed.Mesh, random *rand.Rand)
 	}{
-		{"storm of configurations", func(mesh *Mesh, random *rand.Rand) {
+		{"storm of configurations", func(mesh *testbed.Mesh, random *rand.Rand) {
 			for range 60 {
 				newRoute(mesh, random)
 				time.Sleep(60 * time.Millisecond)
 			}
 		}},
-		{"mass restart", func(mesh *Mesh, random *rand.Rand) {
-			KillAndRestart(mesh.Some(random, 0.6))
+		{"mass restart", func(mesh *testbed.Mesh, random *rand.Rand) {
+			testbed.KillAndRestart(mesh.Some(random, 0.6))
 			newRoute(mesh, random)
 		}},
-		{"all restart in turn", func(mesh *Mesh, random *rand.Rand) {
+		{"all restart in turn", func(mesh *testbed.Mesh, random *rand.Rand) {
 			for _, m := range mesh.Some(random, 0.5) {
-				KillAndRestart([]*Machine{m})
+				testbed.KillAndRestart([]*testbed.Machine{m})
 			}
 			newRoute(mesh, random)
 		}},
@@ -64,10 +65,10 @@
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
-				mesh, err := NewMesh(wide(nodes))
+				mesh, err := testbed.New(wide(nodes))
 				g.Expect(err).NotTo(HaveOccurred())
 				defer mesh.Close()
-				time.Sleep(Settle)
+				time.Sleep(testbed.Settle)
 				mesh.Store.Set(func(s *store.Store) { s.Limited, s.Calls = 0, map[string]int{} })
 				tc.disturb(mesh, rand.New(rand.NewPCG(1, 2)))
 				time.Sleep(applyBound)
--- a/internal/testbed/fleet/shortage_test.go
+++ b/internal/testbed/fleet/shortage_test.go
@@ -4,6 +4,7 @@
 	"testing"
 	"time"
 
+	"github.com/landingmast/landingmast/internal/testbed"
 	"github.com/landingmast/landingmast/internal/testbed/deployment"
 	"github.com/landingmast/landingmast/internal/testbed/target"
 	. "github.com/onsi/gomega"
@@ -74,7 +75,7 @@
 	plan.Services["front"] = front
 	plan.Routes[1].Service = "front"
 	plan.Routes[0].PerSecond, plan.Routes[1].PerSecond = 80, 15
-	mesh := play(t, plan, 10*time.Second, func(mesh *Mesh) {
+	mesh := play(t, plan, 10*time.Second, func(mesh *testbed.Mesh) {
 		for _, machine := range mesh.Machines {
 			if machine.Target.Service == "deep" {
 				machine.Target.SetFaults(target.Faults{Decline: 0.55})
@@ -96,7 +97,7 @@
 	front.Works[0].Calls[0].Times = 4
 	plan.Services["front"] = front
 	plan.Routes[0].Timeout = 500 * time.Millisecond
-	mesh := play(t, plan, 5*time.Second, func(mesh *Mesh) {
+	mesh := play(t, plan, 5*time.Second, func(mesh *testbed.Mesh) {
 		time.Sleep(2 * time.Second)
 		mesh.Clients.SetBurst(3)
 	})
--- a/internal/testbed/fleet/soak_test.go
+++ b/internal/testbed/fleet/soak_test.go
@@ -15,6 +15,7 @@
 	"time"
 
 	"github.com/landingmast/landingmast/internal/sidecar/settings"
+	"github.com/landingmast/landingmast/internal/testbed"
 	"github.com/landingmast/landingmast/internal/testbed/deployment"
 	"github.com/landingmast/landingmast/internal/testbed/judge"
 	"github.com/landingmast/landingmast/internal/testbed/store"
@@ -71,7 +72,7 @@
 
 func playSoak(t *testing.T, daemon, folder string, seed uint64) {
 	soak := newSoak(daemon, folder)
-	mesh, err := NewMeshIn(soakPlan(*soakMachines), Environment{Network: loopback{}, StoreAddress: soak.storeAddress(), MachineIP: soak.machineIP, Nodes: soak})
+	mesh, err := testbed.NewIn(soakPlan(*soakMachines), testbed.Environment{Network: loopback{}, StoreAddress: soak.storeAddress(), MachineIP: soak.machineIP, Nodes: soak})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -86,7 +87,7 @@
 	defer closeAll()
 	soak.mesh = mesh
 	mesh.Judge.Late = soakLate
-	time.Sleep(Settle)
+	time.Sleep(testbed.Settle)
 	played := soak.troubled(*soakFor, seed)
 	if !soak.calmDown() {
 		t.Error("not all machines are ready a while after the last trouble")
@@ -163,7 +164,7 @@
 // calmDown waits until all machines are ready and in touch.
 func (s *soak) calmDown() bool {
 	for end := time.Now().Add(calmTime); time.Now().Before(end); time.Sleep(200 * time.Millisecond) {
-		if !slices.ContainsFunc(s.mesh.Machines, func(machine *Machine) bool { return !machine.Ready() }) {
+		if !slices.ContainsFunc(s.mesh.Machines, func(machine *testbed.Machine) bool { return !machine.Ready() }) {
 			time.Sleep(judge.Contact)
 			return true
 		}
@@ -186,7 +187,7 @@
 }
 
 // alone has f play on each of some machines that no other trouble of processes holds.
-func (s *soak) alone(random *rand.Rand, share float64, f func(machine *Machine)) {
+func (s *soak) alone(random *rand.Rand, share float64, f func(machine *testbed.Machine)) {
 	var group sync.WaitGroup
 	for _, machine := range s.mesh.Some(random, share) {
 		release, taken := s.take(machine)
@@ -203,7 +204,7 @@
 
 // unplanned has the judge know that something happened to a machine, until the returned
 // function is called.
-func (s *soak) unplanned(machine *Machine) (over func()) {
+func (s *soak) unplanned(machine *testbed.Machine) (over func()) {
 	ended, done := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(done)
@@ -220,13 +221,13 @@
 	return func() { close(ended); <-done }
 }
 
-func restart(machine *Machine) {
-	time.Sleep(RestartAfter)
+func restart(machine *testbed.Machine) {
+	time.Sleep(testbed.RestartAfter)
 	_ = machine.Start()
 }
 
 func killed(s *soak, random *rand.Rand, share float64) {
-	s.alone(random, share, func(machine *Machine) {
+	s.alone(random, share, func(machine *testbed.Machine) {
 		over := s.unplanned(machine)
 		defer over()
 		machine.Kill()
@@ -269,7 +270,7 @@
 func nothing(*relay) {}
 
 // onMesh has a trouble of a mesh play in a soak.
-func onMesh(play func(mesh *Mesh, random *rand.Rand)) func(s *soak, random *rand.Rand) {
+func onMesh(play func(mesh *testbed.Mesh, random *rand.Rand)) func(s *soak, random *rand.Rand) {
 	return func(s *soak, random *rand.Rand) { play(s.mesh, random) }
 }
 
@@ -279,7 +280,7 @@
 	{"kill all", func(s *soak, random *rand.Rand) { killed(s, random, 1) }},
 	{"freeze", func(s *soak, random *rand.Rand) {
 		span := time.Duration(500+random.IntN(4000)) * time.Millisecond
-		s.alone(random, 0.2, func(machine *Machine) {
+		s.alone(random, 0.2, func(machine *testbed.Machine) {
 			over := s.unplanned(machine)
 			defer over()
 			s.pause(machine, span)
@@ -295,11 +296,11 @@
 		}
 	}},
 	{"stop at once", func(s *soak, random *rand.Rand) {
-		s.alone(random, 0.3, func(machine *Machine) { machine.Stop(); restart(machine) })
+		s.alone(random, 0.3, func(machine *testbed.Machine) { machine.Stop(); restart(machine) })
 	}},
 	{"stop, then kill", func(s *soak, random *rand.Rand) {
 		wait := time.Duration(random.IntN(1500)) * time.Millisecond
-		s.alone(random, 0.1, func(machine *Machine) {
+		s.alone(random, 0.1, func(machine *testbed.Machine) {
 			over := s.unplanned(machine)
 			defer over()
 			s.stopping(machine)
@@ -336,7 +337,7 @@
 	{"connections to targets silent for good", onRelays(1, 0.2, (*relay).silence, nothing)},
 	{"targets delayed", onRelays(1, 0.2, func(r *relay) { r.set(func(r *relay) { r.delay = 50 * time.Millisecond }) }, func(r *relay) { r.delay = 0 })},
 	{"targets crash", func(s *soak, random *rand.Rand) {
-		s.alone(random, 0.15, func(machine *Machine) {
+		s.alone(random, 0.15, func(machine *testbed.Machine) {
 			machine.Target.Stop()
 			time.Sleep(2 * time.Second)
 			_ = machine.Target.Start()
--- a/internal/testbed/fleet/soakrun_test.go
+++ b/internal/testbed/fleet/soakrun_test.go
@@ -14,6 +14,7 @@
 	"time"
 
 	"github.com/landingmast/landingmast/internal/sidecar/settings"
+	"github.com/landingmast/landingmast/internal/testbed"
 	"github.com/landingmast/landingmast/internal/testbed/judge"
 )
 
@@ -30,7 +31,7 @@
 	daemon string // path of landingmastd
 	folder string // of settings and logs
 	octet  int    // second part of all its addresses
-	mesh   *Mesh
+	mesh   *testbed.Mesh
 
 	mutex     sync.Mutex
 	processes map[string]*soakProcess // by machine
@@ -59,10 +60,12 @@
 	return fmt.Sprintf("127.%d.%d.%d", s.octet, number/200, number%200+1)
 }
 
-func (s *soak) file(m *Machine, ending string) string { return filepath.Join(s.folder, m.IP+ending) }
+func (s *soak) file(m *testbed.Machine, ending string) string {
+	return filepath.Join(s.folder, m.IP+ending)
+}
 
 // take has a trouble hold a machine unless another one does; release must follow.
-func (s *soak) take(m *Machine) (release func(), taken bool) {
+func (s *soak) take(m *testbed.Machine) (release func(), taken bool) {
 	s.mutex.Lock()
 	if s.busy[m.IP] == nil {
 		s.busy[m.IP] = &sync.Mutex{}
@@ -73,7 +76,7 @@
 }
 
 // relaysOf gives the relays of a machine, and makes them at first.
-func (s *soak) relaysOf(m *Machine) ([2]*relay, error) {
+func (s *soak) relaysOf(m *testbed.Machine) ([2]*relay, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if known, made := s.relays[m.IP]; made {
@@ -93,7 +96,7 @@
 }
 
 // write writes the settings of a machine's node.
-func (s *soak) write(m *Machine, checked *settings.Settings) error {
+func (s *soak) write(m *testbed.Machine, checked *settings.Settings) error {
 	text := fmt.Sprintf("node: %q\nzone: %q\nfirst_start: %t\ntarget:\n  service: %q\n  address: %q\n", checked.Node, checked.Zone, checked.FirstStart, checked.Target.Service, m.IP+":"+portTargetRelay) +
 		fmt.Sprintf("listen:\n  outbound: %q\n  inbound: %q\n  ready: %q\n  control: %q\n  metrics: %q\n", checked.Listen.Outbound, checked.Listen.Inbound, checked.Listen.Ready, checked.Listen.Control, m.IP+":"+portMetrics) +
 		fmt.Sprintf("store:\n  address: %q\nretries:\n  allowance: %g\nkeys:\n  fail_closed: true\n", m.IP+":"+portStoreRelay, checked.Retries.Allowance)
@@ -101,7 +104,7 @@
 }
 
 // Start implements Nodes.
-func (s *soak) Start(m *Machine, chosen *settings.Settings) error {
+func (s *soak) Start(m *testbed.Machine, chosen *settings.Settings) error {
 	if _, err := s.relaysOf(m); err != nil {
 		return err
 	}
@@ -135,7 +138,7 @@
 }
 
 // signal sends a signal; ends tells that it is to end the process.
-func (s *soak) signal(m *Machine, number syscall.Signal, ends bool) *soakProcess {
+func (s *soak) signal(m *testbed.Machine, number syscall.Signal, ends bool) *soakProcess {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	one := s.processes[m.IP]
@@ -152,14 +155,14 @@
 }
 
 // Kill implements Nodes.
-func (s *soak) Kill(m *Machine) {
+func (s *soak) Kill(m *testbed.Machine) {
 	if one := s.signal(m, syscall.SIGKILL, true); one != nil {
 		<-one.done
 	}
 }
 
 // Stop implements Nodes. It sends SIGTERM, and SIGKILL when the grace is over.
-func (s *soak) Stop(m *Machine) {
+func (s *soak) Stop(m *testbed.Machine) {
 	m.Target.Judge.Stopping(m.IP)
 	one := s.signal(m, syscall.SIGTERM, true)
 	if one == nil {
@@ -176,24 +179,24 @@
 }
 
 // stopping sends SIGTERM and does not wait.
-func (s *soak) stopping(m *Machine) { s.signal(m, syscall.SIGTERM, true) }
+func (s *soak) stopping(m *testbed.Machine) { s.signal(m, syscall.SIGTERM, true) }
 
 // pause has the process stand still for some time.
-func (s *soak) pause(m *Machine, span time.Duration) {
+func (s *soak) pause(m *testbed.Machine, span time.Duration) {
 	s.signal(m, syscall.SIGSTOP, false)
 	time.Sleep(span)
 	s.signal(m, syscall.SIGCONT, false)
 }
 
 // Reload implements Nodes.
-func (s *soak) Reload(m *Machine, changed *settings.Settings) {
+func (s *soak) Reload(m *testbed.Machine, changed *settings.Settings) {
 	if s.write(m, changed) == nil {
 		s.signal(m, syscall.SIGHUP, false)
 	}
 }
 
 // Version implements Nodes. It reads the configuration in force from the node's metrics.
-func (s *soak) Version(m *Machine) uint64 {
+func (s *soak) Version(m *testbed.Machine) uint64 {
 	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	response, err := client.Get("http://" + m.IP + ":" + portMetrics + "/metrics")
 	if err != nil {
--- a/internal/testbed/fleet/stop_test.go
+++ b/internal/testbed/fleet/stop_test.go
@@ -4,6 +4,7 @@
 	"testing"
 	"time"
 
+	"github.com/landingmast/landingmast/internal/testbed"
 	"github.com/landingmast/landingmast/internal/testbed/deployment"
 	. "github.com/onsi/gomega"
 )
@@ -14,7 +15,7 @@
 func TestStoppingNodeEndsThoughClientsGoOn(t *testing.T) {
 	g := NewWithT(t)
 	var took time.Duration
-	mesh := play(t, deployment.ThreeDeep(), 10*time.Second, func(mesh *Mesh) {
+	mesh := play(t, deployment.ThreeDeep(), 10*time.Second, func(mesh *testbed.Mesh) {
 		machine, ended := mesh.Machines[0], make(chan struct{})
 		go func() {
 			for {
@@ -46,7 +47,7 @@
 	deep := plan.Services["deep"]
 	deep.Targets, deep.Slots, deep.Speeds = 1, 24, nil
 	plan.Services["deep"] = deep
-	mesh := play(t, plan, 8*time.Second, func(mesh *Mesh) {
+	mesh := play(t, plan, 8*time.Second, func(mesh *testbed.Mesh) {
 		time.Sleep(2 * time.Second)
 		for _, machine := range mesh.Machines {
 			if machine.Target.Service == "deep" {
--- a/internal/testbed/fleet/story_test.go
+++ b/internal/testbed/fleet/story_test.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"github.com/landingmast/landingmast/internal/logquery"
+	"github.com/landingmast/landingmast/internal/testbed"
 	"github.com/landingmast/landingmast/internal/testbed/deployment"
 	"github.com/landingmast/landingmast/internal/testbed/target"
 	. "github.com/onsi/gomega"
@@ -37,7 +38,7 @@
 }
 
 // logsOf plays a day and gives the lines that its nodes wrote.
-func logsOf(t *testing.T, plan deployment.Plan, disturb func(mesh *Mesh)) []logquery.Line {
+func logsOf(t *testing.T, plan deployment.Plan, disturb func(mesh *testbed.Mesh)) []logquery.Line {
 	t.Helper()
 	logs := &output{}
 	plan.Output = logs
@@ -104,10 +105,10 @@
 func TestStoryOfAnUnknownOutcomeNamesTheNodeThatDied(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
-	lines := logsOf(t, deployment.ThreeDeep(), func(mesh *Mesh) {
+	lines := logsOf(t, deployment.ThreeDeep(), func(mesh *testbed.Mesh) {
 		for range 6 {
 			time.Sleep(time.Second)
-			KillAndRestart([]*Machine{mesh.Machines[len(mesh.Machines)-1], mesh.Machines[len(mesh.Machines)-2]}) // beside middle
+			testbed.KillAndRestart([]*testbed.Machine{mesh.Machines[len(mesh.Machines)-1], mesh.Machines[len(mesh.Machines)-2]}) // beside middle
 		}
 	})
 	id := first(t, lines, func(fields map[string]any) bool { return fields["status"] == 502.0 })
@@ -119,7 +120,7 @@
 	t.Parallel()
 	g := NewWithT(t)
 	var slow string
-	lines := logsOf(t, deployment.ThreeDeep(), func(mesh *Mesh) {
+	lines := logsOf(t, deployment.ThreeDeep(), func(mesh *testbed.Mesh) {
 		late := mesh.Machines[0].Target
 		slow = late.Instance()
 		late.SetFaults(target.Faults{Slow: 200})
@@ -156,7 +157,7 @@
 func TestStoryOfAKeyTakenAwayNamesTheVersion(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
-	lines := logsOf(t, withTenants(3), func(mesh *Mesh) {
+	lines := logsOf(t, withTenants(3), func(mesh *testbed.Mesh) {
 		time.Sleep(2 * time.Second)
 		mesh.TakeKey(0, 0)
 	})
@@ -172,9 +173,9 @@
 	t.Parallel()
 	g := NewWithT(t)
 	plan := scarce()
-	mesh := play(t, plan, 16*time.Second, func(mesh *Mesh) {
+	mesh := play(t, plan, 16*time.Second, func(mesh *testbed.Mesh) {
 		time.Sleep(2 * time.Second)
-		KillAndRestart(mesh.Some(rand.New(rand.NewPCG(3, 4)), 1))
+		testbed.KillAndRestart(mesh.Some(rand.New(rand.NewPCG(3, 4)), 1))
 	})
 	g.Expect(mesh.Judge.Broken()).To(BeEmpty())
 	g.Expect(mesh.Tally.Share("/order/")).To(BeNumerically(">", 0.9))
--- a/internal/testbed/fleet/suspend_test.go
+++ b/internal/testbed/fleet/suspend_test.go
@@ -9,6 +9,7 @@
 	"testing/synctest"
 	"time"
 
+	"github.com/landingmast/landingmast/internal/testbed"
 	"github.com/landingmast/landingmast/internal/testbed/judge"
 	"github.com/landingmast/landingmast/internal/wire"
 	. "github.com/onsi/gomega"
@@ -28,14 +29,14 @@
 		t.Run(span.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
-				mesh, err := NewMesh(withTenants(2))
+				mesh, err := testbed.New(withTenants(2))
 				g.Expect(err).NotTo(HaveOccurred())
 				defer mesh.Close()
-				time.Sleep(Settle)
+				time.Sleep(testbed.Settle)
 				machine := mesh.Machines[0]
 				g.Expect(statusOf(mesh, machine, "/front/x", "key-tenant0-a")).To(Equal(http.StatusOK))
 				mesh.TakeKey(0, 0)
-				mesh.Suspend([]*Machine{machine}, span)
+				mesh.Suspend([]*testbed.Machine{machine}, span)
 				g.Expect(statusOf(mesh, machine, "/front/x", "key-tenant0-a")).NotTo(Equal(http.StatusOK))
 				time.Sleep(judge.Contact)
 				g.Expect(statusOf(mesh, machine, "/front/x", "key-tenant0-a")).To(Equal(http.StatusUnauthorized))
@@ -58,13 +59,13 @@
 func TestSuspendedKeeperGivesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		mesh, err := NewMesh(withTenants(2))
+		mesh, err := testbed.New(withTenants(2))
 		g.Expect(err).NotTo(HaveOccurred())
 		defer mesh.Close()
 		go mesh.Load(4 * time.Second)
-		time.Sleep(Settle + 4*time.Second)
+		time.Sleep(testbed.Settle + 4*time.Second)
 		for shard := range 4 {
-			var keepers []*Machine
+			var keepers []*testbed.Machine
 			for _, machine := range mesh.Machines {
 				if keeps(mesh, machine, shard) {
 					keepers = append(keepers, machine)
@@ -89,12 +90,12 @@
 		plan := withTenants(2)
 		logs := &output{}
 		plan.Output = logs
-		mesh, err := NewMesh(plan)
+		mesh, err := testbed.New(plan)
 		g.Expect(err).NotTo(HaveOccurred())
 		defer mesh.Close()
-		time.Sleep(Settle)
+		time.Sleep(testbed.Settle)
 		machine := mesh.Machines[0]
-		mesh.Suspend([]*Machine{machine}, 8*time.Second)
+		mesh.Suspend([]*testbed.Machine{machine}, 8*time.Second)
 		woken := time.Now()
 		g.Expect(servedWithin(mesh, machine, "key-tenant0-a", time.Second)).To(BeTrue())
 		t.Logf("served %s after waking", time.Since(woken))
@@ -105,7 +106,7 @@
 
 // servedWithin sends requests with a key one after the other until one is served. The first one
 // of a tenant at a node whose name the keeper of the limit does not have yet may be refused.
-func servedWithin(m *Mesh, machine *Machine, key string, span time.Duration) bool {
+func servedWithin(m *testbed.Mesh, machine *testbed.Machine, key string, span time.Duration) bool {
 	for end := time.Now().Add(span); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		if statusOf(m, machine, "/front/x", key) == http.StatusOK {
 			return true
@@ -115,7 +116,7 @@
 }
 
 // keeps asks a node whether it gives parts of the limits of a group.
-func keeps(m *Mesh, machine *Machine, shard int) bool {
+func keeps(m *testbed.Mesh, machine *testbed.Machine, shard int) bool {
 	data, err := wire.QuotaAskCodec.Encode(&wire.QuotaAsk{Holder: "asks " + machine.IP, Incarnation: "i", Shard: shard, Reports: []wire.QuotaReport{}})
 	if err != nil {
 		return false
--- a/internal/testbed/fleet/troubles_test.go
+++ b/internal/testbed/fleet/troubles_test.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"github.com/landingmast/landingmast/internal/sidecar/settings"
+	"github.com/landingmast/landingmast/internal/testbed"
 	"github.com/landingmast/landingmast/internal/testbed/deployment"
 	"github.com/landingmast/landingmast/internal/testbed/store"
 	"github.com/landingmast/landingmast/internal/testbed/target"
@@ -17,11 +18,11 @@
 	// comes alone; 0: rules only.
 	Least float64
 	// Play brings the trouble, and heals it before it returns.
-	Play func(mesh *Mesh, random *rand.Rand)
+	Play func(mesh *testbed.Mesh, random *rand.Rand)
 }
 
-func faulty(faults target.Faults, share float64, span time.Duration) func(*Mesh, *rand.Rand) {
-	return func(mesh *Mesh, random *rand.Rand) {
+func faulty(faults target.Faults, share float64, span time.Duration) func(*testbed.Mesh, *rand.Rand) {
+	return func(mesh *testbed.Mesh, random *rand.Rand) {
 		chosen := mesh.Some(random, share)
 		for _, machine := range chosen {
 			machine.Target.SetFaults(faults)
@@ -33,8 +34,8 @@
 	}
 }
 
-func storeFault(begin, end func(s *store.Store), span time.Duration) func(*Mesh, *rand.Rand) {
-	return func(mesh *Mesh, _ *rand.Rand) {
+func storeFault(begin, end func(s *store.Store), span time.Duration) func(*testbed.Mesh, *rand.Rand) {
+	return func(mesh *testbed.Mesh, _ *rand.Rand) {
 		mesh.Store.Set(begin)
 		mesh.Judge.StoreTrouble(span)
 		mesh.Store.Set(end)
@@ -42,7 +43,7 @@
 }
 
 // newRoute adds a route and gives its prefix.
-func newRoute(mesh *Mesh, random *rand.Rand) {
+func newRoute(mesh *testbed.Mesh, random *rand.Rand) {
 	mesh.Configure(func(routes []deployment.Route) []deployment.Route {
 		added := routes[random.IntN(len(routes))]
 		added.Prefix, added.PerSecond = added.Prefix+"new/", 0
@@ -54,16 +55,16 @@
 // names are those of the users' pages.
 func Troubles() []Trouble {
 	return []Trouble{
-		{"node_kill", 0.97, func(mesh *Mesh, random *rand.Rand) { KillAndRestart(mesh.Some(random, 0.1)) }},
-		{"herd_kill", 0.85, func(mesh *Mesh, random *rand.Rand) { KillAndRestart(mesh.Some(random, 0.6)) }},
-		{"roll_term", 0.98, func(mesh *Mesh, random *rand.Rand) {
+		{"node_kill", 0.97, func(mesh *testbed.Mesh, random *rand.Rand) { testbed.KillAndRestart(mesh.Some(random, 0.1)) }},
+		{"herd_kill", 0.85, func(mesh *testbed.Mesh, random *rand.Rand) { testbed.KillAndRestart(mesh.Some(random, 0.6)) }},
+		{"roll_term", 0.98, func(mesh *testbed.Mesh, random *rand.Rand) {
 			for _, machine := range mesh.Some(random, 0.4) {
 				machine.Stop()
-				time.Sleep(RestartAfter)
+				time.Sleep(testbed.RestartAfter)
 				_ = machine.Start()
 			}
 		}},
-		{"node_freeze", 0.9, func(mesh *Mesh, random *rand.Rand) {
+		{"node_freeze", 0.9, func(mesh *testbed.Mesh, random *rand.Rand) {
 			chosen := mesh.Some(random, 0.1)
 			for _, machine := range chosen {
 				mesh.Network.Dark(machine.IP, true)
@@ -73,29 +74,31 @@
 				mesh.Network.Dark(machine.IP, false)
 			}
 		}},
-		{"suspended", 0.9, func(mesh *Mesh, random *rand.Rand) {
+		{"suspended", 0.9, func(mesh *testbed.Mesh, random *rand.Rand) {
 			mesh.Suspend(mesh.Some(random, 0.1), time.Duration(1+random.IntN(6))*time.Second)
 		}},
-		{"node_cut", 0.85, func(mesh *Mesh, random *rand.Rand) { cutFromOthers(mesh, mesh.Some(random, 0.2), 3*time.Second) }},
-		{"core_cut", 0.99, func(mesh *Mesh, random *rand.Rand) {
+		{"node_cut", 0.85, func(mesh *testbed.Mesh, random *rand.Rand) {
+			cutFromOthers(mesh, mesh.Some(random, 0.2), 3*time.Second)
+		}},
+		{"core_cut", 0.99, func(mesh *testbed.Mesh, random *rand.Rand) {
 			chosen := mesh.Some(random, 0.2)
 			for _, machine := range chosen {
-				mesh.Network.Cut(machine.IP, StoreHost, true)
-				mesh.Network.Cut(StoreHost, machine.IP, true)
+				mesh.Network.Cut(machine.IP, testbed.StoreHost, true)
+				mesh.Network.Cut(testbed.StoreHost, machine.IP, true)
 			}
 			mesh.Judge.StoreTrouble(4 * time.Second)
 			for _, machine := range chosen {
-				mesh.Network.Cut(machine.IP, StoreHost, false)
-				mesh.Network.Cut(StoreHost, machine.IP, false)
+				mesh.Network.Cut(machine.IP, testbed.StoreHost, false)
+				mesh.Network.Cut(testbed.StoreHost, machine.IP, false)
 			}
 		}},
-		{"reset_conns", 0.9, func(mesh *Mesh, random *rand.Rand) {
+		{"reset_conns", 0.9, func(mesh *testbed.Mesh, random *rand.Rand) {
 			for _, machine := range mesh.Some(random, 0.4) {
 				mesh.Network.Reset(machine.IP, func() bool { return random.IntN(2) == 0 })
 			}
 		}},
 		{"srv_slow", 0.97, faulty(target.Faults{Slow: 5}, 0.15, 4*time.Second)},
-		{"srv_crash", 0.9, func(mesh *Mesh, random *rand.Rand) {
+		{"srv_crash", 0.9, func(mesh *testbed.Mesh, random *rand.Rand) {
 			chosen := mesh.Some(random, 0.15)
 			for _, machine := range chosen {
 				machine.Target.Stop()
@@ -109,55 +112,55 @@
 		{"answer_lost", 0.9, faulty(target.Faults{LoseAnswer: 0.1}, 0.5, 3*time.Second)},
 		{"garble", 0.95, faulty(target.Faults{CutShort: 0.02, Garbage: 0.02}, 0.5, 3*time.Second)},
 		{"garble extra late", 0.95, faulty(target.Faults{Surplus: 0.2}, 0.6, 4*time.Second)},
-		{"scale_in", 0.98, func(mesh *Mesh, random *rand.Rand) {
+		{"scale_in", 0.98, func(mesh *testbed.Mesh, random *rand.Rand) {
 			target := mesh.Some(random, 0.05)[0].Target
-			target.Drain(DrainBound + time.Second)
+			target.Drain(testbed.DrainBound + time.Second)
 			_ = target.Start()
 		}},
 		{"platform_down", 0.99, storeFault(func(s *store.Store) { s.Down = true }, func(s *store.Store) { s.Down = false }, 4*time.Second)},
 		{"platform_slow", 0.99, storeFault(func(s *store.Store) { s.Slow = 300 * time.Millisecond }, func(s *store.Store) { s.Slow = 0 }, 4*time.Second)},
 		{"platform_lost", 0.99, storeFault(func(s *store.Store) { s.LoseWrites = true }, func(s *store.Store) { s.LoseWrites = false }, 4*time.Second)},
-		{"platform_down lapse", 0.99, func(mesh *Mesh, _ *rand.Rand) {
+		{"platform_down lapse", 0.99, func(mesh *testbed.Mesh, _ *rand.Rand) {
 			mesh.Store.Set(func(s *store.Store) { s.Down = true })
 			mesh.Judge.StoreTrouble(2 * time.Second)
 			mesh.Store.EndLeases()
 			mesh.Store.Set(func(s *store.Store) { s.Down = false })
 		}},
-		{"platform_compact", 0.99, func(mesh *Mesh, random *rand.Rand) {
+		{"platform_compact", 0.99, func(mesh *testbed.Mesh, random *rand.Rand) {
 			mesh.Store.Deafen()
 			newRoute(mesh, random)
 			mesh.Judge.StoreTrouble(time.Second)
 			mesh.Store.Compact()
 		}},
-		{"store refuses some", 0.97, func(mesh *Mesh, random *rand.Rand) {
+		{"store refuses some", 0.97, func(mesh *testbed.Mesh, random *rand.Rand) {
 			chosen := mesh.Some(random, 0.3)
 			mesh.Store.Set(func(s *store.Store) {
 				for _, machine := range chosen {
 					s.Refuse[machine.IP] = true
 				}
 			})
-			KillAndRestart(chosen)
+			testbed.KillAndRestart(chosen)
 			mesh.Judge.StoreTrouble(4 * time.Second)
 			mesh.Store.Set(func(s *store.Store) { clear(s.Refuse) })
 		}},
-		{"burst", 0.9, func(mesh *Mesh, _ *rand.Rand) {
+		{"burst", 0.9, func(mesh *testbed.Mesh, _ *rand.Rand) {
 			mesh.Clients.SetBurst(2)
 			time.Sleep(3 * time.Second)
 			mesh.Clients.SetBurst(0)
 		}},
 		// Those that leave are not served; what counts is that nothing runs for them.
-		{"give_up", 0, func(mesh *Mesh, _ *rand.Rand) {
+		{"give_up", 0, func(mesh *testbed.Mesh, _ *rand.Rand) {
 			mesh.Clients.SetGiveUp(20 * time.Millisecond)
 			time.Sleep(4 * time.Second)
 			mesh.Clients.SetGiveUp(0)
 		}},
-		{"hup", 0.99, func(mesh *Mesh, random *rand.Rand) {
+		{"hup", 0.99, func(mesh *testbed.Mesh, random *rand.Rand) {
 			for _, machine := range mesh.Some(random, 0.5) {
 				machine.Reload(func(s *settings.Settings) { s.Retries.Allowance = 40 })
 				time.Sleep(200 * time.Millisecond)
 			}
 		}},
-		{"config_storm", 0.99, func(mesh *Mesh, random *rand.Rand) {
+		{"config_storm", 0.99, func(mesh *testbed.Mesh, random *rand.Rand) {
 			for range 20 {
 				newRoute(mesh, random)
 				time.Sleep(100 * time.Millisecond)
@@ -166,7 +169,7 @@
 	}
 }
 
-func cutFromOthers(mesh *Mesh, chosen []*Machine, span time.Duration) {
+func cutFromOthers(mesh *testbed.Mesh, chosen []*testbed.Machine, span time.Duration) {
 	set := func(cut bool) {
 		for _, machine := range chosen {
 			for _, other := range mesh.Machines {
--- a/internal/testbed/fleet/mesh_test.go
+++ b/internal/testbed/mesh.go
@@ -1,7 +1,12 @@
-// Package fleet tests whole fleets of sidecar nodes, which run in one process, in virtual time
-// and over a network in memory. Beside the tests it holds the deployment that they play, its
-// targets and clients, the judge of what those saw, and the kinds of trouble.
-package fleet
+// Package testbed runs whole deployments for tests: the stand-in of the platform's store, machines
+// with a node and the stand-in of a target each, clients, and the judge of what clients and
+// targets see. New runs nodes in this process over a network in memory, which is virtual time in
+// a bubble of testing/synctest; NewIn runs them where an Environment says.
+//
+// It owns the machines, who of them gets work, and the configuration that the store has. It
+// relies on the packages below it for the stand-ins, and on the sidecar and the platform's
+// adapter for the nodes; neither knows of it. Only tests import it.
+package testbed
 
 import (
 	"context"
@@ -53,8 +58,8 @@
 // DrainBound is the bound of the rule DRAIN in a mesh.
 const DrainBound = 2 * time.Second
 
-// NewMesh starts a deployment in memory. Close must follow.
-func NewMesh(plan deployment.Plan) (*Mesh, error) {
+// New starts a deployment in memory. Close must follow.
+func New(plan deployment.Plan) (*Mesh, error) {
 	zones := map[string]string{}
 	network := memnet.New(func(from, to string) time.Duration {
 		if zones[from] == zones[to] {
@@ -72,8 +77,8 @@
 	return m, m.start()
 }
 
-// NewMeshIn starts a deployment in an environment. Close must follow.
-func NewMeshIn(plan deployment.Plan, around Environment) (*Mesh, error) {
+// NewIn starts a deployment in an environment. Close must follow.
+func NewIn(plan deployment.Plan, around Environment) (*Mesh, error) {
 	m := newMesh(plan, around)
 	return m, m.start()
 }
--- a/internal/testbed/fleet/tenants_test.go
+++ b/internal/testbed/tenants.go
@@ -1,4 +1,4 @@
-package fleet
+package testbed
 
 import (
 	"math/rand/v2"
