--- a/internal/testbed/clock.go
+++ b/internal/testbed/clock.go
@@ -5,33 +5,34 @@
 	"time"
 )
 
-// machineClock is the clock of a machine that may be suspended. The timers of its processes
-// go on in virtual time; a suspended machine says and hears nothing.
+// machineClock is the clock of a machine that may be suspended. Timers go on during a
+// suspension, but a suspended machine sends and receives nothing.
 type machineClock struct {
 	started time.Time
 
-	mutex sync.Mutex
-	slept time.Duration
-	since time.Time // of the suspension; zero: it runs
+	mu    sync.Mutex
+	slept time.Duration // in all suspensions that are over
+	since time.Time     // begin of the suspension; zero: the machine runs
 }
 
 func newMachineClock() *machineClock { return &machineClock{started: time.Now()} }
 
 // Steady implements clock.Source.
 func (c *machineClock) Steady() time.Duration {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	return c.bootLocked() - c.slept
 }
 
-// Boot implements clock.Source. What runs on a suspended machine in the mesh, and would not,
-// sees it stand still.
+// Boot implements clock.Source. It stands still during a suspension, for goroutines of the node
+// that would not run then.
 func (c *machineClock) Boot() time.Duration {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	return c.bootLocked()
 }
 
+// bootLocked returns what Boot does; mu is held.
 func (c *machineClock) bootLocked() time.Duration {
 	if !c.since.IsZero() {
 		return c.since.Sub(c.started)
@@ -40,19 +41,19 @@
 }
 
 func (c *machineClock) suspend() {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	c.since = time.Now()
 }
 
 func (c *machineClock) wake() {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	c.slept += time.Since(c.since)
 	c.since = time.Time{}
 }
 
-// Suspend suspends machines for some time. Their clients get no new work meanwhile.
+// Suspend suspends machines for a span. Their clients get no new work meanwhile.
 func (m *Mesh) Suspend(machines []*Machine, span time.Duration) {
 	for _, machine := range machines {
 		machine.out.Store(true)
--- a/internal/testbed/machine.go
+++ b/internal/testbed/machine.go
@@ -13,19 +13,19 @@
 	"github.com/landingmast/landingmast/internal/testbed/target"
 )
 
-// Machine is one machine of a mesh: a node and a target.
+// Machine is a machine of a deployment: a node and a target.
 type Machine struct {
 	mesh   *Mesh
 	IP     string
 	Zone   string
 	Target *target.Target
 
-	out     atomic.Bool // its clients get no new work: it was not ready twice in a row
-	mutex   sync.Mutex
-	stop    context.CancelFunc
-	hurry   context.CancelFunc
-	stopped chan struct{}
-	first   bool
+	out     atomic.Bool        // its clients get no new work
+	mu      sync.Mutex         // of node, stop, hurry and stopped
+	stop    context.CancelFunc // asks the node in this process to stop
+	hurry   context.CancelFunc // cuts its stop short
+	stopped chan struct{}      // closed when it has ended
+	first   bool               // the node starts for the first time
 	node    *sidecar.Node
 	clock   *machineClock
 }
@@ -39,52 +39,52 @@
 	portControl  = "8005"
 )
 
-// settings are those of the machine's node.
+// settings returns the settings of the node.
 func (m *Machine) settings() *settings.Settings {
-	checked := &settings.Settings{
+	chosen := &settings.Settings{
 		Node: "node-" + m.IP, Zone: m.Zone, FirstStart: m.first,
 		Target: settings.Target{Service: m.Target.Service, Address: m.Target.Address},
 		Listen: settings.Listen{Outbound: m.Outbound(), Inbound: m.Inbound(), Ready: m.IP + ":" + portReady, Control: m.IP + ":" + portControl},
-		Store:  settings.Store{Address: m.mesh.around.StoreAddress, ReadsPerSecond: float64(m.mesh.Plan.ReadsPerSecond)},
+		Store:  settings.Store{Address: m.mesh.env.StoreAddress, ReadsPerSecond: float64(m.mesh.Plan.ReadsPerSecond)},
 	}
-	checked.Keys.FailClosed = true
-	checked.SetDefaults()
-	return checked
+	chosen.Keys.FailClosed = true
+	chosen.SetDefaults()
+	return chosen
 }
 
-// Start starts the node of a machine.
+// Start starts the node.
 func (m *Machine) Start() error {
 	m.mesh.Judge.Restarted(m.IP)
-	return m.mesh.around.Nodes.Start(m, m.settings())
+	return m.mesh.env.Nodes.Start(m, m.settings())
 }
 
-// Reload has the node take changed settings, as SIGHUP does.
+// Reload makes the node read changed settings, as SIGHUP does.
 func (m *Machine) Reload(change func(s *settings.Settings)) {
 	changed := m.settings()
 	change(changed)
-	m.mesh.around.Nodes.Reload(m, changed)
+	m.mesh.env.Nodes.Reload(m, changed)
 }
 
-// Stop is the planned stop of the machine's node; it returns when the node has ended.
-func (m *Machine) Stop() { m.mesh.around.Nodes.Stop(m) }
+// Stop stops the node as planned and returns when it has ended.
+func (m *Machine) Stop() { m.mesh.env.Nodes.Stop(m) }
 
-// Kill ends the machine's node at once; its target goes on.
-func (m *Machine) Kill() { m.mesh.around.Nodes.Kill(m) }
+// Kill ends the node at once; the target goes on.
+func (m *Machine) Kill() { m.mesh.env.Nodes.Kill(m) }
 
-// Version gives the version of the configuration that is in force on the node.
-func (m *Machine) Version() uint64 { return m.mesh.around.Nodes.Version(m) }
+// Version returns the version of the configuration in force on the node; 0: none is known.
+func (m *Machine) Version() uint64 { return m.mesh.env.Nodes.Version(m) }
 
-// Peers gives the number of other nodes that the node knows.
+// Peers returns the number of other nodes that the node knows. It works in memory only.
 func (m *Machine) Peers() int {
-	m.mutex.Lock()
-	defer m.mutex.Unlock()
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	return m.node.Peers()
 }
 
-// Ready asks the node whether it takes work.
+// Ready reports whether the node says that it takes requests.
 func (m *Machine) Ready() bool {
-	client := &http.Client{Transport: &http.Transport{DialContext: m.mesh.around.Network.Dialer(m.IP), DisableKeepAlives: true}, Timeout: time.Second}
-	response, err := client.Get("http://" + m.IP + ":" + portReady + "/-/readiness")
+	prober := &http.Client{Transport: &http.Transport{DialContext: m.mesh.env.Network.Dialer(m.IP), DisableKeepAlives: true}, Timeout: time.Second}
+	response, err := prober.Get("http://" + m.IP + ":" + portReady + "/-/readiness")
 	if err != nil {
 		return false
 	}
@@ -92,13 +92,13 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// The platform asks each node once a second; after so many misses the clients on
-// its machine are given no new work until it is ready again.
+// How the platform probes whether nodes are ready.
 const (
 	readyEvery  = time.Second
-	readyMisses = 2
+	readyMisses = 2 // in a row, after which clients on the machine get no new work
 )
 
+// askReady probes the node until ctx is done.
 func (m *Machine) askReady(ctx context.Context) {
 	misses := 0
 	for ctx.Err() == nil {
@@ -116,21 +116,21 @@
 	}
 }
 
-// Outbound is the address of the node for requests of this machine.
+// Outbound returns the address of the node for requests from its machine.
 func (m *Machine) Outbound() string { return m.IP + ":" + portOutbound }
 
-// Inbound is the address of the node for other nodes.
+// Inbound returns the address of the node for other nodes.
 func (m *Machine) Inbound() string { return m.IP + ":" + portInbound }
 
-// TakeOut keeps new work from the machine's clients until it was asked next whether it is ready.
+// TakeOut keeps new work from the clients of the machine until the next probe.
 func (m *Machine) TakeOut() { m.out.Store(true) }
 
-// origin gives the machine as clients know it.
+// origin returns the machine as clients know it.
 func (m *Machine) origin() client.Origin {
 	return client.Origin{IP: m.IP, Outbound: m.Outbound(), Service: m.Target.Service}
 }
 
-// RestartAfter is the pause before the platform starts a process again.
+// RestartAfter is the pause in which the platform starts a process again.
 const RestartAfter = 400 * time.Millisecond
 
 // KillAndRestart breaks the connections of machines, kills their nodes and starts them again.
--- a/internal/testbed/mesh.go
+++ b/internal/testbed/mesh.go
@@ -25,10 +25,10 @@
 	"github.com/landingmast/landingmast/platform"
 )
 
-// Mesh is a deployment in memory: store, machines and clients.
+// Mesh is a running deployment: store, machines and clients.
 type Mesh struct {
 	Plan     deployment.Plan
-	Network  *memnet.Network // nil in another environment than memory
+	Network  *memnet.Network // nil if the deployment does not run in memory
 	Store    *store.Store
 	Judge    *judge.Judge
 	Harmful  *target.Harmful
@@ -36,29 +36,29 @@
 	Tally    *client.Tally
 	Clients  *client.Clients
 
-	mutex     sync.Mutex // of the plan's routes and tenants, and the version
-	version   int
-	firstKeys [][]string // of the tenants; clients go on with keys that are taken away
-	server    *http.Server
+	mu        sync.Mutex   // of the plan's routes and tenants, and of version
+	version   int          // of the configuration that was written last
+	firstKeys [][]string   // of the tenants: clients go on using keys that are taken away
+	server    *http.Server // of the store
 	group     sync.WaitGroup
 	end       context.CancelFunc
-	running   context.Context
-	around    Environment
+	running   context.Context // done by end
+	env       Environment
 }
 
 // StoreHost is the host of the store in memory.
 const StoreHost = "10.0.0.1"
 
-// StoreAddress is where the store listens.
+// StoreAddress is where the store in memory listens.
 const StoreAddress = StoreHost + ":80"
 
-// Settle is the time that a mesh has before clients come.
+// Settle is the time that a deployment has before clients come.
 const Settle = 3 * time.Second
 
-// DrainBound is the bound of the rule DRAIN in a mesh.
+// DrainBound is how long after its acknowledgement a leaving target may be reached.
 const DrainBound = 2 * time.Second
 
-// New starts a deployment in memory. Close must follow.
+// New starts a deployment in memory. After a success Close must be called.
 func New(plan deployment.Plan) (*Mesh, error) {
 	zones := map[string]string{}
 	network := memnet.New(func(from, to string) time.Duration {
@@ -77,21 +77,21 @@
 	return m, m.start()
 }
 
-// NewIn starts a deployment in an environment. Close must follow.
-func NewIn(plan deployment.Plan, around Environment) (*Mesh, error) {
-	m := newMesh(plan, around)
+// NewIn starts a deployment in an environment. After a success Close must be called.
+func NewIn(plan deployment.Plan, env Environment) (*Mesh, error) {
+	m := newMesh(plan, env)
 	return m, m.start()
 }
 
-// newMesh makes a deployment; nothing of it runs.
-func newMesh(plan deployment.Plan, around Environment) *Mesh {
+// newMesh makes a deployment of which nothing runs yet.
+func newMesh(plan deployment.Plan, env Environment) *Mesh {
 	running, end := context.WithCancel(context.Background())
 	m := &Mesh{
 		Plan: plan, Store: store.New(), Judge: judge.New(DrainBound), Harmful: target.NewHarmful(), running: running, end: end,
-		Tally: client.NewTally(), around: around,
+		Tally: client.NewTally(), env: env,
 	}
 	m.Store.ReadsPerSecond = plan.ReadsPerSecond
-	m.Clients = &client.Clients{Judge: m.Judge, Tally: m.Tally, Dialer: around.Network.Dialer, Caller: m.caller, Any: func() client.Origin { return m.Any().origin() }}
+	m.Clients = &client.Clients{Judge: m.Judge, Tally: m.Tally, Dialer: env.Network.Dialer, Caller: m.caller, Any: func() client.Origin { return m.Any().origin() }}
 	m.server = &http.Server{Handler: m.Store}
 	m.place()
 	for _, tenant := range plan.Tenants {
@@ -103,7 +103,7 @@
 
 // start starts the store, the targets and the nodes.
 func (m *Mesh) start() error {
-	listener, err := m.around.Network.Listen(m.around.StoreAddress)
+	listener, err := m.env.Network.Listen(m.env.StoreAddress)
 	if err != nil {
 		return err
 	}
@@ -122,7 +122,7 @@
 	return nil
 }
 
-// Any gives a machine whose clients get work.
+// Any returns a random machine whose clients get work; of all, if none does.
 func (m *Mesh) Any() *Machine {
 	in := make([]*Machine, 0, len(m.Machines))
 	for _, machine := range m.Machines {
@@ -136,32 +136,32 @@
 	return in[rand.IntN(len(in))]
 }
 
-// Load sends the clients' requests for some time and waits for their ends.
+// Load sends requests at the rates of the routes for a span and returns when all have ended.
 func (m *Mesh) Load(span time.Duration) {
-	m.mutex.Lock()
+	m.mu.Lock()
 	routes := m.Plan.Routes
-	m.mutex.Unlock()
+	m.mu.Unlock()
 	m.Clients.Load(m.running, routes, span)
 }
 
-// Attempt is one attempt of a client without a key.
+// Attempt sends a request of a client without a key once.
 func (m *Mesh) Attempt(machine *Machine, route deployment.Route, uri string, deadline time.Time) {
 	m.Clients.Attempt(m.running, machine.origin(), route, uri, "", "", deadline)
 }
 
-// SendHarmful sends a harmful request on a route as a client does, with its retry.
+// SendHarmful sends a harmful request on a route and repeats it once, as a client does.
 func (m *Mesh) SendHarmful(machine *Machine, route deployment.Route, path string) {
 	m.Clients.SendHarmful(m.running, machine.origin(), route, path)
 }
 
-// AddHarmful has requests of a path on a route end their targets.
+// AddHarmful makes the requests with a path on a route end their targets.
 func (m *Mesh) AddHarmful(route deployment.Route, path string) {
 	body := client.BodyOf(route)
 	m.Judge.ExpectHarmful(path, body)
 	m.Harmful.Add(path, body)
 }
 
-// Some draws a share of the machines, one at least.
+// Some returns a random share of the machines, one at least.
 func (m *Mesh) Some(random *rand.Rand, share float64) []*Machine {
 	count := max(int(share*float64(len(m.Machines))+0.5), 1)
 	chosen := make([]*Machine, 0, count)
@@ -171,9 +171,13 @@
 	return chosen
 }
 
-// HarmedFor has the judge know for some time that the links of machines are harmed.
+// harmedEvery is how often the judge is reminded of disturbed links.
+const harmedEvery = 100 * time.Millisecond
+
+// HarmedFor returns after a span in which the judge knows that the links of machines are
+// disturbed.
 func (m *Mesh) HarmedFor(machines []*Machine, span time.Duration) {
-	for end := time.Now().Add(span); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
+	for end := time.Now().Add(span); time.Now().Before(end); time.Sleep(harmedEvery) {
 		for _, machine := range machines {
 			m.Judge.Harmed(machine.IP)
 		}
@@ -183,19 +187,19 @@
 // Go runs f beside the mesh; Close waits for its end.
 func (m *Mesh) Go(f func()) { m.group.Go(f) }
 
-// Version gives the last version of the configuration that was written.
+// Version returns the version of the configuration that was written last.
 func (m *Mesh) Version() int {
-	m.mutex.Lock()
-	defer m.mutex.Unlock()
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	return m.version
 }
 
-// place lays the targets out over the zones in turn.
+// place distributes the targets over the zones in turn, each on a machine of its own.
 func (m *Mesh) place() {
 	for _, name := range m.Plan.ServiceNames() {
 		service := m.Plan.Services[name]
 		for index := range service.Targets {
-			ip := m.around.MachineIP(len(m.Machines))
+			ip := m.env.MachineIP(len(m.Machines))
 			zone := m.Plan.Zones[len(m.Machines)%len(m.Plan.Zones)]
 			speed := 0.0
 			if len(service.Speeds) > 0 {
@@ -204,17 +208,17 @@
 			m.Machines = append(m.Machines, &Machine{mesh: m, IP: ip, Zone: zone, first: true, clock: newMachineClock(), Target: &target.Target{
 				Service: name, Address: ip + ":" + portTarget, Outbound: ip + ":" + portOutbound, Control: ip + ":" + portControl,
 				Zone: zone, Slots: service.Slots, Speed: speed, Works: service.Works, Judge: m.Judge, Harmful: m.Harmful,
-				Dial: m.around.Network.Dialer(ip), Listen: m.around.Network.Listen,
+				Dial: m.env.Network.Dialer(ip), Listen: m.env.Network.Listen,
 			}})
 		}
 	}
 }
 
-// Configure writes a new version of the configuration; change may alter the
-// routes before.
+// Configure writes a new version of the configuration to the store, with the routes that change
+// returns; a nil change leaves them.
 func (m *Mesh) Configure(change func(routes []deployment.Route) []deployment.Route) int {
-	m.mutex.Lock()
-	defer m.mutex.Unlock()
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	if change != nil {
 		m.Plan.Routes = change(append([]deployment.Route(nil), m.Plan.Routes...))
 	}
@@ -223,10 +227,10 @@
 	return m.version
 }
 
-// closeTime lets dials that hang and timers of the nodes come to their ends.
+// closeTime is the time in which dials that hang and timers of the nodes end.
 const closeTime = 10 * time.Second
 
-// Close ends everything.
+// Close stops clients, targets, nodes and the store.
 func (m *Mesh) Close() {
 	m.end()
 	m.Harmful.Close()
@@ -244,24 +248,24 @@
 	time.Sleep(closeTime)
 }
 
-// Followers gives the machines whose nodes follow the store.
+// Followers returns the machines whose nodes read the store for others. It works in memory only.
 func (m *Mesh) Followers() (found []*Machine) {
 	for _, machine := range m.Machines {
-		machine.mutex.Lock()
+		machine.mu.Lock()
 		if machine.node.Follows() {
 			found = append(found, machine)
 		}
-		machine.mutex.Unlock()
+		machine.mu.Unlock()
 	}
 	return found
 }
 
-// inForceAfter is when the last version must be in force on every node, whatever
-// happened before: the bound, and its stretch after disruptions of the store.
+// inForceAfter is the time in which the last configuration has to be in force on every node,
+// whatever happened before: 2 s, and 5 s more after disturbances of the store.
 const inForceAfter = 7 * time.Second
 
-// CheckEnd ends a day: rules that count are held against what was seen, and after
-// some quiet time the last configuration is in force everywhere.
+// CheckEnd checks what is checked at the end: the rules that count over the whole time, and,
+// after inForceAfter, that the last configuration is in force on every node.
 func (m *Mesh) CheckEnd() {
 	m.Judge.CheckDay()
 	time.Sleep(inForceAfter)
--- a/internal/testbed/nodes.go
+++ b/internal/testbed/nodes.go
@@ -15,34 +15,36 @@
 // Environment is where a deployment runs.
 type Environment struct {
 	Network      Network
-	StoreAddress string
-	MachineIP    func(number int) string
+	StoreAddress string                  // where the store listens
+	MachineIP    func(number int) string // of the machines, from 0 on
 	Nodes        Nodes
 }
 
-// Network is what the stand-ins speak over.
+// Network is what the stand-ins communicate over.
 type Network interface {
 	Listen(address string) (net.Listener, error)
+	// Dialer returns the function with which a host opens connections.
 	Dialer(from string) func(ctx context.Context, network, to string) (net.Conn, error)
 }
 
-// Nodes starts and ends the nodes of machines.
+// Nodes runs the nodes of machines.
 type Nodes interface {
+	// Start starts a node with settings.
 	Start(m *Machine, chosen *settings.Settings) error
-	// Reload has a node take changed settings.
+	// Reload makes a node read changed settings.
 	Reload(m *Machine, changed *settings.Settings)
-	// Stop is a planned stop; it returns when the node has ended.
+	// Stop stops a node as planned and returns when it has ended.
 	Stop(m *Machine)
 	// Kill ends a node at once, if it runs.
 	Kill(m *Machine)
-	// Version gives the version of the configuration in force; 0: none is known.
+	// Version returns the version of the configuration in force; 0: none is known.
 	Version(m *Machine) uint64
 }
 
 // inProcess runs nodes in this process, over a network in memory.
 type inProcess struct {
 	network *memnet.Network
-	output  io.Writer // of the logs; nil: nowhere
+	output  io.Writer // takes the logs; nil: dropped
 }
 
 // Start implements Nodes.
@@ -63,9 +65,9 @@
 	ctx, stop := context.WithCancel(context.Background())
 	now, hurry := context.WithCancel(context.Background())
 	stopped := make(chan struct{})
-	m.mutex.Lock()
+	m.mu.Lock()
 	m.node, m.stop, m.hurry, m.stopped = node, stop, hurry, stopped
-	m.mutex.Unlock()
+	m.mu.Unlock()
 	go func() {
 		defer close(stopped)
 		_ = node.Run(ctx, now)
@@ -76,25 +78,25 @@
 
 // Reload implements Nodes.
 func (p *inProcess) Reload(m *Machine, changed *settings.Settings) {
-	m.mutex.Lock()
-	defer m.mutex.Unlock()
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	m.node.Reload(changed)
 }
 
 // Stop implements Nodes.
 func (p *inProcess) Stop(m *Machine) {
-	m.mutex.Lock()
+	m.mu.Lock()
 	stop, stopped := m.stop, m.stopped
-	m.mutex.Unlock()
+	m.mu.Unlock()
 	stop()
 	<-stopped
 }
 
 // Kill implements Nodes.
 func (p *inProcess) Kill(m *Machine) {
-	m.mutex.Lock()
+	m.mu.Lock()
 	stop, hurry, stopped := m.stop, m.hurry, m.stopped
-	m.mutex.Unlock()
+	m.mu.Unlock()
 	if stop == nil {
 		return
 	}
@@ -105,7 +107,7 @@
 
 // Version implements Nodes.
 func (p *inProcess) Version(m *Machine) uint64 {
-	m.mutex.Lock()
-	defer m.mutex.Unlock()
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	return m.node.Version()
 }
--- a/internal/testbed/tenants.go
+++ b/internal/testbed/tenants.go
@@ -7,29 +7,29 @@
 	"github.com/landingmast/landingmast/internal/testbed/judge"
 )
 
-// Retenant writes a configuration with changed tenants. The judge counts from the time at
-// which the store has it.
+// Retenant writes a configuration with changed tenants to the store. The bounds of the judge
+// count from then on.
 func (m *Mesh) Retenant(change func(tenants []deployment.Tenant) []deployment.Tenant) {
-	m.mutex.Lock()
+	m.mu.Lock()
 	before := m.Plan.Tenants
 	after := make([]deployment.Tenant, len(before))
 	copy(after, before)
 	m.Plan.Tenants = change(after)
-	m.mutex.Unlock()
+	m.mu.Unlock()
 	m.Configure(nil)
 	m.Judge.SetTenants(tenantsOf(before), tenantsOf(m.Plan.Tenants))
 }
 
-// tenantsOf gives what the judge knows of tenants.
-func tenantsOf(plans []deployment.Tenant) []judge.Tenant {
-	tenants := make([]judge.Tenant, 0, len(plans))
-	for _, one := range plans {
-		tenants = append(tenants, judge.Tenant{Name: one.Name, Keys: one.Keys, Rate: one.Rate, Burst: one.Burst})
+// tenantsOf returns the tenants as the judge knows them.
+func tenantsOf(tenants []deployment.Tenant) []judge.Tenant {
+	judged := make([]judge.Tenant, 0, len(tenants))
+	for _, tenant := range tenants {
+		judged = append(judged, judge.Tenant{Name: tenant.Name, Keys: tenant.Keys, Rate: tenant.Rate, Burst: tenant.Burst})
 	}
-	return tenants
+	return judged
 }
 
-// TakeKey takes a key of a tenant away.
+// TakeKey removes a key of a tenant; both are counted from 0.
 func (m *Mesh) TakeKey(tenant int, key int) {
 	m.Retenant(func(tenants []deployment.Tenant) []deployment.Tenant {
 		keys := append([]string(nil), tenants[tenant].Keys...)
@@ -38,19 +38,19 @@
 	})
 }
 
-// caller picks the tenant of a request and one of the keys that it had at the start.
+// caller picks a tenant by its share and one of the keys that it had at the start.
 func (m *Mesh) caller() (tenant, key string) {
-	m.mutex.Lock()
-	defer m.mutex.Unlock()
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	total := 0.0
-	for _, one := range m.Plan.Tenants {
-		total += one.Share
+	for _, tenant := range m.Plan.Tenants {
+		total += tenant.Share
 	}
 	at := rand.Float64() * total
-	for index, one := range m.Plan.Tenants {
-		if at -= one.Share; at <= 0 {
+	for index, picked := range m.Plan.Tenants {
+		if at -= picked.Share; at <= 0 {
 			keys := m.firstKeys[index]
-			return one.Name, keys[rand.IntN(len(keys))]
+			return picked.Name, keys[rand.IntN(len(keys))]
 		}
 	}
 	return "", ""
