--- a/internal/testbed/fleet/alone_test.go
+++ b/internal/testbed/fleet/alone_test.go
@@ -52,17 +52,17 @@
 // Each kind of trouble comes alone, in the middle of a day: no rule is broken,
 // what can be served is served, and all of it afterwards.
 func TestEveryTroubleAlone(t *testing.T) {
-	for _, trouble := range Troubles() {
-		t.Run(trouble.Name, func(t *testing.T) {
+	for _, kind := range All() {
+		t.Run(kind.Name, func(t *testing.T) {
 			t.Parallel()
 			g := NewWithT(t)
 			mesh := play(t, deployment.ThreeDeep(), 10*time.Second, func(mesh *testbed.Mesh) {
 				time.Sleep(2 * time.Second)
-				trouble.Play(mesh, rand.New(rand.NewPCG(1, 2)))
+				kind.Play(mesh, rand.New(rand.NewPCG(1, 2)))
 			})
 			g.Expect(mesh.Judge.Broken()).To(BeEmpty())
 			for _, prefix := range []string{"/front/", "/order/"} {
-				g.Expect(mesh.Tally.Share(prefix)).To(BeNumerically(">=", trouble.Least), "%s: %v", prefix, mesh.Tally.Status)
+				g.Expect(mesh.Tally.Share(prefix)).To(BeNumerically(">=", kind.Least), "%s: %v", prefix, mesh.Tally.Status)
 			}
 		})
 	}
--- a/internal/testbed/fleet/crash_test.go
+++ b/internal/testbed/fleet/crash_test.go
@@ -79,7 +79,7 @@
 		}},
 		{"some nodes are cut off at the ends", []string{"/front/a"}, func(mesh *testbed.Mesh) {
 			time.Sleep(3 * time.Second)
-			cutFromOthers(mesh, mesh.Some(rand.New(rand.NewPCG(2, 2)), 0.3), 5*time.Second)
+			CutFromOthers(mesh, mesh.Some(rand.New(rand.NewPCG(2, 2)), 0.3), 5*time.Second)
 		}},
 		{"writes of the store are lost, then all nodes are killed", []string{"/front/a"}, func(mesh *testbed.Mesh) {
 			mesh.Store.Set(func(s *store.Store) { s.LoseWrites = true })
--- a/internal/testbed/fleet/days_test.go
+++ b/internal/testbed/fleet/days_test.go
@@ -4,8 +4,6 @@
 	"fmt"
 	"math/rand/v2"
 	"sync"
-	"testing"
-	"testing/synctest"
 	"time"
 
 	"github.com/landingmast/landingmast/internal/testbed"
@@ -35,19 +33,19 @@
 // Timed is a trouble and when it comes.
 type Timed struct {
 	At time.Duration
-	Trouble
+	Kind
 }
 
 const daySpan = 14 * time.Second
 
-// DrawDay draws a day.
-func DrawDay(seed uint64) Day {
+// Draw draws a day.
+func Draw(seed uint64) Day {
 	random := rand.New(rand.NewPCG(seed, 7))
 	day := Day{Seed: seed, Plan: drawPlan(random), Span: daySpan}
-	all := Troubles()
+	all := All()
 	for range 2 + random.IntN(5) {
 		day.Troubles = append(day.Troubles, Timed{
-			At: time.Duration(random.Int64N(int64(daySpan * 3 / 4))), Trouble: all[random.IntN(len(all))],
+			At: time.Duration(random.Int64N(int64(daySpan * 3 / 4))), Kind: all[random.IntN(len(all))],
 		})
 	}
 	day.drawHarmful(rand.New(rand.NewPCG(seed, 8)))
@@ -117,36 +115,23 @@
 	return plan
 }
 
-// PlayDay plays a day in virtual time and gives the mesh as it ended.
-func PlayDay(t *testing.T, day Day) *testbed.Mesh {
-	t.Helper()
-	var played *testbed.Mesh
-	synctest.Test(t, func(t *testing.T) {
-		mesh, err := testbed.New(day.Plan)
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer mesh.Close()
-		time.Sleep(3 * time.Second)
-		var troubles sync.WaitGroup
-		one := make(chan struct{}, 1) // troubles wait for each other; a mutex would stop virtual time
-		for index, timed := range day.Troubles {
-			troubles.Go(func() {
-				time.Sleep(timed.At)
-				one <- struct{}{}
-				defer func() { <-one }()
-				timed.Play(mesh, rand.New(rand.NewPCG(day.Seed, uint64(index))))
-			})
-		}
-		for number, harmful := range day.Harmful {
-			troubles.Go(func() { sendHarm(mesh, number, harmful, day.Span) })
-		}
-		mesh.Load(day.Span)
-		troubles.Wait()
-		mesh.CheckEnd()
-		played = mesh
-	})
-	return played
+// Play plays the troubles and the harmful requests of the day beside the clients' requests.
+func (d Day) Play(mesh *testbed.Mesh) {
+	var troubles sync.WaitGroup
+	one := make(chan struct{}, 1) // troubles wait for each other; a mutex would stop virtual time
+	for index, timed := range d.Troubles {
+		troubles.Go(func() {
+			time.Sleep(timed.At)
+			one <- struct{}{}
+			defer func() { <-one }()
+			timed.Play(mesh, rand.New(rand.NewPCG(d.Seed, uint64(index))))
+		})
+	}
+	for number, harmful := range d.Harmful {
+		troubles.Go(func() { sendHarm(mesh, number, harmful, d.Span) })
+	}
+	mesh.Load(d.Span)
+	troubles.Wait()
 }
 
 // Describe gives the troubles of a day on one line.
--- a/internal/testbed/fleet/keys_test.go
+++ b/internal/testbed/fleet/keys_test.go
@@ -103,7 +103,7 @@
 		},
 		{"some are cut from the store and the others", 0, func(mesh *testbed.Mesh, chosen []*testbed.Machine) {
 			cutFromStore(mesh, chosen, true)
-			cutFromOthers(mesh, chosen, 9*time.Second)
+			CutFromOthers(mesh, chosen, 9*time.Second)
 		}, func(mesh *testbed.Mesh, chosen []*testbed.Machine) { cutFromStore(mesh, chosen, false) }},
 		{
 			"the store's watches hear nothing", 0.7, func(mesh *testbed.Mesh, _ []*testbed.Machine) { mesh.Store.Deafen() },
--- a/internal/testbed/fleet/quota_test.go
+++ b/internal/testbed/fleet/quota_test.go
@@ -41,13 +41,13 @@
 // The limit holds in every trouble, also where keepers go and come, and the tenants below
 // theirs are served afterwards.
 func TestLimitHoldsInTrouble(t *testing.T) {
-	for _, trouble := range append(Troubles(), Trouble{"all restart", 0, func(mesh *testbed.Mesh, _ *rand.Rand) { testbed.KillAndRestart(mesh.Machines) }}) {
-		t.Run(trouble.Name, func(t *testing.T) {
+	for _, kind := range append(All(), Kind{"all restart", 0, func(mesh *testbed.Mesh, _ *rand.Rand) { testbed.KillAndRestart(mesh.Machines) }}) {
+		t.Run(kind.Name, func(t *testing.T) {
 			t.Parallel()
 			g := NewWithT(t)
 			mesh := play(t, hotTenant(), 12*time.Second, func(mesh *testbed.Mesh) {
 				time.Sleep(2 * time.Second)
-				trouble.Play(mesh, rand.New(rand.NewPCG(1, 2)))
+				kind.Play(mesh, rand.New(rand.NewPCG(1, 2)))
 			})
 			g.Expect(mesh.Judge.Broken()).To(BeEmpty())
 			g.Expect(mesh.Judge.ShareOf("tenant1")).To(BeNumerically(">", 0.5), "%v", mesh.Tally.Status)
--- a/internal/testbed/fleet/randomdays_test.go
+++ b/internal/testbed/fleet/randomdays_test.go
@@ -4,6 +4,10 @@
 	"flag"
 	"fmt"
 	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/landingmast/landingmast/internal/testbed"
 )
 
 // The number of drawn days and the first seed: `make days` plays 200.
@@ -15,10 +19,10 @@
 // Days of random troubles in random deployments break no rule.
 func TestRandomDays(t *testing.T) {
 	for number := range *days {
-		day := DrawDay(*firstSeed + uint64(number))
+		day := Draw(*firstSeed + uint64(number))
 		t.Run(fmt.Sprintf("seed-%d", day.Seed), func(t *testing.T) {
 			t.Parallel()
-			mesh := PlayDay(t, day)
+			mesh := playDay(t, day)
 			asked, served := 0, 0
 			for _, count := range mesh.Tally.Asked {
 				asked += count
@@ -34,3 +38,21 @@
 		})
 	}
 }
+
+// playDay plays a day in virtual time and gives the mesh as it ended.
+func playDay(t *testing.T, day Day) *testbed.Mesh {
+	t.Helper()
+	var played *testbed.Mesh
+	synctest.Test(t, func(t *testing.T) {
+		mesh, err := testbed.New(day.Plan)
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer mesh.Close()
+		time.Sleep(testbed.Settle)
+		day.Play(mesh)
+		mesh.CheckEnd()
+		played = mesh
+	})
+	return played
+}
--- a/internal/testbed/fleet/scale_test.go
+++ b/internal/testbed/fleet/scale_test.go
@@ -46,19 +46,19 @@
 	}{
 		{"storm of configurations", func(mesh *testbed.Mesh, random *rand.Rand) {
 			for range 60 {
-				newRoute(mesh, random)
+				NewRoute(mesh, random)
 				time.Sleep(60 * time.Millisecond)
 			}
 		}},
 		{"mass restart", func(mesh *testbed.Mesh, random *rand.Rand) {
 			testbed.KillAndRestart(mesh.Some(random, 0.6))
-			newRoute(mesh, random)
+			NewRoute(mesh, random)
 		}},
 		{"all restart in turn", func(mesh *testbed.Mesh, random *rand.Rand) {
 			for _, m := range mesh.Some(random, 0.5) {
 				testbed.KillAndRestart([]*testbed.Machine{m})
 			}
-			newRoute(mesh, random)
+			NewRoute(mesh, random)
 		}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
--- a/internal/testbed/fleet/troubles_test.go
+++ b/internal/testbed/fleet/troubles_test.go
@@ -11,8 +11,8 @@
 	"github.com/landingmast/landingmast/internal/testbed/target"
 )
 
-// Trouble is one kind of disruption that a mesh can meet.
-type Trouble struct {
+// Kind is one kind of disruption that a mesh can meet.
+type Kind struct {
 	Name string
 	// Least is the share of requests that must still be served when the trouble
 	// comes alone; 0: rules only.
@@ -21,7 +21,8 @@
 	Play func(mesh *testbed.Mesh, random *rand.Rand)
 }
 
-func faulty(faults target.Faults, share float64, span time.Duration) func(*testbed.Mesh, *rand.Rand) {
+// Faulty has a share of the targets do wrong for some time.
+func Faulty(faults target.Faults, share float64, span time.Duration) func(*testbed.Mesh, *rand.Rand) {
 	return func(mesh *testbed.Mesh, random *rand.Rand) {
 		chosen := mesh.Some(random, share)
 		for _, machine := range chosen {
@@ -42,8 +43,8 @@
 	}
 }
 
-// newRoute adds a route and gives its prefix.
-func newRoute(mesh *testbed.Mesh, random *rand.Rand) {
+// NewRoute adds a route and gives its prefix.
+func NewRoute(mesh *testbed.Mesh, random *rand.Rand) {
 	mesh.Configure(func(routes []deployment.Route) []deployment.Route {
 		added := routes[random.IntN(len(routes))]
 		added.Prefix, added.PerSecond = added.Prefix+"new/", 0
@@ -51,10 +52,10 @@
 	})
 }
 
-// Troubles gives every kind of trouble that a mesh of stand-ins can play; the
+// All gives every kind of trouble that a mesh of stand-ins can play; the
 // names are those of the users' pages.
-func Troubles() []Trouble {
-	return []Trouble{
+func All() []Kind {
+	return []Kind{
 		{"node_kill", 0.97, func(mesh *testbed.Mesh, random *rand.Rand) { testbed.KillAndRestart(mesh.Some(random, 0.1)) }},
 		{"herd_kill", 0.85, func(mesh *testbed.Mesh, random *rand.Rand) { testbed.KillAndRestart(mesh.Some(random, 0.6)) }},
 		{"roll_term", 0.98, func(mesh *testbed.Mesh, random *rand.Rand) {
@@ -78,7 +79,7 @@
 			mesh.Suspend(mesh.Some(random, 0.1), time.Duration(1+random.IntN(6))*time.Second)
 		}},
 		{"node_cut", 0.85, func(mesh *testbed.Mesh, random *rand.Rand) {
-			cutFromOthers(mesh, mesh.Some(random, 0.2), 3*time.Second)
+			CutFromOthers(mesh, mesh.Some(random, 0.2), 3*time.Second)
 		}},
 		{"core_cut", 0.99, func(mesh *testbed.Mesh, random *rand.Rand) {
 			chosen := mesh.Some(random, 0.2)
@@ -97,7 +98,7 @@
 				mesh.Network.Reset(machine.IP, func() bool { return random.IntN(2) == 0 })
 			}
 		}},
-		{"srv_slow", 0.97, faulty(target.Faults{Slow: 5}, 0.15, 4*time.Second)},
+		{"srv_slow", 0.97, Faulty(target.Faults{Slow: 5}, 0.15, 4*time.Second)},
 		{"srv_crash", 0.9, func(mesh *testbed.Mesh, random *rand.Rand) {
 			chosen := mesh.Some(random, 0.15)
 			for _, machine := range chosen {
@@ -108,10 +109,10 @@
 				_ = machine.Target.Start()
 			}
 		}},
-		{"srv_grey shed", 0.9, faulty(target.Faults{Decline: 0.45}, 0.15, 4*time.Second)},
-		{"answer_lost", 0.9, faulty(target.Faults{LoseAnswer: 0.1}, 0.5, 3*time.Second)},
-		{"garble", 0.95, faulty(target.Faults{CutShort: 0.02, Garbage: 0.02}, 0.5, 3*time.Second)},
-		{"garble extra late", 0.95, faulty(target.Faults{Surplus: 0.2}, 0.6, 4*time.Second)},
+		{"srv_grey shed", 0.9, Faulty(target.Faults{Decline: 0.45}, 0.15, 4*time.Second)},
+		{"answer_lost", 0.9, Faulty(target.Faults{LoseAnswer: 0.1}, 0.5, 3*time.Second)},
+		{"garble", 0.95, Faulty(target.Faults{CutShort: 0.02, Garbage: 0.02}, 0.5, 3*time.Second)},
+		{"garble extra late", 0.95, Faulty(target.Faults{Surplus: 0.2}, 0.6, 4*time.Second)},
 		{"scale_in", 0.98, func(mesh *testbed.Mesh, random *rand.Rand) {
 			target := mesh.Some(random, 0.05)[0].Target
 			target.Drain(testbed.DrainBound + time.Second)
@@ -128,7 +129,7 @@
 		}},
 		{"platform_compact", 0.99, func(mesh *testbed.Mesh, random *rand.Rand) {
 			mesh.Store.Deafen()
-			newRoute(mesh, random)
+			NewRoute(mesh, random)
 			mesh.Judge.StoreTrouble(time.Second)
 			mesh.Store.Compact()
 		}},
@@ -162,14 +163,15 @@
 		}},
 		{"config_storm", 0.99, func(mesh *testbed.Mesh, random *rand.Rand) {
 			for range 20 {
-				newRoute(mesh, random)
+				NewRoute(mesh, random)
 				time.Sleep(100 * time.Millisecond)
 			}
 		}},
 	}
 }
 
-func cutFromOthers(mesh *testbed.Mesh, chosen []*testbed.Machine, span time.Duration) {
+// CutFromOthers cuts machines from all others for some time.
+func CutFromOthers(mesh *testbed.Mesh, chosen []*testbed.Machine, span time.Duration) {
 	set := func(cut bool) {
 		for _, machine := range chosen {
 			for _, other := range mesh.Machines {
