--- a/internal/testbed/fleet/alone_test.go
+++ b/internal/testbed/fleet/alone_test.go
@@ -10,6 +10,7 @@
 
 	"github.com/landingmast/landingmast/internal/testbed"
 	"github.com/landingmast/landingmast/internal/testbed/deployment"
+	"github.com/landingmast/landingmast/internal/testbed/trouble"
 	. "github.com/onsi/gomega"
 )
 
@@ -52,7 +53,7 @@
 // Each kind of trouble comes alone, in the middle of a day: no rule is broken,
 // what can be served is served, and all of it afterwards.
 func TestEveryTroubleAlone(t *testing.T) {
-	for _, kind := range All() {
+	for _, kind := range trouble.All() {
 		t.Run(kind.Name, func(t *testing.T) {
 			t.Parallel()
 			g := NewWithT(t)
--- a/internal/testbed/fleet/crash_test.go
+++ b/internal/testbed/fleet/crash_test.go
@@ -10,6 +10,7 @@
 	"github.com/landingmast/landingmast/internal/testbed"
 	"github.com/landingmast/landingmast/internal/testbed/deployment"
 	"github.com/landingmast/landingmast/internal/testbed/store"
+	"github.com/landingmast/landingmast/internal/testbed/trouble"
 	. "github.com/onsi/gomega"
 )
 
@@ -79,7 +80,7 @@
 		}},
 		{"some nodes are cut off at the ends", []string{"/front/a"}, func(mesh *testbed.Mesh) {
 			time.Sleep(3 * time.Second)
-			CutFromOthers(mesh, mesh.Some(rand.New(rand.NewPCG(2, 2)), 0.3), 5*time.Second)
+			trouble.CutFromOthers(mesh, mesh.Some(rand.New(rand.NewPCG(2, 2)), 0.3), 5*time.Second)
 		}},
 		{"writes of the store are lost, then all nodes are killed", []string{"/front/a"}, func(mesh *testbed.Mesh) {
 			mesh.Store.Set(func(s *store.Store) { s.LoseWrites = true })
--- a/internal/testbed/fleet/keys_test.go
+++ b/internal/testbed/fleet/keys_test.go
@@ -15,6 +15,7 @@
 	"github.com/landingmast/landingmast/internal/testbed/deployment"
 	"github.com/landingmast/landingmast/internal/testbed/judge"
 	"github.com/landingmast/landingmast/internal/testbed/store"
+	"github.com/landingmast/landingmast/internal/testbed/trouble"
 	. "github.com/onsi/gomega"
 )
 
@@ -103,7 +104,7 @@
 		},
 		{"some are cut from the store and the others", 0, func(mesh *testbed.Mesh, chosen []*testbed.Machine) {
 			cutFromStore(mesh, chosen, true)
-			CutFromOthers(mesh, chosen, 9*time.Second)
+			trouble.CutFromOthers(mesh, chosen, 9*time.Second)
 		}, func(mesh *testbed.Mesh, chosen []*testbed.Machine) { cutFromStore(mesh, chosen, false) }},
 		{
 			"the store's watches hear nothing", 0.7, func(mesh *testbed.Mesh, _ []*testbed.Machine) { mesh.Store.Deafen() },
--- a/internal/testbed/fleet/quota_test.go
+++ b/internal/testbed/fleet/quota_test.go
@@ -9,6 +9,7 @@
 	"github.com/landingmast/landingmast/internal/testbed/deployment"
 	"github.com/landingmast/landingmast/internal/testbed/judge"
 	"github.com/landingmast/landingmast/internal/testbed/store"
+	"github.com/landingmast/landingmast/internal/testbed/trouble"
 	. "github.com/onsi/gomega"
 )
 
@@ -41,7 +42,7 @@
 // The limit holds in every trouble, also where keepers go and come, and the tenants below
 // theirs are served afterwards.
 func TestLimitHoldsInTrouble(t *testing.T) {
-	for _, kind := range append(All(), Kind{"all restart", 0, func(mesh *testbed.Mesh, _ *rand.Rand) { testbed.KillAndRestart(mesh.Machines) }}) {
+	for _, kind := range append(trouble.All(), trouble.Kind{Name: "all restart", Play: func(mesh *testbed.Mesh, _ *rand.Rand) { testbed.KillAndRestart(mesh.Machines) }}) {
 		t.Run(kind.Name, func(t *testing.T) {
 			t.Parallel()
 			g := NewWithT(t)
--- a/internal/testbed/fleet/randomdays_test.go
+++ b/internal/testbed/fleet/randomdays_test.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"github.com/landingmast/landingmast/internal/testbed"
+	"github.com/landingmast/landingmast/internal/testbed/trouble"
 )
 
 // The number of drawn days and the first seed: `make days` plays 200.
@@ -19,7 +20,7 @@
 // Days of random troubles in random deployments break no rule.
 func TestRandomDays(t *testing.T) {
 	for number := range *days {
-		day := Draw(*firstSeed + uint64(number))
+		day := trouble.Draw(*firstSeed + uint64(number))
 		t.Run(fmt.Sprintf("seed-%d", day.Seed), func(t *testing.T) {
 			t.Parallel()
 			mesh := playDay(t, day)
@@ -40,7 +41,7 @@
 }
 
 // playDay plays a day in virtual time and gives the mesh as it ended.
-func playDay(t *testing.T, day Day) *testbed.Mesh {
+func playDay(t *testing.T, day trouble.Day) *testbed.Mesh {
 	t.Helper()
 	var played *testbed.Mesh
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/testbed/fleet/scale_test.go
+++ b/internal/testbed/fleet/scale_test.go
@@ -11,6 +11,7 @@
 	"github.com/landingmast/landingmast/internal/testbed/deployment"
 	"github.com/landingmast/landingmast/internal/testbed/store"
 	"github.com/landingmast/landingmast/internal/testbed/target"
+	"github.com/landingmast/landingmast/internal/testbed/trouble"
 	. "github.com/onsi/gomega"
 )
 
@@ -46,19 +47,19 @@
 	}{
 		{"storm of configurations", func(mesh *testbed.Mesh, random *rand.Rand) {
 			for range 60 {
-				NewRoute(mesh, random)
+				trouble.NewRoute(mesh, random)
 				time.Sleep(60 * time.Millisecond)
 			}
 		}},
 		{"mass restart", func(mesh *testbed.Mesh, random *rand.Rand) {
 			testbed.KillAndRestart(mesh.Some(random, 0.6))
-			NewRoute(mesh, random)
+			trouble.NewRoute(mesh, random)
 		}},
 		{"all restart in turn", func(mesh *testbed.Mesh, random *rand.Rand) {
 			for _, m := range mesh.Some(random, 0.5) {
 				testbed.KillAndRestart([]*testbed.Machine{m})
 			}
-			NewRoute(mesh, random)
+			trouble.NewRoute(mesh, random)
 		}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
--- a/internal/testbed/fleet/soak_test.go
+++ b/internal/testbed/fleet/soak_test.go
@@ -20,6 +20,7 @@
 	"github.com/landingmast/landingmast/internal/testbed/judge"
 	"github.com/landingmast/landingmast/internal/testbed/store"
 	"github.com/landingmast/landingmast/internal/testbed/target"
+	"github.com/landingmast/landingmast/internal/testbed/trouble"
 )
 
 // Settings of a soak; `make soak` plays longer ones.
@@ -318,10 +319,10 @@
 			}
 		}
 	}},
-	{"configuration", func(s *soak, random *rand.Rand) { NewRoute(s.mesh, random) }},
+	{"configuration", func(s *soak, random *rand.Rand) { trouble.NewRoute(s.mesh, random) }},
 	{"configurations in series", func(s *soak, random *rand.Rand) {
 		for range 10 {
-			NewRoute(s.mesh, random)
+			trouble.NewRoute(s.mesh, random)
 			time.Sleep(100 * time.Millisecond)
 		}
 	}},
@@ -343,9 +344,9 @@
 			_ = machine.Target.Start()
 		})
 	}},
-	{"targets lose answers", onMesh(Faulty(target.Faults{LoseAnswer: 0.1, CutShort: 0.02, Garbage: 0.02}, 0.5, 3*time.Second))},
-	{"targets slow", onMesh(Faulty(target.Faults{Slow: 5}, 0.2, 3*time.Second))},
-	{"targets decline", onMesh(Faulty(target.Faults{Decline: 0.4}, 0.2, 3*time.Second))},
+	{"targets lose answers", onMesh(trouble.Faulty(target.Faults{LoseAnswer: 0.1, CutShort: 0.02, Garbage: 0.02}, 0.5, 3*time.Second))},
+	{"targets slow", onMesh(trouble.Faulty(target.Faults{Slow: 5}, 0.2, 3*time.Second))},
+	{"targets decline", onMesh(trouble.Faulty(target.Faults{Decline: 0.4}, 0.2, 3*time.Second))},
 	{"harmful request", func(s *soak, random *rand.Rand) {
 		route := s.mesh.Plan.Routes[[]int{0, 1, 3}[random.IntN(3)]]
 		path := fmt.Sprintf("%sharmful-%d", route.Prefix, random.IntN(1000))
--- a/internal/testbed/fleet/days_test.go
+++ b/internal/testbed/trouble/day.go
@@ -1,4 +1,4 @@
-package fleet
+package trouble
 
 import (
 	"fmt"
--- a/internal/testbed/fleet/troubles_test.go
+++ b/internal/testbed/trouble/trouble.go
@@ -1,4 +1,8 @@
-package fleet
+// Package trouble has the kinds of trouble that a deployment in memory can meet, and draws days of
+// random troubles in random deployments from seeds. It owns what a seed draws, which stays the
+// same, so that a seed that showed a fault can be played again. It relies on a deployment that
+// runs. Only tests import it.
+package trouble
 
 import (
 	"math/rand/v2"
