--- a/internal/testbed/soak/processes.go
+++ b/internal/testbed/soak/processes.go
@@ -22,67 +22,71 @@
 	"github.com/landingmast/landingmast/internal/testbed/judge"
 )
 
-// Ports of a machine in a soak besides those of a mesh: before the store and the target.
+// Ports of a machine besides those of every deployment.
 const (
-	portStoreRelay  = "8010"
-	portTargetRelay = "8011"
-	portMetrics     = "8012"
+	portStoreRelay  = "8010" // of the relay before the store
+	portTargetRelay = "8011" // of the relay before the target
+	portMetrics     = "8012" // of the node
 )
 
-// soak runs the nodes of a mesh as processes of the real program. It ends only the processes
-// that it started.
+// soak runs nodes as processes of the real program. It ends only processes that it started.
 type soak struct {
 	daemon string // path of landingmastd
 	folder string // of settings and logs
-	octet  int    // second part of all its addresses
+	octet  int    // second part of all addresses, so that soaks beside each other do not meet
 	mesh   *testbed.Mesh
 
-	mutex     sync.Mutex
-	processes map[string]*soakProcess // by machine
-	relays    map[string][2]*relay    // before the store and the target
-	busy      map[string]*sync.Mutex  // held by a trouble of the machine
-	ended     []string                // ends that nobody asked for
+	mu        sync.Mutex
+	processes map[string]*process    // by machine
+	relays    map[string][2]*relay   // by machine: before the store and before the target
+	busy      map[string]*sync.Mutex // by machine, held by the trouble that it is in
+	ended     []string               // ends that nobody asked for
 }
 
-// soakProcess is one running node.
-type soakProcess struct {
+// process is the process of a node.
+type process struct {
 	command *exec.Cmd
-	done    chan struct{} // closed when it is gone
+	done    chan struct{} // closed when it has ended
 	asked   bool          // its end was asked for
 }
 
 func newSoak(daemon, folder string) *soak {
 	return &soak{
 		daemon: daemon, folder: folder, octet: 16 + os.Getpid()%200,
-		processes: map[string]*soakProcess{}, relays: map[string][2]*relay{}, busy: map[string]*sync.Mutex{},
+		processes: map[string]*process{}, relays: map[string][2]*relay{}, busy: map[string]*sync.Mutex{},
 	}
 }
 
+// storeAddress returns where the store listens.
 func (s *soak) storeAddress() string { return fmt.Sprintf("127.%d.255.1:8000", s.octet) }
 
+// machineIP returns the address of a machine on loopback.
 func (s *soak) machineIP(number int) string {
 	return fmt.Sprintf("127.%d.%d.%d", s.octet, number/200, number%200+1)
 }
 
+// file returns the path of a machine's file with an ending.
 func (s *soak) file(m *testbed.Machine, ending string) string {
 	return filepath.Join(s.folder, m.IP+ending)
 }
 
-// take has a trouble hold a machine unless another one does; release must follow.
+// take reserves a machine for a trouble unless another one holds it. If it is taken, release must
+// be called.
 func (s *soak) take(m *testbed.Machine) (release func(), taken bool) {
-	s.mutex.Lock()
+	s.mu.Lock()
 	if s.busy[m.IP] == nil {
 		s.busy[m.IP] = &sync.Mutex{}
 	}
 	busy := s.busy[m.IP]
-	s.mutex.Unlock()
+	s.mu.Unlock()
 	return busy.Unlock, busy.TryLock()
 }
 
-// relaysOf gives the relays of a machine, and makes them at first.
+// relaysOf returns the relays of a machine, before the store and before the target; the first
+// call makes them.
 func (s *soak) relaysOf(m *testbed.Machine) ([2]*relay, error) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	if known, made := s.relays[m.IP]; made {
 		return known, nil
 	}
@@ -99,15 +103,15 @@
 	return s.relays[m.IP], nil
 }
 
-// write writes the settings of a machine's node.
-func (s *soak) write(m *testbed.Machine, checked *settings.Settings) error {
-	text := fmt.Sprintf("node: %q\nzone: %q\nfirst_start: %t\ntarget:\n  service: %q\n  address: %q\n", checked.Node, checked.Zone, checked.FirstStart, checked.Target.Service, m.IP+":"+portTargetRelay) +
-		fmt.Sprintf("listen:\n  outbound: %q\n  inbound: %q\n  ready: %q\n  control: %q\n  metrics: %q\n", checked.Listen.Outbound, checked.Listen.Inbound, checked.Listen.Ready, checked.Listen.Control, m.IP+":"+portMetrics) +
-		fmt.Sprintf("store:\n  address: %q\nretries:\n  allowance: %g\nkeys:\n  fail_closed: true\n", m.IP+":"+portStoreRelay, checked.Retries.Allowance)
+// write writes the settings file of a node, with the relays in place of store and target.
+func (s *soak) write(m *testbed.Machine, chosen *settings.Settings) error {
+	text := fmt.Sprintf("node: %q\nzone: %q\nfirst_start: %t\ntarget:\n  service: %q\n  address: %q\n", chosen.Node, chosen.Zone, chosen.FirstStart, chosen.Target.Service, m.IP+":"+portTargetRelay) +
+		fmt.Sprintf("listen:\n  outbound: %q\n  inbound: %q\n  ready: %q\n  control: %q\n  metrics: %q\n", chosen.Listen.Outbound, chosen.Listen.Inbound, chosen.Listen.Ready, chosen.Listen.Control, m.IP+":"+portMetrics) +
+		fmt.Sprintf("store:\n  address: %q\nretries:\n  allowance: %g\nkeys:\n  fail_closed: true\n", m.IP+":"+portStoreRelay, chosen.Retries.Allowance)
 	return os.WriteFile(s.file(m, ".yaml"), []byte(text), 0o600)
 }
 
-// Start implements Nodes.
+// Start implements testbed.Nodes.
 func (s *soak) Start(m *testbed.Machine, chosen *settings.Settings) error {
 	if _, err := s.relaysOf(m); err != nil {
 		return err
@@ -124,82 +128,83 @@
 	if err := command.Start(); err != nil {
 		return err
 	}
-	one := &soakProcess{command: command, done: make(chan struct{})}
-	s.mutex.Lock()
-	s.processes[m.IP] = one
-	s.mutex.Unlock()
+	started := &process{command: command, done: make(chan struct{})}
+	s.mu.Lock()
+	s.processes[m.IP] = started
+	s.mu.Unlock()
 	go func() {
 		err := command.Wait()
 		_ = log.Close()
-		s.mutex.Lock()
-		if !one.asked {
+		s.mu.Lock()
+		if !started.asked {
 			s.ended = append(s.ended, fmt.Sprintf("the node of %s ended by itself: %v", m.IP, err))
 		}
-		s.mutex.Unlock()
-		close(one.done)
+		s.mu.Unlock()
+		close(started.done)
 	}()
 	return nil
 }
 
-// signal sends a signal; ends tells that it is to end the process.
-func (s *soak) signal(m *testbed.Machine, number syscall.Signal, ends bool) *soakProcess {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	one := s.processes[m.IP]
-	if one == nil {
+// signal sends a signal to the process of a node; ends says that it is meant to end. It returns
+// nil if the node was never started.
+func (s *soak) signal(m *testbed.Machine, number syscall.Signal, ends bool) *process {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	running := s.processes[m.IP]
+	if running == nil {
 		return nil
 	}
-	one.asked = one.asked || ends
+	running.asked = running.asked || ends
 	select {
-	case <-one.done:
+	case <-running.done:
 	default:
-		_ = one.command.Process.Signal(number)
+		_ = running.command.Process.Signal(number) // fails only if it has just ended
 	}
-	return one
+	return running
 }
 
-// Kill implements Nodes.
+// Kill implements testbed.Nodes.
 func (s *soak) Kill(m *testbed.Machine) {
-	if one := s.signal(m, syscall.SIGKILL, true); one != nil {
-		<-one.done
+	if killed := s.signal(m, syscall.SIGKILL, true); killed != nil {
+		<-killed.done
 	}
 }
 
-// Stop implements Nodes. It sends SIGTERM, and SIGKILL when the grace is over.
+// Stop implements testbed.Nodes. It sends SIGTERM, and SIGKILL when the grace is over.
 func (s *soak) Stop(m *testbed.Machine) {
 	m.Target.Judge.Stopping(m.IP)
-	one := s.signal(m, syscall.SIGTERM, true)
-	if one == nil {
+	asked := s.signal(m, syscall.SIGTERM, true)
+	if asked == nil {
 		return
 	}
 	select {
-	case <-one.done:
+	case <-asked.done:
 	case <-time.After(judge.StopGrace + judge.StopAfter):
-		s.mutex.Lock()
+		s.mu.Lock()
 		s.ended = append(s.ended, "the node of "+m.IP+" was still there at the end of its grace")
-		s.mutex.Unlock()
+		s.mu.Unlock()
 		s.Kill(m)
 	}
 }
 
-// stopping sends SIGTERM and does not wait.
+// stopping sends SIGTERM and does not wait for the end.
 func (s *soak) stopping(m *testbed.Machine) { s.signal(m, syscall.SIGTERM, true) }
 
-// pause has the process stand still for some time.
+// pause suspends the process for a span.
 func (s *soak) pause(m *testbed.Machine, span time.Duration) {
 	s.signal(m, syscall.SIGSTOP, false)
 	time.Sleep(span)
 	s.signal(m, syscall.SIGCONT, false)
 }
 
-// Reload implements Nodes.
+// Reload implements testbed.Nodes.
 func (s *soak) Reload(m *testbed.Machine, changed *settings.Settings) {
 	if s.write(m, changed) == nil {
 		s.signal(m, syscall.SIGHUP, false)
 	}
 }
 
-// Version implements Nodes. It reads the configuration in force from the node's metrics.
+// Version implements testbed.Nodes. It reads the configuration in force from the node's metrics.
 func (s *soak) Version(m *testbed.Machine) uint64 {
 	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	response, err := client.Get("http://" + m.IP + ":" + portMetrics + "/metrics")
@@ -220,20 +225,20 @@
 	return 0
 }
 
-// unasked gives the ends of processes that nobody asked for.
+// unasked returns a line for each end of a process that nobody asked for.
 func (s *soak) unasked() []string {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	return append([]string(nil), s.ended...)
 }
 
 // close ends the relays.
 func (s *soak) close() {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	for _, pair := range s.relays {
-		for _, one := range pair {
-			one.close()
+		for _, relay := range pair {
+			relay.close()
 		}
 	}
 }
--- a/internal/testbed/soak/relay.go
+++ b/internal/testbed/soak/relay.go
@@ -2,51 +2,51 @@
 
 import (
 	"context"
-	"io"
 	"net"
 	"sync"
 	"time"
 )
 
-// loopback are the machine's own addresses.
+// loopback is the network of the machine's own addresses.
 type loopback struct{}
 
 // Listen opens a listener.
 func (loopback) Listen(address string) (net.Listener, error) { return net.Listen("tcp", address) }
 
-// Dialer gives the function with which a host opens connections.
+// Dialer returns the function with which a host opens connections.
 func (loopback) Dialer(from string) func(ctx context.Context, network, to string) (net.Conn, error) {
 	dialer := &net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(from)}, Timeout: 2 * time.Second}
 	return dialer.DialContext
 }
 
-// relay passes connections on, with faults. It stands between a process and what it calls.
+// relay forwards the connections of a node to what it calls, with the faults that are set.
 type relay struct {
 	address  string
-	listener net.Listener // nil: what it calls does not listen either
+	listener net.Listener // nil while what the node calls does not listen
 	to       string
 	dial     func(ctx context.Context, network, to string) (net.Conn, error)
 
-	mutex sync.Mutex
+	mu    sync.Mutex
 	conns map[*relayed]bool
-	delay time.Duration // of each piece
-	cut   [2]bool       // nothing passes: towards what is called, and back
+	delay time.Duration // of each piece of data
+	cut   [2]bool       // nothing passes in a direction
 }
 
-// relayed is one connection.
+// relayed is a connection of the node and the one that continues it.
 type relayed struct {
 	relay  *relay
 	near   net.Conn
 	far    net.Conn
-	silent bool // for good
+	silent bool // nothing passes any more
 }
 
 // Directions of a relay.
 const (
-	there = 0
+	there = 0 // towards what is called
 	back  = 1
 )
 
+// newRelay starts a relay that listens at an address and calls another one from a host.
 func newRelay(address, to, from string) (*relay, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -57,11 +57,11 @@
 	return r, nil
 }
 
-// listening has the relay listen as long as what it calls does: a process that has ended
-// refuses connections, which its callers tell from one that answers nothing.
+// listening makes the relay listen only while what it calls does: callers see a difference
+// between a process that has ended, which refuses connections, and one that answers nothing.
 func (r *relay) listening(listens bool) {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	switch {
 	case !listens && r.listener != nil:
 		_ = r.listener.Close()
@@ -90,12 +90,12 @@
 		resetConn(near)
 		return
 	}
-	one := &relayed{relay: r, near: near, far: far}
-	r.mutex.Lock()
-	r.conns[one] = true
-	r.mutex.Unlock()
-	go one.pass(near, far, there)
-	go one.pass(far, near, back)
+	pair := &relayed{relay: r, near: near, far: far}
+	r.mu.Lock()
+	r.conns[pair] = true
+	r.mu.Unlock()
+	go pair.pass(near, far, there)
+	go pair.pass(far, near, back)
 }
 
 // resetConn closes a connection so that the other side sees a reset.
@@ -106,42 +106,46 @@
 	_ = conn.Close()
 }
 
-// pass passes bytes on in one direction; its end ends the connection.
+// heldPoll is how often a direction that is held checks whether bytes may pass again.
+const heldPoll = 10 * time.Millisecond
+
+// pass forwards bytes in one direction. When it ends, both connections are closed.
 func (c *relayed) pass(from, to net.Conn, direction int) {
 	defer c.close(false)
 	piece := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(piece)
 		for c.held(direction) {
-			time.Sleep(10 * time.Millisecond)
+			time.Sleep(heldPoll)
 		}
 		if n > 0 {
 			if _, err := to.Write(piece[:n]); err != nil {
 				return
 			}
 		}
-		if err == io.EOF || err != nil {
+		if err != nil {
 			return
 		}
 	}
 }
 
-// held waits for the delay and tells whether the bytes are kept from passing.
+// held waits for the delay and reports whether bytes may not pass.
 func (c *relayed) held(direction int) bool {
 	r := c.relay
-	r.mutex.Lock()
+	r.mu.Lock()
 	delay, held := r.delay, r.cut[direction] || c.silent
 	open := r.conns[c]
-	r.mutex.Unlock()
+	r.mu.Unlock()
 	time.Sleep(delay)
 	return held && open
 }
 
+// close closes both connections, with a reset if asked for.
 func (c *relayed) close(reset bool) {
 	r := c.relay
-	r.mutex.Lock()
+	r.mu.Lock()
 	delete(r.conns, c)
-	r.mutex.Unlock()
+	r.mu.Unlock()
 	for _, conn := range []net.Conn{c.near, c.far} {
 		if reset {
 			resetConn(conn)
@@ -151,40 +155,41 @@
 	}
 }
 
-// each gives the open connections.
+// each returns the open connections.
 func (r *relay) each() []*relayed {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	open := make([]*relayed, 0, len(r.conns))
-	for one := range r.conns {
-		open = append(open, one)
+	for pair := range r.conns {
+		open = append(open, pair)
 	}
 	return open
 }
 
-// reset breaks all connections.
+// reset resets all open connections.
 func (r *relay) reset() {
-	for _, one := range r.each() {
-		one.close(true)
+	for _, pair := range r.each() {
+		pair.close(true)
 	}
 }
 
-// silence has the open connections say nothing any more, while new ones work.
+// silence stops the open connections from forwarding anything, while new ones work.
 func (r *relay) silence() {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	for one := range r.conns {
-		one.silent = true
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for pair := range r.conns {
+		pair.silent = true
 	}
 }
 
-// set changes what passes.
+// set changes the faults.
 func (r *relay) set(change func(r *relay)) {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	change(r)
 }
 
+// close stops listening and resets all connections.
 func (r *relay) close() {
 	r.listening(false)
 	r.reset()
--- a/internal/testbed/soak/soak_test.go
+++ b/internal/testbed/soak/soak_test.go
@@ -23,8 +23,8 @@
 	soakFolder   = flag.String("soak.folder", "", "where settings and logs are kept; empty: nowhere unless a run fails")
 )
 
-// soakLate is borne beyond the bounds of time: the processes share the machine's processor
-// with each other, the stand-ins and whatever else runs.
+// soakLate is added to the bounds of time: the processes share the machine's processor with each
+// other, the stand-ins and whatever else runs.
 const soakLate = 3 * time.Second
 
 // Processes of the real program under seeded troubles, which come in series and overlap:
@@ -50,7 +50,7 @@
 	}
 }
 
-// soakPlan has so many machines that each service has some.
+// soakPlan returns a deployment with about so many machines, one at least for each service.
 func soakPlan(machines int) deployment.Plan {
 	plan := deployment.WithSpares()
 	for _, name := range []string{"front", "middle", "deep"} {
@@ -61,6 +61,7 @@
 	return plan
 }
 
+// playSoak plays the troubles of a seed and checks what clients and targets saw.
 func playSoak(t *testing.T, daemon, folder string, seed uint64) {
 	soak := newSoak(daemon, folder)
 	mesh, err := testbed.NewIn(soakPlan(*soakMachines), testbed.Environment{Network: loopback{}, StoreAddress: soak.storeAddress(), MachineIP: soak.machineIP, Nodes: soak})
--- a/internal/testbed/soak/troubles.go
+++ b/internal/testbed/soak/troubles.go
@@ -17,8 +17,8 @@
 	"github.com/landingmast/landingmast/internal/testbed/trouble"
 )
 
-// troubled plays troubles for some time, so many at a time, beside clients of both kinds, and
-// gives what it played.
+// troubled plays random troubles for a span, atOnce at a time, beside clients that open a
+// connection for each request and clients that keep theirs. It returns how often it played each.
 func (s *soak) troubled(span time.Duration, seed uint64, atOnce int) string {
 	ctx, end := context.WithTimeout(context.Background(), span)
 	defer end()
@@ -31,16 +31,16 @@
 		}
 	}
 	clients.Go(func() { s.mesh.Load(span) })
-	counts, mutex := map[string]int{}, sync.Mutex{}
+	counts, mu := map[string]int{}, sync.Mutex{}
 	for actor := range atOnce {
 		random := rand.New(rand.NewPCG(seed, uint64(actor)))
 		actors.Go(func() {
 			for ctx.Err() == nil {
-				trouble := soakTroubles[random.IntN(len(soakTroubles))]
-				mutex.Lock()
-				counts[trouble.name]++
-				mutex.Unlock()
-				trouble.play(s, random)
+				drawn := kinds[random.IntN(len(kinds))]
+				mu.Lock()
+				counts[drawn.name]++
+				mu.Unlock()
+				drawn.play(s, random)
 				time.Sleep(time.Duration(random.IntN(1500)) * time.Millisecond)
 			}
 		})
@@ -55,10 +55,10 @@
 	return strings.Join(names, ", ")
 }
 
-// calmTime is how long machines have to be ready again after the last trouble.
+// calmTime is the time in which all machines have to be ready after the last trouble.
 const calmTime = 20 * time.Second
 
-// calmDown waits until all machines are ready and in touch.
+// calmDown waits until all machines are ready and in touch; false: they were not in calmTime.
 func (s *soak) calmDown() bool {
 	for end := time.Now().Add(calmTime); time.Now().Before(end); time.Sleep(200 * time.Millisecond) {
 		if !slices.ContainsFunc(s.mesh.Machines, func(machine *testbed.Machine) bool { return !machine.Ready() }) {
@@ -69,7 +69,7 @@
 	return false
 }
 
-// servedInCalm gives the share of some requests that are served.
+// servedInCalm returns the served share of the requests of some seconds.
 func (s *soak) servedInCalm() float64 {
 	s.mesh.Tally.ClearServed()
 	s.mesh.Load(3 * time.Second)
@@ -77,13 +77,14 @@
 	return float64(served) / float64(max(asked, 1))
 }
 
-// soakTrouble is one kind of trouble of real processes.
-type soakTrouble struct {
+// kind is one kind of trouble of real processes.
+type kind struct {
 	name string
 	play func(s *soak, random *rand.Rand)
 }
 
-// alone has f play on each of some machines that no other trouble of processes holds.
+// alone calls f for each machine of a random share, at the same time, and leaves out those that
+// another trouble holds.
 func (s *soak) alone(random *rand.Rand, share float64, f func(machine *testbed.Machine)) {
 	var group sync.WaitGroup
 	for _, machine := range s.mesh.Some(random, share) {
@@ -99,8 +100,7 @@
 	group.Wait()
 }
 
-// unplanned has the judge know that something happened to a machine, until the returned
-// function is called.
+// unplanned reports a machine as disturbed to the judge until the returned function is called.
 func (s *soak) unplanned(machine *testbed.Machine) (over func()) {
 	ended, done := make(chan struct{}), make(chan struct{})
 	go func() {
@@ -118,11 +118,13 @@
 	return func() { close(ended); <-done }
 }
 
+// restart starts a node again as the platform does.
 func restart(machine *testbed.Machine) {
 	time.Sleep(testbed.RestartAfter)
 	_ = machine.Start()
 }
 
+// killed kills the nodes of a random share of the machines and starts them again.
 func killed(s *soak, random *rand.Rand, share float64) {
 	s.alone(random, share, func(machine *testbed.Machine) {
 		over := s.unplanned(machine)
@@ -132,7 +134,7 @@
 	})
 }
 
-// storeFor brings a fault of the store for one to four seconds.
+// storeFor sets a fault of the store for one to four seconds.
 func storeFor(begin, end func(s *store.Store)) func(s *soak, random *rand.Rand) {
 	return func(s *soak, random *rand.Rand) {
 		s.mesh.Store.Set(begin)
@@ -141,8 +143,8 @@
 	}
 }
 
-// onRelays brings a fault to the relays before the store (0) or the target (1) of some
-// machines for one to four seconds.
+// onRelays sets a fault of the relays before the store (0) or the target (1) of a random share
+// of the machines for one to four seconds.
 func onRelays(which int, share float64, begin, end func(r *relay)) func(s *soak, random *rand.Rand) {
 	return func(s *soak, random *rand.Rand) {
 		span := time.Duration(1+random.IntN(4)) * time.Second
@@ -164,14 +166,16 @@
 	}
 }
 
+// nothing ends a fault that needs no end.
 func nothing(*relay) {}
 
-// onMesh has a trouble of a mesh play in a soak.
+// onMesh makes a trouble of every deployment one of the soak.
 func onMesh(play func(mesh *testbed.Mesh, random *rand.Rand)) func(s *soak, random *rand.Rand) {
 	return func(s *soak, random *rand.Rand) { play(s.mesh, random) }
 }
 
-var soakTroubles = []soakTrouble{
+// kinds are all kinds of trouble; a seed draws from them by index.
+var kinds = []kind{
 	{"kill", func(s *soak, random *rand.Rand) { killed(s, random, 0.15) }},
 	{"kill many", func(s *soak, random *rand.Rand) { killed(s, random, 0.6) }},
 	{"kill all", func(s *soak, random *rand.Rand) { killed(s, random, 1) }},
--- a/internal/testbed/trouble/day.go
+++ b/internal/testbed/trouble/day.go
@@ -11,34 +11,35 @@
 	"github.com/landingmast/landingmast/internal/testbed/target"
 )
 
-// Day is a day of random troubles in a random deployment, drawn from a seed. The
-// draw is the same each time; which goroutine runs first is the runtime's choice,
-// so that two plays of a day can differ by it.
+// Day is a random deployment and random troubles in it, drawn from a seed. A seed always draws
+// the same day; two plays of it can differ, since the runtime chooses which goroutine runs
+// first.
 type Day struct {
 	Seed     uint64
 	Plan     deployment.Plan
 	Troubles []Timed
 	Harmful  []harmfulPlan
-	Span     time.Duration
+	Span     time.Duration // of the clients' requests
 }
 
-// harmfulPlan is a request that ends its targets and comes again all day.
+// harmfulPlan is a request that ends its targets and is sent again and again.
 type harmfulPlan struct {
-	route  int
-	call   bool // it is made as a call of a harmless one
+	route  int  // index in the plan
+	call   bool // it reaches its targets as a call that a harmless request makes
 	every  time.Duration
-	atOnce int
+	atOnce int // clients that send it at a time
 }
 
-// Timed is a trouble and when it comes.
+// Timed is a trouble and when it begins, counted from the begin of the day.
 type Timed struct {
 	At time.Duration
 	Kind
 }
 
+// daySpan is the length of a day.
 const daySpan = 14 * time.Second
 
-// Draw draws a day.
+// Draw draws the day of a seed.
 func Draw(seed uint64) Day {
 	random := rand.New(rand.NewPCG(seed, 7))
 	day := Day{Seed: seed, Plan: drawPlan(random), Span: daySpan}
@@ -52,7 +53,7 @@
 	return day
 }
 
-// drawHarmful draws none to three harmful requests; a day has some in two of three cases.
+// drawHarmful draws up to three harmful requests: none in two of five days.
 func (d *Day) drawHarmful(random *rand.Rand) {
 	for range max(random.IntN(5)-1, 0) {
 		d.Harmful = append(d.Harmful, harmfulPlan{
@@ -60,32 +61,32 @@
 			every: time.Duration(500+random.IntN(4000)) * time.Millisecond, atOnce: 1 + random.IntN(3),
 		})
 	}
-	// Requests to /chain call what is harmful in the deepest service.
+	// Requests to /s0/chain make the harmful call to the deepest service.
 	first, deepest := d.Plan.Services["s0"], len(d.Plan.Services)-1
 	call := target.Call{Host: deployment.Host, Path: fmt.Sprintf("/s%d/harmful-call", deepest), Times: 1}
 	first.Works = append([]target.Work{{Prefix: "/s0/chain", Time: 5 * time.Millisecond, Bytes: 100, Calls: []target.Call{call}}}, first.Works...)
 	d.Plan.Services["s0"] = first
 }
 
-// sendHarm sends a harmful request again and again.
-func sendHarm(m *testbed.Mesh, number int, one harmfulPlan, span time.Duration) {
-	route := m.Plan.Routes[one.route]
+// sendHarm sends a harmful request again and again for a span.
+func sendHarm(m *testbed.Mesh, number int, plan harmfulPlan, span time.Duration) {
+	route := m.Plan.Routes[plan.route]
 	path := fmt.Sprintf("%sharmful-%d", route.Prefix, number)
 	harmful, sent := path, path
-	if deepest := len(m.Plan.Services) - 1; one.call && deepest > 0 {
+	if deepest := len(m.Plan.Services) - 1; plan.call && deepest > 0 {
 		route = m.Plan.Routes[0]
 		harmful, sent = fmt.Sprintf("/s%d/harmful-call", deepest), "/s0/chain"
 	}
 	m.AddHarmful(route, harmful)
-	for end := time.Now().Add(span); time.Now().Before(end); time.Sleep(one.every) {
-		for range one.atOnce {
+	for end := time.Now().Add(span); time.Now().Before(end); time.Sleep(plan.every) {
+		for range plan.atOnce {
 			m.Go(func() { m.SendHarmful(m.Any(), route, sent) })
 		}
 	}
 }
 
-// drawPlan draws a deployment: one zone to six, services of one target to six,
-// chains one to four deep.
+// drawPlan draws a deployment: one to six zones, one to six targets a service, chains of one to
+// four services.
 func drawPlan(random *rand.Rand) deployment.Plan {
 	plan := deployment.Plan{Delay: time.Duration(1+random.IntN(4)) * 500 * time.Microsecond, Services: map[string]deployment.Service{}}
 	for zone := range 1 + random.IntN(6) {
@@ -115,15 +116,16 @@
 	return plan
 }
 
-// Play plays the troubles and the harmful requests of the day beside the clients' requests.
+// Play plays the troubles of the day, one at a time, and its harmful requests beside the
+// clients' requests. It returns when all have ended.
 func (d Day) Play(mesh *testbed.Mesh) {
 	var troubles sync.WaitGroup
-	one := make(chan struct{}, 1) // troubles wait for each other; a mutex would stop virtual time
+	turn := make(chan struct{}, 1) // of a trouble; waiting for a mutex would stop virtual time
 	for index, timed := range d.Troubles {
 		troubles.Go(func() {
 			time.Sleep(timed.At)
-			one <- struct{}{}
-			defer func() { <-one }()
+			turn <- struct{}{}
+			defer func() { <-turn }()
 			timed.Play(mesh, rand.New(rand.NewPCG(d.Seed, uint64(index))))
 		})
 	}
@@ -134,7 +136,7 @@
 	troubles.Wait()
 }
 
-// Describe gives the troubles of a day on one line.
+// Describe returns the deployment and the troubles of the day on one line.
 func (d Day) Describe() string {
 	text := fmt.Sprintf("%d targets in %d services, %d zones:", d.Plan.Targets(), len(d.Plan.Services), len(d.Plan.Zones))
 	for _, timed := range d.Troubles {
--- a/internal/testbed/trouble/trouble.go
+++ b/internal/testbed/trouble/trouble.go
@@ -15,17 +15,17 @@
 	"github.com/landingmast/landingmast/internal/testbed/target"
 )
 
-// Kind is one kind of disruption that a mesh can meet.
+// Kind is one kind of trouble that a deployment can meet.
 type Kind struct {
 	Name string
-	// Least is the share of requests that must still be served when the trouble
-	// comes alone; 0: rules only.
+	// Least is the share of requests that must still be served when the trouble comes alone; 0
+	// where only rules are checked.
 	Least float64
-	// Play brings the trouble, and heals it before it returns.
+	// Play causes the trouble and ends it before it returns.
 	Play func(mesh *testbed.Mesh, random *rand.Rand)
 }
 
-// Faulty has a share of the targets do wrong for some time.
+// Faulty gives faults to a random share of the targets for a span.
 func Faulty(faults target.Faults, share float64, span time.Duration) func(*testbed.Mesh, *rand.Rand) {
 	return func(mesh *testbed.Mesh, random *rand.Rand) {
 		chosen := mesh.Some(random, share)
@@ -39,6 +39,7 @@
 	}
 }
 
+// storeFault sets a fault of the store for a span.
 func storeFault(begin, end func(s *store.Store), span time.Duration) func(*testbed.Mesh, *rand.Rand) {
 	return func(mesh *testbed.Mesh, _ *rand.Rand) {
 		mesh.Store.Set(begin)
@@ -47,7 +48,7 @@
 	}
 }
 
-// NewRoute adds a route and gives its prefix.
+// NewRoute writes a configuration with one more route, which nobody uses.
 func NewRoute(mesh *testbed.Mesh, random *rand.Rand) {
 	mesh.Configure(func(routes []deployment.Route) []deployment.Route {
 		added := routes[random.IntN(len(routes))]
@@ -56,8 +57,8 @@
 	})
 }
 
-// All gives every kind of trouble that a mesh of stand-ins can play; the
-// names are those of the users' pages.
+// All returns every kind of trouble that a deployment in memory can meet. The names are those
+// that the platform has for them, where it has one.
 func All() []Kind {
 	return []Kind{
 		{"node_kill", 0.97, func(mesh *testbed.Mesh, random *rand.Rand) { testbed.KillAndRestart(mesh.Some(random, 0.1)) }},
@@ -153,7 +154,7 @@
 			time.Sleep(3 * time.Second)
 			mesh.Clients.SetBurst(0)
 		}},
-		// Those that leave are not served; what counts is that nothing runs for them.
+		// Clients that leave are not served; what is checked is that nothing runs for them.
 		{"give_up", 0, func(mesh *testbed.Mesh, _ *rand.Rand) {
 			mesh.Clients.SetGiveUp(20 * time.Millisecond)
 			time.Sleep(4 * time.Second)
@@ -174,7 +175,7 @@
 	}
 }
 
-// CutFromOthers cuts machines from all others for some time.
+// CutFromOthers cuts machines from all others, in silence, for a span.
 func CutFromOthers(mesh *testbed.Mesh, chosen []*testbed.Machine, span time.Duration) {
 	set := func(cut bool) {
 		for _, machine := range chosen {
