--- a/internal/testbed/memnet/memnet.go
+++ b/internal/testbed/memnet/memnet.go
@@ -185,22 +185,6 @@
 	}
 }
 
-// Kill ends a host: its listeners close and its connections break.
-func (n *Network) Kill(host string) {
-	n.mutex.Lock()
-	var closing []*listener
-	for at, l := range n.listeners {
-		if name, _, _ := net.SplitHostPort(at); name == host {
-			closing = append(closing, l)
-		}
-	}
-	n.mutex.Unlock()
-	for _, l := range closing {
-		_ = l.Close()
-	}
-	n.Reset(host, nil)
-}
-
 func (n *Network) of(host string) []*conn {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
