--- a/internal/testbed/fleet/crash_test.go
+++ b/internal/testbed/fleet/crash_test.go
@@ -154,7 +154,7 @@
 	}
 }
 
-// storeAway has the store answer nothing for some time.
+// storeAway makes the store answer 503 to everything for a span.
 func storeAway(m *testbed.Mesh, span time.Duration) {
 	m.Store.Set(func(s *store.Store) { s.Down = true })
 	m.Judge.StoreTrouble(span)
--- a/internal/testbed/fleet/held_test.go
+++ b/internal/testbed/fleet/held_test.go
@@ -22,7 +22,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// statusWith sends one request with a body through a machine and gives the answer.
+// statusWith sends a request with a body through the node of a machine and returns the answer.
 func statusWith(m *testbed.Mesh, machine *testbed.Machine, method, uri, body string) (status int, header http.Header, text string) {
 	request, err := http.NewRequest(method, "http://"+machine.Outbound()+uri, strings.NewReader(body))
 	if err != nil {
--- a/internal/testbed/fleet/keys_test.go
+++ b/internal/testbed/fleet/keys_test.go
@@ -141,7 +141,8 @@
 	}
 }
 
-// A store that is away for less than the users count on costs no request with a key.
+// A store that is away for less than the time in which keys are revoked costs no request with a
+// key.
 func TestShortTroubleOfTheStoreCostsNothing(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
@@ -155,7 +156,7 @@
 	g.Expect(mesh.Tally.Share("/front/")).To(BeNumerically(">", 0.99), "%v", mesh.Tally.Status)
 }
 
-// statusOf sends one request with a key and gives the status.
+// statusOf sends a request with a key and returns the status; 0: no answer.
 func statusOf(m *testbed.Mesh, machine *testbed.Machine, uri, key string) int {
 	request, err := http.NewRequest(http.MethodGet, "http://"+machine.Outbound()+uri, nil)
 	if err != nil {
--- a/internal/testbed/fleet/quota_test.go
+++ b/internal/testbed/fleet/quota_test.go
@@ -75,7 +75,7 @@
 	g.Expect(late).To(BeNumerically(">", 50))
 }
 
-// configBound is the users' bound for a configuration to be in force.
+// configBound is the time after which the lowered limit counts.
 const configBound = 2500 * time.Millisecond
 
 // After all nodes have restarted, also where some machines went for good before, tenants
--- a/internal/testbed/fleet/randomdays_test.go
+++ b/internal/testbed/fleet/randomdays_test.go
@@ -40,7 +40,7 @@
 	}
 }
 
-// playDay plays a day in virtual time and gives the mesh as it ended.
+// playDay plays a day in virtual time and returns the mesh as it ended.
 func playDay(t *testing.T, day trouble.Day) *testbed.Mesh {
 	t.Helper()
 	var played *testbed.Mesh
--- a/internal/testbed/fleet/records_test.go
+++ b/internal/testbed/fleet/records_test.go
@@ -24,7 +24,7 @@
 	m.Store.Revoke(keys)
 }
 
-// returnBound is the users' bound for records to be back after the store's return.
+// returnBound is the time in which records have to be back after the store's return.
 const returnBound = 2 * time.Second
 
 // Records that went while the store was away, or that it took away from some
--- a/internal/testbed/fleet/scale_test.go
+++ b/internal/testbed/fleet/scale_test.go
@@ -16,7 +16,7 @@
 )
 
 // wide is a mesh of many nodes without traffic. The store's rate for each node is
-// that of 300 machines on the users' smallest store.
+// that of 300 machines on a store that serves 2,000 reads a second.
 func wide(nodes int) deployment.Plan {
 	plan := deployment.Plan{
 		Zones: []string{"a", "b", "c", "d"}, Delay: time.Millisecond, Services: map[string]deployment.Service{},
@@ -34,11 +34,11 @@
 	return plan
 }
 
-// applyBound is the users' bound for a configuration to be in force.
+// applyBound is the time in which a configuration has to be in force.
 const applyBound = 2 * time.Second
 
 // Changes in quick succession, and a restart of most nodes, stay below the store's
-// rate at the size of the users' sweep, and the last change is in force in time.
+// rate, and the last change is in force in time.
 func TestStoreRateHoldsAtScale(t *testing.T) {
 	const nodes = 60
 	for _, tc := range []struct {
--- a/internal/testbed/fleet/story_test.go
+++ b/internal/testbed/fleet/story_test.go
@@ -30,14 +30,14 @@
 	return o.Buffer.Write(data)
 }
 
-// text gives what was written so far, also while nodes write.
+// text returns what was written so far, also while nodes write.
 func (o *output) text() string {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	return o.Buffer.String()
 }
 
-// logsOf plays a day and gives the lines that its nodes wrote.
+// logsOf plays a day and returns the lines that its nodes wrote.
 func logsOf(t *testing.T, plan deployment.Plan, disturb func(mesh *testbed.Mesh)) []logquery.Line {
 	t.Helper()
 	logs := &output{}
@@ -54,7 +54,7 @@
 	return lines
 }
 
-// first gives the id of the first request that ended with a reason at the node
+// first returns the id of the first request that ended with a reason at the node
 // where it began.
 func first(t *testing.T, lines []logquery.Line, wanted func(fields map[string]any) bool) string {
 	t.Helper()
--- a/internal/testbed/fleet/suspend_test.go
+++ b/internal/testbed/fleet/suspend_test.go
@@ -115,7 +115,7 @@
 	return false
 }
 
-// keeps asks a node whether it gives parts of the limits of a group.
+// keeps asks a node whether it hands out parts of the limits of a shard.
 func keeps(m *testbed.Mesh, machine *testbed.Machine, shard int) bool {
 	data, err := wire.QuotaAskCodec.Encode(&wire.QuotaAsk{Holder: "asks " + machine.IP, Incarnation: "i", Shard: shard, Reports: []wire.QuotaReport{}})
 	if err != nil {
--- a/internal/testbed/memnet/conn.go
+++ b/internal/testbed/memnet/conn.go
@@ -9,26 +9,27 @@
 	"time"
 )
 
+// conn is one end of a connection; it implements net.Conn.
 type conn struct {
 	network     *Network
 	in, out     *pipe
 	local       address
 	remote      address
-	host, other string
+	host, other string // by IP
 	peer        *conn
-	mutex       sync.Mutex
+	mu          sync.Mutex
 	closed      bool
-	broken      error
+	broken      error     // a reset
 	deadline    time.Time // of reads
 }
 
 // Read implements net.Conn.
 func (c *conn) Read(piece []byte) (int, error) {
 	for {
-		changed := c.in.changes() // before anything is looked at
-		c.mutex.Lock()
+		changed := c.in.changes() // before anything is checked, so that no change is missed
+		c.mu.Lock()
 		closed, broken, deadline := c.closed, c.broken, c.deadline
-		c.mutex.Unlock()
+		c.mu.Unlock()
 		switch {
 		case closed:
 			return 0, net.ErrClosed
@@ -47,6 +48,7 @@
 	}
 }
 
+// earliest returns the earlier of two times; zero means none.
 func earliest(a, b time.Time) time.Time {
 	if a.IsZero() || (!b.IsZero() && b.Before(a)) {
 		return b
@@ -54,6 +56,7 @@
 	return a
 }
 
+// await returns when changed is closed or the time has come; a zero time never comes.
 func await(changed <-chan struct{}, until time.Time) {
 	if until.IsZero() {
 		<-changed
@@ -69,9 +72,9 @@
 
 // Write implements net.Conn.
 func (c *conn) Write(piece []byte) (int, error) {
-	c.mutex.Lock()
+	c.mu.Lock()
 	closed, broken := c.closed, c.broken
-	c.mutex.Unlock()
+	c.mu.Unlock()
 	switch {
 	case closed:
 		return 0, net.ErrClosed
@@ -84,31 +87,32 @@
 
 // Close implements net.Conn.
 func (c *conn) Close() error {
-	c.mutex.Lock()
+	c.mu.Lock()
 	if c.closed {
-		c.mutex.Unlock()
+		c.mu.Unlock()
 		return nil
 	}
 	c.closed = true
-	c.mutex.Unlock()
+	c.mu.Unlock()
 	c.in.wake()
 	c.out.push(nil, io.EOF, c.network.delay(c.host, c.other))
 	c.forget()
 	return nil
 }
 
+// forget removes the end from the network.
 func (c *conn) forget() {
-	c.network.mutex.Lock()
-	defer c.network.mutex.Unlock()
+	c.network.mu.Lock()
+	defer c.network.mu.Unlock()
 	delete(c.network.conns, c)
 }
 
-// reset breaks both ends.
+// reset makes both ends fail with ECONNRESET.
 func (c *conn) reset() {
 	for _, end := range []*conn{c, c.peer} {
-		end.mutex.Lock()
+		end.mu.Lock()
 		end.broken = syscall.ECONNRESET
-		end.mutex.Unlock()
+		end.mu.Unlock()
 		end.in.breakOff(syscall.ECONNRESET)
 		end.forget()
 	}
@@ -125,9 +129,9 @@
 
 // SetReadDeadline implements net.Conn.
 func (c *conn) SetReadDeadline(at time.Time) error {
-	c.mutex.Lock()
+	c.mu.Lock()
 	c.deadline = at
-	c.mutex.Unlock()
+	c.mu.Unlock()
 	c.in.wake()
 	return nil
 }
--- a/internal/testbed/memnet/memnet.go
+++ b/internal/testbed/memnet/memnet.go
@@ -1,6 +1,7 @@
-// Package memnet is a network in memory: listeners, connections, delay, cuts,
-// resets and machines that go dark. With testing/synctest its time is virtual,
-// so that whole meshes of real nodes run in a test.
+// Package memnet is a network in memory: listeners, connections, delay, cuts, resets and hosts
+// that fall silent. It owns all connections between the hosts of a deployment; it relies on
+// nothing but the clock, which is virtual in a bubble of testing/synctest, so that whole fleets of
+// real nodes run in a test. Only tests import it.
 package memnet
 
 import (
@@ -15,22 +16,24 @@
 // Network joins hosts, named by their IP. It is safe for concurrent use.
 type Network struct {
 	delay     func(from, to string) time.Duration
-	mutex     sync.Mutex
+	mu        sync.Mutex
 	listeners map[string]*listener // by IP:port
-	cut       map[direction]bool
-	dark      map[string]bool
+	cut       map[direction]bool   // nothing passes
+	dark      map[string]bool      // hosts that neither send nor receive
 	conns     map[*conn]bool
 	nextPort  int
 	closed    bool
 }
 
+// direction is the way from one host to another, by IP.
 type direction struct{ from, to string }
 
-// New makes a network; delay gives the time one way between two hosts.
+// New makes a network; delay returns the time one way between two hosts.
 func New(delay func(from, to string) time.Duration) *Network {
 	return &Network{delay: delay, listeners: map[string]*listener{}, cut: map[direction]bool{}, dark: map[string]bool{}, conns: map[*conn]bool{}, nextPort: 30000}
 }
 
+// address is an IP:port.
 type address string
 
 // Network implements net.Addr.
@@ -39,6 +42,7 @@
 // String implements net.Addr.
 func (a address) String() string { return string(a) }
 
+// listener implements net.Listener.
 type listener struct {
 	network *Network
 	address string
@@ -47,12 +51,13 @@
 	once    sync.Once
 }
 
+// backlog is the number of connections that wait to be accepted; more are refused.
 const backlog = 1024
 
-// Listen opens a listener.
+// Listen opens a listener at an IP:port; a second one there fails with EADDRINUSE.
 func (n *Network) Listen(at string) (net.Listener, error) {
-	n.mutex.Lock()
-	defer n.mutex.Unlock()
+	n.mu.Lock()
+	defer n.mu.Unlock()
 	if n.listeners[at] != nil {
 		return nil, &net.OpError{Op: "listen", Net: "tcp", Addr: address(at), Err: syscall.EADDRINUSE}
 	}
@@ -64,8 +69,8 @@
 // Accept implements net.Listener.
 func (l *listener) Accept() (net.Conn, error) {
 	select {
-	case one := <-l.accept:
-		return one, nil
+	case accepted := <-l.accept:
+		return accepted, nil
 	case <-l.closed:
 		return nil, net.ErrClosed
 	}
@@ -74,9 +79,9 @@
 // Close implements net.Listener.
 func (l *listener) Close() error {
 	l.once.Do(func() {
-		l.network.mutex.Lock()
+		l.network.mu.Lock()
 		delete(l.network.listeners, l.address)
-		l.network.mutex.Unlock()
+		l.network.mu.Unlock()
 		close(l.closed)
 	})
 	return nil
@@ -85,14 +90,15 @@
 // Addr implements net.Listener.
 func (l *listener) Addr() net.Addr { return address(l.address) }
 
-// Dialer gives the function with which a host opens connections.
+// Dialer returns the function with which a host opens connections.
 func (n *Network) Dialer(from string) func(ctx context.Context, network, to string) (net.Conn, error) {
 	return func(ctx context.Context, _, to string) (net.Conn, error) { return n.dial(ctx, from, to) }
 }
 
-// dialPoll is how often a dial that hangs looks whether the way is open again.
+// dialPoll is how often a dial that hangs checks whether both directions are open again.
 const dialPoll = 20 * time.Millisecond
 
+// dial opens a connection. It waits while a direction is blocked, as TCP does.
 func (n *Network) dial(ctx context.Context, from, to string) (net.Conn, error) {
 	host, _, err := net.SplitHostPort(to)
 	if err != nil {
@@ -109,8 +115,8 @@
 	if err := sleep(ctx, 2*n.delay(from, host)); err != nil {
 		return nil, &net.OpError{Op: "dial", Net: "tcp", Addr: address(to), Err: err}
 	}
-	n.mutex.Lock()
-	defer n.mutex.Unlock()
+	n.mu.Lock()
+	defer n.mu.Unlock()
 	l := n.listeners[to]
 	if l == nil {
 		return nil, &net.OpError{Op: "dial", Net: "tcp", Addr: address(to), Err: syscall.ECONNREFUSED}
@@ -126,6 +132,7 @@
 	}
 }
 
+// sleep returns after a span, or earlier with the error of ctx.
 func sleep(ctx context.Context, span time.Duration) error {
 	timer := time.NewTimer(span)
 	defer timer.Stop()
@@ -137,7 +144,7 @@
 	}
 }
 
-// pair makes both ends of a connection. The mutex is held.
+// pair makes both ends of a connection. mu is held.
 func (n *Network) pair(from, to string, local, remote address) (near, far *conn) {
 	there := newPipe(n, from, to)
 	back := newPipe(n, to, from)
@@ -149,73 +156,77 @@
 }
 
 func (n *Network) isClosed() bool {
-	n.mutex.Lock()
-	defer n.mutex.Unlock()
+	n.mu.Lock()
+	defer n.mu.Unlock()
 	return n.closed
 }
 
+// blocked reports whether nothing passes from one host to another.
 func (n *Network) blocked(from, to string) bool {
-	n.mutex.Lock()
-	defer n.mutex.Unlock()
+	n.mu.Lock()
+	defer n.mu.Unlock()
 	return n.cut[direction{from, to}] || (from != to && (n.dark[from] || n.dark[to]))
 }
 
-// Cut stops (or heals) what goes from one host to another, in silence.
+// Cut blocks the direction from one host to another, or opens it again; neither host sees an
+// error.
 func (n *Network) Cut(from, to string, cut bool) {
-	n.mutex.Lock()
+	n.mu.Lock()
 	n.cut[direction{from, to}] = cut
-	n.mutex.Unlock()
+	n.mu.Unlock()
 	n.wakeAll()
 }
 
-// Dark has a host send and receive nothing, as if it stood still.
+// Dark blocks all directions from and to a host, as if it were suspended, or opens them again.
 func (n *Network) Dark(host string, dark bool) {
-	n.mutex.Lock()
+	n.mu.Lock()
 	n.dark[host] = dark
-	n.mutex.Unlock()
+	n.mu.Unlock()
 	n.wakeAll()
 }
 
-// Reset breaks the connections of a host that choose picks; nil: all.
+// Reset resets the connections of a host for which choose is true; a nil choose resets all.
 func (n *Network) Reset(host string, choose func() bool) {
-	for _, one := range n.of(host) {
+	for _, end := range n.of(host) {
 		if choose == nil || choose() {
-			one.reset()
+			end.reset()
 		}
 	}
 }
 
+// of returns the ends of connections at a host; an empty host means all hosts.
 func (n *Network) of(host string) []*conn {
-	n.mutex.Lock()
-	defer n.mutex.Unlock()
+	n.mu.Lock()
+	defer n.mu.Unlock()
 	var found []*conn
-	for one := range n.conns {
-		if host == "" || one.host == host {
-			found = append(found, one)
+	for end := range n.conns {
+		if host == "" || end.host == host {
+			found = append(found, end)
 		}
 	}
 	return found
 }
 
+// wakeAll makes all readers check again what has arrived.
 func (n *Network) wakeAll() {
-	for _, one := range n.of("") {
-		one.in.wake()
+	for _, end := range n.of("") {
+		end.in.wake()
 	}
 }
 
-// Close breaks every connection and closes every listener.
+// Close closes every listener and resets every connection.
 func (n *Network) Close() {
-	n.mutex.Lock()
+	n.mu.Lock()
 	n.closed = true
 	var closing []*listener
 	for _, l := range n.listeners {
 		closing = append(closing, l)
 	}
-	n.mutex.Unlock()
+	n.mu.Unlock()
 	for _, l := range closing {
 		_ = l.Close()
 	}
-	for _, one := range n.of("") {
-		one.reset()
+	for _, end := range n.of("") {
+		end.reset()
 	}
 }
