--- /dev/null
+++ b/internal/testbed/deployment/examples.go
@@ -0,0 +1,49 @@
+package deployment
+
+import (
+	"time"
+
+	"github.com/landingmast/landingmast/internal/testbed/target"
+)
+
+// ThreeDeep is a small deployment: front calls middle, middle calls deep twice, and
+// orders, which may run at most once, call deep.
+func ThreeDeep() Plan {
+	return Plan{
+		Zones: []string{"a", "b"}, Delay: time.Millisecond,
+		Services: map[string]Service{
+			"front":  {Targets: 3, Slots: 20, Works: []target.Work{{Prefix: "/front/", Time: 20 * time.Millisecond, Bytes: 1500, Calls: []target.Call{{Host: Host, Path: "/middle/x", Times: 1}}}}},
+			"middle": {Targets: 2, Slots: 20, Works: []target.Work{{Prefix: "/middle/", Time: 5 * time.Millisecond, Bytes: 300, Calls: []target.Call{{Host: Host, Path: "/deep/x", Times: 2}}}, {Prefix: "/order/", Time: 30 * time.Millisecond, Bytes: 500, Calls: []target.Call{{Host: Host, Path: "/deep/x", Times: 1}}}}},
+			"deep":   {Targets: 3, Slots: 8, Speeds: []float64{1.4, 1.4, 0.6}, Works: []target.Work{{Prefix: "/deep/", Time: 10 * time.Millisecond, Bytes: 200}}},
+		},
+		Routes: []Route{
+			{Prefix: "/front/", Kind: Safe, Service: "front", Priority: 2, MaxAttempts: 2, Timeout: time.Second, Objective: 500 * time.Millisecond, Deadline: 3 * time.Second, PerSecond: 100},
+			{Prefix: "/order/", Kind: Unsafe, Service: "middle", Priority: 0, MaxAttempts: 2, Timeout: time.Second, Objective: 500 * time.Millisecond, Deadline: 3 * time.Second, PerSecond: 40, Body: 300},
+			{Prefix: "/middle/", Kind: Safe, Service: "middle", Priority: 1, MaxAttempts: 2, Timeout: time.Second, Objective: 500 * time.Millisecond},
+			{Prefix: "/deep/", Kind: Safe, Service: "deep", Priority: 1, MaxAttempts: 2, Timeout: time.Second, Objective: 300 * time.Millisecond, Deadline: time.Second, PerSecond: 50},
+		},
+	}
+}
+
+// calmLoad is the part of the load of ThreeDeep that WithSpares has: its tests last longer, and
+// what counts in them is which requests end targets, not how many come.
+const calmLoad = 0.25
+
+// WithSpares is ThreeDeep with targets enough to lose some of each service and three targets
+// at most for a request. Requests to /front/chain call /deep/harmful.
+func WithSpares() Plan {
+	plan := ThreeDeep()
+	for _, name := range []string{"front", "middle", "deep"} {
+		service := plan.Services[name]
+		service.Targets = 6
+		plan.Services[name] = service
+	}
+	front := plan.Services["front"]
+	front.Works = append([]target.Work{{Prefix: "/front/chain", Time: 5 * time.Millisecond, Bytes: 100, Calls: []target.Call{{Host: Host, Path: "/deep/harmful", Times: 1}}}}, front.Works...)
+	plan.Services["front"] = front
+	for index := range plan.Routes {
+		plan.Routes[index].MaxAttempts = 3
+		plan.Routes[index].PerSecond *= calmLoad
+	}
+	return plan
+}
--- a/internal/testbed/fleet/crash_test.go
+++ b/internal/testbed/fleet/crash_test.go
@@ -7,6 +7,10 @@
 	"testing"
 	"time"
 
+	"github.com/landingmast/landingmast/internal/testbed"
+	"github.com/landingmast/landingmast/internal/testbed/deployment"
+	"github.com/landingmast/landingmast/internal/testbed/store"
+	"github.com/landingmast/landingmast/internal/testbed/trouble"
 	. "github.com/onsi/gomega"
 )
 
@@ -35,10 +39,10 @@
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
 			g := NewWithT(t)
-			plan := withSpares()
-			mesh := play(t, plan, 30*time.Second, func(mesh *Mesh) { mesh.comesAgain(plan.Routes[tc.route], 7) })
+			plan := deployment.WithSpares()
+			mesh := play(t, plan, 30*time.Second, func(mesh *testbed.Mesh) { comesAgain(mesh, plan.Routes[tc.route], 7) })
 			g.Expect(mesh.Judge.Broken()).To(BeEmpty())
-			ended, innocent := mesh.Judge.harmFigures()
+			ended, innocent := mesh.Judge.HarmFigures()
 			t.Logf("%d targets ended, %d harmless requests refused on suspicion, %v", ended, innocent, mesh.Tally.Status)
 			g.Expect(innocent).To(BeZero())
 		})
@@ -48,57 +52,57 @@
 // A request that ends its targets is held back whatever else goes wrong, as a client's request
 // and as a call, and no harmless one with it.
 func TestHarmfulRequestsInTrouble(t *testing.T) {
-	all := func(mesh *Mesh) []*Machine { return mesh.Machines }
+	all := func(mesh *testbed.Mesh) []*testbed.Machine { return mesh.Machines }
 	for _, tc := range []struct {
 		name    string
 		paths   []string // of harmful requests
-		trouble func(mesh *Mesh)
+		trouble func(mesh *testbed.Mesh)
 	}{
-		{"several at a time", []string{"/front/a", "/front/b", "/deep/c"}, func(*Mesh) {}},
-		{"as a call", []string{"/deep/harmful"}, func(*Mesh) {}},
-		{"targets are back at once", []string{"/front/a", "/deep/c"}, func(mesh *Mesh) { mesh.Harmful.bringBackAt(0) }},
-		{"all nodes are killed", []string{"/front/a"}, func(mesh *Mesh) {
+		{"several at a time", []string{"/front/a", "/front/b", "/deep/c"}, func(*testbed.Mesh) {}},
+		{"as a call", []string{"/deep/harmful"}, func(*testbed.Mesh) {}},
+		{"targets are back at once", []string{"/front/a", "/deep/c"}, func(mesh *testbed.Mesh) { mesh.Harmful.BringBackAfter(0) }},
+		{"all nodes are killed", []string{"/front/a"}, func(mesh *testbed.Mesh) {
 			time.Sleep(6 * time.Second)
-			killAndRestart(all(mesh))
+			testbed.KillAndRestart(all(mesh))
 			time.Sleep(6 * time.Second)
-			killAndRestart(all(mesh))
+			testbed.KillAndRestart(all(mesh))
 		}},
-		{"nodes are killed in turn", []string{"/front/a"}, func(mesh *Mesh) {
+		{"nodes are killed in turn", []string{"/front/a"}, func(mesh *testbed.Mesh) {
 			for _, machine := range mesh.Machines {
 				time.Sleep(time.Second)
-				killAndRestart([]*Machine{machine})
+				testbed.KillAndRestart([]*testbed.Machine{machine})
 			}
 		}},
-		{"the store is away at the ends, then all nodes are killed", []string{"/front/a"}, func(mesh *Mesh) {
-			mesh.storeAway(8 * time.Second)
+		{"the store is away at the ends, then all nodes are killed", []string{"/front/a"}, func(mesh *testbed.Mesh) {
+			storeAway(mesh, 8*time.Second)
 			time.Sleep(2 * time.Second)
-			killAndRestart(all(mesh))
+			testbed.KillAndRestart(all(mesh))
 		}},
-		{"some nodes are cut off at the ends", []string{"/front/a"}, func(mesh *Mesh) {
+		{"some nodes are cut off at the ends", []string{"/front/a"}, func(mesh *testbed.Mesh) {
 			time.Sleep(3 * time.Second)
-			cutFromOthers(mesh, some(mesh, rand.New(rand.NewPCG(2, 2)), 0.3), 5*time.Second)
+			trouble.CutFromOthers(mesh, mesh.Some(rand.New(rand.NewPCG(2, 2)), 0.3), 5*time.Second)
 		}},
-		{"writes of the store are lost, then all nodes are killed", []string{"/front/a"}, func(mesh *Mesh) {
-			mesh.Store.Set(func(s *Store) { s.LoseWrites = true })
+		{"writes of the store are lost, then all nodes are killed", []string{"/front/a"}, func(mesh *testbed.Mesh) {
+			mesh.Store.Set(func(s *store.Store) { s.LoseWrites = true })
 			time.Sleep(8 * time.Second)
-			mesh.Store.Set(func(s *Store) { s.LoseWrites = false })
-			killAndRestart(all(mesh))
+			mesh.Store.Set(func(s *store.Store) { s.LoseWrites = false })
+			testbed.KillAndRestart(all(mesh))
 		}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
 			g := NewWithT(t)
-			plan := withSpares()
-			mesh := play(t, plan, 30*time.Second, func(mesh *Mesh) {
+			plan := deployment.WithSpares()
+			mesh := play(t, plan, 30*time.Second, func(mesh *testbed.Mesh) {
 				var group sync.WaitGroup
 				for _, path := range tc.paths {
-					group.Go(func() { mesh.comesAgainAs(path, 7) })
+					group.Go(func() { comesAgainAs(mesh, path, 7) })
 				}
 				group.Go(func() { tc.trouble(mesh) })
 				group.Wait()
 			})
 			g.Expect(mesh.Judge.Broken()).To(BeEmpty())
-			ended, innocent := mesh.Judge.harmFigures()
+			ended, innocent := mesh.Judge.HarmFigures()
 			t.Logf("%d targets ended, %d harmless requests refused on suspicion, %v", ended, innocent, mesh.Tally.Status)
 			g.Expect(innocent).To(BeZero())
 		})
@@ -109,11 +113,11 @@
 func TestPopularRequestsAreNotHeldBack(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
-	mesh := play(t, withSpares(), 30*time.Second, func(mesh *Mesh) {
+	mesh := play(t, deployment.WithSpares(), 30*time.Second, func(mesh *testbed.Mesh) {
 		random := rand.New(rand.NewPCG(4, 4))
 		for range 8 {
 			time.Sleep(3 * time.Second)
-			chosen := some(mesh, random, 0.3)
+			chosen := mesh.Some(random, 0.3)
 			for _, machine := range chosen {
 				machine.Target.Stop()
 			}
@@ -124,42 +128,20 @@
 		}
 	})
 	g.Expect(mesh.Judge.Broken()).To(BeEmpty())
-	_, innocent := mesh.Judge.harmFigures()
+	_, innocent := mesh.Judge.HarmFigures()
 	g.Expect(innocent).To(BeZero())
 	g.Expect(mesh.Tally.Share("/front/")).To(BeNumerically(">", 0.95), "%v", mesh.Tally.Status)
 }
 
-// calmLoad keeps the tests short: what counts here is who is at an end, not how many.
-const calmLoad = 0.25
-
-// withSpares is the small mesh with targets enough to lose some, and the bound of the users'
-// routes on the targets of one request.
-func withSpares() Plan {
-	plan := threeDeep()
-	for _, name := range []string{"front", "middle", "deep"} {
-		service := plan.Services[name]
-		service.Targets = 6
-		plan.Services[name] = service
-	}
-	front := plan.Services["front"]
-	front.Works = append([]Work{{Prefix: "/front/chain", Time: 5 * time.Millisecond, Bytes: 100, Calls: []Call{{Host: Host, Path: "/deep/harmful", Times: 1}}}}, front.Works...)
-	plan.Services["front"] = front
-	for index := range plan.Routes {
-		plan.Routes[index].MaxAttempts = 3
-		plan.Routes[index].PerSecond *= calmLoad
-	}
-	return plan
-}
-
 // comesAgainAs sends a harmful request of a path some times, a few at a time, as a client's
 // request or, for the path of the call that requests to /front/chain make, as a call.
-func (m *Mesh) comesAgainAs(path string, times int) {
+func comesAgainAs(m *testbed.Mesh, path string, times int) {
 	routes := m.Plan.Routes
 	route := routes[0]
 	if strings.HasPrefix(path, "/deep/") {
 		route = routes[3]
 	}
-	m.addHarmful(route, path)
+	m.AddHarmful(route, path)
 	sent := path
 	if path == "/deep/harmful" {
 		route, sent = routes[0], "/front/chain"
@@ -167,24 +149,24 @@
 	for range times {
 		time.Sleep(3500 * time.Millisecond)
 		for range 2 {
-			m.group.Go(func() { m.sendHarmful(m.anyIn(), route, sent) })
+			m.Go(func() { m.SendHarmful(m.Any(), route, sent) })
 		}
 	}
 }
 
-// storeAway has the store answer nothing for some time.
-func (m *Mesh) storeAway(span time.Duration) {
-	m.Store.Set(func(s *Store) { s.Down = true })
-	m.Judge.storeTrouble(span)
-	m.Store.Set(func(s *Store) { s.Down = false })
+// storeAway makes the store answer 503 to everything for a span.
+func storeAway(m *testbed.Mesh, span time.Duration) {
+	m.Store.Set(func(s *store.Store) { s.Down = true })
+	m.Judge.StoreTrouble(span)
+	m.Store.Set(func(s *store.Store) { s.Down = false })
 }
 
 // comesAgain sends a harmful request some times, every few seconds, at any machine.
-func (m *Mesh) comesAgain(route Route, times int) {
+func comesAgain(m *testbed.Mesh, route deployment.Route, times int) {
 	path := route.Prefix + "harmful"
-	m.addHarmful(route, path)
+	m.AddHarmful(route, path)
 	for range times {
 		time.Sleep(3500 * time.Millisecond)
-		m.sendHarmful(m.anyIn(), route, path)
+		m.SendHarmful(m.Any(), route, path)
 	}
 }
--- a/internal/testbed/fleet/held_test.go
+++ b/internal/testbed/fleet/held_test.go
@@ -15,17 +15,20 @@
 	"github.com/alecthomas/kingpin/v2"
 	"github.com/landingmast/landingmast/internal/operator"
 	"github.com/landingmast/landingmast/internal/store"
+	"github.com/landingmast/landingmast/internal/testbed"
+	"github.com/landingmast/landingmast/internal/testbed/deployment"
+	"github.com/landingmast/landingmast/internal/testbed/judge"
 	"github.com/landingmast/landingmast/platform"
 	. "github.com/onsi/gomega"
 )
 
-// statusWith sends one request with a body through a machine and gives the answer.
-func (m *Mesh) statusWith(machine *Machine, method, uri, body string) (status int, header http.Header, text string) {
-	request, err := http.NewRequest(method, "http://"+machine.IP+":"+portOutbound+uri, strings.NewReader(body))
+// statusWith sends a request with a body through the node of a machine and returns the answer.
+func statusWith(m *testbed.Mesh, machine *testbed.Machine, method, uri, body string) (status int, header http.Header, text string) {
+	request, err := http.NewRequest(method, "http://"+machine.Outbound()+uri, strings.NewReader(body))
 	if err != nil {
 		return 0, nil, err.Error()
 	}
-	request.Host = Host
+	request.Host = deployment.Host
 	request.Header.Set("X-Request-Id", "asked-"+strings.ReplaceAll(time.Now().String(), " ", ""))
 	request.Header.Set("X-Deadline-Ms", "2000")
 	m.Judge.Expect(request.Header.Get("X-Request-Id"), machine.IP, uri, "", machine.Target.Service, method != http.MethodGet, 3)
@@ -41,7 +44,7 @@
 }
 
 // command runs a command of the operators against the mesh's store.
-func (m *Mesh) command(g *WithT, input string, arguments ...string) (string, error) {
+func command(m *testbed.Mesh, g *WithT, input string, arguments ...string) (string, error) {
 	var output bytes.Buffer
 	application := kingpin.New("landingmast", "")
 	commands := operator.Register(application, &output, operator.Stores{
@@ -61,30 +64,30 @@
 func TestHeldRequestIsSeenAndLifted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		plan := withSpares()
+		plan := deployment.WithSpares()
 		for index := range plan.Routes {
 			plan.Routes[index].PerSecond = 0
 		}
-		mesh, err := NewMesh(plan)
+		mesh, err := testbed.New(plan)
 		g.Expect(err).NotTo(HaveOccurred())
 		defer mesh.Close()
-		time.Sleep(settle)
+		time.Sleep(testbed.Settle)
 		mesh.Harmful.Add("/order/harmful", "bad")
 		for range 5 {
-			mesh.statusWith(mesh.Machines[0], http.MethodPost, "/order/harmful", "bad")
+			statusWith(mesh, mesh.Machines[0], http.MethodPost, "/order/harmful", "bad")
 			time.Sleep(4 * time.Second)
 		}
 		for _, machine := range mesh.Machines {
-			status, header, text := mesh.statusWith(machine, http.MethodPost, "/order/harmful", "bad")
+			status, header, text := statusWith(mesh, machine, http.MethodPost, "/order/harmful", "bad")
 			g.Expect(status).To(Equal(http.StatusServiceUnavailable))
 			g.Expect(header.Get("Retry-After")).To(BeEmpty())
-			g.Expect(text).To(Equal(heldBackText))
+			g.Expect(text).To(Equal(judge.HeldBackText))
 			for _, other := range []struct{ method, uri, body string }{
 				{http.MethodPost, "/order/harmful", "good"},
 				{http.MethodPost, "/order/other", "bad"},
 				{http.MethodGet, "/order/harmful", ""},
 			} {
-				status, _, _ = mesh.statusWith(machine, other.method, other.uri, other.body)
+				status, _, _ = statusWith(mesh, machine, other.method, other.uri, other.body)
 				g.Expect(status).To(Equal(http.StatusOK), "%v", other)
 			}
 		}
@@ -93,7 +96,7 @@
 			Digest, Service, Route string
 			Targets                []string
 		}
-		shown, err := mesh.command(g, "", "--output", "json", "held", "list", "--store", storeAddress)
+		shown, err := command(mesh, g, "", "--output", "json", "held", "list", "--store", testbed.StoreAddress)
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(json.Unmarshal([]byte(shown), &held)).To(Succeed())
 		g.Expect(held).To(HaveLen(1))
@@ -101,19 +104,19 @@
 		g.Expect(held[0].Service).To(Equal("middle"))
 		g.Expect(held[0].Route).To(Equal("r/order/"))
 
-		_, err = mesh.command(g, "no\n", "held", "lift", held[0].Digest, "--store", storeAddress)
+		_, err = command(mesh, g, "no\n", "held", "lift", held[0].Digest, "--store", testbed.StoreAddress)
 		g.Expect(err).To(MatchError(ContainSubstring("nothing was lifted")))
-		_, err = mesh.command(g, "", "held", "lift", "--yes", strings.Repeat("0", 32), "--store", storeAddress)
+		_, err = command(mesh, g, "", "held", "lift", "--yes", strings.Repeat("0", 32), "--store", testbed.StoreAddress)
 		g.Expect(err).To(MatchError(ContainSubstring("remedy")))
-		_, err = mesh.command(g, "", "held", "lift", "--yes", "0a", "--store", storeAddress)
+		_, err = command(mesh, g, "", "held", "lift", "--yes", "0a", "--store", testbed.StoreAddress)
 		g.Expect(err).To(MatchError(ContainSubstring("no digest")))
 
 		mesh.Harmful.Remove("/order/harmful", "bad")
-		_, err = mesh.command(g, "yes\n", "held", "lift", held[0].Digest, "--store", storeAddress)
+		_, err = command(mesh, g, "yes\n", "held", "lift", held[0].Digest, "--store", testbed.StoreAddress)
 		g.Expect(err).NotTo(HaveOccurred())
 		time.Sleep(2 * time.Second)
 		for _, machine := range mesh.Machines {
-			status, _, _ := mesh.statusWith(machine, http.MethodPost, "/order/harmful", "bad")
+			status, _, _ := statusWith(mesh, machine, http.MethodPost, "/order/harmful", "bad")
 			g.Expect(status).To(Equal(http.StatusOK))
 		}
 		g.Expect(mesh.Judge.Broken()).To(BeEmpty())
@@ -134,22 +137,22 @@
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
-				mesh, err := NewMesh(wide(tc.nodes))
+				mesh, err := testbed.New(wide(tc.nodes))
 				g.Expect(err).NotTo(HaveOccurred())
 				defer mesh.Close()
-				time.Sleep(settle)
+				time.Sleep(testbed.Settle)
 				path := mesh.Plan.Routes[0].Prefix + "harmful"
 				mesh.Harmful.Add(path, "")
-				before := mesh.Store.writes()
+				before := mesh.Store.Writes()
 				for range 3 { // with many nodes, one has no repeat of its own to spend
-					mesh.statusWith(mesh.Machines[0], http.MethodGet, path, "")
+					statusWith(mesh, mesh.Machines[0], http.MethodGet, path, "")
 				}
-				time.Sleep(contact)
-				t.Logf("%d nodes: %d writes of the store for three ends", tc.nodes, mesh.Store.writes()-before)
-				g.Expect(mesh.Store.writes() - before).To(BeNumerically("<=", tc.most))
+				time.Sleep(judge.Contact)
+				t.Logf("%d nodes: %d writes of the store for three ends", tc.nodes, mesh.Store.Writes()-before)
+				g.Expect(mesh.Store.Writes() - before).To(BeNumerically("<=", tc.most))
 				sent := 0
 				for _, machine := range mesh.Machines {
-					if _, _, text := mesh.statusWith(machine, http.MethodGet, path, ""); text != heldBackText {
+					if _, _, text := statusWith(mesh, machine, http.MethodGet, path, ""); text != judge.HeldBackText {
 						sent++
 					}
 				}
@@ -158,10 +161,3 @@
 		})
 	}
 }
-
-// writes gives the number of writing calls.
-func (s *Store) writes() int {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	return s.Calls["/-/kv-txn"]
-}
--- a/internal/testbed/fleet/keys_test.go
+++ b/internal/testbed/fleet/keys_test.go
@@ -4,18 +4,25 @@
 	"fmt"
 	"math/rand/v2"
 	"net/http"
+	"strconv"
 	"strings"
 	"testing"
 	"testing/synctest"
 	"time"
 
+	"github.com/landingmast/landingmast/internal/testbed"
+	"github.com/landingmast/landingmast/internal/testbed/client"
+	"github.com/landingmast/landingmast/internal/testbed/deployment"
+	"github.com/landingmast/landingmast/internal/testbed/judge"
+	"github.com/landingmast/landingmast/internal/testbed/store"
+	"github.com/landingmast/landingmast/internal/testbed/trouble"
 	. "github.com/onsi/gomega"
 )
 
 // withTenants is the small mesh with some tenants, whose limits lie far beyond what they send.
-func withTenants(count int) Plan {
-	plan := threeDeep()
-	plan.Tenants = someTenants(count, 200, 100)
+func withTenants(count int) deployment.Plan {
+	plan := deployment.ThreeDeep()
+	plan.Tenants = deployment.Tenants(count, 200, 100)
 	return plan
 }
 
@@ -40,11 +47,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		plan := withTenants(2)
-		plan.Routes = append(plan.Routes, Route{Prefix: "/open/", Public: true, Kind: "safe", Service: "deep", MaxAttempts: 1, Timeout: time.Second})
-		mesh, err := NewMesh(plan)
+		plan.Routes = append(plan.Routes, deployment.Route{Prefix: "/open/", Public: true, Kind: deployment.Safe, Service: "deep", MaxAttempts: 1, Timeout: time.Second})
+		mesh, err := testbed.New(plan)
 		g.Expect(err).NotTo(HaveOccurred())
 		defer mesh.Close()
-		time.Sleep(settle)
+		time.Sleep(testbed.Settle)
 		machine := mesh.Machines[0]
 		for _, tc := range []struct {
 			name, uri, key string
@@ -57,12 +64,12 @@
 			{"no key on a public route", "/open/x", "", http.StatusOK},
 			{"an unknown key on a public route", "/open/x", "key-nobody", http.StatusOK},
 		} {
-			g.Expect(mesh.statusOf(machine, tc.uri, tc.key)).To(Equal(tc.want), tc.name)
+			g.Expect(statusOf(mesh, machine, tc.uri, tc.key)).To(Equal(tc.want), tc.name)
 		}
 		mesh.TakeKey(0, 0)
-		time.Sleep(revokeBound)
-		g.Expect(mesh.statusOf(machine, "/deep/x", "key-tenant0-a")).To(Equal(http.StatusUnauthorized))
-		g.Expect(mesh.statusOf(machine, "/deep/x", "key-tenant0-b")).To(Equal(http.StatusOK))
+		time.Sleep(judge.RevokeBound)
+		g.Expect(statusOf(mesh, machine, "/deep/x", "key-tenant0-a")).To(Equal(http.StatusUnauthorized))
+		g.Expect(statusOf(mesh, machine, "/deep/x", "key-tenant0-b")).To(Equal(http.StatusOK))
 		g.Expect(mesh.Judge.Broken()).To(BeEmpty())
 	})
 }
@@ -70,47 +77,51 @@
 // Keys that are taken away stay taken at every node, whatever keeps it from the store and
 // from the others: the judge counts for all machines.
 func TestKeysTakenAwayStayTaken(t *testing.T) {
-	cutFromStore := func(mesh *Mesh, machines []*Machine, cut bool) {
+	cutFromStore := func(mesh *testbed.Mesh, machines []*testbed.Machine, cut bool) {
 		for _, machine := range machines {
-			mesh.Network.Cut(machine.IP, storeHost, cut)
-			mesh.Network.Cut(storeHost, machine.IP, cut)
+			mesh.Network.Cut(machine.IP, testbed.StoreHost, cut)
+			mesh.Network.Cut(testbed.StoreHost, machine.IP, cut)
 		}
 	}
 	for _, tc := range []struct {
 		name  string
 		least float64 // share served
-		begin func(mesh *Mesh, chosen []*Machine)
-		end   func(mesh *Mesh, chosen []*Machine)
+		begin func(mesh *testbed.Mesh, chosen []*testbed.Machine)
+		end   func(mesh *testbed.Mesh, chosen []*testbed.Machine)
 	}{
-		{"the store turns some away", 0.7, func(mesh *Mesh, chosen []*Machine) {
-			mesh.Store.Set(func(s *Store) {
+		{"the store turns some away", 0.7, func(mesh *testbed.Mesh, chosen []*testbed.Machine) {
+			mesh.Store.Set(func(s *store.Store) {
 				for _, machine := range chosen {
 					s.Refuse[machine.IP] = true
 				}
 			})
-		}, func(mesh *Mesh, _ []*Machine) { mesh.Store.Set(func(s *Store) { clear(s.Refuse) }) }},
+		}, func(mesh *testbed.Mesh, _ []*testbed.Machine) {
+			mesh.Store.Set(func(s *store.Store) { clear(s.Refuse) })
+		}},
 		{
-			"some are cut from the store", 0.7, func(mesh *Mesh, chosen []*Machine) { cutFromStore(mesh, chosen, true) },
-			func(mesh *Mesh, chosen []*Machine) { cutFromStore(mesh, chosen, false) },
+			"some are cut from the store", 0.7, func(mesh *testbed.Mesh, chosen []*testbed.Machine) { cutFromStore(mesh, chosen, true) },
+			func(mesh *testbed.Mesh, chosen []*testbed.Machine) { cutFromStore(mesh, chosen, false) },
 		},
-		{"some are cut from the store and the others", 0, func(mesh *Mesh, chosen []*Machine) {
+		{"some are cut from the store and the others", 0, func(mesh *testbed.Mesh, chosen []*testbed.Machine) {
 			cutFromStore(mesh, chosen, true)
-			cutFromOthers(mesh, chosen, 9*time.Second)
-		}, func(mesh *Mesh, chosen []*Machine) { cutFromStore(mesh, chosen, false) }},
+			trouble.CutFromOthers(mesh, chosen, 9*time.Second)
+		}, func(mesh *testbed.Mesh, chosen []*testbed.Machine) { cutFromStore(mesh, chosen, false) }},
 		{
-			"the store's watches hear nothing", 0.7, func(mesh *Mesh, _ []*Machine) { mesh.Store.Deafen() },
-			func(mesh *Mesh, _ []*Machine) { mesh.Store.Compact() },
+			"the store's watches hear nothing", 0.7, func(mesh *testbed.Mesh, _ []*testbed.Machine) { mesh.Store.Deafen() },
+			func(mesh *testbed.Mesh, _ []*testbed.Machine) { mesh.Store.Compact() },
 		},
 		{
-			"the store is down", 0, func(mesh *Mesh, _ []*Machine) { mesh.Store.Set(func(s *Store) { s.Down = true }) },
-			func(mesh *Mesh, _ []*Machine) { mesh.Store.Set(func(s *Store) { s.Down = false }) },
+			"the store is down", 0, func(mesh *testbed.Mesh, _ []*testbed.Machine) { mesh.Store.Set(func(s *store.Store) { s.Down = true }) },
+			func(mesh *testbed.Mesh, _ []*testbed.Machine) {
+				mesh.Store.Set(func(s *store.Store) { s.Down = false })
+			},
 		},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
 			g := NewWithT(t)
-			mesh := play(t, withTenants(4), 14*time.Second, func(mesh *Mesh) {
-				chosen := some(mesh, rand.New(rand.NewPCG(5, 6)), 0.35)
+			mesh := play(t, withTenants(4), 14*time.Second, func(mesh *testbed.Mesh) {
+				chosen := mesh.Some(rand.New(rand.NewPCG(5, 6)), 0.35)
 				time.Sleep(time.Second)
 				done := make(chan struct{})
 				go func() {
@@ -130,16 +141,40 @@
 	}
 }
 
-// A store that is away for less than the users count on costs no request with a key.
+// A store that is away for less than the time in which keys are revoked costs no request with a
+// key.
 func TestShortTroubleOfTheStoreCostsNothing(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
-	mesh := play(t, withTenants(4), 8*time.Second, func(mesh *Mesh) {
+	mesh := play(t, withTenants(4), 8*time.Second, func(mesh *testbed.Mesh) {
 		time.Sleep(2 * time.Second)
-		mesh.Store.Set(func(s *Store) { s.Down = true })
+		mesh.Store.Set(func(s *store.Store) { s.Down = true })
 		time.Sleep(3 * time.Second)
-		mesh.Store.Set(func(s *Store) { s.Down = false })
+		mesh.Store.Set(func(s *store.Store) { s.Down = false })
 	})
 	g.Expect(mesh.Judge.Broken()).To(BeEmpty())
 	g.Expect(mesh.Tally.Share("/front/")).To(BeNumerically(">", 0.99), "%v", mesh.Tally.Status)
 }
+
+// statusOf sends a request with a key and returns the status; 0: no answer.
+func statusOf(m *testbed.Mesh, machine *testbed.Machine, uri, key string) int {
+	request, err := http.NewRequest(http.MethodGet, "http://"+machine.Outbound()+uri, nil)
+	if err != nil {
+		return 0
+	}
+	id := strconv.FormatUint(rand.Uint64(), 16)
+	request.Host = deployment.Host
+	request.Header.Set("X-Request-Id", id)
+	request.Header.Set("X-Deadline-Ms", "1000")
+	if key != "" {
+		request.Header.Set("Authorization", client.KeyScheme+key)
+	}
+	m.Judge.ExpectCall(id, machine.IP, machine.Target.Service)
+	transport := &http.Transport{DisableKeepAlives: true, DialContext: m.Network.Dialer(machine.IP)}
+	response, err := transport.RoundTrip(request)
+	if err != nil {
+		return 0
+	}
+	_ = response.Body.Close()
+	return response.StatusCode
+}
--- a/internal/testbed/fleet/quota_test.go
+++ b/internal/testbed/fleet/quota_test.go
@@ -5,14 +5,19 @@
 	"testing"
 	"time"
 
+	"github.com/landingmast/landingmast/internal/testbed"
+	"github.com/landingmast/landingmast/internal/testbed/deployment"
+	"github.com/landingmast/landingmast/internal/testbed/judge"
+	"github.com/landingmast/landingmast/internal/testbed/store"
+	"github.com/landingmast/landingmast/internal/testbed/trouble"
 	. "github.com/onsi/gomega"
 )
 
 // hotTenant is the small mesh with a tenant that sends far more than its limit beside
 // others that stay below theirs.
-func hotTenant() Plan {
-	plan := threeDeep()
-	plan.Tenants = someTenants(4, 40, 20)
+func hotTenant() deployment.Plan {
+	plan := deployment.ThreeDeep()
+	plan.Tenants = deployment.Tenants(4, 40, 20)
 	plan.Tenants[0].Share = 6
 	for index := range plan.Routes {
 		plan.Routes[index].PerSecond /= 2
@@ -27,50 +32,26 @@
 	g := NewWithT(t)
 	mesh := play(t, hotTenant(), 12*time.Second, nil)
 	g.Expect(mesh.Judge.Broken()).To(BeEmpty())
-	ran := mesh.Judge.ranOf("tenant0")
+	ran := mesh.Judge.RanOf("tenant0")
 	g.Expect(ran).To(BeNumerically(">", 0.9*40*12), "what lies below the limit is let in")
 	for _, other := range []string{"tenant1", "tenant2", "tenant3"} {
-		g.Expect(mesh.Judge.shareOf(other)).To(BeNumerically(">", 0.97), other)
+		g.Expect(mesh.Judge.ShareOf(other)).To(BeNumerically(">", 0.97), other)
 	}
 }
 
-// ranOf counts the requests of a tenant that ran.
-func (j *Judge) ranOf(tenant string) int {
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
-	return len(j.tenancy.runs[tenant])
-}
-
-// shareOf is the share of a tenant's attempts that ran.
-func (j *Judge) shareOf(tenant string) float64 {
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
-	asked, ran := 0, 0
-	for _, one := range j.requests {
-		if one.tenant != tenant || one.key == "" {
-			continue
-		}
-		asked++
-		if len(one.runs) > 0 {
-			ran++
-		}
-	}
-	return float64(ran) / float64(max(asked, 1))
-}
-
 // The limit holds in every trouble, also where keepers go and come, and the tenants below
 // theirs are served afterwards.
 func TestLimitHoldsInTrouble(t *testing.T) {
-	for _, trouble := range append(Troubles(), Trouble{"all restart", 0, func(mesh *Mesh, _ *rand.Rand) { killAndRestart(mesh.Machines) }}) {
-		t.Run(trouble.Name, func(t *testing.T) {
+	for _, kind := range append(trouble.All(), trouble.Kind{Name: "all restart", Play: func(mesh *testbed.Mesh, _ *rand.Rand) { testbed.KillAndRestart(mesh.Machines) }}) {
+		t.Run(kind.Name, func(t *testing.T) {
 			t.Parallel()
 			g := NewWithT(t)
-			mesh := play(t, hotTenant(), 12*time.Second, func(mesh *Mesh) {
+			mesh := play(t, hotTenant(), 12*time.Second, func(mesh *testbed.Mesh) {
 				time.Sleep(2 * time.Second)
-				trouble.Play(mesh, rand.New(rand.NewPCG(1, 2)))
+				kind.Play(mesh, rand.New(rand.NewPCG(1, 2)))
 			})
 			g.Expect(mesh.Judge.Broken()).To(BeEmpty())
-			g.Expect(mesh.Judge.shareOf("tenant1")).To(BeNumerically(">", 0.5), "%v", mesh.Tally.Status)
+			g.Expect(mesh.Judge.ShareOf("tenant1")).To(BeNumerically(">", 0.5), "%v", mesh.Tally.Status)
 		})
 	}
 }
@@ -80,28 +61,21 @@
 	t.Parallel()
 	g := NewWithT(t)
 	var from time.Time
-	mesh := play(t, hotTenant(), 14*time.Second, func(mesh *Mesh) {
+	mesh := play(t, hotTenant(), 14*time.Second, func(mesh *testbed.Mesh) {
 		time.Sleep(3 * time.Second)
-		mesh.Retenant(func(tenants []TenantPlan) []TenantPlan {
+		mesh.Retenant(func(tenants []deployment.Tenant) []deployment.Tenant {
 			tenants[0].Rate, tenants[0].Burst = 10, 5
 			return tenants
 		})
 		from = time.Now().Add(configBound)
 	})
 	g.Expect(mesh.Judge.Broken()).To(BeEmpty())
-	mesh.Judge.mutex.Lock()
-	defer mesh.Judge.mutex.Unlock()
-	var late []quotaRun
-	for _, one := range mesh.Judge.tenancy.runs["tenant0"] {
-		if one.sent.After(from) {
-			late = append(late, one)
-		}
-	}
-	g.Expect(mostInWindow(late)).To(BeNumerically("<=", int((10*quotaWindow.Seconds()+5)*(1+quotaOvershoot)+quotaSlack)))
-	g.Expect(len(late)).To(BeNumerically(">", 50))
+	inWindow, late := mesh.Judge.RanSince("tenant0", from)
+	g.Expect(inWindow).To(BeNumerically("<=", int((10*judge.QuotaWindow.Seconds()+5)*(1+judge.QuotaOvershoot)+judge.QuotaSlack)))
+	g.Expect(late).To(BeNumerically(">", 50))
 }
 
-// configBound is the users' bound for a configuration to be in force.
+// configBound is the time after which the lowered limit counts.
 const configBound = 2500 * time.Millisecond
 
 // After all nodes have restarted, also where some machines went for good before, tenants
@@ -110,23 +84,23 @@
 	t.Parallel()
 	g := NewWithT(t)
 	plan := wide(20)
-	plan.Tenants = someTenants(6, 200, 100)
+	plan.Tenants = deployment.Tenants(6, 200, 100)
 	for index := range plan.Routes {
 		plan.Routes[index].PerSecond = 100
 	}
-	mesh := play(t, plan, 20*time.Second, func(mesh *Mesh) {
+	mesh := play(t, plan, 20*time.Second, func(mesh *testbed.Mesh) {
 		time.Sleep(2 * time.Second)
 		for _, machine := range mesh.Machines[:3] {
 			mesh.Network.Dark(machine.IP, true)
-			machine.out.Store(true)
+			machine.TakeOut()
 			machine.Kill()
 		}
 		time.Sleep(10 * time.Second)
-		killAndRestart(mesh.Machines[3:])
+		testbed.KillAndRestart(mesh.Machines[3:])
 		time.Sleep(2 * time.Second)
-		mesh.Tally.clear()
+		mesh.Tally.Clear()
 		time.Sleep(2 * time.Second)
-		served, asked := mesh.Tally.sums()
+		served, asked := mesh.Tally.Sums()
 		g.Expect(float64(served)/float64(asked)).To(BeNumerically(">", 0.9), "%v", mesh.Tally.Status)
 		for _, machine := range mesh.Machines[:3] {
 			mesh.Network.Dark(machine.IP, false)
@@ -135,49 +109,23 @@
 	g.Expect(mesh.Judge.Broken()).To(BeEmpty())
 }
 
-func (t *Tally) clear() {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	clear(t.Asked)
-	clear(t.Served)
-	clear(t.Status)
-}
-
-func (t *Tally) sums() (served, asked int) {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	for prefix := range t.Asked {
-		served, asked = served+t.Served[prefix], asked+t.Asked[prefix]
-	}
-	return served, asked
-}
-
-// wait has the leases last longer, as a store does that counts no time while it is away.
-func (s *Store) wait(span time.Duration) {
-	s.Set(func(s *Store) {
-		for _, one := range s.leases {
-			one.until = one.until.Add(span)
-		}
-	})
-}
-
 // Keepers whose right ran out while the store was away go on when it is back and has kept
 // their leases: nobody else can take over before those end.
 func TestKeepersGoOnWhenTheStoreKeptTheirLeases(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
 	plan := withTenants(4)
-	mesh := play(t, plan, 16*time.Second, func(mesh *Mesh) {
+	mesh := play(t, plan, 16*time.Second, func(mesh *testbed.Mesh) {
 		const away = 8 * time.Second
 		time.Sleep(2 * time.Second)
-		mesh.Store.Set(func(s *Store) { s.Down = true })
-		mesh.Store.wait(away)
+		mesh.Store.Set(func(s *store.Store) { s.Down = true })
+		mesh.Store.ExtendLeases(away)
 		time.Sleep(away)
-		mesh.Store.Set(func(s *Store) { s.Down = false })
+		mesh.Store.Set(func(s *store.Store) { s.Down = false })
 		time.Sleep(1500 * time.Millisecond)
-		mesh.Tally.clear()
+		mesh.Tally.Clear()
 		time.Sleep(2 * time.Second)
-		served, asked := mesh.Tally.sums()
+		served, asked := mesh.Tally.Sums()
 		g.Expect(float64(served)/float64(asked)).To(BeNumerically(">", 0.9), "%v", mesh.Tally.Status)
 	})
 	g.Expect(mesh.Judge.Broken()).To(BeEmpty())
--- a/internal/testbed/fleet/records_test.go
+++ b/internal/testbed/fleet/records_test.go
@@ -2,52 +2,29 @@
 
 import (
 	"math/rand/v2"
-	"strings"
 	"testing"
 	"testing/synctest"
 	"time"
 
+	"github.com/landingmast/landingmast/internal/testbed"
+	"github.com/landingmast/landingmast/internal/testbed/store"
 	"github.com/landingmast/landingmast/platform"
 	. "github.com/onsi/gomega"
 )
 
 // recorded counts the records of nodes that the store has.
-func (s *Store) recorded() (count int) {
-	s.Set(func(s *Store) {
-		for key := range s.items {
-			if strings.HasPrefix(key, platform.NodePrefix) {
-				count++
-			}
-		}
-	})
-	return count
-}
+func recorded(m *testbed.Mesh) int { return m.Store.Count(platform.NodePrefix) }
 
 // revoke takes the records of some machines away; no call of theirs shows it.
-func (s *Store) revoke(machines []*Machine) {
-	s.Set(func(s *Store) {
-		for _, machine := range machines {
-			s.remove(platform.NodePrefix + "node-" + machine.IP)
-		}
-	})
-}
-
-// total sums up the calls that the store got since the counts were cleared, at their
-// prices: a renewal and a stale read cost a tenth.
-func (s *Store) total() (calls float64) {
-	s.Set(func(s *Store) {
-		for path, count := range s.Calls {
-			price := 1.0
-			if path == keeps || path == stales {
-				price = 0.1
-			}
-			calls += price * float64(count)
-		}
-	})
-	return calls
+func revoke(m *testbed.Mesh, machines []*testbed.Machine) {
+	keys := make([]string, 0, len(machines))
+	for _, machine := range machines {
+		keys = append(keys, platform.NodePrefix+"node-"+machine.IP)
+	}
+	m.Store.Revoke(keys)
 }
 
-// returnBound is the users' bound for records to be back after the store's return.
+// returnBound is the time in which records have to be back after the store's return.
 const returnBound = 2 * time.Second
 
 // Records that went while the store was away, or that it took away from some
@@ -56,44 +33,44 @@
 	const nodes = 30
 	for _, tc := range []struct {
 		name string
-		play func(mesh *Mesh, chosen []*Machine)
+		play func(mesh *testbed.Mesh, chosen []*testbed.Machine)
 	}{
-		{"leases run out while the store is away", func(mesh *Mesh, _ []*Machine) {
-			mesh.Store.Set(func(s *Store) { s.Down = true })
+		{"leases run out while the store is away", func(mesh *testbed.Mesh, _ []*testbed.Machine) {
+			mesh.Store.Set(func(s *store.Store) { s.Down = true })
 			time.Sleep(4 * time.Second)
 			mesh.Store.EndLeases()
-			mesh.Store.Set(func(s *Store) { s.Down = false })
+			mesh.Store.Set(func(s *store.Store) { s.Down = false })
 		}},
-		{"records taken away", func(mesh *Mesh, chosen []*Machine) { mesh.Store.revoke(chosen) }},
-		{"records of machines taken away that are turned away", func(mesh *Mesh, chosen []*Machine) {
-			mesh.Store.Set(func(s *Store) {
+		{"records taken away", func(mesh *testbed.Mesh, chosen []*testbed.Machine) { revoke(mesh, chosen) }},
+		{"records of machines taken away that are turned away", func(mesh *testbed.Mesh, chosen []*testbed.Machine) {
+			mesh.Store.Set(func(s *store.Store) {
 				for _, machine := range chosen {
 					s.Refuse[machine.IP] = true
 				}
 			})
-			mesh.Store.revoke(chosen)
+			revoke(mesh, chosen)
 			time.Sleep(9 * time.Second)
-			mesh.Store.Set(func(s *Store) { clear(s.Refuse) })
+			mesh.Store.Set(func(s *store.Store) { clear(s.Refuse) })
 		}},
-		{"all restart after their records were taken away", func(mesh *Mesh, _ []*Machine) {
-			mesh.Store.revoke(mesh.Machines)
-			killAndRestart(mesh.Machines)
+		{"all restart after their records were taken away", func(mesh *testbed.Mesh, _ []*testbed.Machine) {
+			revoke(mesh, mesh.Machines)
+			testbed.KillAndRestart(mesh.Machines)
 		}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
-				mesh, err := NewMesh(wide(nodes))
+				mesh, err := testbed.New(wide(nodes))
 				g.Expect(err).NotTo(HaveOccurred())
 				defer mesh.Close()
-				time.Sleep(settle)
-				g.Expect(mesh.Store.recorded()).To(Equal(nodes))
-				tc.play(mesh, some(mesh, rand.New(rand.NewPCG(3, 4)), 0.35))
+				time.Sleep(testbed.Settle)
+				g.Expect(recorded(mesh)).To(Equal(nodes))
+				tc.play(mesh, mesh.Some(rand.New(rand.NewPCG(3, 4)), 0.35))
 				time.Sleep(returnBound)
-				g.Expect(mesh.Store.recorded()).To(Equal(nodes))
+				g.Expect(recorded(mesh)).To(Equal(nodes))
 				for _, machine := range mesh.Machines {
-					g.Expect(machine.peers()).To(Equal(nodes-1), machine.IP)
+					g.Expect(machine.Peers()).To(Equal(nodes-1), machine.IP)
 				}
 			})
 		})
@@ -106,22 +83,22 @@
 	const nodes = 30
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		mesh, err := NewMesh(wide(nodes))
+		mesh, err := testbed.New(wide(nodes))
 		g.Expect(err).NotTo(HaveOccurred())
 		defer mesh.Close()
-		time.Sleep(settle)
+		time.Sleep(testbed.Settle)
 		lost := mesh.Machines[:1]
 		mesh.Network.Dark(lost[0].IP, true)
-		mesh.Store.revoke(lost)
+		revoke(mesh, lost)
 		time.Sleep(4 * time.Second)
 		for _, machine := range mesh.Machines[1:] {
-			g.Expect(machine.peers()).To(Equal(nodes-2), machine.IP)
+			g.Expect(machine.Peers()).To(Equal(nodes-2), machine.IP)
 		}
 		mesh.Network.Dark(lost[0].IP, false)
 		time.Sleep(4 * time.Second)
-		g.Expect(mesh.Store.recorded()).To(Equal(nodes), "it comes back when it is told that it is gone")
+		g.Expect(recorded(mesh)).To(Equal(nodes), "it comes back when it is told that it is gone")
 		for _, machine := range mesh.Machines[1:] {
-			g.Expect(machine.peers()).To(Equal(nodes-1), machine.IP)
+			g.Expect(machine.Peers()).To(Equal(nodes-1), machine.IP)
 		}
 	})
 }
@@ -133,10 +110,10 @@
 	for _, tc := range []struct {
 		name    string
 		most    float64 // calls a node, at every size
-		disturb func(mesh *Mesh)
+		disturb func(mesh *testbed.Mesh)
 	}{
-		{"quiet", 2, func(*Mesh) { time.Sleep(30 * time.Second) }},
-		{"all stop in turn", 6, func(mesh *Mesh) {
+		{"quiet", 2, func(*testbed.Mesh) { time.Sleep(30 * time.Second) }},
+		{"all stop in turn", 6, func(mesh *testbed.Mesh) {
 			for _, machine := range mesh.Machines {
 				machine.Kill()
 				time.Sleep(300 * time.Millisecond)
@@ -144,7 +121,7 @@
 			}
 			time.Sleep(2 * time.Second)
 		}},
-		{"configurations in a row", 4, func(mesh *Mesh) {
+		{"configurations in a row", 4, func(mesh *testbed.Mesh) {
 			for range 10 {
 				mesh.Configure(nil)
 				time.Sleep(330 * time.Millisecond)
@@ -156,14 +133,14 @@
 				t.Parallel()
 				synctest.Test(t, func(t *testing.T) {
 					g := NewWithT(t)
-					mesh, err := NewMesh(wide(nodes))
+					mesh, err := testbed.New(wide(nodes))
 					g.Expect(err).NotTo(HaveOccurred())
 					defer mesh.Close()
-					time.Sleep(settle)
-					mesh.Store.Set(func(s *Store) { s.Calls = map[string]int{} })
+					time.Sleep(testbed.Settle)
+					mesh.Store.Set(func(s *store.Store) { s.Calls = map[string]int{} })
 					tc.disturb(mesh)
-					mesh.Store.Set(func(s *Store) { t.Logf("%d nodes: %v", nodes, s.Calls) })
-					g.Expect(mesh.Store.total() / float64(nodes)).To(BeNumerically("<=", tc.most))
+					mesh.Store.Set(func(s *store.Store) { t.Logf("%d nodes: %v", nodes, s.Calls) })
+					g.Expect(mesh.Store.Cost() / float64(nodes)).To(BeNumerically("<=", tc.most))
 				})
 			})
 		}
@@ -176,55 +153,55 @@
 	const nodes = 30
 	for _, tc := range []struct {
 		name string
-		harm func(mesh *Mesh, chosen []*Machine)
+		harm func(mesh *testbed.Mesh, chosen []*testbed.Machine)
 	}{
-		{"followers die", func(_ *Mesh, chosen []*Machine) {
+		{"followers die", func(_ *testbed.Mesh, chosen []*testbed.Machine) {
 			for _, machine := range chosen {
 				machine.Kill()
 			}
 		}},
-		{"followers are cut off from the store", func(mesh *Mesh, chosen []*Machine) {
+		{"followers are cut off from the store", func(mesh *testbed.Mesh, chosen []*testbed.Machine) {
 			for _, machine := range chosen {
-				mesh.Network.Cut(machine.IP, storeHost, true)
-				mesh.Network.Cut(storeHost, machine.IP, true)
+				mesh.Network.Cut(machine.IP, testbed.StoreHost, true)
+				mesh.Network.Cut(testbed.StoreHost, machine.IP, true)
 			}
 		}},
-		{"followers fall silent", func(mesh *Mesh, chosen []*Machine) {
+		{"followers fall silent", func(mesh *testbed.Mesh, chosen []*testbed.Machine) {
 			for _, machine := range chosen {
 				mesh.Network.Dark(machine.IP, true)
 			}
 		}},
-		{"one zone is turned away", func(mesh *Mesh, _ []*Machine) {
-			mesh.Store.Set(func(s *Store) {
+		{"one zone is turned away", func(mesh *testbed.Mesh, _ []*testbed.Machine) {
+			mesh.Store.Set(func(s *store.Store) {
 				for _, machine := range mesh.Machines {
 					if machine.Zone == "a" {
 						s.Refuse[machine.IP] = true
 					}
 				}
 			})
-			mesh.Store.cut()
+			mesh.Store.CutWatches()
 		}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
-				mesh, err := NewMesh(wide(nodes))
+				mesh, err := testbed.New(wide(nodes))
 				g.Expect(err).NotTo(HaveOccurred())
 				defer mesh.Close()
-				time.Sleep(settle)
-				chosen := mesh.followers()
+				time.Sleep(testbed.Settle)
+				chosen := mesh.Followers()
 				g.Expect(len(chosen)).To(BeNumerically("<=", 8))
 				tc.harm(mesh, chosen)
 				mesh.Configure(nil)
 				time.Sleep(applyBound)
-				harmed := map[*Machine]bool{}
+				harmed := map[*testbed.Machine]bool{}
 				for _, machine := range chosen {
 					harmed[machine] = true
 				}
 				for _, machine := range mesh.Machines {
 					if !harmed[machine] {
-						g.Expect(machine.Version()).To(Equal(uint64(mesh.version)), machine.IP)
+						g.Expect(machine.Version()).To(Equal(uint64(mesh.Version())), machine.IP)
 					}
 				}
 			})
--- a/internal/testbed/fleet/scale_test.go
+++ b/internal/testbed/fleet/scale_test.go
@@ -7,73 +7,78 @@
 	"testing/synctest"
 	"time"
 
+	"github.com/landingmast/landingmast/internal/testbed"
+	"github.com/landingmast/landingmast/internal/testbed/deployment"
+	"github.com/landingmast/landingmast/internal/testbed/store"
+	"github.com/landingmast/landingmast/internal/testbed/target"
+	"github.com/landingmast/landingmast/internal/testbed/trouble"
 	. "github.com/onsi/gomega"
 )
 
 // wide is a mesh of many nodes without traffic. The store's rate for each node is
-// that of 300 machines on the users' smallest store.
-func wide(nodes int) Plan {
-	plan := Plan{
-		Zones: []string{"a", "b", "c", "d"}, Delay: time.Millisecond, Services: map[string]ServicePlan{},
+// that of 300 machines on a store that serves 2,000 reads a second.
+func wide(nodes int) deployment.Plan {
+	plan := deployment.Plan{
+		Zones: []string{"a", "b", "c", "d"}, Delay: time.Millisecond, Services: map[string]deployment.Service{},
 		ReadsPerSecond: nodes * 2000 / 300,
 	}
 	const targets = 10
 	for i := range nodes / targets {
 		name := fmt.Sprintf("s%d", i)
 		prefix := "/" + name + "/"
-		plan.Services[name] = ServicePlan{Targets: targets, Slots: 10, Works: []Work{{Prefix: prefix, Time: 5 * time.Millisecond, Bytes: 100}}}
-		plan.Routes = append(plan.Routes, Route{
-			Prefix: prefix, Kind: "safe", Service: name, MaxAttempts: 2, Timeout: time.Second, Objective: time.Second / 2, Deadline: 2 * time.Second,
+		plan.Services[name] = deployment.Service{Targets: targets, Slots: 10, Works: []target.Work{{Prefix: prefix, Time: 5 * time.Millisecond, Bytes: 100}}}
+		plan.Routes = append(plan.Routes, deployment.Route{
+			Prefix: prefix, Kind: deployment.Safe, Service: name, MaxAttempts: 2, Timeout: time.Second, Objective: time.Second / 2, Deadline: 2 * time.Second,
 		})
 	}
 	return plan
 }
 
-// applyBound is the users' bound for a configuration to be in force.
+// applyBound is the time in which a configuration has to be in force.
 const applyBound = 2 * time.Second
 
 // Changes in quick succession, and a restart of most nodes, stay below the store's
-// rate at the size of the users' sweep, and the last change is in force in time.
+// rate, and the last change is in force in time.
 func TestStoreRateHoldsAtScale(t *testing.T) {
 	const nodes = 60
 	for _, tc := range []struct {
 		name    string
-		disturb func(mesh *Mesh, random *rand.Rand)
+		disturb func(mesh *testbed.Mesh, random *rand.Rand)
 	}{
-		{"storm of configurations", func(mesh *Mesh, random *rand.Rand) {
+		{"storm of configurations", func(mesh *testbed.Mesh, random *rand.Rand) {
 			for range 60 {
-				newRoute(mesh, random)
+				trouble.NewRoute(mesh, random)
 				time.Sleep(60 * time.Millisecond)
 			}
 		}},
-		{"mass restart", func(mesh *Mesh, random *rand.Rand) {
-			killAndRestart(some(mesh, random, 0.6))
-			newRoute(mesh, random)
+		{"mass restart", func(mesh *testbed.Mesh, random *rand.Rand) {
+			testbed.KillAndRestart(mesh.Some(random, 0.6))
+			trouble.NewRoute(mesh, random)
 		}},
-		{"all restart in turn", func(mesh *Mesh, random *rand.Rand) {
-			for _, m := range some(mesh, random, 0.5) {
-				killAndRestart([]*Machine{m})
+		{"all restart in turn", func(mesh *testbed.Mesh, random *rand.Rand) {
+			for _, m := range mesh.Some(random, 0.5) {
+				testbed.KillAndRestart([]*testbed.Machine{m})
 			}
-			newRoute(mesh, random)
+			trouble.NewRoute(mesh, random)
 		}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
-				mesh, err := NewMesh(wide(nodes))
+				mesh, err := testbed.New(wide(nodes))
 				g.Expect(err).NotTo(HaveOccurred())
 				defer mesh.Close()
-				time.Sleep(settle)
-				mesh.Store.Set(func(s *Store) { s.Limited, s.Calls = 0, map[string]int{} })
+				time.Sleep(testbed.Settle)
+				mesh.Store.Set(func(s *store.Store) { s.Limited, s.Calls = 0, map[string]int{} })
 				tc.disturb(mesh, rand.New(rand.NewPCG(1, 2)))
 				time.Sleep(applyBound)
-				mesh.Store.Set(func(s *Store) {
+				mesh.Store.Set(func(s *store.Store) {
 					t.Logf("calls %v, limited %d", s.Calls, s.Limited)
 					g.Expect(s.Limited).To(BeZero())
 				})
 				for _, m := range mesh.Machines {
-					g.Expect(m.Version()).To(Equal(uint64(mesh.version)), m.IP)
+					g.Expect(m.Version()).To(Equal(uint64(mesh.Version())), m.IP)
 				}
 			})
 		})
--- a/internal/testbed/fleet/stop_test.go
+++ b/internal/testbed/fleet/stop_test.go
@@ -4,6 +4,8 @@
 	"testing"
 	"time"
 
+	"github.com/landingmast/landingmast/internal/testbed"
+	"github.com/landingmast/landingmast/internal/testbed/deployment"
 	. "github.com/onsi/gomega"
 )
 
@@ -13,7 +15,7 @@
 func TestStoppingNodeEndsThoughClientsGoOn(t *testing.T) {
 	g := NewWithT(t)
 	var took time.Duration
-	mesh := play(t, threeDeep(), 10*time.Second, func(mesh *Mesh) {
+	mesh := play(t, deployment.ThreeDeep(), 10*time.Second, func(mesh *testbed.Mesh) {
 		machine, ended := mesh.Machines[0], make(chan struct{})
 		go func() {
 			for {
@@ -21,7 +23,7 @@
 				case <-ended:
 					return
 				case <-time.After(5 * time.Millisecond):
-					go mesh.attempt(machine, mesh.Plan.Routes[0], mesh.Plan.Routes[0].Prefix+"x", "", "", time.Now().Add(3*time.Second))
+					go mesh.Attempt(machine, mesh.Plan.Routes[0], mesh.Plan.Routes[0].Prefix+"x", time.Now().Add(3*time.Second))
 				}
 			}
 		}()
@@ -41,11 +43,11 @@
 // stopped in turn and two of three targets of one service were out of reach at once.
 func TestTargetIsReachedWhileItsNodeStops(t *testing.T) {
 	g := NewWithT(t)
-	plan := threeDeep()
+	plan := deployment.ThreeDeep()
 	deep := plan.Services["deep"]
 	deep.Targets, deep.Slots, deep.Speeds = 1, 24, nil
 	plan.Services["deep"] = deep
-	mesh := play(t, plan, 8*time.Second, func(mesh *Mesh) {
+	mesh := play(t, plan, 8*time.Second, func(mesh *testbed.Mesh) {
 		time.Sleep(2 * time.Second)
 		for _, machine := range mesh.Machines {
 			if machine.Target.Service == "deep" {
--- a/internal/testbed/fleet/story_test.go
+++ b/internal/testbed/fleet/story_test.go
@@ -11,6 +11,9 @@
 	"time"
 
 	"github.com/landingmast/landingmast/internal/logquery"
+	"github.com/landingmast/landingmast/internal/testbed"
+	"github.com/landingmast/landingmast/internal/testbed/deployment"
+	"github.com/landingmast/landingmast/internal/testbed/target"
 	. "github.com/onsi/gomega"
 )
 
@@ -27,15 +30,15 @@
 	return o.Buffer.Write(data)
 }
 
-// text gives what was written so far, also while nodes write.
+// text returns what was written so far, also while nodes write.
 func (o *output) text() string {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	return o.Buffer.String()
 }
 
-// logsOf plays a day and gives the lines that its nodes wrote.
-func logsOf(t *testing.T, plan Plan, disturb func(mesh *Mesh)) []logquery.Line {
+// logsOf plays a day and returns the lines that its nodes wrote.
+func logsOf(t *testing.T, plan deployment.Plan, disturb func(mesh *testbed.Mesh)) []logquery.Line {
 	t.Helper()
 	logs := &output{}
 	plan.Output = logs
@@ -51,7 +54,7 @@
 	return lines
 }
 
-// first gives the id of the first request that ended with a reason at the node
+// first returns the id of the first request that ended with a reason at the node
 // where it began.
 func first(t *testing.T, lines []logquery.Line, wanted func(fields map[string]any) bool) string {
 	t.Helper()
@@ -74,8 +77,8 @@
 }
 
 // scarce is a mesh whose deepest service can serve half of what is asked.
-func scarce() Plan {
-	plan := threeDeep()
+func scarce() deployment.Plan {
+	plan := deployment.ThreeDeep()
 	deep := plan.Services["deep"]
 	deep.Slots = 3
 	plan.Services["deep"] = deep
@@ -102,10 +105,10 @@
 func TestStoryOfAnUnknownOutcomeNamesTheNodeThatDied(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
-	lines := logsOf(t, threeDeep(), func(mesh *Mesh) {
+	lines := logsOf(t, deployment.ThreeDeep(), func(mesh *testbed.Mesh) {
 		for range 6 {
 			time.Sleep(time.Second)
-			killAndRestart([]*Machine{mesh.Machines[len(mesh.Machines)-1], mesh.Machines[len(mesh.Machines)-2]}) // beside middle
+			testbed.KillAndRestart([]*testbed.Machine{mesh.Machines[len(mesh.Machines)-1], mesh.Machines[len(mesh.Machines)-2]}) // beside middle
 		}
 	})
 	id := first(t, lines, func(fields map[string]any) bool { return fields["status"] == 502.0 })
@@ -117,12 +120,12 @@
 	t.Parallel()
 	g := NewWithT(t)
 	var slow string
-	lines := logsOf(t, threeDeep(), func(mesh *Mesh) {
-		target := mesh.Machines[0].Target
-		slow = target.Instance()
-		target.SetFaults(Faults{Slow: 200})
+	lines := logsOf(t, deployment.ThreeDeep(), func(mesh *testbed.Mesh) {
+		late := mesh.Machines[0].Target
+		slow = late.Instance()
+		late.SetFaults(target.Faults{Slow: 200})
 		time.Sleep(3 * time.Second)
-		target.SetFaults(Faults{})
+		late.SetFaults(target.Faults{})
 	})
 	id := ""
 	for _, line := range lines {
@@ -154,7 +157,7 @@
 func TestStoryOfAKeyTakenAwayNamesTheVersion(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
-	lines := logsOf(t, withTenants(3), func(mesh *Mesh) {
+	lines := logsOf(t, withTenants(3), func(mesh *testbed.Mesh) {
 		time.Sleep(2 * time.Second)
 		mesh.TakeKey(0, 0)
 	})
@@ -170,9 +173,9 @@
 	t.Parallel()
 	g := NewWithT(t)
 	plan := scarce()
-	mesh := play(t, plan, 16*time.Second, func(mesh *Mesh) {
+	mesh := play(t, plan, 16*time.Second, func(mesh *testbed.Mesh) {
 		time.Sleep(2 * time.Second)
-		killAndRestart(some(mesh, rand.New(rand.NewPCG(3, 4)), 1))
+		testbed.KillAndRestart(mesh.Some(rand.New(rand.NewPCG(3, 4)), 1))
 	})
 	g.Expect(mesh.Judge.Broken()).To(BeEmpty())
 	g.Expect(mesh.Tally.Share("/order/")).To(BeNumerically(">", 0.9))
--- /dev/null
+++ b/internal/testbed/tenants.go
@@ -0,0 +1,57 @@
+package testbed
+
+import (
+	"math/rand/v2"
+
+	"github.com/landingmast/landingmast/internal/testbed/deployment"
+	"github.com/landingmast/landingmast/internal/testbed/judge"
+)
+
+// Retenant writes a configuration with changed tenants to the store. The bounds of the judge
+// count from then on.
+func (m *Mesh) Retenant(change func(tenants []deployment.Tenant) []deployment.Tenant) {
+	m.mu.Lock()
+	before := m.Plan.Tenants
+	after := make([]deployment.Tenant, len(before))
+	copy(after, before)
+	m.Plan.Tenants = change(after)
+	m.mu.Unlock()
+	m.Configure(nil)
+	m.Judge.SetTenants(tenantsOf(before), tenantsOf(m.Plan.Tenants))
+}
+
+// tenantsOf returns the tenants as the judge knows them.
+func tenantsOf(tenants []deployment.Tenant) []judge.Tenant {
+	judged := make([]judge.Tenant, 0, len(tenants))
+	for _, tenant := range tenants {
+		judged = append(judged, judge.Tenant{Name: tenant.Name, Keys: tenant.Keys, Rate: tenant.Rate, Burst: tenant.Burst})
+	}
+	return judged
+}
+
+// TakeKey removes a key of a tenant; both are counted from 0.
+func (m *Mesh) TakeKey(tenant int, key int) {
+	m.Retenant(func(tenants []deployment.Tenant) []deployment.Tenant {
+		keys := append([]string(nil), tenants[tenant].Keys...)
+		tenants[tenant].Keys = append(keys[:key], keys[key+1:]...)
+		return tenants
+	})
+}
+
+// caller picks a tenant by its share and one of the keys that it had at the start.
+func (m *Mesh) caller() (tenant, key string) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	total := 0.0
+	for _, tenant := range m.Plan.Tenants {
+		total += tenant.Share
+	}
+	at := rand.Float64() * total
+	for index, picked := range m.Plan.Tenants {
+		if at -= picked.Share; at <= 0 {
+			keys := m.firstKeys[index]
+			return picked.Name, keys[rand.IntN(len(keys))]
+		}
+	}
+	return "", ""
+}
--- /dev/null
+++ b/internal/testbed/trouble/trouble.go
@@ -0,0 +1,193 @@
+// Package trouble has the kinds of trouble that a deployment in memory can meet, and draws days of
+// random troubles in random deployments from seeds. It owns what a seed draws, which stays the
+// same, so that a seed that showed a fault can be played again. It relies on a deployment that
+// runs. Only tests import it.
+package trouble
+
+import (
+	"math/rand/v2"
+	"time"
+
+	"github.com/landingmast/landingmast/internal/sidecar/settings"
+	"github.com/landingmast/landingmast/internal/testbed"
+	"github.com/landingmast/landingmast/internal/testbed/deployment"
+	"github.com/landingmast/landingmast/internal/testbed/store"
+	"github.com/landingmast/landingmast/internal/testbed/target"
+)
+
+// Kind is one kind of trouble that a deployment can meet.
+type Kind struct {
+	Name string
+	// Least is the share of requests that must still be served when the trouble comes alone; 0
+	// where only rules are checked.
+	Least float64
+	// Play causes the trouble and ends it before it returns.
+	Play func(mesh *testbed.Mesh, random *rand.Rand)
+}
+
+// Faulty gives faults to a random share of the targets for a span.
+func Faulty(faults target.Faults, share float64, span time.Duration) func(*testbed.Mesh, *rand.Rand) {
+	return func(mesh *testbed.Mesh, random *rand.Rand) {
+		chosen := mesh.Some(random, share)
+		for _, machine := range chosen {
+			machine.Target.SetFaults(faults)
+		}
+		time.Sleep(span)
+		for _, machine := range chosen {
+			machine.Target.SetFaults(target.Faults{})
+		}
+	}
+}
+
+// storeFault sets a fault of the store for a span.
+func storeFault(begin, end func(s *store.Store), span time.Duration) func(*testbed.Mesh, *rand.Rand) {
+	return func(mesh *testbed.Mesh, _ *rand.Rand) {
+		mesh.Store.Set(begin)
+		mesh.Judge.StoreTrouble(span)
+		mesh.Store.Set(end)
+	}
+}
+
+// NewRoute writes a configuration with one more route, which nobody uses.
+func NewRoute(mesh *testbed.Mesh, random *rand.Rand) {
+	mesh.Configure(func(routes []deployment.Route) []deployment.Route {
+		added := routes[random.IntN(len(routes))]
+		added.Prefix, added.PerSecond = added.Prefix+"new/", 0
+		return append(routes, added)
+	})
+}
+
+// All returns every kind of trouble that a deployment in memory can meet. The names are those
+// that the platform has for them, where it has one.
+func All() []Kind {
+	return []Kind{
+		{"node_kill", 0.97, func(mesh *testbed.Mesh, random *rand.Rand) { testbed.KillAndRestart(mesh.Some(random, 0.1)) }},
+		{"herd_kill", 0.85, func(mesh *testbed.Mesh, random *rand.Rand) { testbed.KillAndRestart(mesh.Some(random, 0.6)) }},
+		{"roll_term", 0.98, func(mesh *testbed.Mesh, random *rand.Rand) {
+			for _, machine := range mesh.Some(random, 0.4) {
+				machine.Stop()
+				time.Sleep(testbed.RestartAfter)
+				_ = machine.Start()
+			}
+		}},
+		{"node_freeze", 0.9, func(mesh *testbed.Mesh, random *rand.Rand) {
+			chosen := mesh.Some(random, 0.1)
+			for _, machine := range chosen {
+				mesh.Network.Dark(machine.IP, true)
+			}
+			mesh.HarmedFor(chosen, 3*time.Second)
+			for _, machine := range chosen {
+				mesh.Network.Dark(machine.IP, false)
+			}
+		}},
+		{"suspended", 0.9, func(mesh *testbed.Mesh, random *rand.Rand) {
+			mesh.Suspend(mesh.Some(random, 0.1), time.Duration(1+random.IntN(6))*time.Second)
+		}},
+		{"node_cut", 0.85, func(mesh *testbed.Mesh, random *rand.Rand) {
+			CutFromOthers(mesh, mesh.Some(random, 0.2), 3*time.Second)
+		}},
+		{"core_cut", 0.99, func(mesh *testbed.Mesh, random *rand.Rand) {
+			chosen := mesh.Some(random, 0.2)
+			for _, machine := range chosen {
+				mesh.Network.Cut(machine.IP, testbed.StoreHost, true)
+				mesh.Network.Cut(testbed.StoreHost, machine.IP, true)
+			}
+			mesh.Judge.StoreTrouble(4 * time.Second)
+			for _, machine := range chosen {
+				mesh.Network.Cut(machine.IP, testbed.StoreHost, false)
+				mesh.Network.Cut(testbed.StoreHost, machine.IP, false)
+			}
+		}},
+		{"reset_conns", 0.9, func(mesh *testbed.Mesh, random *rand.Rand) {
+			for _, machine := range mesh.Some(random, 0.4) {
+				mesh.Network.Reset(machine.IP, func() bool { return random.IntN(2) == 0 })
+			}
+		}},
+		{"srv_slow", 0.97, Faulty(target.Faults{Slow: 5}, 0.15, 4*time.Second)},
+		{"srv_crash", 0.9, func(mesh *testbed.Mesh, random *rand.Rand) {
+			chosen := mesh.Some(random, 0.15)
+			for _, machine := range chosen {
+				machine.Target.Stop()
+			}
+			time.Sleep(3 * time.Second)
+			for _, machine := range chosen {
+				_ = machine.Target.Start()
+			}
+		}},
+		{"srv_grey shed", 0.9, Faulty(target.Faults{Decline: 0.45}, 0.15, 4*time.Second)},
+		{"answer_lost", 0.9, Faulty(target.Faults{LoseAnswer: 0.1}, 0.5, 3*time.Second)},
+		{"garble", 0.95, Faulty(target.Faults{CutShort: 0.02, Garbage: 0.02}, 0.5, 3*time.Second)},
+		{"garble extra late", 0.95, Faulty(target.Faults{Surplus: 0.2}, 0.6, 4*time.Second)},
+		{"scale_in", 0.98, func(mesh *testbed.Mesh, random *rand.Rand) {
+			target := mesh.Some(random, 0.05)[0].Target
+			target.Drain(testbed.DrainBound + time.Second)
+			_ = target.Start()
+		}},
+		{"platform_down", 0.99, storeFault(func(s *store.Store) { s.Down = true }, func(s *store.Store) { s.Down = false }, 4*time.Second)},
+		{"platform_slow", 0.99, storeFault(func(s *store.Store) { s.Slow = 300 * time.Millisecond }, func(s *store.Store) { s.Slow = 0 }, 4*time.Second)},
+		{"platform_lost", 0.99, storeFault(func(s *store.Store) { s.LoseWrites = true }, func(s *store.Store) { s.LoseWrites = false }, 4*time.Second)},
+		{"platform_down lapse", 0.99, func(mesh *testbed.Mesh, _ *rand.Rand) {
+			mesh.Store.Set(func(s *store.Store) { s.Down = true })
+			mesh.Judge.StoreTrouble(2 * time.Second)
+			mesh.Store.EndLeases()
+			mesh.Store.Set(func(s *store.Store) { s.Down = false })
+		}},
+		{"platform_compact", 0.99, func(mesh *testbed.Mesh, random *rand.Rand) {
+			mesh.Store.Deafen()
+			NewRoute(mesh, random)
+			mesh.Judge.StoreTrouble(time.Second)
+			mesh.Store.Compact()
+		}},
+		{"store refuses some", 0.97, func(mesh *testbed.Mesh, random *rand.Rand) {
+			chosen := mesh.Some(random, 0.3)
+			mesh.Store.Set(func(s *store.Store) {
+				for _, machine := range chosen {
+					s.Refuse[machine.IP] = true
+				}
+			})
+			testbed.KillAndRestart(chosen)
+			mesh.Judge.StoreTrouble(4 * time.Second)
+			mesh.Store.Set(func(s *store.Store) { clear(s.Refuse) })
+		}},
+		{"burst", 0.9, func(mesh *testbed.Mesh, _ *rand.Rand) {
+			mesh.Clients.SetBurst(2)
+			time.Sleep(3 * time.Second)
+			mesh.Clients.SetBurst(0)
+		}},
+		// Clients that leave are not served; what is checked is that nothing runs for them.
+		{"give_up", 0, func(mesh *testbed.Mesh, _ *rand.Rand) {
+			mesh.Clients.SetGiveUp(20 * time.Millisecond)
+			time.Sleep(4 * time.Second)
+			mesh.Clients.SetGiveUp(0)
+		}},
+		{"hup", 0.99, func(mesh *testbed.Mesh, random *rand.Rand) {
+			for _, machine := range mesh.Some(random, 0.5) {
+				machine.Reload(func(s *settings.Settings) { s.Retries.Allowance = 40 })
+				time.Sleep(200 * time.Millisecond)
+			}
+		}},
+		{"config_storm", 0.99, func(mesh *testbed.Mesh, random *rand.Rand) {
+			for range 20 {
+				NewRoute(mesh, random)
+				time.Sleep(100 * time.Millisecond)
+			}
+		}},
+	}
+}
+
+// CutFromOthers cuts machines from all others, in silence, for a span.
+func CutFromOthers(mesh *testbed.Mesh, chosen []*testbed.Machine, span time.Duration) {
+	set := func(cut bool) {
+		for _, machine := range chosen {
+			for _, other := range mesh.Machines {
+				if other != machine {
+					mesh.Network.Cut(machine.IP, other.IP, cut)
+					mesh.Network.Cut(other.IP, machine.IP, cut)
+				}
+			}
+		}
+	}
+	set(true)
+	mesh.HarmedFor(chosen, span)
+	set(false)
+}
