--- a/internal/sidecar/heldbacktell.go
+++ b/internal/sidecar/heldbacktell.go
@@ -8,6 +8,7 @@
 
 	"github.com/juju/errors"
 	"github.com/landingmast/landingmast/internal/core/crashes"
+	"github.com/landingmast/landingmast/internal/sidecar/broadcast"
 	"github.com/landingmast/landingmast/internal/sidecar/eventlog"
 	"github.com/landingmast/landingmast/internal/sidecar/peer"
 	"github.com/landingmast/landingmast/internal/sidecar/wait"
@@ -40,31 +41,19 @@
 	if len(message.Evidence) == 0 {
 		return
 	}
-	for zone, addresses := range h.node.membership.Addresses() {
-		if zone == h.node.settings().Zone {
-			h.spread(message, addresses)
-			continue
-		}
-		go h.send(message, addresses)
-	}
+	broadcast.ToZones(h.node.membership.Addresses(), h.node.settings().Zone, h.sending(message))
 }
 
-// spread sends a message along a tree of nodes.
-func (h *heldBack) spread(message *wire.Crashes, addresses []string) {
-	for _, branch := range branches(addresses) {
-		go h.send(message, branch)
-	}
-}
-
-func (h *heldBack) send(message *wire.Crashes, branch []string) {
-	toFirst(branch, func(address string, others []string) error {
+// sending gives the function that sends a message to one node.
+func (h *heldBack) sending(message *wire.Crashes) broadcast.Send {
+	return func(address string, forward []string) error {
 		sent := *message
-		sent.Forward = others
-		ctx, cancel := context.WithTimeout(context.Background(), newsTimeout)
+		sent.Forward = forward
+		ctx, cancel := context.WithTimeout(context.Background(), broadcast.Timeout)
 		defer cancel()
 		_, err := h.post(ctx, address, &sent)
 		return err
-	})
+	}
 }
 
 func (h *heldBack) post(ctx context.Context, address string, message *wire.Crashes) (*wire.Crashes, error) {
@@ -92,7 +81,7 @@
 	}
 	peer.BareAnswer(w)
 	w.Header().Set("Content-Length", "0")
-	go h.spread(message, message.Forward)
+	broadcast.ToNodes(message.Forward, h.sending(message))
 }
 
 // all gives all evidence for a node that has other evidence, none for one that has the same.
--- a/internal/sidecar/news.go
+++ b/internal/sidecar/news.go
@@ -7,6 +7,7 @@
 	"sync/atomic"
 	"time"
 
+	"github.com/landingmast/landingmast/internal/sidecar/broadcast"
 	"github.com/landingmast/landingmast/internal/sidecar/peer"
 	"github.com/landingmast/landingmast/internal/wire"
 )
@@ -14,13 +15,8 @@
 // newsPath takes what another node tells at once.
 const newsPath = "/news"
 
-// Bounds of the spread of news.
-const (
-	newsFanOut  = 16 // nodes that one node tells itself
-	newsTimeout = 300 * time.Millisecond
-	newsTries   = 3                     // nodes of a group that are tried in turn
-	newsGather  = 20 * time.Millisecond // changes in this time are told together
-)
+// newsGather joins changes of the own record that come shortly one after the other.
+const newsGather = 20 * time.Millisecond
 
 // spreader tells other nodes at once what has changed: own records, beats of
 // followers, versions of the configuration. A message goes along a tree whose
@@ -45,55 +41,23 @@
 
 // TellAll tells the nodes of all zones.
 func (s *spreader) TellAll(message *wire.News) {
-	for zone, addresses := range s.node.membership.Addresses() {
-		if zone == s.node.settings().Zone {
-			s.spread(message, addresses)
-			continue
-		}
-		go s.send(message, addresses)
-	}
+	broadcast.ToZones(s.node.membership.Addresses(), s.node.settings().Zone, s.sending(message))
 }
 
 // TellZone tells the nodes of the own zone.
 func (s *spreader) TellZone(message *wire.News) {
-	s.spread(message, s.node.membership.Addresses()[s.node.settings().Zone])
+	broadcast.ToNodes(s.node.membership.Addresses()[s.node.settings().Zone], s.sending(message))
 }
 
-// spread sends a message to some nodes, which pass it on to the others.
-func (s *spreader) spread(message *wire.News, addresses []string) {
-	for _, branch := range branches(addresses) {
-		go s.send(message, branch)
-	}
-}
-
-// branches divides nodes among the branches of a tree.
-func branches(addresses []string) [][]string {
-	if len(addresses) == 0 {
-		return nil
-	}
-	size := (len(addresses) + newsFanOut - 1) / newsFanOut
-	return slices.Collect(slices.Chunk(addresses, size))
-}
-
-// toFirst sends to the first node of a branch that takes it, and leaves the others to it.
-func toFirst(branch []string, send func(address string, others []string) error) {
-	for tries := 0; tries < newsTries && len(branch) > 0; tries++ {
-		if send(branch[0], branch[1:]) == nil {
-			return
-		}
-		branch = branch[1:]
-	}
-}
-
-// send sends a message along a branch.
-func (s *spreader) send(message *wire.News, branch []string) {
-	sent := *message
-	sent.From = s.node.settings().Listen.Inbound
-	sent.Version = int64(s.node.configuration.Version())
-	toFirst(branch, func(address string, others []string) error {
-		sent.Forward = others
+// sending gives the function that sends a message to one node.
+func (s *spreader) sending(message *wire.News) broadcast.Send {
+	return func(address string, forward []string) error {
+		sent := *message
+		sent.From = s.node.settings().Listen.Inbound
+		sent.Version = int64(s.node.configuration.Version())
+		sent.Forward = forward
 		return s.post(address, &sent)
-	})
+	}
 }
 
 func (s *spreader) post(address string, message *wire.News) error {
@@ -101,7 +65,7 @@
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), newsTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), broadcast.Timeout)
 	defer cancel()
 	_, err = s.node.peers.Post(ctx, address, newsPath, data)
 	return err
@@ -142,7 +106,7 @@
 	if !newer && !message.Beat && len(message.Records) == 0 && len(message.Gone) == 0 {
 		return
 	}
-	s.spread(message, message.Forward)
+	broadcast.ToNodes(message.Forward, s.sending(message))
 }
 
 // Fetch asks a node for its configuration, unless another one is being asked.
