--- a/internal/sidecar/egress.go
+++ b/internal/sidecar/egress.go
@@ -168,12 +168,12 @@
 		x.node.options.Headers.HideIdentity(x.header)
 	}
 	verdict := x.heldBack()
-	if verdict.refused {
+	if verdict.Refused {
 		x.refuse(http.StatusServiceUnavailable, outcome.ReasonEndsTargets, notInvited)
 		return
 	}
-	if x.trial = verdict.trial != nil; x.trial {
-		defer verdict.trial()
+	if x.trial = verdict.Trial != nil; x.trial {
+		defer verdict.Trial()
 	}
 	if !x.withinQuota(ctx) {
 		return
@@ -195,7 +195,7 @@
 // get says that it has not run, and not when to come back.
 func (x *exchange) heldBack() verdict {
 	call := &wire.SidecarCall{Method: x.request.Method, URI: uriOf(x.request), Host: x.request.Host, Caller: x.node.caller(), Tenant: x.tenant}
-	return x.node.heldBack.AtStart(&printed{call: call, body: x.body})
+	return x.node.heldBack.AtStart(&heldBackRequest{Call: call, Body: x.body})
 }
 
 // grantedAbove is the part of the budgets for repeats that the nodes above leave to
--- a/internal/sidecar/ended.go
+++ b/internal/sidecar/ended.go
@@ -2,17 +2,13 @@
 
 import (
 	"context"
-	"strings"
 	"sync"
 	"syscall"
 	"time"
 
 	"github.com/juju/errors"
-	"github.com/landingmast/landingmast/internal/core/crashes"
 	"github.com/landingmast/landingmast/internal/core/outcome"
 	"github.com/landingmast/landingmast/internal/sidecar/eventlog"
-	"github.com/landingmast/landingmast/internal/sidecar/reply"
-	"github.com/landingmast/landingmast/internal/wire"
 )
 
 // Times and bounds of what is kept about runs without an answer.
@@ -32,10 +28,8 @@
 
 // unansweredRun is a run that has no answer.
 type unansweredRun struct {
-	print   crashes.Print
-	alone   bool // no other suspected request was at the target
+	heldBackRun
 	request string
-	route   string
 	till    time.Duration
 }
 
@@ -173,27 +167,10 @@
 }
 
 func (one *arrival) unanswered(till time.Duration) unansweredRun {
-	return unansweredRun{print: one.print(), alone: one.alone, request: one.call.RequestID, route: one.call.Route, till: till}
-}
-
-// printed is a request and, once it was asked for, its print.
-type printed struct {
-	call *wire.SidecarCall
-	body *reply.Payload
-	made *crashes.Print
-}
-
-// print gives what the request is known by when it comes again.
-func (p *printed) print() crashes.Print {
-	if p.made == nil {
-		path, query, _ := strings.Cut(p.call.URI, "?")
-		begin, length := p.body.Begin()
-		print := crashes.PrintOf(crashes.Request{
-			Method: p.call.Method, Host: p.call.Host, Path: path, Query: query, Body: begin, Length: length, Caller: p.call.Caller, Tenant: p.call.Tenant,
-		})
-		p.made = &print
+	return unansweredRun{
+		heldBackRun: heldBackRun{Fingerprint: one.Fingerprint(), Alone: one.alone, Route: one.Call.Route},
+		request:     one.Call.RequestID, till: till,
 	}
-	return *p.made
 }
 
 // instanceReplaced looks at runs that were kept when another instance stands at the target's
@@ -212,13 +189,17 @@
 	}
 	event := eventlog.Crash{Instance: gate.instance, Service: gate.service, Requests: len(runs)}
 	for _, run := range runs[:min(len(runs), loggedRuns)] {
-		event.Running = append(event.Running, eventlog.CrashRun{Request: run.request, Route: run.route, Digest: run.print.Content.String()})
+		event.Running = append(event.Running, eventlog.CrashRun{Request: run.request, Route: run.Route, Digest: run.Fingerprint.Content.String()})
 	}
 	if first {
 		i.node.metrics.Crashes.Inc()
 	}
 	i.node.events.Add(event, eventlog.State)
-	i.node.heldBack.EndedAt(gate, runs)
+	ended := make([]heldBackRun, 0, len(runs))
+	for _, run := range runs {
+		ended = append(ended, run.heldBackRun)
+	}
+	i.node.heldBack.EndedAt(gate.instance, gate.service, ended)
 }
 
 // loggedRuns bounds the requests that one line names.
--- a/internal/sidecar/heldback.go
+++ b/internal/sidecar/heldback.go
@@ -7,15 +7,17 @@
 
 	"github.com/landingmast/landingmast/internal/core/crashes"
 	"github.com/landingmast/landingmast/internal/sidecar/eventlog"
-	"github.com/landingmast/landingmast/internal/sidecar/settings"
+	"github.com/landingmast/landingmast/internal/sidecar/peer"
+	"github.com/landingmast/landingmast/internal/sidecar/storehealth"
+	"github.com/landingmast/landingmast/internal/store"
 )
 
 // heldBack holds what is known of requests that end the targets that run them: nodes tell
 // each other at which requests a target ended, and none sends on what several ended with. It
 // is safe for concurrent use.
 type heldBack struct {
-	node *Node
-	good recentlyGood
+	options heldBackOptions
+	good    recentlyGood
 
 	// suspects tells that some request is suspected, so that the prints of all others need
 	// not be made while none is.
@@ -30,36 +32,59 @@
 	stored    storedEvidence
 }
 
-func newHeldBack(node *Node) *heldBack {
-	return &heldBack{node: node, ledger: crashes.New(crashes.DefaultConfig()), held: map[crashes.Content]bool{}, trials: map[crashes.Content]bool{}}
+// heldBackNodes are the other nodes, as membership knows them.
+type heldBackNodes interface {
+	// IsFirstFor is whether this node comes before all others for a key.
+	IsFirstFor(key []byte) bool
+	// Addresses are those of the other nodes by zone.
+	Addresses() map[string][]string
+	// AnyAddress is that of another node chosen at random; empty: none is known.
+	AnyAddress() string
+}
+
+// heldBackOptions are what the parts of a node bring in.
+type heldBackOptions struct {
+	Zone    string               // of the node
+	Enabled func() bool          // requests are held back at all
+	Now     func() time.Duration // the clock that counts suspensions
+	Nodes   heldBackNodes
+	Peers   *peer.Client
+	Events  *eventlog.Log
+	Store   store.Store // nil: none
+	Key     string      // of the evidence in the store
+	Health  *storehealth.Health
+}
+
+func newHeldBack(options heldBackOptions) *heldBack {
+	return &heldBack{options: options, ledger: crashes.New(crashes.DefaultConfig()), held: map[crashes.Content]bool{}, trials: map[crashes.Content]bool{}}
 }
 
 // state tells what is thought of a request.
-func (h *heldBack) state(r *printed) crashes.State {
-	if !h.suspects.Load() || !h.node.policyOn(settings.HoldBack) {
+func (h *heldBack) state(r *heldBackRequest) crashes.State {
+	if !h.suspects.Load() || !h.options.Enabled() {
 		return crashes.Free
 	}
-	print := r.print()
-	recently := h.good.holds(h.node.now(), print.Variant)
+	print := r.Fingerprint()
+	recently := h.good.holds(h.options.Now(), print.Variant)
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	return h.ledger.State(print, recently)
 }
 
 // MaySend tells whether the gate lets a request through.
-func (h *heldBack) MaySend(r *printed) bool {
+func (h *heldBack) MaySend(r *heldBackRequest) bool {
 	switch h.state(r) {
 	case crashes.Held:
 		return false
 	case crashes.Doubtful:
-		return r.call.Trial
+		return r.Call.Trial
 	}
 	return true
 }
 
 // Suspected tells that a request is to be at a target alone: a target has ended with it.
-func (h *heldBack) Suspected(r *printed) bool {
-	if r.call.Suspect && h.node.policyOn(settings.HoldBack) && !h.good.holds(h.node.now(), r.print().Variant) {
+func (h *heldBack) Suspected(r *heldBackRequest) bool {
+	if r.Call.Suspect && h.options.Enabled() && !h.good.holds(h.options.Now(), r.Fingerprint().Variant) {
 		return true
 	}
 	return h.state(r) != crashes.Free
@@ -67,30 +92,30 @@
 
 // verdict is what becomes of a request where it begins.
 type verdict struct {
-	refused bool
-	trial   func() // not nil: it is sent as the only one of its content; called at its end
+	Refused bool
+	Trial   func() // not nil: it is sent as the only one of its content; called at its end
 }
 
 // AtStart decides on a request where it begins, by what targets ended with itself. Which of
 // its variants end well of late is known where the targets are.
-func (h *heldBack) AtStart(r *printed) verdict {
-	if !h.suspects.Load() || !h.node.policyOn(settings.HoldBack) {
+func (h *heldBack) AtStart(r *heldBackRequest) verdict {
+	if !h.suspects.Load() || !h.options.Enabled() {
 		return verdict{}
 	}
-	print := r.print()
+	print := r.Fingerprint()
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	own := h.ledger.State(print, true)
 	switch {
 	case own == crashes.Held:
-		return verdict{refused: true}
+		return verdict{Refused: true}
 	case h.ledger.State(print, false) != crashes.Doubtful:
 		return verdict{}
-	case h.trials[print.Content] || !h.node.membership.IsFirstFor(print.Content[:]):
-		return verdict{refused: own == crashes.Doubtful}
+	case h.trials[print.Content] || !h.options.Nodes.IsFirstFor(print.Content[:]):
+		return verdict{Refused: own == crashes.Doubtful}
 	}
 	h.trials[print.Content] = true
-	return verdict{trial: func() { h.endTrial(print.Content) }}
+	return verdict{Trial: func() { h.endTrial(print.Content) }}
 }
 
 func (h *heldBack) endTrial(content crashes.Content) {
@@ -99,26 +124,26 @@
 	delete(h.trials, content)
 }
 
-// EndedAt takes in the runs that the target beside the node ended with. One that has ended
-// well here of late is left out: it is not what ended the target.
-func (h *heldBack) EndedAt(gate *gate, runs []unansweredRun) {
+// EndedAt takes in the runs that an instance of a service, the target beside the node, ended
+// with. One that has ended well here of late is left out: it is not what ended the target.
+func (h *heldBack) EndedAt(instance, service string, runs []heldBackRun) {
 	at := time.Now().UnixMilli()
 	evidence := make([]crashes.Evidence, 0, len(runs))
 	for _, run := range runs {
-		if !h.good.holds(h.node.now(), run.print.Variant) {
-			evidence = append(evidence, crashes.Evidence{Print: run.print, Instance: gate.instance, Service: gate.service, Route: run.route, At: at, Alone: run.alone})
+		if !h.good.holds(h.options.Now(), run.Fingerprint.Variant) {
+			evidence = append(evidence, crashes.Evidence{Print: run.Fingerprint, Instance: instance, Service: service, Route: run.Route, At: at, Alone: run.Alone})
 		}
 	}
 	h.learn(evidence, crashGather)
 }
 
 // EndedWell takes in that the target beside the node answered a request.
-func (h *heldBack) EndedWell(r *printed) {
-	if !h.node.policyOn(settings.HoldBack) {
+func (h *heldBack) EndedWell(r *heldBackRequest) {
+	if !h.options.Enabled() {
 		return
 	}
-	print := r.print()
-	h.good.add(h.node.now(), print.Variant)
+	print := r.Fingerprint()
+	h.good.add(h.options.Now(), print.Variant)
 	if h.suspects.Load() {
 		h.clear(print)
 	}
@@ -147,7 +172,7 @@
 	h.mutex.Unlock()
 	h.note(heard)
 	for _, one := range heard {
-		if !one.Cleared && h.good.holds(h.node.now(), one.Variant) {
+		if !one.Cleared && h.good.holds(h.options.Now(), one.Variant) {
 			h.clear(one.Print)
 		}
 	}
@@ -181,13 +206,13 @@
 	for content, evidence := range held {
 		if !h.held[content] {
 			h.held[content] = true
-			h.node.events.Add(eventlog.HeldBack{Change: "held back", Digest: content.String(), Service: evidence[0].Service, Route: evidence[0].Route, Ends: len(evidence)}, eventlog.State)
+			h.options.Events.Add(eventlog.HeldBack{Change: "held back", Digest: content.String(), Service: evidence[0].Service, Route: evidence[0].Route, Ends: len(evidence)}, eventlog.State)
 		}
 	}
 	for content := range h.held {
 		if held[content] == nil {
 			delete(h.held, content)
-			h.node.events.Add(eventlog.HeldBack{Change: "let go", Digest: content.String()}, eventlog.State)
+			h.options.Events.Add(eventlog.HeldBack{Change: "let go", Digest: content.String()}, eventlog.State)
 		}
 	}
 }
--- a/internal/sidecar/heldbacktell.go
+++ b/internal/sidecar/heldbacktell.go
@@ -30,6 +30,8 @@
 	// how long after its start a node makes them that knows of nothing.
 	compareEvery = time.Second
 	compareFirst = 10 * time.Second
+	// compareTimeout bounds a comparison, both messages of it.
+	compareTimeout = 500 * time.Millisecond
 )
 
 // tell tells all other nodes what is news.
@@ -41,7 +43,7 @@
 	if len(message.Evidence) == 0 {
 		return
 	}
-	broadcast.ToZones(h.node.membership.Addresses(), h.node.settings().Zone, h.sending(message))
+	broadcast.ToZones(h.options.Nodes.Addresses(), h.options.Zone, h.sending(message))
 }
 
 // sending gives the function that sends a message to one node.
@@ -61,7 +63,7 @@
 	if err != nil {
 		return nil, err
 	}
-	read, err := h.node.peers.Post(ctx, address, crashPath, data)
+	read, err := h.options.Peers.Post(ctx, address, crashPath, data)
 	if err != nil || len(read) == 0 {
 		return nil, err
 	}
@@ -100,10 +102,10 @@
 func (h *heldBack) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		wait.For(ctx, compareEvery/2+time.Duration(rand.Int64N(int64(compareEvery))))
-		if h.empty() && h.node.now() > compareFirst {
+		if h.empty() && h.options.Now() > compareFirst {
 			continue
 		}
-		if address := h.node.membership.AnyAddress(); address != "" {
+		if address := h.options.Nodes.AnyAddress(); address != "" {
 			h.Compare(ctx, address)
 		}
 	}
@@ -117,7 +119,7 @@
 
 // Compare has this node and another one know what either does.
 func (h *heldBack) Compare(ctx context.Context, address string) {
-	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
+	ctx, cancel := context.WithTimeout(ctx, compareTimeout)
 	defer cancel()
 	h.mutex.Lock()
 	own := int64(h.ledger.Digest())
@@ -161,7 +163,7 @@
 	}
 	message, err := wire.CrashesCodec.Decode(item.Value)
 	if err != nil {
-		h.node.events.Add(eventlog.HeldBack{Change: "not read", Error: err.Error()}, eventlog.State)
+		h.options.Events.Add(eventlog.HeldBack{Change: "not read", Error: err.Error()}, eventlog.State)
 		return
 	}
 	evidence := message.Known()
@@ -183,7 +185,7 @@
 func (h *heldBack) Keep(ctx context.Context) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	now, s := h.node.now(), &h.stored
+	now, s := h.options.Now(), &h.stored
 	lasting := h.ledger.Lasting()
 	switch {
 	case crashes.DigestOf(lasting) == s.digest:
@@ -201,7 +203,7 @@
 	defer cancel()
 	written, err := h.put(ctx, lasting, revision)
 	if !errors.Is(err, store.ErrConflict) {
-		h.node.storeHealth.Note("crashes", err) // logged there
+		h.options.Health.Note("crashes", err) // logged there
 	}
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -216,5 +218,5 @@
 	if err != nil {
 		return 0, err
 	}
-	return h.node.store.Put(ctx, store.Write{Key: h.node.options.CrashKey, Value: value, IfRevision: &revision})
+	return h.options.Store.Put(ctx, store.Write{Key: h.options.Key, Value: value, IfRevision: &revision})
 }
--- a/internal/sidecar/ingress.go
+++ b/internal/sidecar/ingress.go
@@ -203,7 +203,7 @@
 // admit waits for a slot and has the target run the request. maySend is asked
 // right before the request is sent; nil: it may.
 func (i *ingress) admit(ctx context.Context, call *wire.SidecarCall, header http.Header, body *reply.Payload, maySend func() bool) *reply.Reply {
-	one := &arrival{printed: printed{call: call, body: body}, at: i.node.now()}
+	one := &arrival{heldBackRequest: heldBackRequest{Call: call, Body: body}, at: i.node.now()}
 	answer := i.gated(ctx, one, header, maySend)
 	i.noteRun(one, answer)
 	return answer
@@ -211,7 +211,7 @@
 
 // arrival is a request at the gate, with what the log tells of it.
 type arrival struct {
-	printed
+	heldBackRequest
 	at       time.Duration
 	instance string
 	waited   time.Duration
@@ -221,7 +221,7 @@
 // left is how much of its time the request has left. The timer of ctx stands still while the
 // machine is suspended.
 func (a *arrival) left(ctx context.Context, now time.Duration) time.Duration {
-	left := time.Duration(a.call.Remaining)*time.Microsecond - (now - a.at)
+	left := time.Duration(a.Call.Remaining)*time.Microsecond - (now - a.at)
 	if deadline, bounded := ctx.Deadline(); bounded {
 		left = min(left, time.Until(deadline))
 	}
@@ -229,7 +229,7 @@
 }
 
 func (i *ingress) gated(ctx context.Context, one *arrival, header http.Header, maySend func() bool) *reply.Reply {
-	gate, call := i.node.target.Current(), one.call
+	gate, call := i.node.target.Current(), one.Call
 	switch {
 	case gate == nil:
 		return reply.NotRun(outcome.ReasonNoTarget)
@@ -239,13 +239,13 @@
 	one.instance = gate.instance
 	held := i.node.heldBack
 	switch {
-	case !held.MaySend(&one.printed):
+	case !held.MaySend(&one.heldBackRequest):
 		return reply.NotRun(outcome.ReasonEndsTargets)
-	case held.Suspected(&one.printed):
+	case held.Suspected(&one.heldBackRequest):
 		if !gate.endings.alone(ctx) {
 			return reply.NotRun(outcome.ReasonSuspectWaits)
 		}
-		if one.alone = held.Suspected(&one.printed); one.alone {
+		if one.alone = held.Suspected(&one.heldBackRequest); one.alone {
 			defer gate.endings.notAlone()
 		} else {
 			gate.endings.notAlone() // it was cleared while it waited
@@ -263,7 +263,7 @@
 	case maySend != nil && !maySend():
 		gate.leave(id, false)
 		answer = reply.NotRun(outcome.ReasonFenced)
-	case !held.MaySend(&one.printed): // by what was heard while it waited
+	case !held.MaySend(&one.heldBackRequest): // by what was heard while it waited
 		gate.leave(id, false)
 		answer = reply.NotRun(outcome.ReasonEndsTargets)
 	default:
@@ -276,7 +276,7 @@
 
 // run sends the request to the target and reads its answer.
 func (i *ingress) run(ctx context.Context, gate *gate, id uint64, one *arrival, header http.Header) *reply.Reply {
-	call := one.call
+	call := one.Call
 	request := &running{id: call.RequestID, ctx: ctx, importance: call.Importance, repeat: call.Repeat, tenant: call.Tenant, granted: call.Granted, needs: map[string]wire.Need{}}
 	i.running.add(call.RequestID, request)
 	answer := i.exchange(ctx, gate, one, header)
@@ -285,7 +285,7 @@
 	if answer.Stream == nil {
 		gate.leave(id, learn)
 		if answer.Outcome == outcome.Answered {
-			i.node.heldBack.EndedWell(&one.printed)
+			i.node.heldBack.EndedWell(&one.heldBackRequest)
 		}
 	} else {
 		answer.Stream = &leaving{ReadCloser: answer.Stream, leave: func(err error) {
@@ -324,7 +324,7 @@
 func (i *ingress) streamed(ctx context.Context, gate *gate, one *arrival, err error) {
 	switch {
 	case err == io.EOF:
-		i.node.heldBack.EndedWell(&one.printed)
+		i.node.heldBack.EndedWell(&one.heldBackRequest)
 	case err == nil || ctx.Err() != nil:
 		i.senderLeft(gate, one)
 	default:
--- a/internal/sidecar/judge.go
+++ b/internal/sidecar/judge.go
@@ -15,7 +15,7 @@
 
 // exchange sends a request to the target and says what its answer is worth.
 func (i *ingress) exchange(ctx context.Context, gate *gate, one *arrival, header http.Header) *reply.Reply {
-	names, call, body := i.node.options.Headers, one.call, one.body
+	names, call, body := i.node.options.Headers, one.Call, one.Body
 	remaining := one.left(ctx, i.node.now()).Milliseconds()
 	if remaining < 1 {
 		return reply.NotRun(outcome.ReasonTimeout)
--- a/internal/sidecar/node.go
+++ b/internal/sidecar/node.go
@@ -122,7 +122,7 @@
 	n.freshness = newProver(n)
 	n.quotaServer = newQuotaServer(n)
 	n.quotas = newQuotas(n)
-	n.heldBack = newHeldBack(n)
+	n.heldBack = newHeldBack(n.heldBackOptions())
 	n.liveness = peer.NewLiveness(n.now, n.peers.PingPeer, peer.Events{Lost: n.silent, Still: n.services.Suspect, Back: n.heardAgain})
 	n.target = &localTarget{now: n.now, roster: roster.New(), changed: n.targetChanged, link: n.newLink, identify: n.identify, followed: n.ingress.instanceReplaced, beginAll: !n.policyOn(inTime)}
 	return n, n.listen()
@@ -138,6 +138,14 @@
 	})
 }
 
+func (n *Node) heldBackOptions() heldBackOptions {
+	return heldBackOptions{
+		Zone: n.settings().Zone, Enabled: func() bool { return n.policyOn(settings.HoldBack) }, Now: n.now,
+		Nodes: n.membership, Peers: n.peers, Events: n.events,
+		Store: n.store, Key: n.options.CrashKey, Health: n.storeHealth,
+	}
+}
+
 // settings gives the settings in force.
 func (n *Node) settings() *settings.Settings { return n.checked.Load() }
 
--- a/internal/sidecar/observe.go
+++ b/internal/sidecar/observe.go
@@ -143,8 +143,8 @@
 		return
 	}
 	i.node.events.Add(eventlog.Run{
-		Request: one.call.RequestID, From: one.call.From, Service: one.call.Service, Instance: one.instance, Outcome: string(answer.Outcome),
-		Reason: string(answer.Reason), Status: answer.Status, Importance: one.call.Importance, WaitMS: eventlog.Milliseconds(waited), TookMS: eventlog.Milliseconds(took),
-		LeftMS: float64(one.call.Remaining) / 1000, Running: answer.Load.Running, Waiting: answer.Load.Waiting, Slots: answer.Load.Slots, Repeat: one.call.Repeat,
+		Request: one.Call.RequestID, From: one.Call.From, Service: one.Call.Service, Instance: one.instance, Outcome: string(answer.Outcome),
+		Reason: string(answer.Reason), Status: answer.Status, Importance: one.Call.Importance, WaitMS: eventlog.Milliseconds(waited), TookMS: eventlog.Milliseconds(took),
+		LeftMS: float64(one.Call.Remaining) / 1000, Running: answer.Load.Running, Waiting: answer.Load.Waiting, Slots: answer.Load.Slots, Repeat: one.Call.Repeat,
 	}, weight)
 }
--- a/internal/sidecar/wake_test.go
+++ b/internal/sidecar/wake_test.go
@@ -45,7 +45,7 @@
 			source := &jumpingClock{}
 			n := &Node{configuration: configuration.New(nil, nil), clock: source}
 			x := &exchange{node: n, hold: time.Second, started: n.now(), route: &intent.Route{}}
-			one := &arrival{printed: printed{call: &wire.SidecarCall{Remaining: time.Second.Microseconds()}}, at: n.now()}
+			one := &arrival{heldBackRequest: heldBackRequest{Call: &wire.SidecarCall{Remaining: time.Second.Microseconds()}}, at: n.now()}
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 			defer cancel()
 			source.slept = tc.slept
