--- a/internal/sidecar/egress.go
+++ b/internal/sidecar/egress.go
@@ -14,6 +14,7 @@
 	"github.com/landingmast/landingmast/internal/core/retryafter"
 	"github.com/landingmast/landingmast/internal/sidecar/eventlog"
 	"github.com/landingmast/landingmast/internal/sidecar/headers"
+	"github.com/landingmast/landingmast/internal/sidecar/heldback"
 	"github.com/landingmast/landingmast/internal/sidecar/reply"
 	"github.com/landingmast/landingmast/internal/sidecar/settings"
 	"github.com/landingmast/landingmast/internal/wire"
@@ -193,9 +194,9 @@
 
 // heldBack decides on a request that targets ended with. The answer to one that none is to
 // get says that it has not run, and not when to come back.
-func (x *exchange) heldBack() verdict {
+func (x *exchange) heldBack() heldback.Verdict {
 	call := &wire.SidecarCall{Method: x.request.Method, URI: uriOf(x.request), Host: x.request.Host, Caller: x.node.caller(), Tenant: x.tenant}
-	return x.node.heldBack.AtStart(&heldBackRequest{Call: call, Body: x.body})
+	return x.node.heldBack.AtStart(&heldback.Request{Call: call, Body: x.body})
 }
 
 // grantedAbove is the part of the budgets for repeats that the nodes above leave to
--- a/internal/sidecar/ended.go
+++ b/internal/sidecar/ended.go
@@ -9,6 +9,7 @@
 	"github.com/juju/errors"
 	"github.com/landingmast/landingmast/internal/core/outcome"
 	"github.com/landingmast/landingmast/internal/sidecar/eventlog"
+	"github.com/landingmast/landingmast/internal/sidecar/heldback"
 )
 
 // Times and bounds of what is kept about runs without an answer.
@@ -28,7 +29,7 @@
 
 // unansweredRun is a run that has no answer.
 type unansweredRun struct {
-	heldBackRun
+	heldback.Run
 	request string
 	till    time.Duration
 }
@@ -168,8 +169,8 @@
 
 func (one *arrival) unanswered(till time.Duration) unansweredRun {
 	return unansweredRun{
-		heldBackRun: heldBackRun{Fingerprint: one.Fingerprint(), Alone: one.alone, Route: one.Call.Route},
-		request:     one.Call.RequestID, till: till,
+		Run:     heldback.Run{Fingerprint: one.Fingerprint(), Alone: one.alone, Route: one.Call.Route},
+		request: one.Call.RequestID, till: till,
 	}
 }
 
@@ -195,9 +196,9 @@
 		i.node.metrics.Crashes.Inc()
 	}
 	i.node.events.Add(event, eventlog.State)
-	ended := make([]heldBackRun, 0, len(runs))
+	ended := make([]heldback.Run, 0, len(runs))
 	for _, run := range runs {
-		ended = append(ended, run.heldBackRun)
+		ended = append(ended, run.Run)
 	}
 	i.node.heldBack.EndedAt(gate.instance, gate.service, ended)
 }
--- a/internal/sidecar/ended_test.go
+++ b/internal/sidecar/ended_test.go
@@ -11,7 +11,6 @@
 	"time"
 
 	"github.com/juju/errors"
-	"github.com/landingmast/landingmast/internal/core/crashes"
 	"github.com/landingmast/landingmast/internal/sidecar/targetlink"
 	. "github.com/onsi/gomega"
 )
@@ -79,19 +78,3 @@
 		g.Expect(e.alone(context.Background())).To(BeTrue())
 	})
 }
-
-func TestGoodEndsAreRememberedForAWhileWithinBounds(t *testing.T) {
-	g := NewWithT(t)
-	var r recentlyGood
-	r.add(0, 1)
-	g.Expect(r.holds(goodFor-1, 1)).To(BeTrue())
-	g.Expect(r.holds(goodFor, 1)).To(BeFalse())
-	r.add(goodFor, 1)
-	g.Expect(r.holds(goodFor, 1)).To(BeTrue())
-	for variant := range crashes.Variant(3 * goodKept) {
-		r.add(goodFor, variant)
-	}
-	g.Expect(len(r.at)).To(Equal(goodKept))
-	g.Expect(len(r.ring)).To(Equal(goodKept))
-	g.Expect(r.holds(goodFor, 3*goodKept-1)).To(BeTrue())
-}
--- a/internal/sidecar/heldbackrequest.go
+++ b/internal/sidecar/heldback/request.go
@@ -1,4 +1,4 @@
-package sidecar
+package heldback
 
 import (
 	"strings"
@@ -8,16 +8,16 @@
 	"github.com/landingmast/landingmast/internal/wire"
 )
 
-// heldBackRequest is a request with its fingerprint, which is computed when it is first asked
+// Request is a request with its fingerprint, which is computed when it is first asked
 // for. It is not safe for concurrent use.
-type heldBackRequest struct {
+type Request struct {
 	Call        *wire.SidecarCall
 	Body        *reply.Payload
 	fingerprint *crashes.Print // nil: not computed yet
 }
 
 // Fingerprint is what the request is known by when it comes again.
-func (r *heldBackRequest) Fingerprint() crashes.Print {
+func (r *Request) Fingerprint() crashes.Print {
 	if r.fingerprint == nil {
 		path, query, _ := strings.Cut(r.Call.URI, "?")
 		begin, length := r.Body.Begin()
@@ -29,8 +29,8 @@
 	return *r.fingerprint
 }
 
-// heldBackRun is a run of a request that was at a target when the target ended.
-type heldBackRun struct {
+// Run is a run of a request that was at a target when the target ended.
+type Run struct {
 	Fingerprint crashes.Print
 	Alone       bool // no other suspected request was at the target
 	Route       string
--- a/internal/sidecar/ingress.go
+++ b/internal/sidecar/ingress.go
@@ -12,6 +12,7 @@
 	"github.com/landingmast/landingmast/internal/core/outcome"
 	"github.com/landingmast/landingmast/internal/core/slots"
 	"github.com/landingmast/landingmast/internal/sidecar/headers"
+	"github.com/landingmast/landingmast/internal/sidecar/heldback"
 	"github.com/landingmast/landingmast/internal/sidecar/reply"
 	"github.com/landingmast/landingmast/internal/wire"
 )
@@ -203,7 +204,7 @@
 // admit waits for a slot and has the target run the request. maySend is asked
 // right before the request is sent; nil: it may.
 func (i *ingress) admit(ctx context.Context, call *wire.SidecarCall, header http.Header, body *reply.Payload, maySend func() bool) *reply.Reply {
-	one := &arrival{heldBackRequest: heldBackRequest{Call: call, Body: body}, at: i.node.now()}
+	one := &arrival{Request: heldback.Request{Call: call, Body: body}, at: i.node.now()}
 	answer := i.gated(ctx, one, header, maySend)
 	i.noteRun(one, answer)
 	return answer
@@ -211,7 +212,7 @@
 
 // arrival is a request at the gate, with what the log tells of it.
 type arrival struct {
-	heldBackRequest
+	heldback.Request
 	at       time.Duration
 	instance string
 	waited   time.Duration
@@ -239,13 +240,13 @@
 	one.instance = gate.instance
 	held := i.node.heldBack
 	switch {
-	case !held.MaySend(&one.heldBackRequest):
+	case !held.MaySend(&one.Request):
 		return reply.NotRun(outcome.ReasonEndsTargets)
-	case held.Suspected(&one.heldBackRequest):
+	case held.Suspected(&one.Request):
 		if !gate.endings.alone(ctx) {
 			return reply.NotRun(outcome.ReasonSuspectWaits)
 		}
-		if one.alone = held.Suspected(&one.heldBackRequest); one.alone {
+		if one.alone = held.Suspected(&one.Request); one.alone {
 			defer gate.endings.notAlone()
 		} else {
 			gate.endings.notAlone() // it was cleared while it waited
@@ -263,7 +264,7 @@
 	case maySend != nil && !maySend():
 		gate.leave(id, false)
 		answer = reply.NotRun(outcome.ReasonFenced)
-	case !held.MaySend(&one.heldBackRequest): // by what was heard while it waited
+	case !held.MaySend(&one.Request): // by what was heard while it waited
 		gate.leave(id, false)
 		answer = reply.NotRun(outcome.ReasonEndsTargets)
 	default:
@@ -285,7 +286,7 @@
 	if answer.Stream == nil {
 		gate.leave(id, learn)
 		if answer.Outcome == outcome.Answered {
-			i.node.heldBack.EndedWell(&one.heldBackRequest)
+			i.node.heldBack.EndedWell(&one.Request)
 		}
 	} else {
 		answer.Stream = &leaving{ReadCloser: answer.Stream, leave: func(err error) {
@@ -324,7 +325,7 @@
 func (i *ingress) streamed(ctx context.Context, gate *gate, one *arrival, err error) {
 	switch {
 	case err == io.EOF:
-		i.node.heldBack.EndedWell(&one.heldBackRequest)
+		i.node.heldBack.EndedWell(&one.Request)
 	case err == nil || ctx.Err() != nil:
 		i.senderLeft(gate, one)
 	default:
--- a/internal/sidecar/node.go
+++ b/internal/sidecar/node.go
@@ -23,6 +23,7 @@
 	"github.com/landingmast/landingmast/internal/sidecar/configuration"
 	"github.com/landingmast/landingmast/internal/sidecar/eventlog"
 	"github.com/landingmast/landingmast/internal/sidecar/headers"
+	"github.com/landingmast/landingmast/internal/sidecar/heldback"
 	"github.com/landingmast/landingmast/internal/sidecar/metrics"
 	"github.com/landingmast/landingmast/internal/sidecar/peer"
 	"github.com/landingmast/landingmast/internal/sidecar/settings"
@@ -80,7 +81,7 @@
 	keepers       directory
 	quotaServer   *quotaServer
 	quotas        *quotas
-	heldBack      *heldBack
+	heldBack      *heldback.Control
 	liveness      *peer.Liveness
 	planned       plannedStop
 	inFlight      atomic.Int64 // requests of clients, of the target and of other nodes
@@ -122,7 +123,7 @@
 	n.freshness = newProver(n)
 	n.quotaServer = newQuotaServer(n)
 	n.quotas = newQuotas(n)
-	n.heldBack = newHeldBack(n.heldBackOptions())
+	n.heldBack = heldback.New(n.heldBackOptions())
 	n.liveness = peer.NewLiveness(n.now, n.peers.PingPeer, peer.Events{Lost: n.silent, Still: n.services.Suspect, Back: n.heardAgain})
 	n.target = &localTarget{now: n.now, roster: roster.New(), changed: n.targetChanged, link: n.newLink, identify: n.identify, followed: n.ingress.instanceReplaced, beginAll: !n.policyOn(inTime)}
 	return n, n.listen()
@@ -138,8 +139,8 @@
 	})
 }
 
-func (n *Node) heldBackOptions() heldBackOptions {
-	return heldBackOptions{
+func (n *Node) heldBackOptions() heldback.Options {
+	return heldback.Options{
 		Zone: n.settings().Zone, Enabled: func() bool { return n.policyOn(settings.HoldBack) }, Now: n.now,
 		Nodes: n.membership, Peers: n.peers, Events: n.events,
 		Store: n.store, Key: n.options.CrashKey, Health: n.storeHealth,
@@ -243,7 +244,7 @@
 	mux.Handle("POST "+newsPath, n.news)
 	mux.Handle("POST "+freshnessPath, n.freshness)
 	mux.Handle("POST "+quotaPath, n.quotaServer)
-	mux.Handle("POST "+crashPath, n.heldBack)
+	mux.Handle("POST "+heldback.Path, n.heldBack)
 	mux.HandleFunc("GET "+peer.PingPath, n.servePing)
 	return mux
 }
--- a/internal/sidecar/wake_test.go
+++ b/internal/sidecar/wake_test.go
@@ -8,6 +8,7 @@
 
 	"github.com/landingmast/landingmast/internal/core/intent"
 	"github.com/landingmast/landingmast/internal/sidecar/configuration"
+	"github.com/landingmast/landingmast/internal/sidecar/heldback"
 	"github.com/landingmast/landingmast/internal/wire"
 	. "github.com/onsi/gomega"
 )
@@ -45,7 +46,7 @@
 			source := &jumpingClock{}
 			n := &Node{configuration: configuration.New(nil, nil), clock: source}
 			x := &exchange{node: n, hold: time.Second, started: n.now(), route: &intent.Route{}}
-			one := &arrival{heldBackRequest: heldBackRequest{Call: &wire.SidecarCall{Remaining: time.Second.Microseconds()}}, at: n.now()}
+			one := &arrival{Request: heldback.Request{Call: &wire.SidecarCall{Remaining: time.Second.Microseconds()}}, at: n.now()}
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 			defer cancel()
 			source.slept = tc.slept
