--- a/internal/sidecar/addresses.go
+++ b/internal/sidecar/addresses.go
@@ -1,10 +1,13 @@
 package sidecar
 
-import "math/rand/v2"
+import (
+	"math/rand/v2"
+	"slices"
+)
 
 // ZoneMembers gives the other nodes of the zone.
 func (m *membership) ZoneMembers() []string {
-	zone := m.node.settings().Zone
+	zone := m.options.Settings().Zone
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	var names []string
@@ -18,7 +21,7 @@
 
 // Zones gives the number of zones that have a node, the own one among them.
 func (m *membership) Zones() int {
-	found := map[string]bool{m.node.settings().Zone: true}
+	found := map[string]bool{m.options.Settings().Zone: true}
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	for _, record := range m.records {
@@ -27,13 +30,29 @@
 	return len(found)
 }
 
+// ZoneNames gives the zones that have a node, the own one among them, in order.
+func (m *membership) ZoneNames() []string {
+	found := map[string]bool{m.options.Settings().Zone: true}
+	m.mutex.Lock()
+	for _, record := range m.records {
+		found[record.Zone] = true
+	}
+	m.mutex.Unlock()
+	names := make([]string, 0, len(found))
+	for name := range found {
+		names = append(names, name)
+	}
+	slices.Sort(names)
+	return names
+}
+
 // Addresses gives those of the other nodes by zone, in a random order. Nodes that
 // are taken for dead are left out.
 func (m *membership) Addresses() map[string][]string {
 	found := map[string][]string{}
 	m.mutex.Lock()
 	for name, record := range m.records {
-		if name != m.node.settings().Node && !m.node.liveness.Silent(name) {
+		if name != m.options.Settings().Node && !m.options.Silent(name) {
 			found[record.Zone] = append(found[record.Zone], record.Address)
 		}
 	}
@@ -71,7 +90,7 @@
 // split gives the addresses of the nodes in the own zone and in others.
 func (m *membership) split() (near, far []string) {
 	for zone, addresses := range m.Addresses() {
-		if zone == m.node.settings().Zone {
+		if zone == m.options.Settings().Zone {
 			near = addresses
 			continue
 		}
--- a/internal/sidecar/exchange.go
+++ b/internal/sidecar/exchange.go
@@ -28,7 +28,8 @@
 // node asks one other, chosen at random, each second; records are sent only where
 // digests differ, so that the traffic of a node does not grow with their number.
 type exchanger struct {
-	node    *Node
+	options membershipOptions
+	members *membership
 	telling sync.Map // addresses of nodes that are being told everything
 }
 
@@ -48,7 +49,7 @@
 func (e *exchanger) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		wait.For(ctx, exchangeEvery/2+time.Duration(rand.Int64N(int64(exchangeEvery))))
-		if address := e.node.membership.AnyAddress(); address != "" {
+		if address := e.members.AnyAddress(); address != "" {
 			e.With(ctx, address)
 		}
 	}
@@ -66,16 +67,16 @@
 		return
 	}
 	if answer.Gone {
-		e.node.registration.Lost()
+		e.options.RecordLost()
 	}
 	e.take(answer)
 	told, own := e.digests()
 	if len(answer.Buckets) > 0 {
 		told.Buckets = own[:]
-		told.Records = e.node.membership.In(own.differing(answer.Buckets))
+		told.Records = e.members.In(own.differing(answer.Buckets))
 	}
 	if answer.Version < told.Version {
-		told.Configuration = e.node.configuration.Source()
+		told.Configuration = e.options.Configuration.Source()
 	}
 	if len(told.Buckets) == 0 && len(told.Configuration) == 0 {
 		return
@@ -86,19 +87,19 @@
 }
 
 func (e *exchanger) digests() (*wire.Exchange, *buckets) {
-	own := e.node.membership.Buckets()
-	return &wire.Exchange{Digest: own.digest(), Version: int64(e.node.configuration.Version()), Records: []wire.NodeRecord{}, Buckets: []int64{}, From: e.node.settings().Node}, own
+	own := e.members.Buckets()
+	return &wire.Exchange{Digest: own.digest(), Version: int64(e.options.Configuration.Version()), Records: []wire.NodeRecord{}, Buckets: []int64{}, From: e.options.Settings().Node}, own
 }
 
 func (e *exchanger) send(ctx context.Context, address string, message *wire.Exchange) (*wire.Exchange, error) {
-	return peer.Ask(ctx, e.node.peers, address, exchangePath, wire.ExchangeCodec, message, wire.ExchangeCodec)
+	return peer.Ask(ctx, e.options.Peers, address, exchangePath, wire.ExchangeCodec, message, wire.ExchangeCodec)
 }
 
 // take learns what another node told.
 func (e *exchanger) take(message *wire.Exchange) {
-	e.node.membership.LearnFromPeer(message.Records)
+	e.members.LearnFromPeer(message.Records)
 	if len(message.Configuration) > 0 {
-		_, _ = e.node.configuration.Install(message.Configuration, configuration.FromPeer) // an error is logged where it occurs
+		_, _ = e.options.Configuration.Install(message.Configuration, configuration.FromPeer) // an error is logged where it occurs
 	}
 }
 
@@ -110,16 +111,16 @@
 	}
 	e.take(message)
 	answer, own := e.digests()
-	answer.Gone = e.node.membership.HoldsGone(message.From)
+	answer.Gone = e.members.HoldsGone(message.From)
 	switch {
 	case message.Digest == answer.Digest:
 	case len(message.Buckets) == 0:
 		answer.Buckets = own[:]
 	default:
-		answer.Records = e.node.membership.In(own.differing(message.Buckets))
+		answer.Records = e.members.In(own.differing(message.Buckets))
 	}
 	if message.Version < answer.Version {
-		answer.Configuration = e.node.configuration.Source()
+		answer.Configuration = e.options.Configuration.Source()
 	}
 	peer.WriteMessage(w, wire.ExchangeCodec, answer)
 }
--- a/internal/sidecar/exchange_test.go
+++ b/internal/sidecar/exchange_test.go
@@ -4,7 +4,6 @@
 	"context"
 	"fmt"
 	"io"
-	"net"
 	"net/http"
 	"net/http/httptest"
 	"strings"
@@ -12,8 +11,6 @@
 	"testing"
 
 	"github.com/landingmast/landingmast/internal/codec"
-	"github.com/landingmast/landingmast/internal/sidecar/headers"
-	"github.com/landingmast/landingmast/internal/sidecar/peer"
 	"github.com/landingmast/landingmast/internal/wire"
 	. "github.com/onsi/gomega"
 )
@@ -22,8 +19,6 @@
 func countedNode(t *testing.T, name string) (n *Node, address string, bytes *atomic.Int64) {
 	t.Helper()
 	n = memberNode(name, name)
-	n.peers = peer.NewClient((&net.Dialer{}).DialContext, headers.Names{})
-	n.exchanger = &exchanger{node: n}
 	bytes = &atomic.Int64{}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		bytes.Add(r.ContentLength)
--- a/internal/sidecar/keepers.go
+++ b/internal/sidecar/keepers.go
@@ -1,7 +1,6 @@
 package sidecar
 
 import (
-	"slices"
 	"sync"
 
 	"github.com/cespare/xxhash/v2"
@@ -93,19 +92,3 @@
 	}
 	return turn
 }
-
-// ZoneNames gives the zones that have a node, the own one among them, in order.
-func (m *membership) ZoneNames() []string {
-	found := map[string]bool{m.node.settings().Zone: true}
-	m.mutex.Lock()
-	for _, record := range m.records {
-		found[record.Zone] = true
-	}
-	m.mutex.Unlock()
-	names := make([]string, 0, len(found))
-	for name := range found {
-		names = append(names, name)
-	}
-	slices.Sort(names)
-	return names
-}
--- a/internal/sidecar/membership.go
+++ b/internal/sidecar/membership.go
@@ -8,15 +8,19 @@
 
 	"github.com/cespare/xxhash/v2"
 	"github.com/landingmast/landingmast/internal/core/balancer"
+	"github.com/landingmast/landingmast/internal/core/roster"
 	"github.com/landingmast/landingmast/internal/sidecar/configuration"
 	"github.com/landingmast/landingmast/internal/sidecar/eventlog"
+	"github.com/landingmast/landingmast/internal/sidecar/peer"
+	"github.com/landingmast/landingmast/internal/sidecar/settings"
 	"github.com/landingmast/landingmast/internal/wire"
 )
 
 // membership holds the records of all nodes: the own one, and those of the others as
 // they or the store told them.
 type membership struct {
-	node *Node
+	options     membershipOptions
+	broadcaster *spreader
 
 	mutex    sync.Mutex
 	records  map[string]*wire.NodeRecord // by node
@@ -26,8 +30,44 @@
 	listed   bool                        // the store has told all records once
 }
 
-func newMembership(node *Node) *membership {
-	return &membership{node: node, records: map[string]*wire.NodeRecord{}, dropped: map[string]*wire.NodeRecord{}, started: time.Now().UnixMilli()}
+// memberRouting chooses the targets of requests by the records.
+type memberRouting interface {
+	// Update sets the targets of every service.
+	Update(targets map[string][]balancer.Target)
+	// Count sets the number of nodes, this one among them.
+	Count(members int)
+}
+
+// memberFollower elects the nodes of the zone that follow the store.
+type memberFollower interface {
+	// SetMembers sets the other nodes of the zone.
+	SetMembers(names []string)
+	// Heard takes in the beat of a follower; well: the store answers it.
+	Heard(name string, well bool)
+}
+
+// membershipOptions are what the parts of a node bring in.
+type membershipOptions struct {
+	Settings      func() *settings.Settings             // in force
+	Incarnation   string                                // of the node's process
+	Now           func() time.Duration                  // the clock that counts suspensions
+	Target        func() (roster.Report, time.Duration) // beside the node, and until when it is slow
+	Leaving       func() bool                           // the node is to be sent nothing more
+	Silent        func(node string) bool                // another node is taken for dead
+	RecordLost    func()                                // the store has no record of this node
+	Routing       memberRouting
+	Follower      memberFollower
+	Configuration *configuration.InForce
+	Peers         *peer.Client
+	Events        *eventlog.Log
+}
+
+// newMembership makes the records of a node that knows no other, their exchange and their broadcast.
+func newMembership(options membershipOptions) (*membership, *exchanger, *spreader) {
+	m := &membership{options: options, records: map[string]*wire.NodeRecord{}, dropped: map[string]*wire.NodeRecord{}, started: time.Now().UnixMilli()}
+	e := &exchanger{options: options, members: m}
+	m.broadcaster = &spreader{options: options, members: m, exchanger: e}
+	return m, e, m.broadcaster
 }
 
 // Changed has the other nodes told of a change of the own record.
@@ -36,18 +76,18 @@
 	m.sequence++
 	m.mutex.Unlock()
 	m.Apply()
-	m.node.news.TellOwn()
+	m.broadcaster.TellOwn()
 }
 
 // Own gives the node's own record as it is now.
 func (m *membership) Own() *wire.NodeRecord {
-	report, coldTill := m.node.target.Report()
-	settings := m.node.settings()
+	report, coldTill := m.options.Target()
+	settings := m.options.Settings()
 	record := &wire.NodeRecord{
-		Node: settings.Node, Incarnation: m.node.incarnation,
+		Node: settings.Node, Incarnation: m.options.Incarnation,
 		Address: settings.Listen.Inbound, Zone: settings.Zone, Service: report.Service, Instance: report.Instance, Slots: report.Slots,
-		Serving: report.Instance != "" && !report.Draining && !m.node.planned.leaving.Load(),
-		Cold:    max(coldTill-m.node.now(), 0).Milliseconds(),
+		Serving: report.Instance != "" && !report.Draining && !m.options.Leaving(),
+		Cold:    max(coldTill-m.options.Now(), 0).Milliseconds(),
 	}
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -82,10 +122,10 @@
 
 // Note logs a change of what is known of another node.
 func (m *membership) Note(record *wire.NodeRecord, change, source string) {
-	if record.Node == m.node.settings().Node {
+	if record.Node == m.options.Settings().Node {
 		return
 	}
-	m.node.events.Add(eventlog.Member{
+	m.options.Events.Add(eventlog.Member{
 		Member: record.Node, Change: change, Incarnation: record.Incarnation, Service: record.Service, Instance: record.Instance,
 		Serving: record.Serving, Source: source,
 	}, eventlog.State)
@@ -98,7 +138,7 @@
 	for i := range records {
 		r := records[i]
 		switch {
-		case r.Node == m.node.settings().Node:
+		case r.Node == m.options.Settings().Node:
 			m.Outrank(&r)
 		case !m.hasDropped(&r):
 			fresh = m.learn(&r) || fresh
@@ -139,7 +179,7 @@
 // wall clock orders the two, and it may have been set back between them.
 func (m *membership) Outrank(record *wire.NodeRecord) {
 	m.mutex.Lock()
-	later := record.Incarnation != m.node.incarnation && record.Started >= m.started
+	later := record.Incarnation != m.options.Incarnation && record.Started >= m.started
 	if later {
 		m.started = record.Started + 1
 	}
@@ -163,7 +203,7 @@
 // Put takes in a record that the store has. What peers told since it was written
 // goes before it.
 func (m *membership) Put(record *wire.NodeRecord) {
-	if record.Node == m.node.settings().Node {
+	if record.Node == m.options.Settings().Node {
 		return
 	}
 	m.mutex.Lock()
@@ -223,7 +263,7 @@
 // IsFirstFor tells whether the node is the one of all that are known that comes first for a
 // key. All nodes that know the same others agree.
 func (m *membership) IsFirstFor(key []byte) bool {
-	own := m.node.settings().Node
+	own := m.options.Settings().Node
 	mine := weightFor(own, key)
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -245,7 +285,7 @@
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	count := len(m.records)
-	if m.records[m.node.settings().Node] != nil {
+	if m.records[m.options.Settings().Node] != nil {
 		count--
 	}
 	return count
@@ -288,7 +328,7 @@
 // Apply brings the records into routing.
 func (m *membership) Apply() {
 	targets := map[string][]balancer.Target{}
-	now := m.node.now()
+	now := m.options.Now()
 	add := func(record *wire.NodeRecord) {
 		if !record.Serving || record.Instance == "" {
 			return
@@ -309,9 +349,9 @@
 	}
 	m.mutex.Unlock()
 	add(own)
-	m.node.services.Update(targets)
+	m.options.Routing.Update(targets)
 	if others > 0 || listed {
-		m.node.services.Count(others + 1)
+		m.options.Routing.Count(others + 1)
 	}
-	m.node.follower.SetMembers(m.ZoneMembers())
+	m.options.Follower.SetMembers(m.ZoneMembers())
 }
--- a/internal/sidecar/membership_test.go
+++ b/internal/sidecar/membership_test.go
@@ -25,12 +25,10 @@
 	n.target = &localTarget{now: n.now, roster: roster.New()}
 	n.peers = peer.NewClient((&net.Dialer{}).DialContext, headers.Names{})
 	n.liveness = peer.NewLiveness(n.now, n.peers.PingPeer, peer.Events{Lost: n.services.Suspect, Still: n.services.Suspect, Back: n.services.Trust})
-	n.membership = newMembership(n)
 	n.ingress = newIngress(n)
 	n.registration = newRegistration(n)
 	n.follower = newFollower(n)
-	n.exchanger = &exchanger{node: n}
-	n.news = &spreader{node: n}
+	n.membership, n.exchanger, n.news = newMembership(n.membershipOptions())
 	return n
 }
 
--- a/internal/sidecar/news.go
+++ b/internal/sidecar/news.go
@@ -23,9 +23,11 @@
 // branches the sender lays out, one branch for each other zone, so that a change
 // crosses to a zone once. What a lost message leaves out is mended by the exchange.
 type spreader struct {
-	node    *Node
-	telling atomic.Bool // the own record is about to be told
-	pulling atomic.Bool // a configuration is being asked for
+	options   membershipOptions
+	members   *membership
+	exchanger *exchanger
+	telling   atomic.Bool // the own record is about to be told
+	pulling   atomic.Bool // a configuration is being asked for
 }
 
 // TellOwn tells all nodes the own record, with the changes of the next moment.
@@ -35,26 +37,26 @@
 	}
 	time.AfterFunc(newsGather, func() {
 		s.telling.Store(false)
-		s.TellAll(&wire.News{Records: []wire.NodeRecord{*s.node.membership.Own()}})
+		s.TellAll(&wire.News{Records: []wire.NodeRecord{*s.members.Own()}})
 	})
 }
 
 // TellAll tells the nodes of all zones.
 func (s *spreader) TellAll(message *wire.News) {
-	broadcast.ToZones(s.node.membership.Addresses(), s.node.settings().Zone, s.sending(message))
+	broadcast.ToZones(s.members.Addresses(), s.options.Settings().Zone, s.sending(message))
 }
 
 // TellZone tells the nodes of the own zone.
 func (s *spreader) TellZone(message *wire.News) {
-	broadcast.ToNodes(s.node.membership.Addresses()[s.node.settings().Zone], s.sending(message))
+	broadcast.ToNodes(s.members.Addresses()[s.options.Settings().Zone], s.sending(message))
 }
 
 // sending gives the function that sends a message to one node.
 func (s *spreader) sending(message *wire.News) broadcast.Send {
 	return func(address string, forward []string) error {
 		sent := *message
-		sent.From = s.node.settings().Listen.Inbound
-		sent.Version = int64(s.node.configuration.Version())
+		sent.From = s.options.Settings().Listen.Inbound
+		sent.Version = int64(s.options.Configuration.Version())
 		sent.Forward = forward
 		return s.post(address, &sent)
 	}
@@ -67,7 +69,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), broadcast.Timeout)
 	defer cancel()
-	_, err = s.node.peers.Post(ctx, address, newsPath, data)
+	_, err = s.options.Peers.Post(ctx, address, newsPath, data)
 	return err
 }
 
@@ -84,22 +86,22 @@
 
 // take learns what news tell.
 func (s *spreader) take(message *wire.News) {
-	m := s.node.membership
+	m := s.members
 	m.LearnFromPeer(message.Records)
 	m.ForgetGone(message.Gone)
 	if !message.Beat {
 		return
 	}
-	s.node.follower.Heard(message.Follower, message.Well)
-	if slices.Contains(message.Missing, s.node.settings().Node) {
-		s.node.registration.Lost()
+	s.options.Follower.Heard(message.Follower, message.Well)
+	if slices.Contains(message.Missing, s.options.Settings().Node) {
+		s.options.RecordLost()
 	}
 }
 
 // passOn fetches a configuration that the sender has and passes the message on.
 // One that only names a configuration known here goes no further.
 func (s *spreader) passOn(message *wire.News) {
-	newer := message.Version > int64(s.node.configuration.Version())
+	newer := message.Version > int64(s.options.Configuration.Version())
 	if newer {
 		s.Fetch(message.From)
 	}
@@ -115,5 +117,5 @@
 		return
 	}
 	defer s.pulling.Store(false)
-	s.node.exchanger.With(context.Background(), address)
+	s.exchanger.With(context.Background(), address)
 }
--- a/internal/sidecar/node.go
+++ b/internal/sidecar/node.go
@@ -115,11 +115,9 @@
 	n.ingress = newIngress(n)
 	n.egress = &egress{node: n}
 	n.peers = peer.NewClient(options.Dial, options.Headers)
-	n.membership = newMembership(n)
 	n.registration = newRegistration(n)
 	n.follower = newFollower(n)
-	n.exchanger = &exchanger{node: n}
-	n.news = &spreader{node: n}
+	n.membership, n.exchanger, n.news = newMembership(n.membershipOptions())
 	n.freshness = newProver(n)
 	n.quotaServer = newQuotaServer(n)
 	n.quotas = newQuotas(n)
@@ -139,6 +137,18 @@
 	})
 }
 
+func (n *Node) membershipOptions() membershipOptions {
+	return membershipOptions{
+		Settings: n.settings, Incarnation: n.incarnation, Now: n.now,
+		Target:     func() (roster.Report, time.Duration) { return n.target.Report() },
+		Leaving:    n.planned.leaving.Load,
+		Silent:     func(node string) bool { return n.liveness.Silent(node) },
+		RecordLost: func() { n.registration.Lost() },
+		Routing:    n.services, Follower: n.follower,
+		Configuration: n.configuration, Peers: n.peers, Events: n.events,
+	}
+}
+
 func (n *Node) heldBackOptions() heldback.Options {
 	return heldback.Options{
 		Zone: n.settings().Zone, Enabled: func() bool { return n.policyOn(settings.HoldBack) }, Now: n.now,
