--- a/internal/sidecar/follow_test.go
+++ b/internal/sidecar/follow_test.go
@@ -1,9 +1,11 @@
 package sidecar
 
 import (
+	"fmt"
 	"testing"
 	"time"
 
+	"github.com/landingmast/landingmast/internal/wire"
 	. "github.com/onsi/gomega"
 )
 
@@ -21,10 +23,17 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
-			n := tellingNodes(t, tc.zones*2, tc.zones)[0]
+			n := memberNode("node-0", "node-0")
 			changed := *n.settings()
+			changed.Zone = "zone-0"
 			changed.Store.ReadsPerSecond = tc.rate
 			n.checked.Store(&changed)
+			var others []wire.NodeRecord
+			for i := 1; i < tc.zones*2; i++ {
+				name := fmt.Sprintf("node-%d", i)
+				others = append(others, wire.NodeRecord{Node: name, Incarnation: name, Zone: fmt.Sprintf("zone-%d", i%tc.zones)})
+			}
+			n.membership.LearnFromPeer(others)
 			g.Expect(n.follower.fairRest()).To(BeNumerically("~", tc.rest, time.Microsecond))
 		})
 	}
--- a/internal/sidecar/addresses.go
+++ b/internal/sidecar/membership/addresses.go
@@ -1,4 +1,4 @@
-package sidecar
+package membership
 
 import (
 	"math/rand/v2"
@@ -6,7 +6,7 @@
 )
 
 // ZoneMembers gives the other nodes of the zone.
-func (m *membership) ZoneMembers() []string {
+func (m *Members) ZoneMembers() []string {
 	zone := m.options.Settings().Zone
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -20,7 +20,7 @@
 }
 
 // Zones gives the number of zones that have a node, the own one among them.
-func (m *membership) Zones() int {
+func (m *Members) Zones() int {
 	found := map[string]bool{m.options.Settings().Zone: true}
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -31,7 +31,7 @@
 }
 
 // ZoneNames gives the zones that have a node, the own one among them, in order.
-func (m *membership) ZoneNames() []string {
+func (m *Members) ZoneNames() []string {
 	found := map[string]bool{m.options.Settings().Zone: true}
 	m.mutex.Lock()
 	for _, record := range m.records {
@@ -48,7 +48,7 @@
 
 // Addresses gives those of the other nodes by zone, in a random order. Nodes that
 // are taken for dead are left out.
-func (m *membership) Addresses() map[string][]string {
+func (m *Members) Addresses() map[string][]string {
 	found := map[string][]string{}
 	m.mutex.Lock()
 	for name, record := range m.records {
@@ -69,7 +69,7 @@
 
 // AnyAddress gives the address of another node, chosen at random, more often one of
 // the own zone.
-func (m *membership) AnyAddress() string {
+func (m *Members) AnyAddress() string {
 	near, far := m.split()
 	if len(near) == 0 || len(far) > 0 && rand.Float64() >= nearShare {
 		near = far
@@ -79,7 +79,7 @@
 
 // AddressElsewhere gives the address of a node in another zone, or of any other
 // node when there is none.
-func (m *membership) AddressElsewhere() string {
+func (m *Members) AddressElsewhere() string {
 	near, far := m.split()
 	if len(far) == 0 {
 		far = near
@@ -88,7 +88,7 @@
 }
 
 // split gives the addresses of the nodes in the own zone and in others.
-func (m *membership) split() (near, far []string) {
+func (m *Members) split() (near, far []string) {
 	for zone, addresses := range m.Addresses() {
 		if zone == m.options.Settings().Zone {
 			near = addresses
--- a/internal/sidecar/news.go
+++ b/internal/sidecar/membership/broadcast.go
@@ -1,4 +1,4 @@
-package sidecar
+package membership
 
 import (
 	"context"
@@ -12,26 +12,26 @@
 	"github.com/landingmast/landingmast/internal/wire"
 )
 
-// newsPath takes what another node tells at once.
-const newsPath = "/news"
+// BroadcastPath takes what another node tells at once.
+const BroadcastPath = "/news"
 
 // newsGather joins changes of the own record that come shortly one after the other.
 const newsGather = 20 * time.Millisecond
 
-// spreader tells other nodes at once what has changed: own records, beats of
+// Broadcaster tells other nodes at once what has changed: own records, beats of
 // followers, versions of the configuration. A message goes along a tree whose
 // branches the sender lays out, one branch for each other zone, so that a change
 // crosses to a zone once. What a lost message leaves out is mended by the exchange.
-type spreader struct {
-	options   membershipOptions
-	members   *membership
-	exchanger *exchanger
+type Broadcaster struct {
+	options   Options
+	members   *Members
+	exchanger *Exchanger
 	telling   atomic.Bool // the own record is about to be told
 	pulling   atomic.Bool // a configuration is being asked for
 }
 
 // TellOwn tells all nodes the own record, with the changes of the next moment.
-func (s *spreader) TellOwn() {
+func (s *Broadcaster) TellOwn() {
 	if !s.telling.CompareAndSwap(false, true) {
 		return
 	}
@@ -42,17 +42,17 @@
 }
 
 // TellAll tells the nodes of all zones.
-func (s *spreader) TellAll(message *wire.News) {
+func (s *Broadcaster) TellAll(message *wire.News) {
 	broadcast.ToZones(s.members.Addresses(), s.options.Settings().Zone, s.sending(message))
 }
 
 // TellZone tells the nodes of the own zone.
-func (s *spreader) TellZone(message *wire.News) {
+func (s *Broadcaster) TellZone(message *wire.News) {
 	broadcast.ToNodes(s.members.Addresses()[s.options.Settings().Zone], s.sending(message))
 }
 
 // sending gives the function that sends a message to one node.
-func (s *spreader) sending(message *wire.News) broadcast.Send {
+func (s *Broadcaster) sending(message *wire.News) broadcast.Send {
 	return func(address string, forward []string) error {
 		sent := *message
 		sent.From = s.options.Settings().Listen.Inbound
@@ -62,19 +62,19 @@
 	}
 }
 
-func (s *spreader) post(address string, message *wire.News) error {
+func (s *Broadcaster) post(address string, message *wire.News) error {
 	data, err := wire.NewsCodec.Encode(message)
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), broadcast.Timeout)
 	defer cancel()
-	_, err = s.options.Peers.Post(ctx, address, newsPath, data)
+	_, err = s.options.Peers.Post(ctx, address, BroadcastPath, data)
 	return err
 }
 
 // ServeHTTP takes news of another node and passes them on.
-func (s *spreader) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *Broadcaster) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	message, read := peer.ReadMessage(w, r, wire.NewsCodec)
 	if !read {
 		return
@@ -85,7 +85,7 @@
 }
 
 // take learns what news tell.
-func (s *spreader) take(message *wire.News) {
+func (s *Broadcaster) take(message *wire.News) {
 	m := s.members
 	m.LearnFromPeer(message.Records)
 	m.ForgetGone(message.Gone)
@@ -100,7 +100,7 @@
 
 // passOn fetches a configuration that the sender has and passes the message on.
 // One that only names a configuration known here goes no further.
-func (s *spreader) passOn(message *wire.News) {
+func (s *Broadcaster) passOn(message *wire.News) {
 	newer := message.Version > int64(s.options.Configuration.Version())
 	if newer {
 		s.Fetch(message.From)
@@ -112,7 +112,7 @@
 }
 
 // Fetch asks a node for its configuration, unless another one is being asked.
-func (s *spreader) Fetch(address string) {
+func (s *Broadcaster) Fetch(address string) {
 	if !s.pulling.CompareAndSwap(false, true) {
 		return
 	}
--- a/internal/sidecar/news_test.go
+++ b/internal/sidecar/membership/broadcast_test.go
@@ -1,4 +1,4 @@
-package sidecar
+package membership
 
 import (
 	"fmt"
@@ -14,9 +14,9 @@
 
 // tellingNodes makes nodes in some zones that know each other, each with its
 // listener for other nodes.
-func tellingNodes(t *testing.T, count, zones int) []*Node {
+func tellingNodes(t *testing.T, count, zones int) []*testNode {
 	t.Helper()
-	nodes := make([]*Node, count)
+	nodes := make([]*testNode, count)
 	records := make([]wire.NodeRecord, count)
 	for i := range nodes {
 		name := fmt.Sprintf("node-%d", i)
@@ -93,7 +93,7 @@
 	g.Expect(there.membership.Others()).To(BeZero())
 	here.exchanger.With(t.Context(), there.settings().Listen.Inbound)
 	g.Expect(there.membership.Others()).To(BeZero(), "the record that is gone is not brought back")
-	g.Expect(here.registration.missing).To(Receive())
+	g.Expect(here.lost).To(Receive())
 	here.membership.Changed()
 	here.exchanger.With(t.Context(), there.settings().Listen.Inbound)
 	g.Expect(there.membership.Others()).To(Equal(1))
--- a/internal/sidecar/digest.go
+++ b/internal/sidecar/membership/digest.go
@@ -1,4 +1,4 @@
-package sidecar
+package membership
 
 import (
 	"strconv"
--- a/internal/sidecar/exchange.go
+++ b/internal/sidecar/membership/exchange.go
@@ -1,4 +1,4 @@
-package sidecar
+package membership
 
 import (
 	"context"
@@ -19,23 +19,23 @@
 	exchangeTimeout = 500 * time.Millisecond
 )
 
-// exchangePath takes what another node knows.
-const exchangePath = "/exchange"
+// ExchangePath takes what another node knows.
+const ExchangePath = "/exchange"
 
-// exchanger has the nodes tell each other what they know of members and
+// Exchanger has the nodes tell each other what they know of members and
 // configuration, so that one that the store refuses goes on with what the others
 // know, and one that comes back with nothing is told by those who knew it. Each
 // node asks one other, chosen at random, each second; records are sent only where
 // digests differ, so that the traffic of a node does not grow with their number.
-type exchanger struct {
-	options membershipOptions
-	members *membership
+type Exchanger struct {
+	options Options
+	members *Members
 	telling sync.Map // addresses of nodes that are being told everything
 }
 
 // Tell exchanges at once with a node that has shown that it knows nothing, as one
 // does that came back while the store refuses it.
-func (e *exchanger) Tell(address string) {
+func (e *Exchanger) Tell(address string) {
 	if _, busy := e.telling.LoadOrStore(address, true); busy {
 		return
 	}
@@ -46,7 +46,7 @@
 }
 
 // Run exchanges until ctx ends.
-func (e *exchanger) Run(ctx context.Context) {
+func (e *Exchanger) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		wait.For(ctx, exchangeEvery/2+time.Duration(rand.Int64N(int64(exchangeEvery))))
 		if address := e.members.AnyAddress(); address != "" {
@@ -58,7 +58,7 @@
 // With exchanges with the node at an address: digests first; where they differ the
 // other answers with those of its buckets, and both send the records of the
 // buckets that differ.
-func (e *exchanger) With(ctx context.Context, address string) {
+func (e *Exchanger) With(ctx context.Context, address string) {
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
 	asked, _ := e.digests()
@@ -86,17 +86,17 @@
 	}
 }
 
-func (e *exchanger) digests() (*wire.Exchange, *buckets) {
+func (e *Exchanger) digests() (*wire.Exchange, *buckets) {
 	own := e.members.Buckets()
 	return &wire.Exchange{Digest: own.digest(), Version: int64(e.options.Configuration.Version()), Records: []wire.NodeRecord{}, Buckets: []int64{}, From: e.options.Settings().Node}, own
 }
 
-func (e *exchanger) send(ctx context.Context, address string, message *wire.Exchange) (*wire.Exchange, error) {
-	return peer.Ask(ctx, e.options.Peers, address, exchangePath, wire.ExchangeCodec, message, wire.ExchangeCodec)
+func (e *Exchanger) send(ctx context.Context, address string, message *wire.Exchange) (*wire.Exchange, error) {
+	return peer.Ask(ctx, e.options.Peers, address, ExchangePath, wire.ExchangeCodec, message, wire.ExchangeCodec)
 }
 
 // take learns what another node told.
-func (e *exchanger) take(message *wire.Exchange) {
+func (e *Exchanger) take(message *wire.Exchange) {
 	e.members.LearnFromPeer(message.Records)
 	if len(message.Configuration) > 0 {
 		_, _ = e.options.Configuration.Install(message.Configuration, configuration.FromPeer) // an error is logged where it occurs
@@ -104,7 +104,7 @@
 }
 
 // ServeHTTP answers the message of another node.
-func (e *exchanger) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (e *Exchanger) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	message, read := peer.ReadMessage(w, r, wire.ExchangeCodec)
 	if !read {
 		return
--- a/internal/sidecar/exchange_test.go
+++ b/internal/sidecar/membership/exchange_test.go
@@ -1,4 +1,4 @@
-package sidecar
+package membership
 
 import (
 	"context"
@@ -16,7 +16,7 @@
 )
 
 // countedNode is a node whose exchange is served over HTTP, and the bytes of it.
-func countedNode(t *testing.T, name string) (n *Node, address string, bytes *atomic.Int64) {
+func countedNode(t *testing.T, name string) (n *testNode, address string, bytes *atomic.Int64) {
 	t.Helper()
 	n = memberNode(name, name)
 	bytes = &atomic.Int64{}
@@ -41,7 +41,7 @@
 	return c.ResponseWriter.Write(data)
 }
 
-func fill(n *Node, from, to int) {
+func fill(n *testNode, from, to int) {
 	var records []wire.NodeRecord
 	for i := from; i < to; i++ {
 		records = append(records, wire.NodeRecord{
--- a/internal/sidecar/membership.go
+++ b/internal/sidecar/membership/membership.go
@@ -1,4 +1,17 @@
-package sidecar
+// Package membership holds what a node knows of the nodes of the site, itself among them.
+//
+// It owns one record for each node, the order of the records of one node, and which nodes are
+// gone. What changes is sent to all nodes by a broadcast; what a lost message leaves out is
+// made up for by an exchange with a random node each second, which compares digests and sends
+// the records that differ. Both also carry the version of the configuration, so that a node
+// that the store does not serve gets a new one from the others.
+//
+// It relies on package broadcast for the tree of a broadcast, on package peer for the
+// connections and on package configuration for what is in force. Routing and the election of
+// followers are driven by the records through Routing and Follower; the state of the target
+// and of the node's own stop comes in by Options. Records that the store has, and those that
+// it has lost, are put in by whoever reads the store. All of it is safe for concurrent use.
+package membership
 
 import (
 	"maps"
@@ -16,11 +29,11 @@
 	"github.com/landingmast/landingmast/internal/wire"
 )
 
-// membership holds the records of all nodes: the own one, and those of the others as
+// Members holds the records of all nodes: the own one, and those of the others as
 // they or the store told them.
-type membership struct {
-	options     membershipOptions
-	broadcaster *spreader
+type Members struct {
+	options     Options
+	broadcaster *Broadcaster
 
 	mutex    sync.Mutex
 	records  map[string]*wire.NodeRecord // by node
@@ -30,24 +43,24 @@
 	listed   bool                        // the store has told all records once
 }
 
-// memberRouting chooses the targets of requests by the records.
-type memberRouting interface {
+// Routing chooses the targets of requests by the records.
+type Routing interface {
 	// Update sets the targets of every service.
 	Update(targets map[string][]balancer.Target)
 	// Count sets the number of nodes, this one among them.
 	Count(members int)
 }
 
-// memberFollower elects the nodes of the zone that follow the store.
-type memberFollower interface {
+// Follower elects the nodes of the zone that follow the store.
+type Follower interface {
 	// SetMembers sets the other nodes of the zone.
 	SetMembers(names []string)
 	// Heard takes in the beat of a follower; well: the store answers it.
 	Heard(name string, well bool)
 }
 
-// membershipOptions are what the parts of a node bring in.
-type membershipOptions struct {
+// Options are what the parts of a node bring in.
+type Options struct {
 	Settings      func() *settings.Settings             // in force
 	Incarnation   string                                // of the node's process
 	Now           func() time.Duration                  // the clock that counts suspensions
@@ -55,23 +68,23 @@
 	Leaving       func() bool                           // the node is to be sent nothing more
 	Silent        func(node string) bool                // another node is taken for dead
 	RecordLost    func()                                // the store has no record of this node
-	Routing       memberRouting
-	Follower      memberFollower
+	Routing       Routing
+	Follower      Follower
 	Configuration *configuration.InForce
 	Peers         *peer.Client
 	Events        *eventlog.Log
 }
 
-// newMembership makes the records of a node that knows no other, their exchange and their broadcast.
-func newMembership(options membershipOptions) (*membership, *exchanger, *spreader) {
-	m := &membership{options: options, records: map[string]*wire.NodeRecord{}, dropped: map[string]*wire.NodeRecord{}, started: time.Now().UnixMilli()}
-	e := &exchanger{options: options, members: m}
-	m.broadcaster = &spreader{options: options, members: m, exchanger: e}
+// New makes the records of a node that knows no other, their exchange and their broadcast.
+func New(options Options) (*Members, *Exchanger, *Broadcaster) {
+	m := &Members{options: options, records: map[string]*wire.NodeRecord{}, dropped: map[string]*wire.NodeRecord{}, started: time.Now().UnixMilli()}
+	e := &Exchanger{options: options, members: m}
+	m.broadcaster = &Broadcaster{options: options, members: m, exchanger: e}
 	return m, e, m.broadcaster
 }
 
 // Changed has the other nodes told of a change of the own record.
-func (m *membership) Changed() {
+func (m *Members) Changed() {
 	m.mutex.Lock()
 	m.sequence++
 	m.mutex.Unlock()
@@ -80,7 +93,7 @@
 }
 
 // Own gives the node's own record as it is now.
-func (m *membership) Own() *wire.NodeRecord {
+func (m *Members) Own() *wire.NodeRecord {
 	report, coldTill := m.options.Target()
 	settings := m.options.Settings()
 	record := &wire.NodeRecord{
@@ -107,7 +120,7 @@
 }
 
 // learn takes in a record of another node; false when it is not news.
-func (m *membership) learn(record *wire.NodeRecord) bool {
+func (m *Members) learn(record *wire.NodeRecord) bool {
 	m.mutex.Lock()
 	fresh := newer(record, m.records[record.Node])
 	if fresh {
@@ -121,7 +134,7 @@
 }
 
 // Note logs a change of what is known of another node.
-func (m *membership) Note(record *wire.NodeRecord, change, source string) {
+func (m *Members) Note(record *wire.NodeRecord, change, source string) {
 	if record.Node == m.options.Settings().Node {
 		return
 	}
@@ -133,7 +146,7 @@
 
 // LearnFromPeer takes in records that another node knows. One that is gone is not
 // brought back by a node that has not heard of it yet.
-func (m *membership) LearnFromPeer(records []wire.NodeRecord) {
+func (m *Members) LearnFromPeer(records []wire.NodeRecord) {
 	fresh := false
 	for i := range records {
 		r := records[i]
@@ -149,7 +162,7 @@
 	}
 }
 
-func (m *membership) hasDropped(record *wire.NodeRecord) bool {
+func (m *Members) hasDropped(record *wire.NodeRecord) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	dropped := m.dropped[record.Node]
@@ -157,14 +170,14 @@
 }
 
 // HoldsGone tells whether a node is taken for gone.
-func (m *membership) HoldsGone(node string) bool {
+func (m *Members) HoldsGone(node string) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return node != "" && m.records[node] == nil && m.dropped[node] != nil
 }
 
 // ForgetGone forgets nodes that a follower of the zone takes for gone.
-func (m *membership) ForgetGone(records []wire.NodeRecord) {
+func (m *Members) ForgetGone(records []wire.NodeRecord) {
 	for i := range records {
 		known := m.Record(records[i].Node)
 		if known == nil || newer(known, &records[i]) {
@@ -177,7 +190,7 @@
 
 // Outrank has the own record go before one of an earlier process of this node. The
 // wall clock orders the two, and it may have been set back between them.
-func (m *membership) Outrank(record *wire.NodeRecord) {
+func (m *Members) Outrank(record *wire.NodeRecord) {
 	m.mutex.Lock()
 	later := record.Incarnation != m.options.Incarnation && record.Started >= m.started
 	if later {
@@ -190,7 +203,7 @@
 }
 
 // Forget drops a record, unless another one has taken its place.
-func (m *membership) Forget(record *wire.NodeRecord) {
+func (m *Members) Forget(record *wire.NodeRecord) {
 	m.mutex.Lock()
 	if m.records[record.Node] == record {
 		m.dropped[record.Node] = record
@@ -202,7 +215,7 @@
 
 // Put takes in a record that the store has. What peers told since it was written
 // goes before it.
-func (m *membership) Put(record *wire.NodeRecord) {
+func (m *Members) Put(record *wire.NodeRecord) {
 	if record.Node == m.options.Settings().Node {
 		return
 	}
@@ -219,28 +232,28 @@
 }
 
 // SetListed notes that the store has told all records once.
-func (m *membership) SetListed() {
+func (m *Members) SetListed() {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.listed = true
 }
 
 // Record gives the record of a node, nil when there is none.
-func (m *membership) Record(node string) *wire.NodeRecord {
+func (m *Members) Record(node string) *wire.NodeRecord {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.records[node]
 }
 
 // Names gives the other nodes that are known.
-func (m *membership) Names() []string {
+func (m *Members) Names() []string {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return slices.Collect(maps.Keys(m.records))
 }
 
 // Restarted notes that a node is another process than its record says.
-func (m *membership) Restarted(node, incarnation string) {
+func (m *Members) Restarted(node, incarnation string) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if record := m.records[node]; record != nil && incarnation != "" {
@@ -251,7 +264,7 @@
 }
 
 // Incarnation gives the process that the record of a node names.
-func (m *membership) Incarnation(node string) string {
+func (m *Members) Incarnation(node string) string {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if record := m.records[node]; record != nil {
@@ -262,7 +275,7 @@
 
 // IsFirstFor tells whether the node is the one of all that are known that comes first for a
 // key. All nodes that know the same others agree.
-func (m *membership) IsFirstFor(key []byte) bool {
+func (m *Members) IsFirstFor(key []byte) bool {
 	own := m.options.Settings().Node
 	mine := weightFor(own, key)
 	m.mutex.Lock()
@@ -281,7 +294,7 @@
 }
 
 // Others gives the number of other nodes that are known.
-func (m *membership) Others() int {
+func (m *Members) Others() int {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	count := len(m.records)
@@ -292,7 +305,7 @@
 }
 
 // All gives the records of all nodes, the own one among them.
-func (m *membership) All() []wire.NodeRecord {
+func (m *Members) All() []wire.NodeRecord {
 	own := m.Own()
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -306,7 +319,7 @@
 }
 
 // Buckets sums up the records of all nodes.
-func (m *membership) Buckets() *buckets {
+func (m *Members) Buckets() *buckets {
 	b := &buckets{}
 	for _, r := range m.All() {
 		b.add(&r)
@@ -315,7 +328,7 @@
 }
 
 // In gives the records of some buckets, the own one among them.
-func (m *membership) In(wanted [digestBuckets]bool) []wire.NodeRecord {
+func (m *Members) In(wanted [digestBuckets]bool) []wire.NodeRecord {
 	found := []wire.NodeRecord{}
 	for _, r := range m.All() {
 		if wanted[bucketOf(r.Node)] {
@@ -326,7 +339,7 @@
 }
 
 // Apply brings the records into routing.
-func (m *membership) Apply() {
+func (m *Members) Apply() {
 	targets := map[string][]balancer.Target{}
 	now := m.options.Now()
 	add := func(record *wire.NodeRecord) {
--- a/internal/sidecar/membership_test.go
+++ b/internal/sidecar/membership/membership_test.go
@@ -1,37 +1,78 @@
-package sidecar
+package membership
 
 import (
 	"io"
 	"net"
+	"net/http"
+	"sync/atomic"
 	"testing"
 	"time"
 
-	"github.com/landingmast/landingmast/internal/core/repeats"
+	"github.com/landingmast/landingmast/internal/core/balancer"
 	"github.com/landingmast/landingmast/internal/core/roster"
 	"github.com/landingmast/landingmast/internal/sidecar/configuration"
 	"github.com/landingmast/landingmast/internal/sidecar/eventlog"
 	"github.com/landingmast/landingmast/internal/sidecar/headers"
 	"github.com/landingmast/landingmast/internal/sidecar/peer"
 	"github.com/landingmast/landingmast/internal/sidecar/settings"
+	"github.com/landingmast/landingmast/internal/sidecar/wait"
 	"github.com/landingmast/landingmast/internal/wire"
 	. "github.com/onsi/gomega"
 )
 
+// testNode is the membership of a node that has no target and no store.
+type testNode struct {
+	checked     atomic.Pointer[settings.Settings]
+	peers       *peer.Client
+	membership  *Members
+	exchanger   *Exchanger
+	broadcaster *Broadcaster
+	lost        chan struct{} // the store has no record of the node
+}
+
 // memberNode makes a node with a membership and nothing that listens.
-func memberNode(name, incarnation string) *Node {
-	n := &Node{configuration: configuration.New(nil, nil), clock: steadyClock{}, incarnation: incarnation, events: eventlog.New(name, io.Discard)}
+func memberNode(name, incarnation string) *testNode {
+	n := &testNode{peers: peer.NewClient((&net.Dialer{}).DialContext, headers.Names{}), lost: make(chan struct{}, 1)}
 	n.checked.Store(&settings.Settings{Node: name, Zone: "a"})
-	n.services = newServices(name, "a", n.now, repeats.Config{Ratio: 0.2, Allowance: 10, Window: 10 * time.Second}, true)
-	n.target = &localTarget{now: n.now, roster: roster.New()}
-	n.peers = peer.NewClient((&net.Dialer{}).DialContext, headers.Names{})
-	n.liveness = peer.NewLiveness(n.now, n.peers.PingPeer, peer.Events{Lost: n.services.Suspect, Still: n.services.Suspect, Back: n.services.Trust})
-	n.ingress = newIngress(n)
-	n.registration = newRegistration(n)
-	n.follower = newFollower(n)
-	n.membership, n.exchanger, n.news = newMembership(n.membershipOptions())
+	started := time.Now()
+	n.membership, n.exchanger, n.broadcaster = New(Options{
+		Settings: n.settings, Incarnation: incarnation,
+		Now:        func() time.Duration { return time.Since(started) },
+		Target:     func() (roster.Report, time.Duration) { return roster.Report{}, 0 },
+		Leaving:    func() bool { return false },
+		Silent:     func(string) bool { return false },
+		RecordLost: func() { wait.Signal(n.lost) },
+		Routing:    unused{}, Follower: unused{},
+		Configuration: configuration.New(nil, nil), Peers: n.peers, Events: eventlog.New(name, io.Discard),
+	})
 	return n
 }
 
+func (n *testNode) settings() *settings.Settings { return n.checked.Load() }
+
+// inbound serves what other nodes send.
+func (n *testNode) inbound() http.Handler {
+	mux := http.NewServeMux()
+	mux.Handle("POST "+ExchangePath, n.exchanger)
+	mux.Handle("POST "+BroadcastPath, n.broadcaster)
+	return mux
+}
+
+// unused is a routing and a follower that these tests do not look at.
+type unused struct{}
+
+// Update implements Routing.
+func (unused) Update(map[string][]balancer.Target) {}
+
+// Count implements Routing.
+func (unused) Count(int) {}
+
+// SetMembers implements Follower.
+func (unused) SetMembers([]string) {}
+
+// Heard implements Follower.
+func (unused) Heard(string, bool) {}
+
 // A clock that was set back makes a process look older than the one before it on
 // the same node. Others that the store does not tell would never take its record.
 // Found by reading (clock_step with a restart while the store refuses the node).
--- a/internal/sidecar/node.go
+++ b/internal/sidecar/node.go
@@ -24,6 +24,7 @@
 	"github.com/landingmast/landingmast/internal/sidecar/eventlog"
 	"github.com/landingmast/landingmast/internal/sidecar/headers"
 	"github.com/landingmast/landingmast/internal/sidecar/heldback"
+	"github.com/landingmast/landingmast/internal/sidecar/membership"
 	"github.com/landingmast/landingmast/internal/sidecar/metrics"
 	"github.com/landingmast/landingmast/internal/sidecar/peer"
 	"github.com/landingmast/landingmast/internal/sidecar/settings"
@@ -72,11 +73,11 @@
 	ingress       *ingress
 	egress        *egress
 	peers         *peer.Client
-	membership    *membership
+	membership    *membership.Members
 	registration  *registration
 	follower      *follower
-	exchanger     *exchanger
-	news          *spreader
+	exchanger     *membership.Exchanger
+	news          *membership.Broadcaster
 	freshness     *prover
 	keepers       directory
 	quotaServer   *quotaServer
@@ -117,7 +118,7 @@
 	n.peers = peer.NewClient(options.Dial, options.Headers)
 	n.registration = newRegistration(n)
 	n.follower = newFollower(n)
-	n.membership, n.exchanger, n.news = newMembership(n.membershipOptions())
+	n.membership, n.exchanger, n.news = membership.New(n.membershipOptions())
 	n.freshness = newProver(n)
 	n.quotaServer = newQuotaServer(n)
 	n.quotas = newQuotas(n)
@@ -137,8 +138,8 @@
 	})
 }
 
-func (n *Node) membershipOptions() membershipOptions {
-	return membershipOptions{
+func (n *Node) membershipOptions() membership.Options {
+	return membership.Options{
 		Settings: n.settings, Incarnation: n.incarnation, Now: n.now,
 		Target:     func() (roster.Report, time.Duration) { return n.target.Report() },
 		Leaving:    n.planned.leaving.Load,
@@ -250,8 +251,8 @@
 	mux := http.NewServeMux()
 	mux.Handle("POST "+peer.CallPath, n.ingress)
 	mux.Handle("POST "+peer.SettlePath, n.ingress.once)
-	mux.Handle("POST "+exchangePath, n.exchanger)
-	mux.Handle("POST "+newsPath, n.news)
+	mux.Handle("POST "+membership.ExchangePath, n.exchanger)
+	mux.Handle("POST "+membership.BroadcastPath, n.news)
 	mux.Handle("POST "+freshnessPath, n.freshness)
 	mux.Handle("POST "+quotaPath, n.quotaServer)
 	mux.Handle("POST "+heldback.Path, n.heldBack)
--- /dev/null
+++ b/internal/sidecar/node_test.go
@@ -0,0 +1,31 @@
+package sidecar
+
+import (
+	"io"
+	"net"
+	"time"
+
+	"github.com/landingmast/landingmast/internal/core/repeats"
+	"github.com/landingmast/landingmast/internal/core/roster"
+	"github.com/landingmast/landingmast/internal/sidecar/configuration"
+	"github.com/landingmast/landingmast/internal/sidecar/eventlog"
+	"github.com/landingmast/landingmast/internal/sidecar/headers"
+	"github.com/landingmast/landingmast/internal/sidecar/membership"
+	"github.com/landingmast/landingmast/internal/sidecar/peer"
+	"github.com/landingmast/landingmast/internal/sidecar/settings"
+)
+
+// memberNode makes a node with a membership and nothing that listens.
+func memberNode(name, incarnation string) *Node {
+	n := &Node{configuration: configuration.New(nil, nil), clock: steadyClock{}, incarnation: incarnation, events: eventlog.New(name, io.Discard)}
+	n.checked.Store(&settings.Settings{Node: name, Zone: "a"})
+	n.services = newServices(name, "a", n.now, repeats.Config{Ratio: 0.2, Allowance: 10, Window: 10 * time.Second}, true)
+	n.target = &localTarget{now: n.now, roster: roster.New()}
+	n.peers = peer.NewClient((&net.Dialer{}).DialContext, headers.Names{})
+	n.liveness = peer.NewLiveness(n.now, n.peers.PingPeer, peer.Events{Lost: n.services.Suspect, Still: n.services.Suspect, Back: n.services.Trust})
+	n.ingress = newIngress(n)
+	n.registration = newRegistration(n)
+	n.follower = newFollower(n)
+	n.membership, n.exchanger, n.news = membership.New(n.membershipOptions())
+	return n
+}
