--- a/internal/sidecar/configuration.go
+++ b/internal/sidecar/configuration.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"github.com/landingmast/landingmast/internal/sidecar/configuration"
+	"github.com/landingmast/landingmast/internal/sidecar/storehealth"
 	"github.com/landingmast/landingmast/internal/sidecar/wait"
 	"github.com/landingmast/landingmast/internal/store"
 	"github.com/landingmast/landingmast/internal/wire"
@@ -46,7 +47,7 @@
 		rest = configurationBootstrap
 	}
 	for wait.For(ctx, rest); ctx.Err() == nil && n.configuration.Version() == 0; {
-		call, cancel := context.WithTimeout(ctx, callTimeout)
+		call, cancel := context.WithTimeout(ctx, storehealth.CallTimeout)
 		found := n.freshness.Read(call, n.now())
 		cancel()
 		if found {
--- a/internal/sidecar/follow.go
+++ b/internal/sidecar/follow.go
@@ -8,6 +8,7 @@
 
 	"github.com/juju/errors"
 	"github.com/landingmast/landingmast/internal/sidecar/configuration"
+	"github.com/landingmast/landingmast/internal/sidecar/storehealth"
 	"github.com/landingmast/landingmast/internal/sidecar/wait"
 	"github.com/landingmast/landingmast/internal/store"
 	"github.com/landingmast/landingmast/internal/wire"
@@ -97,7 +98,7 @@
 	at := int64(-1)
 	for ctx.Err() == nil {
 		if at < 0 {
-			call, cancel := context.WithTimeout(ctx, callTimeout)
+			call, cancel := context.WithTimeout(ctx, storehealth.CallTimeout)
 			items, revision, err := f.node.store.List(call, prefix)
 			cancel()
 			if ctx.Err() != nil {
--- a/internal/sidecar/node.go
+++ b/internal/sidecar/node.go
@@ -116,9 +116,9 @@
 	n.ingress = newIngress(n)
 	n.egress = &egress{node: n}
 	n.peers = peer.NewClient(options.Dial, options.Headers)
-	n.registration = newRegistration(n)
 	n.follower = newFollower(n)
 	n.membership, n.exchanger, n.news = membership.New(n.membershipOptions())
+	n.registration = newRegistration(n.registrationOptions())
 	n.freshness = newProver(n)
 	n.quotaServer = newQuotaServer(n)
 	n.quotas = newQuotas(n)
@@ -150,6 +150,37 @@
 	}
 }
 
+func (n *Node) registrationOptions() registrationOptions {
+	return registrationOptions{
+		Settings: n.settings, Store: n.store, Health: n.storeHealth, Probe: n.probe,
+		RecordPrefix: n.options.RecordPrefix, NodePrefix: n.options.NodePrefix,
+		Members: n.membership, TakeOther: n.takeOther, Meet: n.meet, Listed: n.follower.Begin,
+		TargetLeft: func() bool { return n.target.HasLeft() },
+	}
+}
+
+// takeOther takes in what the nodes keep in the store besides their records, as it is listed
+// at the start.
+func (n *Node) takeOther(item *store.Item) {
+	if item.Key == n.options.CrashKey {
+		n.heldBack.TakeStored(item)
+	}
+}
+
+// meetings is the number of nodes that a new one asks for what they know.
+const meetings = 2
+
+// meet asks some nodes for what they know and sends all of them the own record.
+func (n *Node) meet(ctx context.Context) {
+	for range meetings {
+		if address := n.membership.AnyAddress(); address != "" {
+			go n.exchanger.With(ctx, address)
+			go n.heldBack.Compare(ctx, address)
+		}
+	}
+	n.news.TellOwn()
+}
+
 func (n *Node) heldBackOptions() heldback.Options {
 	return heldback.Options{
 		Zone: n.settings().Zone, Enabled: func() bool { return n.policyOn(settings.HoldBack) }, Now: n.now,
--- a/internal/sidecar/node_test.go
+++ b/internal/sidecar/node_test.go
@@ -24,8 +24,8 @@
 	n.peers = peer.NewClient((&net.Dialer{}).DialContext, headers.Names{})
 	n.liveness = peer.NewLiveness(n.now, n.peers.PingPeer, peer.Events{Lost: n.services.Suspect, Still: n.services.Suspect, Back: n.services.Trust})
 	n.ingress = newIngress(n)
-	n.registration = newRegistration(n)
 	n.follower = newFollower(n)
 	n.membership, n.exchanger, n.news = membership.New(n.membershipOptions())
+	n.registration = newRegistration(n.registrationOptions())
 	return n
 }
--- a/internal/sidecar/registration.go
+++ b/internal/sidecar/registration.go
@@ -8,6 +8,8 @@
 	"time"
 
 	"github.com/juju/errors"
+	"github.com/landingmast/landingmast/internal/sidecar/settings"
+	"github.com/landingmast/landingmast/internal/sidecar/storehealth"
 	"github.com/landingmast/landingmast/internal/sidecar/wait"
 	"github.com/landingmast/landingmast/internal/store"
 	"github.com/landingmast/landingmast/internal/wire"
@@ -15,8 +17,7 @@
 
 // Times of the node's own record in the store.
 const (
-	callTimeout    = time.Second // of one call
-	keepShare      = 3           // a lease is renewed each third of its time
+	keepShare      = 3 // a lease is renewed each third of its time
 	spreadOfWrites = 300 * time.Millisecond
 	spreadOfReads  = 700 * time.Millisecond // of the lists at the first start of all
 	revokeTimeout  = 300 * time.Millisecond
@@ -33,15 +34,48 @@
 // once in the life of a machine: others find each other by it, and tell each other
 // what changes. It is written anew when the store has lost it.
 type registration struct {
-	node    *Node
+	options registrationOptions
 	lease   atomic.Pointer[store.Lease] // nil: none
 	missing chan struct{}               // the store has lost the record
 	renew   chan struct{}               // the lease is to be renewed now
 	failing atomic.Bool                 // the last try to write it failed
 }
 
-func newRegistration(node *Node) *registration {
-	return &registration{node: node, missing: make(chan struct{}, 1), renew: make(chan struct{}, 1)}
+// registrationMembers are the records of all nodes.
+type registrationMembers interface {
+	// Own is the record of this node as it is now.
+	Own() *wire.NodeRecord
+	// Changed sends the own record to the other nodes with a new sequence number.
+	Changed()
+	// Outrank makes the own record newer than one of an earlier process of this node.
+	Outrank(record *wire.NodeRecord)
+	// Others is the number of other nodes that are known.
+	Others() int
+	// Put takes in the record of another node that the store has.
+	Put(record *wire.NodeRecord)
+	// SetListed notes that the store has listed all records.
+	SetListed()
+	// Apply brings the records into routing.
+	Apply()
+}
+
+// registrationOptions are what the parts of a node bring in.
+type registrationOptions struct {
+	Settings     func() *settings.Settings // in force
+	Store        store.Store               // nil: none; Run must not be called then
+	Health       *storehealth.Health
+	Probe        func(ctx context.Context) bool // whether the store answers
+	RecordPrefix string                         // where all that the nodes keep in the store lies
+	NodePrefix   string                         // below it, where the nodes' records lie
+	Members      registrationMembers
+	TakeOther    func(item *store.Item)    // takes what is listed besides the nodes' records
+	Meet         func(ctx context.Context) // asks other nodes for what they know
+	Listed       func()                    // called once, when the other nodes are known
+	TargetLeft   func() bool               // the target has left for good
+}
+
+func newRegistration(options registrationOptions) *registration {
+	return &registration{options: options, missing: make(chan struct{}, 1), renew: make(chan struct{}, 1)}
 }
 
 // Lost notes that the store has no record of the node: it is written anew.
@@ -53,19 +87,19 @@
 func (r *registration) RenewNow() { wait.Signal(r.renew) }
 
 // TurnedAway tells that the store does not serve the node.
-func (r *registration) TurnedAway() bool { return r.failing.Load() || r.node.storeHealth.Away() }
+func (r *registration) TurnedAway() bool { return r.failing.Load() || r.options.Health.Away() }
 
 // Run finds the other nodes and keeps the own record and its lease until ctx ends.
 func (r *registration) Run(ctx context.Context) {
-	if r.node.settings().FirstStart {
+	if r.options.Settings().FirstStart {
 		wait.For(ctx, time.Duration(rand.Int64N(int64(spreadOfWrites))))
 		r.register(ctx)
 		wait.For(ctx, time.Duration(rand.Int64N(int64(spreadOfReads))))
 		r.findOthers(ctx)
-		r.node.follower.Begin()
+		r.options.Listed()
 	} else {
 		r.findOthers(ctx)
-		r.node.follower.Begin()
+		r.options.Listed()
 		r.register(ctx)
 	}
 	for ctx.Err() == nil {
@@ -73,19 +107,18 @@
 			continue
 		}
 		r.lease.Store(nil)
-		r.node.membership.Changed()
+		r.options.Members.Changed()
 		r.register(ctx)
 	}
 }
 
 // findOthers reads the records of all nodes, unless one of them has told them.
 func (r *registration) findOthers(ctx context.Context) {
-	m := r.node.membership
-	for ctx.Err() == nil && m.Others() == 0 {
-		call, cancel := context.WithTimeout(ctx, callTimeout)
-		items, _, err := r.node.store.List(call, r.node.options.RecordPrefix)
+	for ctx.Err() == nil && r.options.Members.Others() == 0 {
+		call, cancel := context.WithTimeout(ctx, storehealth.CallTimeout)
+		items, _, err := r.options.Store.List(call, r.options.RecordPrefix)
 		cancel()
-		r.node.storeHealth.Note("read", err)
+		r.options.Health.Note("read", err)
 		if err != nil {
 			r.pause(ctx)
 			continue
@@ -93,29 +126,27 @@
 		r.take(items)
 		break
 	}
-	r.Meet(ctx)
+	r.options.Meet(ctx)
 }
 
 // take learns the records that the store has. The lease of the own one, of the
 // process before, is taken over.
 func (r *registration) take(items []store.Item) {
-	m := r.node.membership
+	m := r.options.Members
 	for _, item := range items {
-		if item.Key == r.node.options.CrashKey {
-			r.node.heldBack.TakeStored(&item)
-		}
-		name, is := strings.CutPrefix(item.Key, r.node.options.NodePrefix)
+		name, is := strings.CutPrefix(item.Key, r.options.NodePrefix)
 		if !is {
+			r.options.TakeOther(&item)
 			continue
 		}
 		record, err := wire.NodeRecordCodec.Decode(item.Value)
 		if err != nil {
 			continue
 		}
-		if name == r.node.settings().Node {
+		if name == r.options.Settings().Node {
 			m.Outrank(record)
-			if record.Address == r.node.settings().Listen.Inbound && record.Zone == r.node.settings().Zone {
-				r.lease.Store(&store.Lease{ID: item.Lease, TTL: time.Duration(r.node.settings().Store.Lease)})
+			if record.Address == r.options.Settings().Listen.Inbound && record.Zone == r.options.Settings().Zone {
+				r.lease.Store(&store.Lease{ID: item.Lease, TTL: time.Duration(r.options.Settings().Store.Lease)})
 			}
 			continue
 		}
@@ -125,25 +156,11 @@
 	m.Apply()
 }
 
-// meetings is how many nodes a new one asks for what they know.
-const meetings = 2
-
-// Meet asks some nodes for what they know and tells all of them of this one.
-func (r *registration) Meet(ctx context.Context) {
-	for range meetings {
-		if address := r.node.membership.AnyAddress(); address != "" {
-			go r.node.exchanger.With(ctx, address)
-			go r.node.heldBack.Compare(ctx, address)
-		}
-	}
-	r.node.news.TellOwn()
-}
-
 // pause waits after a call that failed until the store answers a probe.
 func (r *registration) pause(ctx context.Context) {
 	for ctx.Err() == nil {
 		wait.For(ctx, registerAgainLeast+time.Duration(rand.Int64N(int64(registerAgainSpread))))
-		if ctx.Err() != nil || r.node.probe(ctx) {
+		if ctx.Err() != nil || r.options.Probe(ctx) {
 			return
 		}
 	}
@@ -154,7 +171,7 @@
 func (r *registration) register(ctx context.Context) {
 	for ctx.Err() == nil {
 		err := r.write(ctx)
-		r.node.storeHealth.Note("record", err)
+		r.options.Health.Note("record", err)
 		r.failing.Store(err != nil)
 		if err == nil {
 			r.found()
@@ -173,24 +190,24 @@
 }
 
 func (r *registration) write(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+	ctx, cancel := context.WithTimeout(ctx, storehealth.CallTimeout)
 	defer cancel()
-	s := r.node.store
+	s := r.options.Store
 	if lease := r.lease.Load(); lease != nil {
 		err := s.Keep(ctx, lease.ID)
 		if !errors.Is(err, store.ErrLeaseGone) {
 			return err
 		}
 	}
-	lease, err := s.Grant(ctx, time.Duration(r.node.settings().Store.Lease))
+	lease, err := s.Grant(ctx, time.Duration(r.options.Settings().Store.Lease))
 	if err != nil {
 		return err
 	}
-	value, err := wire.NodeRecordCodec.Encode(r.node.membership.Own())
+	value, err := wire.NodeRecordCodec.Encode(r.options.Members.Own())
 	if err != nil {
 		return err
 	}
-	if _, err = s.Put(ctx, store.Write{Key: r.node.options.NodePrefix + r.node.settings().Node, Value: value, Lease: lease.ID}); err != nil {
+	if _, err = s.Put(ctx, store.Write{Key: r.options.NodePrefix + r.options.Settings().Node, Value: value, Lease: lease.ID}); err != nil {
 		return err
 	}
 	r.lease.Store(&lease)
@@ -210,10 +227,10 @@
 	case <-r.renew:
 	case <-timer.C:
 	}
-	call, cancel := context.WithTimeout(ctx, callTimeout)
+	call, cancel := context.WithTimeout(ctx, storehealth.CallTimeout)
 	defer cancel()
-	err := r.node.store.Keep(call, lease.ID)
-	r.node.storeHealth.Note("lease", err)
+	err := r.options.Store.Keep(call, lease.ID)
+	r.options.Health.Note("lease", err)
 	return !errors.Is(err, store.ErrLeaseGone)
 }
 
@@ -221,10 +238,10 @@
 // machine goes with it.
 func (r *registration) Withdraw() {
 	lease := r.lease.Load()
-	if lease == nil || !r.node.target.HasLeft() {
+	if lease == nil || !r.options.TargetLeft() {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), revokeTimeout)
 	defer cancel()
-	r.node.storeHealth.Note("revoke", r.node.store.Revoke(ctx, lease.ID))
+	r.options.Health.Note("revoke", r.options.Store.Revoke(ctx, lease.ID))
 }
--- a/internal/sidecar/storehealth/storehealth.go
+++ b/internal/sidecar/storehealth/storehealth.go
@@ -14,6 +14,10 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
+// CallTimeout bounds one call of the store, but for watches and for calls that are to end
+// sooner.
+const CallTimeout = time.Second
+
 // Health is whether the store answers.
 type Health struct {
 	events *eventlog.Log
--- a/internal/sidecar/wake.go
+++ b/internal/sidecar/wake.go
@@ -43,5 +43,5 @@
 	n.peers.CloseIdle()
 	n.registration.RenewNow()
 	n.freshness.RenewNow()
-	n.registration.Meet(ctx)
+	n.meet(ctx)
 }
