--- a/internal/sidecar/node.go
+++ b/internal/sidecar/node.go
@@ -27,6 +27,7 @@
 	"github.com/landingmast/landingmast/internal/sidecar/membership"
 	"github.com/landingmast/landingmast/internal/sidecar/metrics"
 	"github.com/landingmast/landingmast/internal/sidecar/peer"
+	"github.com/landingmast/landingmast/internal/sidecar/registration"
 	"github.com/landingmast/landingmast/internal/sidecar/settings"
 	"github.com/landingmast/landingmast/internal/sidecar/storehealth"
 	"github.com/landingmast/landingmast/internal/sidecar/targetlink"
@@ -74,7 +75,7 @@
 	egress        *egress
 	peers         *peer.Client
 	membership    *membership.Members
-	registration  *registration
+	registration  *registration.Registration
 	follower      *follower
 	exchanger     *membership.Exchanger
 	news          *membership.Broadcaster
@@ -118,7 +119,7 @@
 	n.peers = peer.NewClient(options.Dial, options.Headers)
 	n.follower = newFollower(n)
 	n.membership, n.exchanger, n.news = membership.New(n.membershipOptions())
-	n.registration = newRegistration(n.registrationOptions())
+	n.registration = registration.New(n.registrationOptions())
 	n.freshness = newProver(n)
 	n.quotaServer = newQuotaServer(n)
 	n.quotas = newQuotas(n)
@@ -150,8 +151,8 @@
 	}
 }
 
-func (n *Node) registrationOptions() registrationOptions {
-	return registrationOptions{
+func (n *Node) registrationOptions() registration.Options {
+	return registration.Options{
 		Settings: n.settings, Store: n.store, Health: n.storeHealth, Probe: n.probe,
 		RecordPrefix: n.options.RecordPrefix, NodePrefix: n.options.NodePrefix,
 		Members: n.membership, TakeOther: n.takeOther, Meet: n.meet, Listed: n.follower.Begin,
--- a/internal/sidecar/node_test.go
+++ b/internal/sidecar/node_test.go
@@ -12,6 +12,7 @@
 	"github.com/landingmast/landingmast/internal/sidecar/headers"
 	"github.com/landingmast/landingmast/internal/sidecar/membership"
 	"github.com/landingmast/landingmast/internal/sidecar/peer"
+	"github.com/landingmast/landingmast/internal/sidecar/registration"
 	"github.com/landingmast/landingmast/internal/sidecar/settings"
 )
 
@@ -26,6 +27,6 @@
 	n.ingress = newIngress(n)
 	n.follower = newFollower(n)
 	n.membership, n.exchanger, n.news = membership.New(n.membershipOptions())
-	n.registration = newRegistration(n.registrationOptions())
+	n.registration = registration.New(n.registrationOptions())
 	return n
 }
--- a/internal/sidecar/registration.go
+++ b/internal/sidecar/registration/registration.go
@@ -1,4 +1,13 @@
-package sidecar
+// Package registration keeps a node's own record in the store, under a lease.
+//
+// It owns that lease. At the start of a process it also lists the records of all nodes, so
+// that the node knows others before any of them knows it. A record that the store has lost is
+// written anew; while the store does not serve the node, it is tried again after a pause.
+//
+// It relies on the membership for the records, on package storehealth for the log of outages
+// and on its maker for the question whether the store answers. A Registration is safe for
+// concurrent use; Run is called once.
+package registration
 
 import (
 	"context"
@@ -30,19 +39,19 @@
 	registerAgainSpread = 400 * time.Millisecond
 )
 
-// registration keeps the node's own record in the store. The record is written
+// Registration keeps the node's own record in the store. The record is written
 // once in the life of a machine: others find each other by it, and tell each other
 // what changes. It is written anew when the store has lost it.
-type registration struct {
-	options registrationOptions
+type Registration struct {
+	options Options
 	lease   atomic.Pointer[store.Lease] // nil: none
 	missing chan struct{}               // the store has lost the record
 	renew   chan struct{}               // the lease is to be renewed now
 	failing atomic.Bool                 // the last try to write it failed
 }
 
-// registrationMembers are the records of all nodes.
-type registrationMembers interface {
+// Members are the records of all nodes.
+type Members interface {
 	// Own is the record of this node as it is now.
 	Own() *wire.NodeRecord
 	// Changed sends the own record to the other nodes with a new sequence number.
@@ -59,38 +68,39 @@
 	Apply()
 }
 
-// registrationOptions are what the parts of a node bring in.
-type registrationOptions struct {
+// Options are what the parts of a node bring in.
+type Options struct {
 	Settings     func() *settings.Settings // in force
 	Store        store.Store               // nil: none; Run must not be called then
 	Health       *storehealth.Health
 	Probe        func(ctx context.Context) bool // whether the store answers
 	RecordPrefix string                         // where all that the nodes keep in the store lies
 	NodePrefix   string                         // below it, where the nodes' records lie
-	Members      registrationMembers
+	Members      Members
 	TakeOther    func(item *store.Item)    // takes what is listed besides the nodes' records
 	Meet         func(ctx context.Context) // asks other nodes for what they know
 	Listed       func()                    // called once, when the other nodes are known
 	TargetLeft   func() bool               // the target has left for good
 }
 
-func newRegistration(options registrationOptions) *registration {
-	return &registration{options: options, missing: make(chan struct{}, 1), renew: make(chan struct{}, 1)}
+// New makes the registration of a node that has no lease.
+func New(options Options) *Registration {
+	return &Registration{options: options, missing: make(chan struct{}, 1), renew: make(chan struct{}, 1)}
 }
 
 // Lost notes that the store has no record of the node: it is written anew.
-func (r *registration) Lost() {
+func (r *Registration) Lost() {
 	wait.Signal(r.missing)
 }
 
 // RenewNow has the lease renewed before its time.
-func (r *registration) RenewNow() { wait.Signal(r.renew) }
+func (r *Registration) RenewNow() { wait.Signal(r.renew) }
 
 // TurnedAway tells that the store does not serve the node.
-func (r *registration) TurnedAway() bool { return r.failing.Load() || r.options.Health.Away() }
+func (r *Registration) TurnedAway() bool { return r.failing.Load() || r.options.Health.Away() }
 
 // Run finds the other nodes and keeps the own record and its lease until ctx ends.
-func (r *registration) Run(ctx context.Context) {
+func (r *Registration) Run(ctx context.Context) {
 	if r.options.Settings().FirstStart {
 		wait.For(ctx, time.Duration(rand.Int64N(int64(spreadOfWrites))))
 		r.register(ctx)
@@ -113,7 +123,7 @@
 }
 
 // findOthers reads the records of all nodes, unless one of them has told them.
-func (r *registration) findOthers(ctx context.Context) {
+func (r *Registration) findOthers(ctx context.Context) {
 	for ctx.Err() == nil && r.options.Members.Others() == 0 {
 		call, cancel := context.WithTimeout(ctx, storehealth.CallTimeout)
 		items, _, err := r.options.Store.List(call, r.options.RecordPrefix)
@@ -131,7 +141,7 @@
 
 // take learns the records that the store has. The lease of the own one, of the
 // process before, is taken over.
-func (r *registration) take(items []store.Item) {
+func (r *Registration) take(items []store.Item) {
 	m := r.options.Members
 	for _, item := range items {
 		name, is := strings.CutPrefix(item.Key, r.options.NodePrefix)
@@ -157,7 +167,7 @@
 }
 
 // pause waits after a call that failed until the store answers a probe.
-func (r *registration) pause(ctx context.Context) {
+func (r *Registration) pause(ctx context.Context) {
 	for ctx.Err() == nil {
 		wait.For(ctx, registerAgainLeast+time.Duration(rand.Int64N(int64(registerAgainSpread))))
 		if ctx.Err() != nil || r.options.Probe(ctx) {
@@ -168,7 +178,7 @@
 
 // register writes the own record, again and again until the store takes it. A
 // lease that was taken over is renewed in its place.
-func (r *registration) register(ctx context.Context) {
+func (r *Registration) register(ctx context.Context) {
 	for ctx.Err() == nil {
 		err := r.write(ctx)
 		r.options.Health.Note("record", err)
@@ -182,14 +192,14 @@
 }
 
 // found drops what was heard of a loss before the record was written.
-func (r *registration) found() {
+func (r *Registration) found() {
 	select {
 	case <-r.missing:
 	default:
 	}
 }
 
-func (r *registration) write(ctx context.Context) error {
+func (r *Registration) write(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, storehealth.CallTimeout)
 	defer cancel()
 	s := r.options.Store
@@ -215,7 +225,7 @@
 }
 
 // keep renews the lease until it is over or the record is lost (false).
-func (r *registration) keep(ctx context.Context) bool {
+func (r *Registration) keep(ctx context.Context) bool {
 	lease := r.lease.Load()
 	timer := time.NewTimer(lease.TTL / keepShare)
 	defer timer.Stop()
@@ -236,7 +246,7 @@
 
 // Withdraw takes the record out of the store when the target has left for good: the
 // machine goes with it.
-func (r *registration) Withdraw() {
+func (r *Registration) Withdraw() {
 	lease := r.lease.Load()
 	if lease == nil || !r.options.TargetLeft() {
 		return
