--- a/internal/sidecar/egress.go
+++ b/internal/sidecar/egress.go
@@ -173,8 +173,8 @@
 		x.refuse(http.StatusServiceUnavailable, outcome.ReasonEndsTargets, notInvited)
 		return
 	}
-	if x.trial = verdict.Trial != nil; x.trial {
-		defer verdict.Trial()
+	if x.trial = verdict.EndTrial != nil; x.trial {
+		defer verdict.EndTrial()
 	}
 	if !x.withinQuota(ctx) {
 		return
--- a/internal/sidecar/ended.go
+++ b/internal/sidecar/ended.go
@@ -200,7 +200,7 @@
 	for _, run := range runs {
 		ended = append(ended, run.Run)
 	}
-	i.node.heldBack.EndedAt(gate.instance, gate.service, ended)
+	i.node.heldBack.TargetEnded(gate.instance, gate.service, ended)
 }
 
 // loggedRuns bounds the requests that one line names.
--- a/internal/sidecar/follower.go
+++ b/internal/sidecar/follower.go
@@ -139,7 +139,7 @@
 			f.decide(ctx)
 			f.node.quotaServer.Fill(ctx)
 			if f.Reaches() {
-				f.node.heldBack.Keep(ctx)
+				f.node.heldBack.Save(ctx)
 			}
 			f.beat(ctx)
 		}
--- a/internal/sidecar/heldback/exchange.go
+++ b/internal/sidecar/heldback/exchange.go
@@ -12,38 +12,38 @@
 	"github.com/landingmast/landingmast/internal/wire"
 )
 
-// Path takes what another node knows of requests that targets ended with.
+// Path is where a node takes the evidence of another one.
 const Path = "/crashes"
 
-// Times of what nodes tell each other.
+// Times of messages between nodes.
 const (
-	// crashGather joins the runs that break off as a target ends; the next one may end
-	// some tens of ms later.
-	crashGather = 5 * time.Millisecond
+	// endGather joins the runs that break off as a target ends in one broadcast; the next
+	// target may end some tens of ms later.
+	endGather = 5 * time.Millisecond
 	// clearGather joins requests that end well after one end: dozens within half a second.
 	clearGather = 200 * time.Millisecond
-	// compareEvery is the pause between two comparisons with another node, and compareFirst
-	// how long after its start a node makes them that knows of nothing.
+	// compareEvery is the mean time between two comparisons with another node.
 	compareEvery = time.Second
+	// compareFirst is how long after its start a node without evidence makes comparisons.
 	compareFirst = 10 * time.Second
 	// compareTimeout bounds a comparison, both messages of it.
 	compareTimeout = 500 * time.Millisecond
 )
 
-// tell tells all other nodes what is news.
-func (c *Control) tell() {
+// broadcastPending sends the evidence that was gathered to all nodes.
+func (c *Control) broadcastPending() {
 	c.mutex.Lock()
 	message := &wire.Crashes{Digest: int64(c.ledger.Digest()), Evidence: wire.CrashForms(c.pending)}
-	c.pending, c.gathering = nil, false
+	c.pending, c.scheduled = nil, false
 	c.mutex.Unlock()
 	if len(message.Evidence) == 0 {
 		return
 	}
-	broadcast.ToZones(c.options.Nodes.Addresses(), c.options.Zone, c.sending(message))
+	broadcast.ToZones(c.options.Nodes.Addresses(), c.options.Zone, c.sender(message))
 }
 
-// sending gives the function that sends a message to one node.
-func (c *Control) sending(message *wire.Crashes) broadcast.Send {
+// sender returns a function that sends a message to one node.
+func (c *Control) sender(message *wire.Crashes) broadcast.Send {
 	return func(address string, forward []string) error {
 		sent := *message
 		sent.Forward = forward
@@ -54,6 +54,7 @@
 	}
 }
 
+// post sends a message to the node at an address and returns its answer; nil: it is empty.
 func (c *Control) post(ctx context.Context, address string, message *wire.Crashes) (*wire.Crashes, error) {
 	data, err := wire.CrashesCodec.Encode(message)
 	if err != nil {
@@ -66,24 +67,25 @@
 	return wire.CrashesCodec.Decode(read)
 }
 
-// ServeHTTP takes the message of another node.
+// ServeHTTP adds the evidence of another node. It answers a comparison, and passes a broadcast on.
 func (c *Control) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	message, read := peer.ReadMessage(w, r, wire.CrashesCodec)
 	if !read {
 		return
 	}
-	c.hear(message.Known())
+	c.receive(message.Known())
 	if message.Asks {
-		peer.WriteMessage(w, wire.CrashesCodec, c.all(message.Digest))
+		peer.WriteMessage(w, wire.CrashesCodec, c.differingFrom(message.Digest))
 		return
 	}
 	peer.BareAnswer(w)
 	w.Header().Set("Content-Length", "0")
-	broadcast.ToNodes(message.Forward, c.sending(message))
+	broadcast.ToNodes(message.Forward, c.sender(message))
 }
 
-// all gives all evidence for a node that has other evidence, none for one that has the same.
-func (c *Control) all(digest int64) *wire.Crashes {
+// differingFrom returns all evidence for a node whose evidence has another digest than the
+// own, none for one that has the same.
+func (c *Control) differingFrom(digest int64) *wire.Crashes {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	message := &wire.Crashes{Digest: int64(c.ledger.Digest()), Evidence: []wire.CrashEvidence{}, Forward: []string{}}
@@ -93,8 +95,8 @@
 	return message
 }
 
-// Run compares with other nodes until ctx ends, so that one that missed a message, or came
-// back with nothing, knows the rest.
+// Run compares evidence with other nodes until ctx ends, so that a node that missed a
+// broadcast, or came back without evidence, gets the rest.
 func (c *Control) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		wait.For(ctx, compareEvery/2+time.Duration(rand.Int64N(int64(compareEvery))))
@@ -113,7 +115,9 @@
 	return c.ledger.Len() == 0
 }
 
-// Compare has this node and another one know what either does.
+// Compare exchanges evidence with the node at an address if the digests differ; after it both
+// have the same. An error is not logged: a message that is lost is made up for by the next
+// comparison, about a second later.
 func (c *Control) Compare(ctx context.Context, address string) {
 	ctx, cancel := context.WithTimeout(ctx, compareTimeout)
 	defer cancel()
@@ -122,10 +126,10 @@
 	c.mutex.Unlock()
 	answer, err := c.post(ctx, address, &wire.Crashes{Digest: own, Evidence: []wire.CrashEvidence{}, Forward: []string{}, Asks: true})
 	if err != nil || answer == nil || answer.Digest == own {
-		return // another node is asked a second later
+		return
 	}
-	c.hear(answer.Known())
-	if told := c.all(answer.Digest); len(told.Evidence) > 0 {
-		_, _ = c.post(ctx, address, told) // the same
+	c.receive(answer.Known())
+	if missing := c.differingFrom(answer.Digest); len(missing.Evidence) > 0 {
+		_, _ = c.post(ctx, address, missing)
 	}
 }
--- a/internal/sidecar/heldback/heldback.go
+++ b/internal/sidecar/heldback/heldback.go
@@ -1,9 +1,9 @@
 // Package heldback keeps a node from sending requests that end the targets that run them.
 //
 // It owns the node's evidence, which is what targets were running when they ended, and the
-// requests that the target beside the node has answered of late. From the evidence it decides
-// whether a request may be sent, whether it has to be at a target alone, and whether this
-// node is the one that tries a doubtful request; the rule itself is that of package crashes.
+// requests that the target beside the node has answered of late. From these it decides whether
+// a request may be sent, whether it has to be the only suspected one at its target, and
+// whether this node is the one that tries a doubtful one; the rule is that of package crashes.
 //
 // Evidence reaches the other nodes in three ways: by a broadcast as soon as it is new, by a
 // comparison with a random node each second, and by the store, where the nodes that follow
@@ -26,23 +26,21 @@
 	"github.com/landingmast/landingmast/internal/store"
 )
 
-// Control holds what is known of requests that end the targets that run them: nodes tell
-// each other at which requests a target ended, and none sends on what several ended with. It
-// is safe for concurrent use.
+// Control decides for one node which requests are held back. It is safe for concurrent use.
 type Control struct {
 	options Options
 	good    recentlyGood
 
-	// suspects tells that some request is suspected, so that the prints of all others need
-	// not be made while none is.
+	// suspects is whether any request is suspected. While none is, no fingerprint has to be
+	// computed.
 	suspects atomic.Bool
 
 	mutex     sync.Mutex
 	ledger    *crashes.Ledger
-	pending   []crashes.Evidence // to be told to the other nodes
-	gathering bool               // it is about to be
-	held      map[crashes.Content]bool
-	trials    map[crashes.Content]bool // doubtful ones that this node has sent
+	pending   []crashes.Evidence       // for the next broadcast
+	scheduled bool                     // a broadcast is about to begin
+	held      map[crashes.Content]bool // as it was logged last
+	trials    map[crashes.Content]bool // doubtful contents of which this node has a request under way
 	stored    storedEvidence
 }
 
@@ -64,29 +62,30 @@
 	Nodes   Nodes
 	Peers   *peer.Client
 	Events  *eventlog.Log
-	Store   store.Store // nil: none
+	Store   store.Store // nil: none; Save must not be called then
 	Key     string      // of the evidence in the store
 	Health  *storehealth.Health
 }
 
-// New makes the control of a node that knows of no ends yet.
+// New makes the control of a node that has no evidence yet.
 func New(options Options) *Control {
 	return &Control{options: options, ledger: crashes.New(crashes.DefaultConfig()), held: map[crashes.Content]bool{}, trials: map[crashes.Content]bool{}}
 }
 
-// state tells what is thought of a request.
+// state is the state of a request by all evidence and by what ended well here of late.
 func (c *Control) state(r *Request) crashes.State {
 	if !c.suspects.Load() || !c.options.Enabled() {
 		return crashes.Free
 	}
-	print := r.Fingerprint()
-	recently := c.good.holds(c.options.Now(), print.Variant)
+	fingerprint := r.Fingerprint()
+	recently := c.good.holds(c.options.Now(), fingerprint.Variant)
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.ledger.State(print, recently)
+	return c.ledger.State(fingerprint, recently)
 }
 
-// MaySend tells whether the gate lets a request through.
+// MaySend reports whether a request may be sent to the target beside the node. A doubtful one
+// may if it is the trial of the node where it began.
 func (c *Control) MaySend(r *Request) bool {
 	switch c.state(r) {
 	case crashes.Held:
@@ -97,7 +96,8 @@
 	return true
 }
 
-// Suspected tells that a request is to be at a target alone: a target has ended with it.
+// Suspected reports whether a request has to be the only suspected one at its target, since a
+// target has ended with it.
 func (c *Control) Suspected(r *Request) bool {
 	if r.Call.Suspect && c.options.Enabled() && !c.good.holds(c.options.Now(), r.Fingerprint().Variant) {
 		return true
@@ -105,32 +105,35 @@
 	return c.state(r) != crashes.Free
 }
 
-// Verdict is what becomes of a request where it begins.
+// Verdict is what becomes of a request at the node where it begins.
 type Verdict struct {
 	Refused bool
-	Trial   func() // not nil: it is sent as the only one of its content; called at its end
+	// EndTrial is called at the end of a request that is sent as the only one of its
+	// content; nil: it is sent as any other.
+	EndTrial func()
 }
 
-// AtStart decides on a request where it begins, by what targets ended with itself. Which of
-// its variants end well of late is known where the targets are.
+// AtStart decides on a request at the node where it begins. What ended well of late is known
+// only beside the targets: a request that may have is not refused here.
 func (c *Control) AtStart(r *Request) Verdict {
 	if !c.suspects.Load() || !c.options.Enabled() {
 		return Verdict{}
 	}
-	print := r.Fingerprint()
+	fingerprint := r.Fingerprint()
+	content := fingerprint.Content
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	own := c.ledger.State(print, true)
+	own := c.ledger.State(fingerprint, true)
 	switch {
 	case own == crashes.Held:
 		return Verdict{Refused: true}
-	case c.ledger.State(print, false) != crashes.Doubtful:
+	case c.ledger.State(fingerprint, false) != crashes.Doubtful:
 		return Verdict{}
-	case c.trials[print.Content] || !c.options.Nodes.IsFirstFor(print.Content[:]):
+	case c.trials[content] || !c.options.Nodes.IsFirstFor(content[:]):
 		return Verdict{Refused: own == crashes.Doubtful}
 	}
-	c.trials[print.Content] = true
-	return Verdict{Trial: func() { c.endTrial(print.Content) }}
+	c.trials[content] = true
+	return Verdict{EndTrial: func() { c.endTrial(content) }}
 }
 
 func (c *Control) endTrial(content crashes.Content) {
@@ -139,9 +142,10 @@
 	delete(c.trials, content)
 }
 
-// EndedAt takes in the runs that an instance of a service, the target beside the node, ended
-// with. One that has ended well here of late is left out: it is not what ended the target.
-func (c *Control) EndedAt(instance, service string, runs []Run) {
+// TargetEnded adds the runs that were at the target beside the node when it ended, an instance
+// of a service. A run is left out if the same request ended well here of late: it is not what
+// ended the target.
+func (c *Control) TargetEnded(instance, service string, runs []Run) {
 	at := time.Now().UnixMilli()
 	evidence := make([]crashes.Evidence, 0, len(runs))
 	for _, run := range runs {
@@ -149,69 +153,71 @@
 			evidence = append(evidence, crashes.Evidence{Print: run.Fingerprint, Instance: instance, Service: service, Route: run.Route, At: at, Alone: run.Alone})
 		}
 	}
-	c.learn(evidence, crashGather)
+	c.add(evidence)
 }
 
-// EndedWell takes in that the target beside the node answered a request.
+// EndedWell notes that the target beside the node answered a request. Evidence against it is
+// cleared at all nodes.
 func (c *Control) EndedWell(r *Request) {
 	if !c.options.Enabled() {
 		return
 	}
-	print := r.Fingerprint()
-	c.good.add(c.options.Now(), print.Variant)
+	fingerprint := r.Fingerprint()
+	c.good.add(c.options.Now(), fingerprint.Variant)
 	if c.suspects.Load() {
-		c.clear(print)
+		c.clear(fingerprint)
 	}
 }
 
-func (c *Control) clear(print crashes.Print) {
+func (c *Control) clear(fingerprint crashes.Print) {
 	c.mutex.Lock()
-	cleared := c.ledger.EndedWell(print)
+	cleared := c.ledger.EndedWell(fingerprint)
 	c.mutex.Unlock()
-	c.changed(cleared, clearGather)
+	c.publish(cleared, clearGather)
 }
 
-// learn takes in evidence and tells the other nodes what of it is news here.
-func (c *Control) learn(evidence []crashes.Evidence, gather time.Duration) {
+// add adds evidence that other nodes may not have.
+func (c *Control) add(evidence []crashes.Evidence) {
 	c.mutex.Lock()
-	news := c.ledger.Add(evidence...)
+	added := c.ledger.Add(evidence...)
 	c.mutex.Unlock()
-	c.changed(news, gather)
+	c.publish(added, endGather)
 }
 
-// hear takes in evidence that another node has told to all. What has ended well here of late
-// is cleared for all.
-func (c *Control) hear(evidence []crashes.Evidence) {
+// receive adds evidence that another node has sent to all. Evidence against a request that
+// ended well here of late is cleared at all nodes.
+func (c *Control) receive(evidence []crashes.Evidence) {
 	c.mutex.Lock()
-	heard := c.ledger.Add(evidence...)
+	added := c.ledger.Add(evidence...)
 	c.mutex.Unlock()
-	c.note(heard)
-	for _, one := range heard {
+	c.logChanges(added)
+	for _, one := range added {
 		if !one.Cleared && c.good.holds(c.options.Now(), one.Variant) {
 			c.clear(one.Print)
 		}
 	}
 }
 
-// changed has the other nodes told of evidence that is news.
-func (c *Control) changed(news []crashes.Evidence, gather time.Duration) {
-	if len(news) == 0 {
+// publish logs evidence that was added or cleared here and sends it to all nodes after a time
+// in which more is gathered.
+func (c *Control) publish(changed []crashes.Evidence, gather time.Duration) {
+	if len(changed) == 0 {
 		return
 	}
-	c.note(news)
+	c.logChanges(changed)
 	c.mutex.Lock()
-	c.pending = append(c.pending, news...)
-	begun := c.gathering && gather >= clearGather
-	c.gathering = true
+	c.pending = append(c.pending, changed...)
+	begun := c.scheduled && gather >= clearGather
+	c.scheduled = true
 	c.mutex.Unlock()
 	if !begun {
-		time.AfterFunc(gather, c.tell)
+		time.AfterFunc(gather, c.broadcastPending)
 	}
 }
 
-// note logs which contents are held back now and which no longer.
-func (c *Control) note(news []crashes.Evidence) {
-	if len(news) == 0 {
+// logChanges logs which contents are held back from now on and which no longer.
+func (c *Control) logChanges(changed []crashes.Evidence) {
+	if len(changed) == 0 {
 		return
 	}
 	c.mutex.Lock()
@@ -232,7 +238,7 @@
 	}
 }
 
-// Count gives how many contents are held back.
+// Count is the number of contents that are held back.
 func (c *Control) Count() int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/sidecar/heldback/recent.go
+++ b/internal/sidecar/heldback/recent.go
@@ -11,18 +11,18 @@
 const (
 	// goodKept is more than the answers of one target within goodFor; about 150 KB.
 	goodKept = 4096
-	// goodFor is the time after which the users count a node as knowing what happened: a
-	// request that turns harmful is not vouched for longer.
+	// goodFor is the time in which a node in contact with others has to learn of an end: a
+	// request that turns harmful counts as good for no longer.
 	goodFor = 3 * time.Second
 )
 
-// recentlyGood remembers requests that the target beside the node answered. Targets that end
-// by themselves, or with another request, have popular ones in flight; those are not
-// suspected.
+// recentlyGood holds the requests that the target beside the node answered of late. A target
+// that ends by itself, or with another request, has popular ones in flight, and those are not
+// to be suspected.
 type recentlyGood struct {
 	mutex sync.Mutex
-	at    map[crashes.Variant]time.Duration // when it ended well last
-	ring  []crashes.Variant                 // in the order in which they came
+	at    map[crashes.Variant]time.Duration // when it last ended well
+	ring  []crashes.Variant                 // the keys of at; once it is full the oldest is at next
 	next  int
 }
 
@@ -38,7 +38,7 @@
 	r.at[variant] = now
 }
 
-// place puts a variant into the ring, in the place of the one that came first.
+// place puts a variant into the ring; when it is full, instead of the oldest.
 func (r *recentlyGood) place(variant crashes.Variant) {
 	if len(r.ring) < goodKept {
 		r.ring = append(r.ring, variant)
--- a/internal/sidecar/heldback/storage.go
+++ b/internal/sidecar/heldback/storage.go
@@ -12,26 +12,28 @@
 	"github.com/landingmast/landingmast/internal/wire"
 )
 
-// storedEvidence is what the store has of the evidence, as the node knows it. It belongs to
-// the mutex of Control.
+// storedEvidence is what the store has of the evidence, as far as the node knows. The mutex of
+// Control guards it.
 type storedEvidence struct {
-	revision int64 // 0: no such key
-	digest   uint64
-	differs  time.Duration // since when it is not what should last; 0: it is
-	writing  bool
+	revision     int64 // 0: no such key
+	digest       uint64
+	differsSince time.Duration // from when on other evidence has to last; 0: it is the same
+	writing      bool
 }
 
-// Times of the writes to the store, by the follower of each zone.
+// Times of the writes to the store.
 const (
-	// keepAfter is how long evidence waits to be written together; what all nodes lose
-	// power with in this time is lost, one end at the most as a request goes on its way.
-	keepAfter = 200 * time.Millisecond
-	// keepSpread lets one follower write before the others, which then find it done.
-	keepSpread = 300 * time.Millisecond
-	keepCall   = 400 * time.Millisecond
+	// saveAfter is how long evidence is gathered before it is written. If all nodes lose
+	// power in this time, one end at the most is lost for a request on its way.
+	saveAfter = 200 * time.Millisecond
+	// saveSpread is the most by which a node waits longer than another one, so that one
+	// writes and the others find it done.
+	saveSpread  = 300 * time.Millisecond
+	saveTimeout = 400 * time.Millisecond
 )
 
-// TakeStored takes in what the store has.
+// TakeStored adds the evidence that the store has. Evidence that cannot be read is logged and
+// left alone.
 func (c *Control) TakeStored(item *store.Item) {
 	if item.Gone {
 		c.mutex.Lock()
@@ -46,7 +48,7 @@
 	}
 	evidence := message.Known()
 	c.setStored(storedEvidence{revision: item.Revision, digest: crashes.DigestOf(evidence)})
-	c.learn(evidence, crashGather)
+	c.add(evidence)
 }
 
 func (c *Control) setStored(stored storedEvidence) {
@@ -58,26 +60,27 @@
 	}
 }
 
-// Keep writes the evidence that has to last to the store where it has other evidence. The
-// followers call it again and again.
-func (c *Control) Keep(ctx context.Context) {
+// Save writes the evidence that has to last to the store if the store has other evidence. The
+// nodes that follow the store call it every few hundred ms; it does not wait for the write.
+func (c *Control) Save(ctx context.Context) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	now, s := c.options.Now(), &c.stored
 	lasting := c.ledger.Lasting()
 	switch {
 	case crashes.DigestOf(lasting) == s.digest:
-		s.differs = 0
-	case s.differs == 0:
-		s.differs = now + time.Duration(rand.Int64N(int64(keepSpread)))
-	case now-s.differs >= keepAfter && !s.writing:
+		s.differsSince = 0
+	case s.differsSince == 0:
+		s.differsSince = now + time.Duration(rand.Int64N(int64(saveSpread)))
+	case now-s.differsSince >= saveAfter && !s.writing:
 		s.writing = true
 		go c.write(ctx, lasting, s.revision)
 	}
 }
 
+// write writes evidence over the given revision. A conflict means that another node was first.
 func (c *Control) write(ctx context.Context, lasting []crashes.Evidence, revision int64) {
-	ctx, cancel := context.WithTimeout(ctx, keepCall)
+	ctx, cancel := context.WithTimeout(ctx, saveTimeout)
 	defer cancel()
 	written, err := c.put(ctx, lasting, revision)
 	if !errors.Is(err, store.ErrConflict) {
