--- a/internal/sidecar/configuration.go
+++ b/internal/sidecar/configuration.go
@@ -27,7 +27,7 @@
 			}
 		}
 		if n.configuration.Version() > before {
-			n.news.TellAll(&wire.News{})
+			n.news.SendAll(&wire.News{})
 		}
 	})
 }
--- a/internal/sidecar/follow.go
+++ b/internal/sidecar/follow.go
@@ -83,7 +83,7 @@
 	if record == nil {
 		return
 	}
-	f.node.membership.Note(record, "lapsed", configuration.FromStore)
+	f.node.membership.LogChange(record, "lapsed", configuration.FromStore)
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.lapses.Lapsed(f.node.now(), name)
--- a/internal/sidecar/follow_test.go
+++ b/internal/sidecar/follow_test.go
@@ -33,7 +33,7 @@
 				name := fmt.Sprintf("node-%d", i)
 				others = append(others, wire.NodeRecord{Node: name, Incarnation: name, Zone: fmt.Sprintf("zone-%d", i%tc.zones)})
 			}
-			n.membership.LearnFromPeer(others)
+			n.membership.Merge(others)
 			g.Expect(n.follower.fairRest()).To(BeNumerically("~", tc.rest, time.Microsecond))
 		})
 	}
--- a/internal/sidecar/follower.go
+++ b/internal/sidecar/follower.go
@@ -248,7 +248,7 @@
 		message.Gone = append(message.Gone, one.record)
 	}
 	f.mutex.Unlock()
-	f.node.news.TellZone(message)
+	f.node.news.SendZone(message)
 	if message.Well {
 		return
 	}
@@ -280,7 +280,7 @@
 	if record == nil {
 		return
 	}
-	m.Note(record, "forgotten", configuration.FromStore)
+	m.LogChange(record, "forgotten", configuration.FromStore)
 	m.Forget(record)
 	f.mutex.Lock()
 	f.gone[name] = goneNode{record: *record, till: f.node.now() + goneTold}
--- a/internal/sidecar/membership/addresses.go
+++ b/internal/sidecar/membership/addresses.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// ZoneMembers gives the other nodes of the zone.
+// ZoneMembers returns the names of the other nodes of the zone.
 func (m *Members) ZoneMembers() []string {
 	zone := m.options.Settings().Zone
 	m.mutex.Lock()
@@ -19,7 +19,7 @@
 	return names
 }
 
-// Zones gives the number of zones that have a node, the own one among them.
+// Zones returns the number of zones that have a node, the own one among them.
 func (m *Members) Zones() int {
 	found := map[string]bool{m.options.Settings().Zone: true}
 	m.mutex.Lock()
@@ -30,7 +30,7 @@
 	return len(found)
 }
 
-// ZoneNames gives the zones that have a node, the own one among them, in order.
+// ZoneNames returns the zones that have a node, the own one among them, in alphabetical order.
 func (m *Members) ZoneNames() []string {
 	found := map[string]bool{m.options.Settings().Zone: true}
 	m.mutex.Lock()
@@ -46,7 +46,7 @@
 	return names
 }
 
-// Addresses gives those of the other nodes by zone, in a random order. Nodes that
+// Addresses returns the addresses of the other nodes by zone, in a random order. Nodes that
 // are taken for dead are left out.
 func (m *Members) Addresses() map[string][]string {
 	found := map[string][]string{}
@@ -63,12 +63,11 @@
 	return found
 }
 
-// nearShare is the share of exchanges that stay in the zone, where bytes cost
-// nothing.
+// nearShare is the share of exchanges that stay in the zone, where traffic is free of charge.
 const nearShare = 0.75
 
-// AnyAddress gives the address of another node, chosen at random, more often one of
-// the own zone.
+// AnyAddress returns the address of another node, chosen at random, more often one of the own
+// zone; empty: none is known.
 func (m *Members) AnyAddress() string {
 	near, far := m.split()
 	if len(near) == 0 || len(far) > 0 && rand.Float64() >= nearShare {
@@ -77,8 +76,8 @@
 	return anyOf(near)
 }
 
-// AddressElsewhere gives the address of a node in another zone, or of any other
-// node when there is none.
+// AddressElsewhere returns the address of a node in another zone, chosen at random, or of any
+// other node if there is none; empty: no other node is known.
 func (m *Members) AddressElsewhere() string {
 	near, far := m.split()
 	if len(far) == 0 {
@@ -87,7 +86,7 @@
 	return anyOf(far)
 }
 
-// split gives the addresses of the nodes in the own zone and in others.
+// split returns the addresses of the other nodes in the own zone and in others.
 func (m *Members) split() (near, far []string) {
 	for zone, addresses := range m.Addresses() {
 		if zone == m.options.Settings().Zone {
@@ -106,7 +105,7 @@
 	return addresses[rand.IntN(len(addresses))]
 }
 
-// shuffled gives the addresses in a random order.
+// shuffled puts the addresses into a random order.
 func shuffled(addresses []string) []string {
 	rand.Shuffle(len(addresses), func(a, b int) { addresses[a], addresses[b] = addresses[b], addresses[a] })
 	return addresses
--- a/internal/sidecar/membership/broadcast_test.go
+++ b/internal/sidecar/membership/broadcast_test.go
@@ -34,7 +34,7 @@
 		records[i] = *n.membership.Own()
 	}
 	for _, n := range nodes {
-		n.membership.LearnFromPeer(records)
+		n.membership.Merge(records)
 	}
 	return nodes
 }
@@ -63,7 +63,7 @@
 				record.Address, record.Sequence = address, 1
 				for _, other := range nodes {
 					if other != n {
-						other.membership.LearnFromPeer([]wire.NodeRecord{record})
+						other.membership.Merge([]wire.NodeRecord{record})
 					}
 				}
 			}
@@ -89,7 +89,7 @@
 	g := NewWithT(t)
 	nodes := tellingNodes(t, 2, 1)
 	here, there := nodes[0], nodes[1]
-	there.membership.ForgetGone([]wire.NodeRecord{*here.membership.Own()})
+	there.membership.forgetGone([]wire.NodeRecord{*here.membership.Own()})
 	g.Expect(there.membership.Others()).To(BeZero())
 	here.exchanger.With(t.Context(), there.settings().Listen.Inbound)
 	g.Expect(there.membership.Others()).To(BeZero(), "the record that is gone is not brought back")
--- a/internal/sidecar/membership/digest.go
+++ b/internal/sidecar/membership/digest.go
@@ -11,9 +11,8 @@
 // nodes a differing record costs its group of 31, at 17 nodes a list of digests.
 const digestBuckets = 128
 
-// buckets are the digests of records, grouped by the hash of their nodes' names.
-// Two nodes with the same records have the same buckets, in whatever order they
-// learned them.
+// buckets are the digests of records, grouped by the hash of their nodes' names. Two nodes with
+// the same records have the same buckets, in whatever order the records came.
 type buckets [digestBuckets]int64
 
 func bucketOf(node string) int { return int(xxhash.Sum64String(node) % digestBuckets) }
@@ -23,15 +22,15 @@
 	b[bucketOf(r.Node)] ^= int64(xxhash.Sum64String(r.Node + "\x00" + r.Incarnation + "\x00" + strconv.FormatInt(r.Sequence, 36)))
 }
 
-// digest sums up all buckets.
+// digest is the digest of all records.
 func (b *buckets) digest() (sum int64) {
-	for _, one := range b {
-		sum ^= one
+	for _, bucket := range b {
+		sum ^= bucket
 	}
 	return sum
 }
 
-// differing gives the buckets that another node has otherwise.
+// differing returns which buckets are not the same at another node.
 func (b *buckets) differing(others []int64) (differs [digestBuckets]bool) {
 	for i := range differs {
 		differs[i] = i >= len(others) || others[i] != b[i]
--- a/internal/sidecar/membership/exchange.go
+++ b/internal/sidecar/membership/exchange.go
@@ -19,28 +19,28 @@
 	exchangeTimeout = 500 * time.Millisecond
 )
 
-// ExchangePath takes what another node knows.
+// ExchangePath is where a node answers the exchange of another one.
 const ExchangePath = "/exchange"
 
-// Exchanger has the nodes tell each other what they know of members and
-// configuration, so that one that the store refuses goes on with what the others
-// know, and one that comes back with nothing is told by those who knew it. Each
-// node asks one other, chosen at random, each second; records are sent only where
-// digests differ, so that the traffic of a node does not grow with their number.
+// Exchanger compares records and the configuration with other nodes, so that a node that the
+// store does not serve has what the others have, and one that restarts without anything gets
+// it from those who know it. Each node asks one other, chosen at random, each second; records
+// are sent only where digests differ, so that a node's traffic does not grow with their number.
 type Exchanger struct {
 	options Options
 	members *Members
-	telling sync.Map // addresses of nodes that are being told everything
+	started sync.Map // addresses of nodes with an exchange begun by StartWith
 }
 
-// Tell exchanges at once with a node that has shown that it knows nothing, as one
-// does that came back while the store refuses it.
-func (e *Exchanger) Tell(address string) {
-	if _, busy := e.telling.LoadOrStore(address, true); busy {
+// StartWith begins an exchange with the node at an address unless one that it began there is
+// still under way. It is for a node that has shown that it knows no others, as one does that
+// restarted while the store does not serve it.
+func (e *Exchanger) StartWith(address string) {
+	if _, busy := e.started.LoadOrStore(address, true); busy {
 		return
 	}
 	go func() {
-		defer e.telling.Delete(address)
+		defer e.started.Delete(address)
 		e.With(context.Background(), address)
 	}()
 }
@@ -55,13 +55,13 @@
 	}
 }
 
-// With exchanges with the node at an address: digests first; where they differ the
-// other answers with those of its buckets, and both send the records of the
-// buckets that differ.
+// With exchanges with the node at an address: digests first; if they differ the other node
+// answers with those of its buckets, and both send the records of the buckets that differ. An
+// error is not logged: a message that is lost is made up for by the next exchange.
 func (e *Exchanger) With(ctx context.Context, address string) {
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
-	asked, _ := e.digests()
+	asked, _ := e.message()
 	answer, err := e.send(ctx, address, asked)
 	if err != nil {
 		return
@@ -69,25 +69,27 @@
 	if answer.Gone {
 		e.options.RecordLost()
 	}
-	e.take(answer)
-	told, own := e.digests()
+	e.receive(answer)
+	reply, own := e.message()
 	if len(answer.Buckets) > 0 {
-		told.Buckets = own[:]
-		told.Records = e.members.In(own.differing(answer.Buckets))
+		reply.Buckets = own[:]
+		reply.Records = e.members.inBuckets(own.differing(answer.Buckets))
 	}
-	if answer.Version < told.Version {
-		told.Configuration = e.options.Configuration.Source()
+	if answer.Version < reply.Version {
+		reply.Configuration = e.options.Configuration.Source()
 	}
-	if len(told.Buckets) == 0 && len(told.Configuration) == 0 {
+	if len(reply.Buckets) == 0 && len(reply.Configuration) == 0 {
 		return
 	}
-	if answer, err = e.send(ctx, address, told); err == nil {
-		e.take(answer)
+	if answer, err = e.send(ctx, address, reply); err == nil {
+		e.receive(answer)
 	}
 }
 
-func (e *Exchanger) digests() (*wire.Exchange, *buckets) {
-	own := e.members.Buckets()
+// message returns a message with the digest of the own records and the configuration's version,
+// and the digests by bucket.
+func (e *Exchanger) message() (*wire.Exchange, *buckets) {
+	own := e.members.digests()
 	return &wire.Exchange{Digest: own.digest(), Version: int64(e.options.Configuration.Version()), Records: []wire.NodeRecord{}, Buckets: []int64{}, From: e.options.Settings().Node}, own
 }
 
@@ -95,9 +97,9 @@
 	return peer.Ask(ctx, e.options.Peers, address, ExchangePath, wire.ExchangeCodec, message, wire.ExchangeCodec)
 }
 
-// take learns what another node told.
-func (e *Exchanger) take(message *wire.Exchange) {
-	e.members.LearnFromPeer(message.Records)
+// receive takes over the records and the configuration of a message.
+func (e *Exchanger) receive(message *wire.Exchange) {
+	e.members.Merge(message.Records)
 	if len(message.Configuration) > 0 {
 		_, _ = e.options.Configuration.Install(message.Configuration, configuration.FromPeer) // an error is logged where it occurs
 	}
@@ -109,15 +111,15 @@
 	if !read {
 		return
 	}
-	e.take(message)
-	answer, own := e.digests()
-	answer.Gone = e.members.HoldsGone(message.From)
+	e.receive(message)
+	answer, own := e.message()
+	answer.Gone = e.members.isGone(message.From)
 	switch {
 	case message.Digest == answer.Digest:
 	case len(message.Buckets) == 0:
 		answer.Buckets = own[:]
 	default:
-		answer.Records = e.members.In(own.differing(message.Buckets))
+		answer.Records = e.members.inBuckets(own.differing(message.Buckets))
 	}
 	if message.Version < answer.Version {
 		answer.Configuration = e.options.Configuration.Source()
--- a/internal/sidecar/membership/exchange_test.go
+++ b/internal/sidecar/membership/exchange_test.go
@@ -49,7 +49,7 @@
 			Address: fmt.Sprintf("10.1.%d.%d:8003", i/250, i%250), Zone: "zone-a", Service: "service-a", Instance: fmt.Sprintf("i-%d", i), Slots: 20, Serving: true,
 		})
 	}
-	n.membership.LearnFromPeer(records)
+	n.membership.Merge(records)
 }
 
 // A node spends at most 4 KB a second on control. Nodes whose records differ in a
@@ -76,7 +76,7 @@
 			fill(there, tc.there[0], tc.there[1])
 			here.exchanger.With(context.Background(), address)
 			t.Logf("%d bytes", bytes.Load())
-			g.Expect(here.membership.Buckets()).To(Equal(there.membership.Buckets()))
+			g.Expect(here.membership.digests()).To(Equal(there.membership.digests()))
 			g.Expect(here.membership.Others()).To(Equal(there.membership.Others()))
 			g.Expect(bytes.Load()).To(BeNumerically("<", tc.most))
 		})
--- a/internal/sidecar/membership/membership.go
+++ b/internal/sidecar/membership/membership.go
@@ -21,58 +21,23 @@
 
 	"github.com/cespare/xxhash/v2"
 	"github.com/landingmast/landingmast/internal/core/balancer"
-	"github.com/landingmast/landingmast/internal/core/roster"
 	"github.com/landingmast/landingmast/internal/sidecar/configuration"
 	"github.com/landingmast/landingmast/internal/sidecar/eventlog"
-	"github.com/landingmast/landingmast/internal/sidecar/peer"
-	"github.com/landingmast/landingmast/internal/sidecar/settings"
 	"github.com/landingmast/landingmast/internal/wire"
 )
 
-// Members holds the records of all nodes: the own one, and those of the others as
-// they or the store told them.
+// Members holds the records of all nodes: the own one, and those of the others as they or the
+// store sent them.
 type Members struct {
 	options     Options
 	broadcaster *Broadcaster
 
 	mutex    sync.Mutex
 	records  map[string]*wire.NodeRecord // by node
-	dropped  map[string]*wire.NodeRecord // the last of nodes that are gone
+	dropped  map[string]*wire.NodeRecord // the last records of nodes that are gone
 	sequence int64                       // of the own record
 	started  int64                       // of the own process, ms of the wall clock; orders incarnations
-	listed   bool                        // the store has told all records once
-}
-
-// Routing chooses the targets of requests by the records.
-type Routing interface {
-	// Update sets the targets of every service.
-	Update(targets map[string][]balancer.Target)
-	// Count sets the number of nodes, this one among them.
-	Count(members int)
-}
-
-// Follower elects the nodes of the zone that follow the store.
-type Follower interface {
-	// SetMembers sets the other nodes of the zone.
-	SetMembers(names []string)
-	// Heard takes in the beat of a follower; well: the store answers it.
-	Heard(name string, well bool)
-}
-
-// Options are what the parts of a node bring in.
-type Options struct {
-	Settings      func() *settings.Settings             // in force
-	Incarnation   string                                // of the node's process
-	Now           func() time.Duration                  // the clock that counts suspensions
-	Target        func() (roster.Report, time.Duration) // beside the node, and until when it is slow
-	Leaving       func() bool                           // the node is to be sent nothing more
-	Silent        func(node string) bool                // another node is taken for dead
-	RecordLost    func()                                // the store has no record of this node
-	Routing       Routing
-	Follower      Follower
-	Configuration *configuration.InForce
-	Peers         *peer.Client
-	Events        *eventlog.Log
+	listed   bool                        // the store has listed all records once
 }
 
 // New makes the records of a node that knows no other, their exchange and their broadcast.
@@ -83,16 +48,16 @@
 	return m, e, m.broadcaster
 }
 
-// Changed has the other nodes told of a change of the own record.
+// Changed notes that the own record has changed, and sends it to all nodes.
 func (m *Members) Changed() {
 	m.mutex.Lock()
 	m.sequence++
 	m.mutex.Unlock()
 	m.Apply()
-	m.broadcaster.TellOwn()
+	m.broadcaster.SendOwn()
 }
 
-// Own gives the node's own record as it is now.
+// Own returns the node's own record as it is now.
 func (m *Members) Own() *wire.NodeRecord {
 	report, coldTill := m.options.Target()
 	settings := m.options.Settings()
@@ -108,8 +73,8 @@
 	return record
 }
 
-// newer tells whether a record goes before the one that is known.
-func newer(record, known *wire.NodeRecord) bool {
+// isNewer reports whether a record replaces the one that is known; nil: none is.
+func isNewer(record, known *wire.NodeRecord) bool {
 	if known == nil {
 		return true
 	}
@@ -119,22 +84,23 @@
 	return record.Sequence > known.Sequence
 }
 
-// learn takes in a record of another node; false when it is not news.
-func (m *Members) learn(record *wire.NodeRecord) bool {
+// add stores a record that a node sent if it is newer than the one that is known. It returns
+// whether it is.
+func (m *Members) add(record *wire.NodeRecord) bool {
 	m.mutex.Lock()
-	fresh := newer(record, m.records[record.Node])
+	fresh := isNewer(record, m.records[record.Node])
 	if fresh {
 		m.records[record.Node] = record
 	}
 	m.mutex.Unlock()
 	if fresh {
-		m.Note(record, "learned", configuration.FromPeer)
+		m.LogChange(record, "learned", configuration.FromPeer)
 	}
 	return fresh
 }
 
-// Note logs a change of what is known of another node.
-func (m *Members) Note(record *wire.NodeRecord, change, source string) {
+// LogChange logs a change of what is known of another node.
+func (m *Members) LogChange(record *wire.NodeRecord, change, source string) {
 	if record.Node == m.options.Settings().Node {
 		return
 	}
@@ -144,9 +110,9 @@
 	}, eventlog.State)
 }
 
-// LearnFromPeer takes in records that another node knows. One that is gone is not
-// brought back by a node that has not heard of it yet.
-func (m *Members) LearnFromPeer(records []wire.NodeRecord) {
+// Merge adds records that another node has sent. A record of a node that is gone is not
+// brought back by a node that does not know yet that it is.
+func (m *Members) Merge(records []wire.NodeRecord) {
 	fresh := false
 	for i := range records {
 		r := records[i]
@@ -154,7 +120,7 @@
 		case r.Node == m.options.Settings().Node:
 			m.Outrank(&r)
 		case !m.hasDropped(&r):
-			fresh = m.learn(&r) || fresh
+			fresh = m.add(&r) || fresh
 		}
 	}
 	if fresh {
@@ -162,6 +128,7 @@
 	}
 }
 
+// hasDropped reports whether a record was dropped, or a newer one of the same process.
 func (m *Members) hasDropped(record *wire.NodeRecord) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -169,27 +136,27 @@
 	return dropped != nil && dropped.Incarnation == record.Incarnation && dropped.Sequence >= record.Sequence
 }
 
-// HoldsGone tells whether a node is taken for gone.
-func (m *Members) HoldsGone(node string) bool {
+// isGone reports whether a node is taken for gone.
+func (m *Members) isGone(node string) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return node != "" && m.records[node] == nil && m.dropped[node] != nil
 }
 
-// ForgetGone forgets nodes that a follower of the zone takes for gone.
-func (m *Members) ForgetGone(records []wire.NodeRecord) {
+// forgetGone drops the records of nodes that a follower of the zone takes for gone.
+func (m *Members) forgetGone(records []wire.NodeRecord) {
 	for i := range records {
 		known := m.Record(records[i].Node)
-		if known == nil || newer(known, &records[i]) {
+		if known == nil || isNewer(known, &records[i]) {
 			continue
 		}
-		m.Note(known, "forgotten", configuration.FromPeer)
+		m.LogChange(known, "forgotten", configuration.FromPeer)
 		m.Forget(known)
 	}
 }
 
-// Outrank has the own record go before one of an earlier process of this node. The
-// wall clock orders the two, and it may have been set back between them.
+// Outrank makes the own record newer than one of an earlier process of this node. The wall
+// clock orders the two, and it may have been set back between them.
 func (m *Members) Outrank(record *wire.NodeRecord) {
 	m.mutex.Lock()
 	later := record.Incarnation != m.options.Incarnation && record.Started >= m.started
@@ -213,46 +180,46 @@
 	m.Apply()
 }
 
-// Put takes in a record that the store has. What peers told since it was written
-// goes before it.
+// Put stores a record that the store has, unless a newer one is known: the store has a node's
+// record as it was when the node wrote it, and what changed since comes from the node itself.
 func (m *Members) Put(record *wire.NodeRecord) {
 	if record.Node == m.options.Settings().Node {
 		return
 	}
 	m.mutex.Lock()
-	fresh := newer(record, m.records[record.Node])
+	fresh := isNewer(record, m.records[record.Node])
 	if fresh {
 		m.records[record.Node] = record
 		delete(m.dropped, record.Node)
 	}
 	m.mutex.Unlock()
 	if fresh {
-		m.Note(record, "learned", configuration.FromStore)
+		m.LogChange(record, "learned", configuration.FromStore)
 	}
 }
 
-// SetListed notes that the store has told all records once.
+// SetListed notes that the store has listed all records.
 func (m *Members) SetListed() {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.listed = true
 }
 
-// Record gives the record of a node, nil when there is none.
+// Record returns the record of another node; nil: none is known.
 func (m *Members) Record(node string) *wire.NodeRecord {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.records[node]
 }
 
-// Names gives the other nodes that are known.
+// Names returns the names of the other nodes that are known.
 func (m *Members) Names() []string {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return slices.Collect(maps.Keys(m.records))
 }
 
-// Restarted notes that a node is another process than its record says.
+// Restarted sets the process of a node that answered as another one than its record names.
 func (m *Members) Restarted(node, incarnation string) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -263,7 +230,7 @@
 	}
 }
 
-// Incarnation gives the process that the record of a node names.
+// Incarnation returns the process that the record of a node names; empty: none is known.
 func (m *Members) Incarnation(node string) string {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -273,8 +240,8 @@
 	return ""
 }
 
-// IsFirstFor tells whether the node is the one of all that are known that comes first for a
-// key. All nodes that know the same others agree.
+// IsFirstFor reports whether this node has the highest weight of all nodes for a key. Nodes
+// that know the same others agree on which one has.
 func (m *Members) IsFirstFor(key []byte) bool {
 	own := m.options.Settings().Node
 	mine := weightFor(own, key)
@@ -293,7 +260,7 @@
 	return xxhash.Sum64(append(append([]byte(nil), key...), name...))
 }
 
-// Others gives the number of other nodes that are known.
+// Others returns the number of other nodes that are known.
 func (m *Members) Others() int {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -304,7 +271,7 @@
 	return count
 }
 
-// All gives the records of all nodes, the own one among them.
+// All returns the records of all nodes, the own one among them.
 func (m *Members) All() []wire.NodeRecord {
 	own := m.Own()
 	m.mutex.Lock()
@@ -318,8 +285,8 @@
 	return append(records, *own)
 }
 
-// Buckets sums up the records of all nodes.
-func (m *Members) Buckets() *buckets {
+// digests returns the digests of the records of all nodes.
+func (m *Members) digests() *buckets {
 	b := &buckets{}
 	for _, r := range m.All() {
 		b.add(&r)
@@ -327,8 +294,8 @@
 	return b
 }
 
-// In gives the records of some buckets, the own one among them.
-func (m *Members) In(wanted [digestBuckets]bool) []wire.NodeRecord {
+// inBuckets returns the records of some buckets, the own one if it is in one of them.
+func (m *Members) inBuckets(wanted [digestBuckets]bool) []wire.NodeRecord {
 	found := []wire.NodeRecord{}
 	for _, r := range m.All() {
 		if wanted[bucketOf(r.Node)] {
@@ -338,33 +305,37 @@
 	return found
 }
 
-// Apply brings the records into routing.
+// Apply sets the targets of all services, the number of nodes and the nodes of the zone as the
+// records have them. Who stores several records calls it once, after the last.
 func (m *Members) Apply() {
-	targets := map[string][]balancer.Target{}
-	now := m.options.Now()
-	add := func(record *wire.NodeRecord) {
-		if !record.Serving || record.Instance == "" {
-			return
-		}
-		targets[record.Service] = append(targets[record.Service], balancer.Target{
-			Node: record.Node, Address: record.Address, Zone: record.Zone, Instance: record.Instance, Slots: record.Slots,
-			Cold: now + time.Duration(record.Cold)*time.Millisecond,
-		})
-	}
 	own := m.Own()
+	now := m.options.Now()
+	targets := map[string][]balancer.Target{}
+	others := 0
 	m.mutex.Lock()
-	others, listed := 0, m.listed
+	listed := m.listed
 	for name, record := range m.records {
 		if name != own.Node {
 			others++
-			add(record)
+			addTarget(targets, record, now)
 		}
 	}
 	m.mutex.Unlock()
-	add(own)
+	addTarget(targets, own, now)
 	m.options.Routing.Update(targets)
 	if others > 0 || listed {
 		m.options.Routing.Count(others + 1)
 	}
 	m.options.Follower.SetMembers(m.ZoneMembers())
 }
+
+// addTarget adds the target beside a node to those of its service if it takes new work.
+func addTarget(targets map[string][]balancer.Target, record *wire.NodeRecord, now time.Duration) {
+	if !record.Serving || record.Instance == "" {
+		return
+	}
+	targets[record.Service] = append(targets[record.Service], balancer.Target{
+		Node: record.Node, Address: record.Address, Zone: record.Zone, Instance: record.Instance, Slots: record.Slots,
+		Cold: now + time.Duration(record.Cold)*time.Millisecond,
+	})
+}
--- a/internal/sidecar/membership/membership_test.go
+++ b/internal/sidecar/membership/membership_test.go
@@ -90,14 +90,14 @@
 			other := memberNode("other", "o")
 			node := memberNode("me", "second")
 			first := wire.NodeRecord{Node: "me", Incarnation: "first", Sequence: 9, Started: node.membership.Own().Started - tc.step.Milliseconds()}
-			other.membership.learn(&first)
+			other.membership.add(&first)
 
 			// They exchange what they know.
-			node.membership.LearnFromPeer(other.membership.All())
-			other.membership.LearnFromPeer(node.membership.All())
+			node.membership.Merge(other.membership.All())
+			other.membership.Merge(node.membership.All())
 			g.Expect(other.membership.Incarnation("me")).To(Equal("second"))
 			before := node.membership.Own().Started
-			node.membership.LearnFromPeer(other.membership.All())
+			node.membership.Merge(other.membership.All())
 			g.Expect(node.membership.Own().Started).To(Equal(before), "its own record moves nothing")
 		})
 	}
--- a/internal/sidecar/node.go
+++ b/internal/sidecar/node.go
@@ -179,7 +179,7 @@
 			go n.heldBack.Compare(ctx, address)
 		}
 	}
-	n.news.TellOwn()
+	n.news.SendOwn()
 }
 
 func (n *Node) heldBackOptions() heldback.Options {
--- a/internal/sidecar/send.go
+++ b/internal/sidecar/send.go
@@ -133,7 +133,7 @@
 // tellIfLost helps a node that replied without knowing any configuration.
 func (x *exchange) tellIfLost(choice *choice, answer *reply.Reply) {
 	if answer.Incarnation != "" && answer.Version == 0 && choice.node != x.node.settings().Node {
-		x.node.exchanger.Tell(choice.address)
+		x.node.exchanger.StartWith(choice.address)
 	}
 }
 
