--- a/internal/sidecar/configuration.go
+++ b/internal/sidecar/configuration.go
@@ -5,6 +5,7 @@
 	"math/rand/v2"
 	"time"
 
+	"github.com/landingmast/landingmast/internal/sidecar/storehealth"
 	"github.com/landingmast/landingmast/internal/sidecar/wait"
 	"github.com/landingmast/landingmast/internal/store"
 	"github.com/landingmast/landingmast/internal/wire"
@@ -25,7 +26,7 @@
 			}
 		}
 		if n.configuration.Version() > before {
-			n.news.TellAll(&wire.News{})
+			n.news.SendAll(&wire.News{})
 		}
 	})
 }
@@ -45,7 +46,7 @@
 		rest = configurationBootstrap
 	}
 	for wait.For(ctx, rest); ctx.Err() == nil && n.configuration.Version() == 0; {
-		call, cancel := context.WithTimeout(ctx, callTimeout)
+		call, cancel := context.WithTimeout(ctx, storehealth.CallTimeout)
 		found := n.freshness.ReadStored(call, n.now())
 		cancel()
 		if found {
--- a/internal/sidecar/egress.go
+++ b/internal/sidecar/egress.go
@@ -12,6 +12,7 @@
 	"github.com/landingmast/landingmast/internal/core/outcome"
 	"github.com/landingmast/landingmast/internal/sidecar/admission"
 	"github.com/landingmast/landingmast/internal/sidecar/eventlog"
+	"github.com/landingmast/landingmast/internal/sidecar/heldback"
 	"github.com/landingmast/landingmast/internal/sidecar/reply"
 	"github.com/landingmast/landingmast/internal/sidecar/settings"
 	"github.com/landingmast/landingmast/internal/wire"
@@ -118,9 +119,9 @@
 
 // heldBack decides on a request that targets ended with. The answer to one that none is to
 // get says that it has not run, and not when to come back.
-func (x *exchange) heldBack() verdict {
+func (x *exchange) heldBack() heldback.Verdict {
 	call := &wire.SidecarCall{Method: x.request.Method, URI: uriOf(x.request), Host: x.request.Host, Caller: x.node.caller(), Tenant: x.tenant}
-	return x.node.heldBack.AtStart(&printed{call: call, body: x.body})
+	return x.node.heldBack.AtStart(&heldback.Request{Call: call, Body: x.body})
 }
 
 // countRequest counts the request and the calls that will be made for it. The result is the
--- a/internal/sidecar/addresses.go
+++ b/internal/sidecar/membership/addresses.go
@@ -1,13 +1,13 @@
-package sidecar
+package membership
 
 import (
 	"math/rand/v2"
 	"slices"
 )
 
-// ZoneMembers gives the other nodes of the zone.
-func (m *membership) ZoneMembers() []string {
-	zone := m.node.settings().Zone
+// ZoneMembers returns the names of the other nodes of the zone.
+func (m *Members) ZoneMembers() []string {
+	zone := m.options.Settings().Zone
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	var names []string
@@ -19,9 +19,9 @@
 	return names
 }
 
-// Zones gives the number of zones that have a node, the own one among them.
-func (m *membership) Zones() int {
-	found := map[string]bool{m.node.settings().Zone: true}
+// Zones returns the number of zones that have a node, the own one among them.
+func (m *Members) Zones() int {
+	found := map[string]bool{m.options.Settings().Zone: true}
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	for _, record := range m.records {
@@ -30,9 +30,9 @@
 	return len(found)
 }
 
-// ZoneNames gives the zones that have a node, the own one among them, in order.
-func (m *membership) ZoneNames() []string {
-	found := map[string]bool{m.node.settings().Zone: true}
+// ZoneNames returns the zones that have a node, the own one among them, in alphabetical order.
+func (m *Members) ZoneNames() []string {
+	found := map[string]bool{m.options.Settings().Zone: true}
 	m.mutex.Lock()
 	for _, record := range m.records {
 		found[record.Zone] = true
@@ -46,13 +46,13 @@
 	return names
 }
 
-// Addresses gives those of the other nodes by zone, in a random order. Nodes that
+// Addresses returns the addresses of the other nodes by zone, in a random order. Nodes that
 // are taken for dead are left out.
-func (m *membership) Addresses() map[string][]string {
+func (m *Members) Addresses() map[string][]string {
 	found := map[string][]string{}
 	m.mutex.Lock()
 	for name, record := range m.records {
-		if name != m.node.settings().Node && !m.node.liveness.Silent(name) {
+		if name != m.options.Settings().Node && !m.options.Silent(name) {
 			found[record.Zone] = append(found[record.Zone], record.Address)
 		}
 	}
@@ -63,13 +63,12 @@
 	return found
 }
 
-// nearShare is the share of exchanges that stay in the zone, where bytes cost
-// nothing.
+// nearShare is the share of exchanges that stay in the zone, where traffic is free of charge.
 const nearShare = 0.75
 
-// AnyAddress gives the address of another node, chosen at random, more often one of
-// the own zone.
-func (m *membership) AnyAddress() string {
+// AnyAddress returns the address of another node, chosen at random, more often one of the own
+// zone; empty: none is known.
+func (m *Members) AnyAddress() string {
 	near, far := m.split()
 	if len(near) == 0 || len(far) > 0 && rand.Float64() >= nearShare {
 		near = far
@@ -77,9 +76,9 @@
 	return anyOf(near)
 }
 
-// AddressElsewhere gives the address of a node in another zone, or of any other
-// node when there is none.
-func (m *membership) AddressElsewhere() string {
+// AddressElsewhere returns the address of a node in another zone, chosen at random, or of any
+// other node if there is none; empty: no other node is known.
+func (m *Members) AddressElsewhere() string {
 	near, far := m.split()
 	if len(far) == 0 {
 		far = near
@@ -87,10 +86,10 @@
 	return anyOf(far)
 }
 
-// split gives the addresses of the nodes in the own zone and in others.
-func (m *membership) split() (near, far []string) {
+// split returns the addresses of the other nodes in the own zone and in others.
+func (m *Members) split() (near, far []string) {
 	for zone, addresses := range m.Addresses() {
-		if zone == m.node.settings().Zone {
+		if zone == m.options.Settings().Zone {
 			near = addresses
 			continue
 		}
@@ -106,7 +105,7 @@
 	return addresses[rand.IntN(len(addresses))]
 }
 
-// shuffled gives the addresses in a random order.
+// shuffled puts the addresses into a random order.
 func shuffled(addresses []string) []string {
 	rand.Shuffle(len(addresses), func(a, b int) { addresses[a], addresses[b] = addresses[b], addresses[a] })
 	return addresses
--- a/internal/sidecar/exchange_test.go
+++ b/internal/sidecar/membership/exchange_test.go
@@ -1,10 +1,9 @@
-package sidecar
+package membership
 
 import (
 	"context"
 	"fmt"
 	"io"
-	"net"
 	"net/http"
 	"net/http/httptest"
 	"strings"
@@ -12,18 +11,14 @@
 	"testing"
 
 	"github.com/landingmast/landingmast/internal/codec"
-	"github.com/landingmast/landingmast/internal/sidecar/headers"
-	"github.com/landingmast/landingmast/internal/sidecar/peer"
 	"github.com/landingmast/landingmast/internal/wire"
 	. "github.com/onsi/gomega"
 )
 
 // countedNode is a node whose exchange is served over HTTP, and the bytes of it.
-func countedNode(t *testing.T, name string) (n *Node, address string, bytes *atomic.Int64) {
+func countedNode(t *testing.T, name string) (n *testNode, address string, bytes *atomic.Int64) {
 	t.Helper()
 	n = memberNode(name, name)
-	n.peers = peer.NewClient((&net.Dialer{}).DialContext, headers.Names{})
-	n.exchanger = &exchanger{node: n}
 	bytes = &atomic.Int64{}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		bytes.Add(r.ContentLength)
@@ -46,7 +41,7 @@
 	return c.ResponseWriter.Write(data)
 }
 
-func fill(n *Node, from, to int) {
+func fill(n *testNode, from, to int) {
 	var records []wire.NodeRecord
 	for i := from; i < to; i++ {
 		records = append(records, wire.NodeRecord{
@@ -54,7 +49,7 @@
 			Address: fmt.Sprintf("10.1.%d.%d:8003", i/250, i%250), Zone: "zone-a", Service: "service-a", Instance: fmt.Sprintf("i-%d", i), Slots: 20, Serving: true,
 		})
 	}
-	n.membership.LearnFromPeer(records)
+	n.membership.Merge(records)
 }
 
 // A node spends at most 4 KB a second on control. Nodes whose records differ in a
@@ -81,7 +76,7 @@
 			fill(there, tc.there[0], tc.there[1])
 			here.exchanger.With(context.Background(), address)
 			t.Logf("%d bytes", bytes.Load())
-			g.Expect(here.membership.Buckets()).To(Equal(there.membership.Buckets()))
+			g.Expect(here.membership.digests()).To(Equal(there.membership.digests()))
 			g.Expect(here.membership.Others()).To(Equal(there.membership.Others()))
 			g.Expect(bytes.Load()).To(BeNumerically("<", tc.most))
 		})
--- a/internal/sidecar/node.go
+++ b/internal/sidecar/node.go
@@ -24,9 +24,12 @@
 	"github.com/landingmast/landingmast/internal/sidecar/configuration"
 	"github.com/landingmast/landingmast/internal/sidecar/eventlog"
 	"github.com/landingmast/landingmast/internal/sidecar/headers"
+	"github.com/landingmast/landingmast/internal/sidecar/heldback"
+	"github.com/landingmast/landingmast/internal/sidecar/membership"
 	"github.com/landingmast/landingmast/internal/sidecar/metrics"
 	"github.com/landingmast/landingmast/internal/sidecar/peer"
 	"github.com/landingmast/landingmast/internal/sidecar/quotas"
+	"github.com/landingmast/landingmast/internal/sidecar/registration"
 	"github.com/landingmast/landingmast/internal/sidecar/revalidation"
 	"github.com/landingmast/landingmast/internal/sidecar/services"
 	"github.com/landingmast/landingmast/internal/sidecar/settings"
@@ -75,16 +78,16 @@
 	ingress       *ingress
 	egress        *egress
 	peers         *peer.Client
-	membership    *membership
-	registration  *registration
+	membership    *membership.Members
+	registration  *registration.Registration
 	follower      *follower
-	exchanger     *exchanger
-	news          *spreader
+	exchanger     *membership.Exchanger
+	news          *membership.Broadcaster
 	freshness     *revalidation.Revalidator
 	keepers       *quotas.Keepers
 	quotaServer   *quotas.Server
 	quotas        *quotas.Limiter
-	heldBack      *heldBack
+	heldBack      *heldback.Control
 	liveness      *peer.Liveness
 	planned       plannedStop
 	inFlight      atomic.Int64 // requests of clients, of the target and of other nodes
@@ -119,16 +122,14 @@
 	n.ingress = newIngress(n)
 	n.egress = &egress{node: n}
 	n.peers = peer.NewClient(options.Dial, options.Headers)
-	n.membership = newMembership(n)
-	n.registration = newRegistration(n)
 	n.follower = newFollower(n)
-	n.exchanger = &exchanger{node: n}
-	n.news = &spreader{node: n}
+	n.membership, n.exchanger, n.news = membership.New(n.membershipOptions())
+	n.registration = registration.New(n.registrationOptions())
 	n.keepers = quotas.NewKeepers(options.QuotaPrefix)
 	n.freshness = revalidation.New(n.freshnessOptions())
 	n.quotaServer = quotas.NewServer(n.quotaOptions(), n.keepers)
 	n.quotas = quotas.NewLimiter(n.quotaOptions(), n.keepers, n.quotaServer)
-	n.heldBack = newHeldBack(n)
+	n.heldBack = heldback.New(n.heldBackOptions())
 	n.liveness = peer.NewLiveness(n.now, n.peers.PingPeer, peer.Events{Lost: n.silent, Still: n.services.Suspect, Back: n.heardAgain})
 	n.target = &localTarget{now: n.now, roster: roster.New(), changed: n.targetChanged, link: n.newLink, identify: n.identify, followed: n.ingress.instanceReplaced, beginAll: !n.policyOn(inTime)}
 	return n, n.listen()
@@ -161,6 +162,57 @@
 	}
 }
 
+func (n *Node) membershipOptions() membership.Options {
+	return membership.Options{
+		Settings: n.settings, Incarnation: n.incarnation, Now: n.now,
+		Target:     func() (roster.Report, time.Duration) { return n.target.Report() },
+		Leaving:    n.planned.leaving.Load,
+		Silent:     func(node string) bool { return n.liveness.Silent(node) },
+		RecordLost: func() { n.registration.Lost() },
+		Routing:    n.services, Follower: n.follower,
+		Configuration: n.configuration, Peers: n.peers, Events: n.events,
+	}
+}
+
+func (n *Node) registrationOptions() registration.Options {
+	return registration.Options{
+		Settings: n.settings, Store: n.store, Health: n.storeHealth, Probe: n.probe,
+		RecordPrefix: n.options.RecordPrefix, NodePrefix: n.options.NodePrefix,
+		Members: n.membership, TakeOther: n.takeOther, Meet: n.meet, Listed: n.follower.Begin,
+		TargetLeft: func() bool { return n.target.HasLeft() },
+	}
+}
+
+// takeOther takes in what the nodes keep in the store besides their records, as it is listed
+// at the start.
+func (n *Node) takeOther(item *store.Item) {
+	if item.Key == n.options.CrashKey {
+		n.heldBack.TakeStored(item)
+	}
+}
+
+// meetings is the number of nodes that a new one asks for what they know.
+const meetings = 2
+
+// meet asks some nodes for what they know and sends all of them the own record.
+func (n *Node) meet(ctx context.Context) {
+	for range meetings {
+		if address := n.membership.AnyAddress(); address != "" {
+			go n.exchanger.With(ctx, address)
+			go n.heldBack.Compare(ctx, address)
+		}
+	}
+	n.news.SendOwn()
+}
+
+func (n *Node) heldBackOptions() heldback.Options {
+	return heldback.Options{
+		Zone: n.settings().Zone, Enabled: func() bool { return n.policyOn(settings.HoldBack) }, Now: n.now,
+		Nodes: n.membership, Peers: n.peers, Events: n.events,
+		Store: n.store, Key: n.options.CrashKey, Health: n.storeHealth,
+	}
+}
+
 // settings gives the settings in force.
 func (n *Node) settings() *settings.Settings { return n.checked.Load() }
 
@@ -257,11 +309,11 @@
 	mux := http.NewServeMux()
 	mux.Handle("POST "+peer.CallPath, n.ingress)
 	mux.Handle("POST "+peer.SettlePath, n.ingress.once)
-	mux.Handle("POST "+exchangePath, n.exchanger)
-	mux.Handle("POST "+newsPath, n.news)
+	mux.Handle("POST "+membership.ExchangePath, n.exchanger)
+	mux.Handle("POST "+membership.BroadcastPath, n.news)
 	mux.Handle("POST "+revalidation.Path, n.freshness)
 	mux.Handle("POST "+quotas.Path, n.quotaServer)
-	mux.Handle("POST "+crashPath, n.heldBack)
+	mux.Handle("POST "+heldback.Path, n.heldBack)
 	mux.HandleFunc("GET "+peer.PingPath, n.servePing)
 	return mux
 }
--- a/internal/sidecar/send.go
+++ b/internal/sidecar/send.go
@@ -145,7 +145,7 @@
 // tellIfLost helps a node that replied without knowing any configuration.
 func (x *exchange) tellIfLost(choice *services.Choice, answer *reply.Reply) {
 	if answer.Incarnation != "" && answer.Version == 0 && choice.Node != x.node.settings().Node {
-		x.node.exchanger.Tell(choice.Address)
+		x.node.exchanger.StartWith(choice.Address)
 	}
 }
 
--- a/internal/sidecar/steps.go
+++ b/internal/sidecar/steps.go
@@ -142,12 +142,12 @@
 // come back: it would be refused again.
 func (x *exchange) isHarmless() bool {
 	verdict := x.heldBack()
-	if verdict.refused {
+	if verdict.Refused {
 		x.refuse(http.StatusServiceUnavailable, outcome.ReasonEndsTargets, notInvited)
 		return false
 	}
-	if x.trial = verdict.trial != nil; x.trial {
-		x.atEnd(verdict.trial)
+	if x.trial = verdict.EndTrial != nil; x.trial {
+		x.atEnd(verdict.EndTrial)
 	}
 	return true
 }
--- a/internal/sidecar/wake_test.go
+++ b/internal/sidecar/wake_test.go
@@ -7,6 +7,7 @@
 
 	"github.com/landingmast/landingmast/internal/core/intent"
 	"github.com/landingmast/landingmast/internal/sidecar/configuration"
+	"github.com/landingmast/landingmast/internal/sidecar/heldback"
 	"github.com/landingmast/landingmast/internal/wire"
 	. "github.com/onsi/gomega"
 )
@@ -44,7 +45,7 @@
 			source := &jumpingClock{}
 			n := &Node{configuration: configuration.New(nil, nil), clock: source}
 			x := &exchange{node: n, hold: time.Second, started: n.now(), route: &intent.Route{}}
-			one := &arrival{printed: printed{call: &wire.SidecarCall{Remaining: time.Second.Microseconds()}}, at: n.now()}
+			one := &arrival{Request: heldback.Request{Call: &wire.SidecarCall{Remaining: time.Second.Microseconds()}}, at: n.now()}
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 			defer cancel()
 			source.slept = tc.slept
