--- a/internal/sidecar/follow.go
+++ b/internal/sidecar/follower/watch.go
@@ -1,4 +1,4 @@
-package sidecar
+package follower
 
 import (
 	"context"
@@ -25,19 +25,13 @@
 )
 
 // followRecords follows the records of all nodes.
-func (f *follower) followRecords(ctx context.Context) {
-	prefix := f.node.options.NodePrefix
-	m := f.node.membership
-	f.follow(ctx, f.node.options.RecordPrefix, restOfRecords, func(items []store.Item, whole bool, at int64) {
-		f.node.keepers.TakeStored(items)
-		if whole {
-			f.node.keepers.NoteAbsent(items, at)
-		}
+func (f *Follower) followRecords(ctx context.Context) {
+	prefix := f.options.NodePrefix
+	m := f.options.Members
+	f.follow(ctx, f.options.RecordPrefix, restOfRecords, func(items []store.Item, whole bool, at int64) {
+		f.options.TakeStored(items, whole, at)
 		seen := map[string]bool{}
 		for _, item := range items {
-			if item.Key == f.node.options.CrashKey {
-				f.node.heldBack.TakeStored(&item)
-			}
 			name, is := strings.CutPrefix(item.Key, prefix)
 			if !is {
 				continue
@@ -53,7 +47,7 @@
 		}
 		if whole {
 			m.SetListed()
-			for _, name := range append(m.Names(), f.node.settings().Node) {
+			for _, name := range append(m.Names(), f.options.Settings().Node) {
 				if !seen[name] {
 					f.lapsed(name)
 				}
@@ -64,29 +58,29 @@
 }
 
 // present notes that the store has a node's record.
-func (f *follower) present(record *wire.NodeRecord) {
+func (f *Follower) present(record *wire.NodeRecord) {
 	f.mutex.Lock()
 	f.lapses.Back(record.Node)
 	delete(f.gone, record.Node)
 	f.mutex.Unlock()
-	f.node.membership.Put(record)
+	f.options.Members.Put(record)
 }
 
 // lapsed notes that the store has lost a node's record. The node's own record is
 // written anew.
-func (f *follower) lapsed(name string) {
-	if name == f.node.settings().Node {
-		f.node.registration.Lost()
+func (f *Follower) lapsed(name string) {
+	if name == f.options.Settings().Node {
+		f.options.RecordLost()
 		return
 	}
-	record := f.node.membership.Record(name)
+	record := f.options.Members.Record(name)
 	if record == nil {
 		return
 	}
-	f.node.membership.LogChange(record, "lapsed", configuration.FromStore)
+	f.options.Members.LogChange(record, "lapsed", configuration.FromStore)
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.lapses.Lapsed(f.node.now(), name)
+	f.lapses.Lapsed(f.options.Now(), name)
 }
 
 // follow reads everything below a prefix and then watches it; where the history
@@ -94,17 +88,17 @@
 //
 // rest is the least time between an event and the next watch: events that come in
 // a row are then fetched with one call.
-func (f *follower) follow(ctx context.Context, prefix string, rest time.Duration, take func(items []store.Item, whole bool, at int64)) {
+func (f *Follower) follow(ctx context.Context, prefix string, rest time.Duration, take func(items []store.Item, whole bool, at int64)) {
 	at := int64(-1)
 	for ctx.Err() == nil {
 		if at < 0 {
 			call, cancel := context.WithTimeout(ctx, storehealth.CallTimeout)
-			items, revision, err := f.node.store.List(call, prefix)
+			items, revision, err := f.options.Store.List(call, prefix)
 			cancel()
 			if ctx.Err() != nil {
 				return
 			}
-			f.node.storeHealth.Note("read", err)
+			f.options.Health.Note("read", err)
 			f.hear(prefix, err == nil)
 			if err != nil {
 				wait.For(ctx, retryLeast+time.Duration(rand.Int64N(int64(retrySpread))))
@@ -113,11 +107,11 @@
 			at = revision
 			take(items, true, at)
 		}
-		events, revision, err := f.node.store.Watch(ctx, prefix, at, watchWait)
+		events, revision, err := f.options.Store.Watch(ctx, prefix, at, watchWait)
 		if ctx.Err() != nil {
 			return
 		}
-		f.node.storeHealth.Note("watch", err)
+		f.options.Health.Note("watch", err)
 		f.hear(prefix, err == nil || errors.Is(err, store.ErrCompacted))
 		switch {
 		case errors.Is(err, store.ErrCompacted):
@@ -140,10 +134,30 @@
 
 // fairRest is the time between two calls of a watch at which one follower for each
 // zone keeps to that share; 0 when the rate is not known.
-func (f *follower) fairRest() time.Duration {
-	rate := watchShare * f.node.settings().Store.ReadsPerSecond
+func (f *Follower) fairRest() time.Duration {
+	rate := watchShare * f.options.Settings().Store.ReadsPerSecond
 	if rate <= 0 {
 		return 0
 	}
-	return time.Duration(float64(f.node.membership.Zones()) / rate * float64(time.Second))
+	return time.Duration(float64(f.options.Members.Zones()) / rate * float64(time.Second))
+}
+
+// restOfConfiguration bounds the calls while configurations come in quick succession.
+const restOfConfiguration = 100 * time.Millisecond
+
+// followConfiguration follows the operators' configuration and tells all nodes of a
+// new one.
+func (f *Follower) followConfiguration(ctx context.Context) {
+	key := f.options.ConfigurationKey
+	f.follow(ctx, key, restOfConfiguration, func(items []store.Item, _ bool, _ int64) {
+		before := f.options.Version()
+		for _, item := range items {
+			if item.Key == key && !item.Gone {
+				_, _ = f.options.InstallStored(&item) // an error is logged where it occurs
+			}
+		}
+		if f.options.Version() > before {
+			f.options.SendAll(&wire.News{})
+		}
+	})
 }
--- a/internal/sidecar/node.go
+++ b/internal/sidecar/node.go
@@ -23,6 +23,7 @@
 	"github.com/landingmast/landingmast/internal/sidecar/admission"
 	"github.com/landingmast/landingmast/internal/sidecar/configuration"
 	"github.com/landingmast/landingmast/internal/sidecar/eventlog"
+	"github.com/landingmast/landingmast/internal/sidecar/follower"
 	"github.com/landingmast/landingmast/internal/sidecar/headers"
 	"github.com/landingmast/landingmast/internal/sidecar/heldback"
 	"github.com/landingmast/landingmast/internal/sidecar/membership"
@@ -80,7 +81,7 @@
 	peers         *peer.Client
 	membership    *membership.Members
 	registration  *registration.Registration
-	follower      *follower
+	follower      *follower.Follower
 	exchanger     *membership.Exchanger
 	news          *membership.Broadcaster
 	freshness     *revalidation.Revalidator
@@ -122,8 +123,8 @@
 	n.ingress = newIngress(n)
 	n.egress = &egress{node: n}
 	n.peers = peer.NewClient(options.Dial, options.Headers)
-	n.follower = newFollower(n)
 	n.membership, n.exchanger, n.news = membership.New(n.membershipOptions())
+	n.follower = follower.New(n.followerOptions())
 	n.registration = registration.New(n.registrationOptions())
 	n.keepers = quotas.NewKeepers(options.QuotaPrefix)
 	n.freshness = revalidation.New(n.freshnessOptions())
@@ -169,14 +170,56 @@
 		Leaving:    n.planned.leaving.Load,
 		Silent:     func(node string) bool { return n.liveness.Silent(node) },
 		RecordLost: func() { n.registration.Lost() },
-		Routing:    n.services, Follower: n.follower,
+		Routing:    n.services, Follower: lateFollower{n},
 		Configuration: n.configuration, Peers: n.peers, Events: n.events,
 	}
 }
 
+// lateFollower is the node's follower to its records, which are made first: the follower needs
+// them.
+type lateFollower struct{ node *Node }
+
+// SetMembers implements membership.Follower.
+func (l lateFollower) SetMembers(names []string) { l.node.follower.SetMembers(names) }
+
+// Heard implements membership.Follower.
+func (l lateFollower) Heard(name string, well bool) { l.node.follower.Heard(name, well) }
+
+func (n *Node) followerOptions() follower.Options {
+	return follower.Options{
+		Settings: n.settings, Now: n.now, Events: n.events, Store: n.store, Health: n.storeHealth, Peers: n.peers, Members: n.membership,
+		RecordPrefix: n.options.RecordPrefix, NodePrefix: n.options.NodePrefix, ConfigurationKey: n.options.ConfigurationKey,
+		Version:       n.configuration.Version,
+		InstallStored: func(item *store.Item) (uint64, error) { return n.freshness.InstallStored(item) },
+		SendZone:      n.news.SendZone, SendAll: n.news.SendAll, Exchange: n.exchanger.With,
+		RecordLost: func() { n.registration.Lost() },
+		TakeStored: n.takeStored, Heartbeat: n.whileFollowing,
+	}
+}
+
+// takeStored takes in what the nodes keep in the store besides their records.
+func (n *Node) takeStored(items []store.Item, whole bool, at int64) {
+	n.keepers.TakeStored(items)
+	if whole {
+		n.keepers.NoteAbsent(items, at)
+	}
+	for index := range items {
+		n.takeOther(&items[index])
+	}
+}
+
+// whileFollowing is done with each heartbeat of a node that follows the store: quotas without
+// a keeper are taken over, and evidence on harmful requests is saved.
+func (n *Node) whileFollowing(ctx context.Context) {
+	n.quotaServer.Fill(ctx)
+	if n.follower.Reaches() {
+		n.heldBack.Save(ctx)
+	}
+}
+
 func (n *Node) registrationOptions() registration.Options {
 	return registration.Options{
-		Settings: n.settings, Store: n.store, Health: n.storeHealth, Probe: n.probe,
+		Settings: n.settings, Store: n.store, Health: n.storeHealth, Probe: func(ctx context.Context) bool { return n.storeHealth.Probe(ctx, n.store) },
 		RecordPrefix: n.options.RecordPrefix, NodePrefix: n.options.NodePrefix,
 		Members: n.membership, TakeOther: n.takeOther, Meet: n.meet, Listed: n.follower.Begin,
 		TargetLeft: func() bool { return n.target.HasLeft() },
--- a/internal/sidecar/node_test.go
+++ b/internal/sidecar/node_test.go
@@ -9,6 +9,7 @@
 	"github.com/landingmast/landingmast/internal/core/roster"
 	"github.com/landingmast/landingmast/internal/sidecar/configuration"
 	"github.com/landingmast/landingmast/internal/sidecar/eventlog"
+	"github.com/landingmast/landingmast/internal/sidecar/follower"
 	"github.com/landingmast/landingmast/internal/sidecar/headers"
 	"github.com/landingmast/landingmast/internal/sidecar/membership"
 	"github.com/landingmast/landingmast/internal/sidecar/peer"
@@ -26,8 +27,8 @@
 	n.peers = peer.NewClient((&net.Dialer{}).DialContext, headers.Names{})
 	n.liveness = peer.NewLiveness(n.now, n.peers.PingPeer, peer.Events{Lost: n.services.Suspect, Still: n.services.Suspect, Back: n.services.Trust})
 	n.ingress = newIngress(n)
-	n.follower = newFollower(n)
 	n.membership, n.exchanger, n.news = membership.New(n.membershipOptions())
+	n.follower = follower.New(n.followerOptions())
 	n.registration = registration.New(n.registrationOptions())
 	return n
 }
--- a/internal/sidecar/observe.go
+++ b/internal/sidecar/observe.go
@@ -74,15 +74,6 @@
 	n.events.Add(eventlog.Member{Member: node, Change: "heard again"}, eventlog.State)
 }
 
-// noteFollowing notes that the node begins or ends to follow the store for its zone.
-func (n *Node) noteFollowing(follows bool) {
-	change := "unfollowed"
-	if follows {
-		change = "followed"
-	}
-	n.events.Add(eventlog.Store{Change: change}, eventlog.State)
-}
-
 // ended notes the end of a request that began here.
 func (x *exchange) ended(status int, reason outcome.Reason, retryAfter time.Duration) {
 	x.status = status
--- a/internal/sidecar/storehealth/storehealth.go
+++ b/internal/sidecar/storehealth/storehealth.go
@@ -5,6 +5,7 @@
 package storehealth
 
 import (
+	"context"
 	"sync"
 	"time"
 
@@ -98,3 +99,15 @@
 	}
 	return "ok"
 }
+
+// probeTimeout bounds a probe; after it the store is taken for away.
+const probeTimeout = 400 * time.Millisecond
+
+// Probe reports whether the store answers.
+func (h *Health) Probe(ctx context.Context, s store.Store) bool {
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
+	defer cancel()
+	err := s.Probe(ctx)
+	h.Note("probe", err)
+	return err == nil
+}
