--- a/internal/sidecar/identify.go
+++ b/internal/sidecar/identify.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"github.com/landingmast/landingmast/internal/core/roster"
+	"github.com/landingmast/landingmast/internal/sidecar/target"
 	"github.com/landingmast/landingmast/internal/sidecar/targetlink"
 	"github.com/landingmast/landingmast/internal/sidecar/wait"
 )
@@ -64,7 +65,7 @@
 		if n.target.Current() != nil || ctx.Err() != nil {
 			return
 		}
-		call, cancel := context.WithTimeout(ctx, identifyTimeout)
+		call, cancel := context.WithTimeout(ctx, target.IdentifyTimeout)
 		report, known := n.identify(call)
 		cancel()
 		if known && !report.Draining && report.Slots > 0 {
--- a/internal/sidecar/ingress.go
+++ b/internal/sidecar/ingress.go
@@ -14,6 +14,7 @@
 	"github.com/landingmast/landingmast/internal/sidecar/headers"
 	"github.com/landingmast/landingmast/internal/sidecar/heldback"
 	"github.com/landingmast/landingmast/internal/sidecar/reply"
+	"github.com/landingmast/landingmast/internal/sidecar/target"
 	"github.com/landingmast/landingmast/internal/wire"
 )
 
@@ -234,26 +235,26 @@
 	switch {
 	case gate == nil:
 		return reply.NotRun(outcome.ReasonNoTarget)
-	case gate.service != call.Service:
+	case gate.Service != call.Service:
 		return reply.NotRun(outcome.ReasonWrongService)
 	}
-	one.instance = gate.instance
+	one.instance = gate.Instance
 	held := i.node.heldBack
 	switch {
 	case !held.MaySend(&one.Request):
 		return reply.NotRun(outcome.ReasonEndsTargets)
 	case held.Suspected(&one.Request):
-		if !gate.endings.alone(ctx) {
+		if !gate.Unanswered.AcquireSingle(ctx) {
 			return reply.NotRun(outcome.ReasonSuspectWaits)
 		}
 		if one.alone = held.Suspected(&one.Request); one.alone {
-			defer gate.endings.notAlone()
+			defer gate.Unanswered.ReleaseSingle()
 		} else {
-			gate.endings.notAlone() // it was cleared while it waited
+			gate.Unanswered.ReleaseSingle() // it was cleared while it waited
 		}
 	}
 	now := i.node.now()
-	id, decision := gate.enter(ctx, slots.Request{Importance: call.Importance, Deadline: now + one.left(ctx, now), Class: call.Route})
+	id, decision := gate.Enter(ctx, slots.Request{Importance: call.Importance, Deadline: now + one.left(ctx, now), Class: call.Route})
 	one.waited = decision.Waited
 	var answer *reply.Reply
 	switch {
@@ -262,21 +263,21 @@
 	case !decision.Send:
 		answer = reply.NotRun(outcome.Reason(decision.Reason))
 	case maySend != nil && !maySend():
-		gate.leave(id, false)
+		gate.Leave(id, false)
 		answer = reply.NotRun(outcome.ReasonFenced)
 	case !held.MaySend(&one.Request): // by what was heard while it waited
-		gate.leave(id, false)
+		gate.Leave(id, false)
 		answer = reply.NotRun(outcome.ReasonEndsTargets)
 	default:
 		answer = i.run(ctx, gate, id, one, header)
 	}
-	answer.Load, _ = gate.load()
+	answer.Load, _ = gate.Load()
 	answer.Waited = decision.Waited
 	return answer
 }
 
 // run sends the request to the target and reads its answer.
-func (i *ingress) run(ctx context.Context, gate *gate, id uint64, one *arrival, header http.Header) *reply.Reply {
+func (i *ingress) run(ctx context.Context, gate *target.Gate, id uint64, one *arrival, header http.Header) *reply.Reply {
 	call := one.Call
 	request := &running{id: call.RequestID, ctx: ctx, importance: call.Importance, repeat: call.Repeat, tenant: call.Tenant, granted: call.Granted, needs: map[string]wire.Need{}}
 	i.running.add(call.RequestID, request)
@@ -284,13 +285,13 @@
 	i.running.remove(call.RequestID, request)
 	learn := answer.Outcome == outcome.Answered
 	if answer.Stream == nil {
-		gate.leave(id, learn)
+		gate.Leave(id, learn)
 		if answer.Outcome == outcome.Answered {
 			i.node.heldBack.EndedWell(&one.Request)
 		}
 	} else {
 		answer.Stream = &leaving{ReadCloser: answer.Stream, leave: func(err error) {
-			gate.leave(id, learn)
+			gate.Leave(id, learn)
 			i.streamed(ctx, gate, one, err)
 		}}
 	}
@@ -322,7 +323,7 @@
 }
 
 // streamed takes in how the reading of a long answer ended; nil: its reader went away.
-func (i *ingress) streamed(ctx context.Context, gate *gate, one *arrival, err error) {
+func (i *ingress) streamed(ctx context.Context, gate *target.Gate, one *arrival, err error) {
 	switch {
 	case err == io.EOF:
 		i.node.heldBack.EndedWell(&one.Request)
--- a/internal/sidecar/judge.go
+++ b/internal/sidecar/judge.go
@@ -10,11 +10,12 @@
 	"github.com/landingmast/landingmast/internal/core/outcome"
 	"github.com/landingmast/landingmast/internal/sidecar/headers"
 	"github.com/landingmast/landingmast/internal/sidecar/reply"
+	"github.com/landingmast/landingmast/internal/sidecar/target"
 	"github.com/landingmast/landingmast/internal/sidecar/targetlink"
 )
 
 // exchange sends a request to the target and says what its answer is worth.
-func (i *ingress) exchange(ctx context.Context, gate *gate, one *arrival, header http.Header) *reply.Reply {
+func (i *ingress) exchange(ctx context.Context, gate *target.Gate, one *arrival, header http.Header) *reply.Reply {
 	names, call, body := i.node.options.Headers, one.Call, one.Body
 	remaining := one.left(ctx, i.node.now()).Milliseconds()
 	if remaining < 1 {
@@ -22,12 +23,12 @@
 	}
 	header.Set(names.RequestID, call.RequestID)
 	header.Set(names.Deadline, strconv.FormatInt(remaining, 10))
-	header.Set(names.ExpectInstance, gate.instance)
+	header.Set(names.ExpectInstance, gate.Instance)
 	header.Set(names.Caller, call.Caller)
 	if call.Tenant != "" {
 		header.Set(names.Tenant, call.Tenant)
 	}
-	answer, err := gate.links.Do(ctx, &targetlink.Request{
+	answer, err := gate.Links.Do(ctx, &targetlink.Request{
 		ID: call.RequestID, Method: call.Method, URI: call.URI, Host: call.Host, Header: header,
 		Body: body.Data, Stream: body.Stream, Length: body.Length,
 	})
@@ -37,7 +38,7 @@
 	return i.judge(ctx, gate, one, answer)
 }
 
-func (i *ingress) failed(ctx context.Context, gate *gate, one *arrival, err error) *reply.Reply {
+func (i *ingress) failed(ctx context.Context, gate *target.Gate, one *arrival, err error) *reply.Reply {
 	switch {
 	case errors.Is(err, targetlink.ErrNotSent):
 		i.unreachable(gate, err)
@@ -53,7 +54,7 @@
 }
 
 // judge reads the target's answer as far as it is worth it.
-func (i *ingress) judge(ctx context.Context, gate *gate, one *arrival, answer *targetlink.Answer) *reply.Reply {
+func (i *ingress) judge(ctx context.Context, gate *target.Gate, one *arrival, answer *targetlink.Answer) *reply.Reply {
 	names := i.node.options.Headers
 	end, reason := outcome.TargetAnswer{
 		Status: answer.Status, NotRun: answer.Header.Get(names.NotRun) != "", Signed: answer.Header.Get(names.Signature) != "",
@@ -90,12 +91,12 @@
 // declined is the reply to a request that the target did not run. Its body is read, so that
 // the connection can be used again. An answer of another instance at the target's address
 // means that the one before is gone.
-func (i *ingress) declined(gate *gate, answer *targetlink.Answer, reason outcome.Reason) *reply.Reply {
+func (i *ingress) declined(gate *target.Gate, answer *targetlink.Answer, reason outcome.Reason) *reply.Reply {
 	_, _ = io.Copy(io.Discard, io.LimitReader(answer.Body, reply.KeepBytes))
 	_ = answer.Body.Close()
 	if reason == outcome.ReasonMisdirected {
-		if other := answer.Header.Get(i.node.options.Headers.Instance); other != "" && other != gate.instance {
-			i.node.target.Replaced(gate.instance)
+		if other := answer.Header.Get(i.node.options.Headers.Instance); other != "" && other != gate.Instance {
+			i.node.target.Replaced(gate.Instance)
 		}
 	}
 	declined := reply.NotRun(reason)
--- a/internal/sidecar/node.go
+++ b/internal/sidecar/node.go
@@ -35,6 +35,7 @@
 	"github.com/landingmast/landingmast/internal/sidecar/services"
 	"github.com/landingmast/landingmast/internal/sidecar/settings"
 	"github.com/landingmast/landingmast/internal/sidecar/storehealth"
+	"github.com/landingmast/landingmast/internal/sidecar/target"
 	"github.com/landingmast/landingmast/internal/sidecar/targetlink"
 	"github.com/landingmast/landingmast/internal/store"
 	"github.com/landingmast/landingmast/internal/wire"
@@ -60,7 +61,7 @@
 }
 
 // Targets takes what the target beside the node says of itself.
-type Targets struct{ *localTarget }
+type Targets struct{ *target.Local }
 
 // Node is one running sidecar node.
 type Node struct {
@@ -75,7 +76,7 @@
 	services      *services.Services
 	splitter      *splitter
 	overload      *admission.Control
-	target        *localTarget
+	target        *target.Local
 	ingress       *ingress
 	egress        *egress
 	peers         *peer.Client
@@ -132,7 +133,9 @@
 	n.quotas = quotas.NewLimiter(n.quotaOptions(), n.keepers, n.quotaServer)
 	n.heldBack = heldback.New(n.heldBackOptions())
 	n.liveness = peer.NewLiveness(n.now, n.peers.PingPeer, peer.Events{Lost: n.silent, Still: n.services.Suspect, Back: n.heardAgain})
-	n.target = &localTarget{now: n.now, roster: roster.New(), changed: n.targetChanged, link: n.newLink, identify: n.identify, followed: n.ingress.instanceReplaced, beginAll: !n.policyOn(inTime)}
+	n.target = target.New(target.Options{
+		Now: n.now, Changed: n.targetChanged, Link: n.newLink, Identify: n.identify, Followed: n.ingress.instanceReplaced, BeginAll: !n.policyOn(inTime),
+	})
 	return n, n.listen()
 }
 
--- a/internal/sidecar/node_test.go
+++ b/internal/sidecar/node_test.go
@@ -6,7 +6,6 @@
 	"time"
 
 	"github.com/landingmast/landingmast/internal/core/repeats"
-	"github.com/landingmast/landingmast/internal/core/roster"
 	"github.com/landingmast/landingmast/internal/sidecar/configuration"
 	"github.com/landingmast/landingmast/internal/sidecar/eventlog"
 	"github.com/landingmast/landingmast/internal/sidecar/follower"
@@ -16,6 +15,7 @@
 	"github.com/landingmast/landingmast/internal/sidecar/registration"
 	"github.com/landingmast/landingmast/internal/sidecar/services"
 	"github.com/landingmast/landingmast/internal/sidecar/settings"
+	"github.com/landingmast/landingmast/internal/sidecar/target"
 )
 
 // memberNode makes a node with a membership and nothing that listens.
@@ -23,7 +23,7 @@
 	n := &Node{configuration: configuration.New(nil, nil), clock: steadyClock{}, incarnation: incarnation, events: eventlog.New(name, io.Discard)}
 	n.checked.Store(&settings.Settings{Node: name, Zone: "a"})
 	n.services = services.New(services.Options{Node: name, Zone: "a", Now: n.now, Budget: repeats.Config{Ratio: 0.2, Allowance: 10, Window: 10 * time.Second}, FirstStart: true})
-	n.target = &localTarget{now: n.now, roster: roster.New()}
+	n.target = target.New(target.Options{Now: n.now})
 	n.peers = peer.NewClient((&net.Dialer{}).DialContext, headers.Names{})
 	n.liveness = peer.NewLiveness(n.now, n.peers.PingPeer, peer.Events{Lost: n.services.Suspect, Still: n.services.Suspect, Back: n.services.Trust})
 	n.ingress = newIngress(n)
--- a/internal/sidecar/observe.go
+++ b/internal/sidecar/observe.go
@@ -144,7 +144,7 @@
 // gateLoad is the load of the target beside the node.
 func (n *Node) gateLoad() slots.Load {
 	if gate := n.target.Current(); gate != nil {
-		load, _ := gate.load()
+		load, _ := gate.Load()
 		return load
 	}
 	return slots.Load{}
--- a/internal/sidecar/target.go
+++ b/internal/sidecar/target/target.go
@@ -1,4 +1,12 @@
-package sidecar
+// Package target holds the target beside a node: which instance stands there, the gate that
+// lets requests in to it, and its runs that have no answer.
+//
+// It owns the roster of the instances that have sent heartbeats, one gate for the instance that
+// takes requests now, and for each gate the runs whose answer was lost until it is known whether
+// the target ended with them. The rules are those of packages core/roster and core/slots. It
+// relies on package targetlink for the connections; who is told of a change is named in Options.
+// All of it is safe for concurrent use.
+package target
 
 import (
 	"context"
@@ -11,30 +19,44 @@
 	"github.com/landingmast/landingmast/internal/sidecar/targetlink"
 )
 
-// localTarget is the target beside the node: who it is, its gate and the
-// connections to it. It is safe for concurrent use.
-type localTarget struct {
-	now      func() time.Duration
-	link     func() *targetlink.Link
-	changed  func()                                          // called without the mutex
-	beginAll bool                                            // gates begin also what cannot end in its time
-	identify func(ctx context.Context) (roster.Report, bool) // asks the target itself
-	followed func(before *gate)                              // another instance stands at its address; nil: nobody is told
+// Options are what the target needs of the other parts of its node. Its functions are called
+// without locks, but for Link and Now.
+type Options struct {
+	Now  func() time.Duration    // the clock that counts suspensions
+	Link func() *targetlink.Link // makes the connections to a target
+	// Identify asks the target who it is; false: it does not say.
+	Identify func(ctx context.Context) (roster.Report, bool)
+	// Changed is called when another target has come, or this one has left or changed.
+	Changed func()
+	// Followed is called with the gate of a target when another instance stands at its address;
+	// nil: it is not.
+	Followed func(before *Gate)
+	// BeginAll makes gates begin also what cannot end in its time.
+	BeginAll bool
+}
+
+// Local is the target beside the node: who it is, its gate and the connections to it. It is
+// safe for concurrent use.
+type Local struct {
+	options Options
 
 	mutex    sync.Mutex
 	roster   *roster.Roster
 	heard    time.Duration
 	coldTill time.Duration
-	gate     *gate // nil: no target is known
+	gate     *Gate // nil: no target is known
 }
 
-// gate drives a slots.Gate: requests wait on channels, a timer ticks while any
+// New makes the place of a target; none is known yet.
+func New(options Options) *Local { return &Local{options: options, roster: roster.New()} }
+
+// Gate drives a slots.Gate: requests wait on channels, a timer ticks while any
 // does. Its mutex is its own, so that an old gate outlives its target.
-type gate struct {
+type Gate struct {
 	now      func() time.Duration
-	instance string
-	service  string
-	links    *targetlink.Link
+	Instance string           // that takes requests through this gate
+	Service  string           // of the target
+	Links    *targetlink.Link // to the target
 
 	mutex   sync.Mutex
 	core    *slots.Gate
@@ -42,21 +64,21 @@
 	waiting map[uint64]chan slots.Decision
 	ticking bool
 
-	endings endings
+	Unanswered Unanswered // runs that have no answer
 }
 
+// gateTick is how often a gate with waiting requests looks for those whose time is up.
 const gateTick = 5 * time.Millisecond
 
-func newGate(now func() time.Duration, report roster.Report, link *targetlink.Link) *gate {
-	return &gate{
-		now: now, instance: report.Instance, service: report.Service, links: link,
-		core: slots.New(report.Slots), waiting: map[uint64]chan slots.Decision{}, endings: endings{single: make(chan struct{}, 1)},
+func newGate(now func() time.Duration, report roster.Report, link *targetlink.Link) *Gate {
+	return &Gate{
+		now: now, Instance: report.Instance, Service: report.Service, Links: link,
+		core: slots.New(report.Slots), waiting: map[uint64]chan slots.Decision{}, Unanswered: Unanswered{single: make(chan struct{}, 1)},
 	}
 }
 
-// enter waits for a slot. It gives false when the request was not let through;
-// leave must follow when it was.
-func (g *gate) enter(ctx context.Context, request slots.Request) (uint64, slots.Decision) {
+// Enter waits for a slot. Leave must follow when the decision is to send.
+func (g *Gate) Enter(ctx context.Context, request slots.Request) (uint64, slots.Decision) {
 	g.mutex.Lock()
 	g.next++
 	request.ID = g.next
@@ -73,7 +95,7 @@
 }
 
 // withdraw takes back a request whose sender went away while it waited.
-func (g *gate) withdraw(id uint64, decided chan slots.Decision) slots.Decision {
+func (g *Gate) withdraw(id uint64, decided chan slots.Decision) slots.Decision {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	delete(g.waiting, id)
@@ -89,32 +111,34 @@
 	return slots.Decision{ID: id, Reason: slots.ReasonExpired}
 }
 
-func (g *gate) leave(id uint64, learn bool) {
+// Leave ends a request that was let in; learn: its time counts for the hold time.
+func (g *Gate) Leave(id uint64, learn bool) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.apply(g.core.Finish(g.now(), id, learn))
 }
 
-func (g *gate) drain() {
+func (g *Gate) drain() {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.apply(g.core.Drain(g.now()))
 }
 
-func (g *gate) load() (slots.Load, bool) {
+// Load returns the load of the target, and whether it takes no new requests.
+func (g *Gate) Load() (slots.Load, bool) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.core.Load(), g.core.Draining()
 }
 
-func (g *gate) setSlots(count int) {
+func (g *Gate) setSlots(count int) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.apply(g.core.SetSlots(g.now(), count))
 }
 
 // apply carries decisions out. The mutex is held.
-func (g *gate) apply(decisions []slots.Decision) {
+func (g *Gate) apply(decisions []slots.Decision) {
 	for _, decision := range decisions {
 		if decided := g.waiting[decision.ID]; decided != nil {
 			decided <- decision
@@ -127,7 +151,7 @@
 	}
 }
 
-func (g *gate) tick() {
+func (g *Gate) tick() {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.ticking = false
@@ -135,29 +159,29 @@
 }
 
 // Current gives the gate of the target that takes requests now, or nil.
-func (t *localTarget) Current() *gate {
+func (t *Local) Current() *Gate {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.gate
 }
 
 // Report gives what is known of the target.
-func (t *localTarget) Report() (report roster.Report, coldTill time.Duration) {
+func (t *Local) Report() (report roster.Report, coldTill time.Duration) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.roster.Current(), t.coldTill
 }
 
 // HasLeft tells that the last target left for good and no other has come.
-func (t *localTarget) HasLeft() bool {
+func (t *Local) HasLeft() bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.roster.Empty()
 }
 
-// identifyTimeout bounds the question to the target who it is; the
+// IdentifyTimeout bounds the question to the target who it is; the
 // acknowledgement of a heartbeat waits for it.
-const identifyTimeout = 400 * time.Millisecond
+const IdentifyTimeout = 400 * time.Millisecond
 
 // silentAfter is how long the target before must have been silent for another
 // one to take its place when nobody can be asked.
@@ -165,7 +189,7 @@
 
 // Heartbeat takes a report of a target. An error means that it must not be
 // acknowledged.
-func (t *localTarget) Heartbeat(report roster.Report) error {
+func (t *Local) Heartbeat(report roster.Report) error {
 	t.mutex.Lock()
 	verdict := t.roster.Heartbeat(report)
 	if verdict == roster.Doubtful {
@@ -173,79 +197,79 @@
 		return t.settleDoubt(report)
 	}
 	if verdict != roster.Stale {
-		t.heard = t.now()
+		t.heard = t.options.Now()
 		t.adopt()
 	}
 	t.mutex.Unlock()
 	if verdict == roster.Changed {
-		t.changed()
+		t.options.Changed()
 	}
 	return nil
 }
 
 // settleDoubt asks the target at the address which instance it is.
-func (t *localTarget) settleDoubt(report roster.Report) error {
-	ctx, cancel := context.WithTimeout(context.Background(), identifyTimeout)
+func (t *Local) settleDoubt(report roster.Report) error {
+	ctx, cancel := context.WithTimeout(context.Background(), IdentifyTimeout)
 	defer cancel()
-	found, known := t.identify(ctx)
+	found, known := t.options.Identify(ctx)
 	t.mutex.Lock()
 	switch {
-	case known && found.Instance == report.Instance, !known && (t.now()-t.heard > silentAfter || t.roster.Current().Draining):
+	case known && found.Instance == report.Instance, !known && (t.options.Now()-t.heard > silentAfter || t.roster.Current().Draining):
 		t.roster.Replace(report)
-		t.heard = t.now()
+		t.heard = t.options.Now()
 		t.adopt()
 	case !known:
 		t.mutex.Unlock()
 		return failure.New(failure.Unavailable, "send the heartbeat again", "which target holds the address is not known")
 	}
 	t.mutex.Unlock()
-	t.changed()
+	t.options.Changed()
 	return nil
 }
 
 // Found takes in a target that was asked who it is, when no heartbeat has come.
-func (t *localTarget) Found(report roster.Report) {
+func (t *Local) Found(report roster.Report) {
 	t.mutex.Lock()
 	if t.roster.Current().Instance != "" || t.roster.Gone(report.Instance) {
 		t.mutex.Unlock()
 		return
 	}
 	t.roster.Replace(report)
-	t.heard = t.now()
+	t.heard = t.options.Now()
 	t.adopt()
 	t.mutex.Unlock()
-	t.changed()
+	t.options.Changed()
 }
 
 // Leave notes that an instance leaves for good.
-func (t *localTarget) Leave(instance string) error {
+func (t *Local) Leave(instance string) error {
 	t.mutex.Lock()
 	left := t.roster.Left(instance)
 	if left && t.gate != nil {
 		t.gate.drain()
-		t.gate.links.Close()
+		t.gate.Links.Close()
 		t.gate = nil
 	}
 	t.mutex.Unlock()
 	if left {
-		t.changed()
+		t.options.Changed()
 	}
 	return nil
 }
 
 // Close ends the connections to the target.
-func (t *localTarget) Close() {
+func (t *Local) Close() {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if t.gate != nil {
-		t.gate.links.Close()
+		t.gate.Links.Close()
 	}
 }
 
 // Replaced notes that the target's address belongs to another instance.
-func (t *localTarget) Replaced(instance string) {
+func (t *Local) Replaced(instance string) {
 	t.mutex.Lock()
-	if t.gate != nil && t.gate.instance == instance {
+	if t.gate != nil && t.gate.Instance == instance {
 		t.tellFollowed()
 	}
 	t.mutex.Unlock()
@@ -253,24 +277,24 @@
 }
 
 // tellFollowed tells of the gate whose target another instance follows. The mutex is held.
-func (t *localTarget) tellFollowed() {
-	if t.followed != nil {
-		go t.followed(t.gate)
+func (t *Local) tellFollowed() {
+	if t.options.Followed != nil {
+		go t.options.Followed(t.gate)
 	}
 }
 
 // adopt brings the gate in line with the roster. The mutex is held.
-func (t *localTarget) adopt() {
+func (t *Local) adopt() {
 	report := t.roster.Current()
-	t.coldTill = t.now() + report.Cold
-	if t.gate == nil || t.gate.instance != report.Instance || t.gate.service != report.Service {
+	t.coldTill = t.options.Now() + report.Cold
+	if t.gate == nil || t.gate.Instance != report.Instance || t.gate.Service != report.Service {
 		if t.gate != nil {
 			t.gate.drain()
-			t.gate.links.Close()
+			t.gate.Links.Close()
 			t.tellFollowed()
 		}
-		t.gate = newGate(t.now, report, t.link())
-		if t.beginAll {
+		t.gate = newGate(t.options.Now, report, t.options.Link())
+		if t.options.BeginAll {
 			t.gate.core.BeginAll()
 		}
 	}
--- a/internal/sidecar/target_test.go
+++ b/internal/sidecar/target/target_test.go
@@ -1,4 +1,4 @@
-package sidecar
+package target
 
 import (
 	"context"
@@ -28,13 +28,13 @@
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
 			now, answers := time.Second, true
-			target := &localTarget{
-				now: func() time.Duration { return now }, roster: roster.New(), changed: func() {},
-				link: func() *targetlink.Link { return targetlink.New(targetlink.Options{}) },
-				identify: func(context.Context) (roster.Report, bool) {
+			target := New(Options{
+				Now: func() time.Duration { return now }, Changed: func() {},
+				Link: func() *targetlink.Link { return targetlink.New(targetlink.Options{}) },
+				Identify: func(context.Context) (roster.Report, bool) {
 					return roster.Report{Instance: "new", Service: "s", Slots: 10}, answers
 				},
-			}
+			})
 			if tc.replaced {
 				g.Expect(target.Heartbeat(roster.Report{Instance: "old", Service: "s", Slots: 10, Sequence: 1})).To(Succeed())
 				now += time.Second
@@ -45,7 +45,7 @@
 			_ = target.Heartbeat(old) // whether it is acknowledged is of no matter: its sender is gone
 			report, _ := target.Report()
 			g.Expect(report.Instance).To(Equal("new"))
-			_, draining := target.Current().load()
+			_, draining := target.Current().Load()
 			g.Expect(draining).To(BeFalse())
 		})
 	}
--- a/internal/sidecar/ended_test.go
+++ b/internal/sidecar/target/unanswered_test.go
@@ -1,4 +1,4 @@
-package sidecar
+package target
 
 import (
 	"context"
@@ -15,6 +15,9 @@
 	. "github.com/onsi/gomega"
 )
 
+// kept is how long the runs of these tests count.
+const kept = 3 * time.Second
+
 // All runs that break off at one moment share one question, and each counts once.
 func TestEndOfATargetIsAskedOnceAndItsRunsCountOnce(t *testing.T) {
 	for _, tc := range []struct {
@@ -31,20 +34,20 @@
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
-				e := &endings{}
+				e := &Unanswered{}
 				var questions, told, runs atomic.Int32
 				var group sync.WaitGroup
 				for range 20 {
 					group.Go(func() {
-						e.add(0, unansweredRun{till: lostKeep})
-						ended := e.ask(func(context.Context) error {
+						e.Add(0, UnansweredRun{Until: kept})
+						ended := e.Ended(func(context.Context) error {
 							questions.Add(1)
 							time.Sleep(time.Millisecond)
 							return tc.answer
 						})
 						g.Expect(ended).To(Equal(tc.ended))
 						if ended {
-							taken, first := e.take(time.Millisecond)
+							taken, first := e.Take(time.Millisecond)
 							runs.Add(int32(len(taken)))
 							if first {
 								told.Add(1)
@@ -58,8 +61,8 @@
 					g.Expect(runs.Load()).To(Equal(int32(20)))
 					g.Expect(told.Load()).To(Equal(int32(1)))
 				} else {
-					g.Expect(e.holdsAny(lostKeep - 1)).To(BeTrue())
-					g.Expect(e.holdsAny(lostKeep)).To(BeFalse())
+					g.Expect(e.HoldsAny(kept - 1)).To(BeTrue())
+					g.Expect(e.HoldsAny(kept)).To(BeFalse())
 				}
 			})
 		})
@@ -69,12 +72,12 @@
 func TestOneSuspectIsAtATargetAtATime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		e := &endings{single: make(chan struct{}, 1)}
-		g.Expect(e.alone(context.Background())).To(BeTrue())
+		e := &Unanswered{single: make(chan struct{}, 1)}
+		g.Expect(e.AcquireSingle(context.Background())).To(BeTrue())
 		began := time.Now()
-		g.Expect(e.alone(context.Background())).To(BeFalse())
+		g.Expect(e.AcquireSingle(context.Background())).To(BeFalse())
 		g.Expect(time.Since(began)).To(Equal(aloneWait))
-		e.notAlone()
-		g.Expect(e.alone(context.Background())).To(BeTrue())
+		e.ReleaseSingle()
+		g.Expect(e.AcquireSingle(context.Background())).To(BeTrue())
 	})
 }
