--- a/internal/sidecar/registration/registration.go
+++ b/internal/sidecar/registration/registration.go
@@ -26,28 +26,29 @@
 
 // Times of the node's own record in the store.
 const (
-	keepShare      = 3 // a lease is renewed each third of its time
-	spreadOfWrites = 300 * time.Millisecond
-	spreadOfReads  = 700 * time.Millisecond // of the lists at the first start of all
-	revokeTimeout  = 300 * time.Millisecond
+	// renewals is the number of renewals of a lease in the time for which it is granted.
+	renewals = 3
+	// writeSpread and readSpread are the times over which nodes that all start at once spread
+	// the writes of their records and the lists of all records.
+	writeSpread = 300 * time.Millisecond
+	readSpread  = 700 * time.Millisecond
+	// revokeTimeout bounds the withdrawal of a record.
+	revokeTimeout = 300 * time.Millisecond
+	// retryLeast and retrySpread are the pause after a call that failed. A node whose record
+	// is missing has to have it back within about two seconds of the store's return.
+	retryLeast  = 900 * time.Millisecond
+	retrySpread = 400 * time.Millisecond
 )
 
-// Pauses after a call that failed. A node whose record is missing has to have it
-// back within about two seconds of the store's return.
-const (
-	registerAgainLeast  = 900 * time.Millisecond
-	registerAgainSpread = 400 * time.Millisecond
-)
-
-// Registration keeps the node's own record in the store. The record is written
-// once in the life of a machine: others find each other by it, and tell each other
-// what changes. It is written anew when the store has lost it.
+// Registration keeps the node's own record in the store. The record is written once in the
+// life of a machine: other nodes find this one by it, and nodes send each other what changes.
+// It is written anew when the store has lost it.
 type Registration struct {
-	options Options
-	lease   atomic.Pointer[store.Lease] // nil: none
-	missing chan struct{}               // the store has lost the record
-	renew   chan struct{}               // the lease is to be renewed now
-	failing atomic.Bool                 // the last try to write it failed
+	options  Options
+	lease    atomic.Pointer[store.Lease] // nil: none
+	lost     chan struct{}               // the store has lost the record
+	renewNow chan struct{}               // the lease is to be renewed before its time
+	failing  atomic.Bool                 // the last try to write the record failed
 }
 
 // Members are the records of all nodes.
@@ -85,26 +86,24 @@
 
 // New makes the registration of a node that has no lease.
 func New(options Options) *Registration {
-	return &Registration{options: options, missing: make(chan struct{}, 1), renew: make(chan struct{}, 1)}
+	return &Registration{options: options, lost: make(chan struct{}, 1), renewNow: make(chan struct{}, 1)}
 }
 
-// Lost notes that the store has no record of the node: it is written anew.
-func (r *Registration) Lost() {
-	wait.Signal(r.missing)
-}
+// Lost notes that the store has no record of the node; it is written anew.
+func (r *Registration) Lost() { wait.Signal(r.lost) }
 
-// RenewNow has the lease renewed before its time.
-func (r *Registration) RenewNow() { wait.Signal(r.renew) }
+// RenewNow renews the lease before its time. It does not wait for the end.
+func (r *Registration) RenewNow() { wait.Signal(r.renewNow) }
 
-// TurnedAway tells that the store does not serve the node.
+// TurnedAway reports whether the store does not serve the node, as far as its last calls show.
 func (r *Registration) TurnedAway() bool { return r.failing.Load() || r.options.Health.Away() }
 
 // Run finds the other nodes and keeps the own record and its lease until ctx ends.
 func (r *Registration) Run(ctx context.Context) {
 	if r.options.Settings().FirstStart {
-		wait.For(ctx, time.Duration(rand.Int64N(int64(spreadOfWrites))))
+		wait.For(ctx, time.Duration(rand.Int64N(int64(writeSpread))))
 		r.register(ctx)
-		wait.For(ctx, time.Duration(rand.Int64N(int64(spreadOfReads))))
+		wait.For(ctx, time.Duration(rand.Int64N(int64(readSpread))))
 		r.findOthers(ctx)
 		r.options.Listed()
 	} else {
@@ -113,7 +112,7 @@
 		r.register(ctx)
 	}
 	for ctx.Err() == nil {
-		if r.keep(ctx) || ctx.Err() != nil {
+		if r.renew(ctx) || ctx.Err() != nil {
 			continue
 		}
 		r.lease.Store(nil)
@@ -122,7 +121,8 @@
 	}
 }
 
-// findOthers reads the records of all nodes, unless one of them has told them.
+// findOthers lists the records of all nodes, unless another node has sent them, and asks some
+// nodes for what they know.
 func (r *Registration) findOthers(ctx context.Context) {
 	for ctx.Err() == nil && r.options.Members.Others() == 0 {
 		call, cancel := context.WithTimeout(ctx, storehealth.CallTimeout)
@@ -133,15 +133,15 @@
 			r.pause(ctx)
 			continue
 		}
-		r.take(items)
+		r.takeListed(items)
 		break
 	}
 	r.options.Meet(ctx)
 }
 
-// take learns the records that the store has. The lease of the own one, of the
-// process before, is taken over.
-func (r *Registration) take(items []store.Item) {
+// takeListed takes over the records that the store has. If the own one is among them, written by
+// an earlier process of the node, its lease is taken over too.
+func (r *Registration) takeListed(items []store.Item) {
 	m := r.options.Members
 	for _, item := range items {
 		name, is := strings.CutPrefix(item.Key, r.options.NodePrefix)
@@ -155,9 +155,7 @@
 		}
 		if name == r.options.Settings().Node {
 			m.Outrank(record)
-			if record.Address == r.options.Settings().Listen.Inbound && record.Zone == r.options.Settings().Zone {
-				r.lease.Store(&store.Lease{ID: item.Lease, TTL: time.Duration(r.options.Settings().Store.Lease)})
-			}
+			r.takeLease(record, item.Lease)
 			continue
 		}
 		m.Put(record)
@@ -166,39 +164,49 @@
 	m.Apply()
 }
 
+// takeLease takes over the lease of an earlier process of the node, unless its record has
+// another address or zone and must be written anew.
+func (r *Registration) takeLease(record *wire.NodeRecord, lease int64) {
+	settings := r.options.Settings()
+	if record.Address == settings.Listen.Inbound && record.Zone == settings.Zone {
+		r.lease.Store(&store.Lease{ID: lease, TTL: time.Duration(settings.Store.Lease)})
+	}
+}
+
 // pause waits after a call that failed until the store answers a probe.
 func (r *Registration) pause(ctx context.Context) {
 	for ctx.Err() == nil {
-		wait.For(ctx, registerAgainLeast+time.Duration(rand.Int64N(int64(registerAgainSpread))))
+		wait.For(ctx, retryLeast+time.Duration(rand.Int64N(int64(retrySpread))))
 		if ctx.Err() != nil || r.options.Probe(ctx) {
 			return
 		}
 	}
 }
 
-// register writes the own record, again and again until the store takes it. A
-// lease that was taken over is renewed in its place.
+// register writes the own record until the store takes it or ctx ends.
 func (r *Registration) register(ctx context.Context) {
 	for ctx.Err() == nil {
 		err := r.write(ctx)
 		r.options.Health.Note("record", err)
 		r.failing.Store(err != nil)
 		if err == nil {
-			r.found()
+			r.clearLost()
 			return
 		}
 		r.pause(ctx)
 	}
 }
 
-// found drops what was heard of a loss before the record was written.
-func (r *Registration) found() {
+// clearLost drops a signal of Lost from before the record was written.
+func (r *Registration) clearLost() {
 	select {
-	case <-r.missing:
+	case <-r.lost:
 	default:
 	}
 }
 
+// write writes the own record under a new lease. A lease that was taken over is renewed
+// instead: the record is there then.
 func (r *Registration) write(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, storehealth.CallTimeout)
 	defer cancel()
@@ -224,17 +232,18 @@
 	return nil
 }
 
-// keep renews the lease until it is over or the record is lost (false).
-func (r *Registration) keep(ctx context.Context) bool {
+// renew waits until the lease is to be renewed and renews it. It returns false if the record
+// has to be written anew: it is lost, or the lease is over.
+func (r *Registration) renew(ctx context.Context) bool {
 	lease := r.lease.Load()
-	timer := time.NewTimer(lease.TTL / keepShare)
+	timer := time.NewTimer(lease.TTL / renewals)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 		return false
-	case <-r.missing:
+	case <-r.lost:
 		return false
-	case <-r.renew:
+	case <-r.renewNow:
 	case <-timer.C:
 	}
 	call, cancel := context.WithTimeout(ctx, storehealth.CallTimeout)
@@ -244,8 +253,8 @@
 	return !errors.Is(err, store.ErrLeaseGone)
 }
 
-// Withdraw takes the record out of the store when the target has left for good: the
-// machine goes with it.
+// Withdraw takes the record out of the store if the target has left for good: the machine goes
+// with it. A failure is logged by the store's health; the lease then runs out.
 func (r *Registration) Withdraw() {
 	lease := r.lease.Load()
 	if lease == nil || !r.options.TargetLeft() {
