--- a/internal/sidecar/membership/membership_test.go
+++ b/internal/sidecar/membership/membership_test.go
@@ -4,6 +4,7 @@
 	"io"
 	"net"
 	"net/http"
+	"sync"
 	"sync/atomic"
 	"testing"
 	"time"
@@ -27,12 +28,13 @@
 	membership  *Members
 	exchanger   *Exchanger
 	broadcaster *Broadcaster
+	driven      *driven
 	lost        chan struct{} // the store has no record of the node
 }
 
 // memberNode makes a node with a membership and nothing that listens.
 func memberNode(name, incarnation string) *testNode {
-	n := &testNode{peers: peer.NewClient((&net.Dialer{}).DialContext, headers.Names{}), lost: make(chan struct{}, 1)}
+	n := &testNode{peers: peer.NewClient((&net.Dialer{}).DialContext, headers.Names{}), driven: &driven{}, lost: make(chan struct{}, 1)}
 	n.checked.Store(&settings.Settings{Node: name, Zone: "a"})
 	started := time.Now()
 	n.membership, n.exchanger, n.broadcaster = New(Options{
@@ -42,7 +44,7 @@
 		Leaving:    func() bool { return false },
 		Silent:     func(string) bool { return false },
 		RecordLost: func() { wait.Signal(n.lost) },
-		Routing:    unused{}, Follower: unused{},
+		Routing:    n.driven, Follower: n.driven,
 		Configuration: configuration.New(nil, nil), Peers: n.peers, Events: eventlog.New(name, io.Discard),
 	})
 	return n
@@ -58,20 +60,93 @@
 	return mux
 }
 
-// unused is a routing and a follower that these tests do not look at.
-type unused struct{}
+// driven is the routing and the follower of a node, as its records drive them.
+type driven struct {
+	mutex   sync.Mutex
+	targets map[string][]balancer.Target
+	nodes   int
+	zone    []string
+	beats   []string
+}
 
 // Update implements Routing.
-func (unused) Update(map[string][]balancer.Target) {}
+func (d *driven) Update(targets map[string][]balancer.Target) {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	d.targets = targets
+}
 
 // Count implements Routing.
-func (unused) Count(int) {}
+func (d *driven) Count(nodes int) {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	d.nodes = nodes
+}
 
 // SetMembers implements Follower.
-func (unused) SetMembers([]string) {}
+func (d *driven) SetMembers(names []string) {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	d.zone = names
+}
 
 // Heard implements Follower.
-func (unused) Heard(string, bool) {}
+func (d *driven) Heard(name string, _ bool) {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	d.beats = append(d.beats, name)
+}
+
+// names are the nodes beside the targets of a service.
+func (d *driven) names(service string) (names []string) {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	for _, target := range d.targets[service] {
+		names = append(names, target.Node)
+	}
+	return names
+}
+
+func TestRecordsDriveRoutingAndElection(t *testing.T) {
+	g := NewWithT(t)
+	n := memberNode("me", "i")
+	n.membership.Apply()
+	g.Expect(n.driven.nodes).To(BeZero(), "nothing is known of others yet")
+	records := []wire.NodeRecord{
+		{Node: "serving", Incarnation: "1", Zone: "a", Service: "s", Instance: "x", Serving: true},
+		{Node: "draining", Incarnation: "2", Zone: "a", Service: "s", Instance: "y"},
+		{Node: "alone", Incarnation: "3", Zone: "a", Service: "s", Serving: true},
+		{Node: "far", Incarnation: "4", Zone: "b", Service: "s", Instance: "z", Serving: true, Sequence: 1},
+	}
+	n.membership.Merge(records)
+	g.Expect(n.driven.names("s")).To(ConsistOf("serving", "far"))
+	g.Expect(n.driven.nodes).To(Equal(5))
+	g.Expect(n.driven.zone).To(ConsistOf("serving", "draining", "alone"))
+
+	older := records[3]
+	older.Sequence, older.Serving = 0, false
+	n.membership.Merge([]wire.NodeRecord{older})
+	g.Expect(n.driven.names("s")).To(ConsistOf("serving", "far"), "an older record changes nothing")
+
+	n.membership.forgetGone(records[3:])
+	n.membership.Merge(records)
+	g.Expect(n.driven.names("s")).To(ConsistOf("serving"), "a node that is gone is not brought back")
+	g.Expect(n.driven.nodes).To(Equal(4))
+	n.membership.Put(&records[3])
+	n.membership.Apply()
+	g.Expect(n.driven.names("s")).To(ConsistOf("serving", "far"), "but by its record in the store")
+}
+
+func TestHeartbeatsOfFollowersArePassedOn(t *testing.T) {
+	g := NewWithT(t)
+	n := memberNode("me", "i")
+	n.broadcaster.receive(&wire.News{Follower: "none"})
+	n.broadcaster.receive(&wire.News{Beat: true, Follower: "f", Missing: []string{"another"}})
+	g.Expect(n.lost).NotTo(Receive())
+	n.broadcaster.receive(&wire.News{Beat: true, Follower: "f", Missing: []string{"another", "me"}})
+	g.Expect(n.lost).To(Receive())
+	g.Expect(n.driven.beats).To(Equal([]string{"f", "f"}))
+}
 
 // A clock that was set back makes a process look older than the one before it on
 // the same node. Others that the store does not tell would never take its record.
