--- a/internal/sidecar/membership/addresses.go
+++ b/internal/sidecar/membership/addresses.go
@@ -20,15 +20,7 @@
 }
 
 // Zones returns the number of zones that have a node, the own one among them.
-func (m *Members) Zones() int {
-	found := map[string]bool{m.options.Settings().Zone: true}
-	m.mutex.Lock()
-	defer m.mutex.Unlock()
-	for _, record := range m.records {
-		found[record.Zone] = true
-	}
-	return len(found)
-}
+func (m *Members) Zones() int { return len(m.ZoneNames()) }
 
 // ZoneNames returns the zones that have a node, the own one among them, in alphabetical order.
 func (m *Members) ZoneNames() []string {
