--- a/internal/sidecar/egress.go
+++ b/internal/sidecar/egress.go
@@ -70,7 +70,7 @@
 	end, closing := e.node.begin(w, e.node.planned.stopping.Load(), &e.node.planned.closing)
 	defer end()
 	id := r.Header.Get(e.node.options.Headers.RequestID)
-	isCall := e.node.ingress.runs(id)
+	isCall := e.node.ingress.Runs(id)
 	if !isCall {
 		e.node.clients.Add(1)
 		defer e.node.clients.Add(-1)
@@ -181,24 +181,15 @@
 	x.node.overload.Learn(x.route, needs, answer.Outcome == outcome.Answered && answer.Status < http.StatusBadRequest)
 }
 
-// callSeparator stands between the id of a request and the part of its own that a call
-// which its target makes has.
-const callSeparator = "."
-
-// findParent looks for the request at the target for which this one is made. The
-// id of a call is the id of the request that made it, a dot and a part of its
-// own; where ids look otherwise the request stands for itself.
+// findParent looks for the request at the target for which this one is made, and settles the
+// importance by it.
 func (x *exchange) findParent() {
 	limit := x.limit()
 	if !x.node.policyOn(settings.Urgency) {
 		limit = 0
 	}
 	x.importance = importance.Of(x.route, nil, limit)
-	dot := strings.LastIndex(x.id, callSeparator)
-	if dot <= 0 {
-		return
-	}
-	parent := x.node.ingress.running.find(x.id[:dot])
+	parent := x.node.ingress.Parent(x.id)
 	if parent == nil {
 		return
 	}
--- a/internal/sidecar/ended.go
+++ b/internal/sidecar/ended.go
@@ -22,7 +22,7 @@
 // lost sorts a run whose connection broke: the target may have ended, or have lost this one
 // answer.
 func (i *ingress) lost(gate *target.Gate, one *arrival) outcome.Reason {
-	now := i.node.now()
+	now := i.options.Now()
 	gate.Unanswered.Add(now, one.unanswered(now+lostKeep))
 	if !gate.Unanswered.Ended(gate.Links.Listens) {
 		return outcome.ReasonLost
@@ -33,13 +33,13 @@
 
 // senderLeft keeps a run whose sender no longer waits: the target may still be at it.
 func (i *ingress) senderLeft(gate *target.Gate, one *arrival) {
-	now := i.node.now()
+	now := i.options.Now()
 	gate.Unanswered.Add(now, one.unanswered(now+leftKeep))
 }
 
 // unreachable looks at runs that were kept when nobody listens at the target's address.
 func (i *ingress) unreachable(gate *target.Gate, err error) {
-	if target.IsRefused(err) && gate.Unanswered.HoldsAny(i.node.now()) {
+	if target.IsRefused(err) && gate.Unanswered.HoldsAny(i.options.Now()) {
 		i.targetEnded(gate)
 	}
 }
@@ -54,14 +54,14 @@
 // instanceReplaced looks at runs that were kept when another instance stands at the target's
 // address, though the one before has not said that it leaves.
 func (i *ingress) instanceReplaced(gate *target.Gate) {
-	if gate.Unanswered.HoldsAny(i.node.now()) {
+	if gate.Unanswered.HoldsAny(i.options.Now()) {
 		i.targetEnded(gate)
 	}
 }
 
 // targetEnded notes which requests the target was running when it ended.
 func (i *ingress) targetEnded(gate *target.Gate) {
-	runs, first := gate.Unanswered.Take(i.node.now())
+	runs, first := gate.Unanswered.Take(i.options.Now())
 	if len(runs) == 0 {
 		return
 	}
@@ -70,14 +70,14 @@
 		event.Running = append(event.Running, eventlog.CrashRun{Request: run.Request, Route: run.Route, Digest: run.Fingerprint.Content.String()})
 	}
 	if first {
-		i.node.metrics.Crashes.Inc()
+		i.options.Metrics.Crashes.Inc()
 	}
-	i.node.events.Add(event, eventlog.State)
+	i.options.Events.Add(event, eventlog.State)
 	ended := make([]heldback.Run, 0, len(runs))
 	for _, run := range runs {
 		ended = append(ended, run.Run)
 	}
-	i.node.heldBack.TargetEnded(gate.Instance, gate.Service, ended)
+	i.options.HeldBack.TargetEnded(gate.Instance, gate.Service, ended)
 }
 
 // loggedRuns bounds the requests that one line names.
--- a/internal/sidecar/identity.go
+++ b/internal/sidecar/identity.go
@@ -8,6 +8,7 @@
 	"github.com/landingmast/landingmast/internal/core/outcome"
 	"github.com/landingmast/landingmast/internal/core/retryafter"
 	"github.com/landingmast/landingmast/internal/sidecar/settings"
+	"github.com/landingmast/landingmast/internal/wire"
 )
 
 // Who a request belongs to is settled once, at the node where it began: a client's
@@ -63,7 +64,7 @@
 	switch {
 	case !x.intent.NeedsKey(x.route):
 		return true
-	case strings.Contains(x.id, callSeparator):
+	case strings.Contains(x.id, wire.CallSeparator):
 		x.refuse(http.StatusServiceUnavailable, outcome.ReasonOrphan, retryafter.Unready())
 	default:
 		x.refuseKey()
--- a/internal/sidecar/ingress.go
+++ b/internal/sidecar/ingress.go
@@ -11,6 +11,7 @@
 
 	"github.com/landingmast/landingmast/internal/core/outcome"
 	"github.com/landingmast/landingmast/internal/core/slots"
+	"github.com/landingmast/landingmast/internal/sidecar/eventlog"
 	"github.com/landingmast/landingmast/internal/sidecar/headers"
 	"github.com/landingmast/landingmast/internal/sidecar/heldback"
 	"github.com/landingmast/landingmast/internal/sidecar/reply"
@@ -88,26 +89,35 @@
 
 // ingress takes requests for the target beside the node.
 type ingress struct {
-	node    *Node
+	options arrivalOptions
 	running runningTable
 	once    *onceGate
 }
 
-func newIngress(node *Node) *ingress {
-	i := &ingress{node: node, running: runningTable{requests: map[string]*running{}}}
+// newIngress makes the ingress of a node.
+func newIngress(options arrivalOptions) *ingress {
+	i := &ingress{options: options, running: runningTable{requests: map[string]*running{}}}
 	i.once = newOnceGate(i)
 	return i
 }
 
-// runs tells that the id is that of a call of a request at the target.
-func (i *ingress) runs(id string) bool {
-	dot := strings.LastIndex(id, callSeparator)
-	return dot > 0 && i.running.find(id[:dot]) != nil
+// Runs reports whether an id is that of a call of a request at the target.
+func (i *ingress) Runs(id string) bool { return i.Parent(id) != nil }
+
+// Parent returns the request at the target whose call has an id; nil: there is none. The id of
+// a call is the id of the request that made it, a separator and a part of its own; where ids
+// look otherwise a request stands for itself.
+func (i *ingress) Parent(id string) *running {
+	at := strings.LastIndex(id, wire.CallSeparator)
+	if at <= 0 {
+		return nil
+	}
+	return i.running.find(id[:at])
 }
 
 // ServeHTTP takes a request of another node.
 func (i *ingress) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	end, refused := i.node.begin(w, i.node.planned.leaving.Load(), &i.node.planned.closed)
+	end, refused := i.options.Begin(w)
 	defer end()
 	if refused {
 		i.write(w, reply.NotRun(outcome.ReasonStopping))
@@ -127,8 +137,8 @@
 		return
 	}
 	answer := i.serve(ctx, call, headers.EndToEnd(r.Header), body)
-	if r.Header.Get(i.node.options.Headers.RequestID) == "" {
-		answer = answer.Without(i.node.options.Headers.RequestID)
+	if r.Header.Get(i.options.Headers.RequestID) == "" {
+		answer = answer.Without(i.options.Headers.RequestID)
 	}
 	i.write(w, answer)
 }
@@ -152,8 +162,8 @@
 // connection, so that it never passes for a whole one.
 func (i *ingress) write(w http.ResponseWriter, answer *reply.Reply) {
 	defer answer.Close()
-	answer.Incarnation = i.node.incarnation
-	answer.Version = i.node.configuration.Version()
+	answer.Incarnation = i.options.Incarnation
+	answer.Version = i.options.Version()
 	head, err := wire.SidecarResultCodec.EncodeHeader(answer.Result())
 	if err != nil {
 		panic(http.ErrAbortHandler)
@@ -193,7 +203,7 @@
 // serve has the target run a request, once at most where it may not be repeated.
 func (i *ingress) serve(ctx context.Context, call *wire.SidecarCall, header http.Header, body *reply.Payload) *reply.Reply {
 	switch {
-	case call.Incarnation != "" && call.Incarnation != i.node.incarnation:
+	case call.Incarnation != "" && call.Incarnation != i.options.Incarnation:
 		return reply.NotRun(outcome.ReasonIncarnation)
 	case call.Repeatable || call.Key == "":
 		return i.admit(ctx, call, header, body, nil)
@@ -205,7 +215,7 @@
 // admit waits for a slot and has the target run the request. maySend is asked
 // right before the request is sent; nil: it may.
 func (i *ingress) admit(ctx context.Context, call *wire.SidecarCall, header http.Header, body *reply.Payload, maySend func() bool) *reply.Reply {
-	one := &arrival{Request: heldback.Request{Call: call, Body: body}, at: i.node.now()}
+	one := &arrival{Request: heldback.Request{Call: call, Body: body}, at: i.options.Now()}
 	answer := i.gated(ctx, one, header, maySend)
 	i.noteRun(one, answer)
 	return answer
@@ -231,7 +241,7 @@
 }
 
 func (i *ingress) gated(ctx context.Context, one *arrival, header http.Header, maySend func() bool) *reply.Reply {
-	gate, call := i.node.target.Current(), one.Call
+	gate, call := i.options.Target.Current(), one.Call
 	switch {
 	case gate == nil:
 		return reply.NotRun(outcome.ReasonNoTarget)
@@ -239,7 +249,7 @@
 		return reply.NotRun(outcome.ReasonWrongService)
 	}
 	one.instance = gate.Instance
-	held := i.node.heldBack
+	held := i.options.HeldBack
 	switch {
 	case !held.MaySend(&one.Request):
 		return reply.NotRun(outcome.ReasonEndsTargets)
@@ -253,7 +263,7 @@
 			gate.Unanswered.ReleaseSingle() // it was cleared while it waited
 		}
 	}
-	now := i.node.now()
+	now := i.options.Now()
 	id, decision := gate.Enter(ctx, slots.Request{Importance: call.Importance, Deadline: now + one.left(ctx, now), Class: call.Route})
 	one.waited = decision.Waited
 	var answer *reply.Reply
@@ -287,7 +297,7 @@
 	if answer.Stream == nil {
 		gate.Leave(id, learn)
 		if answer.Outcome == outcome.Answered {
-			i.node.heldBack.EndedWell(&one.Request)
+			i.options.HeldBack.EndedWell(&one.Request)
 		}
 	} else {
 		answer.Stream = &leaving{ReadCloser: answer.Stream, leave: func(err error) {
@@ -326,10 +336,31 @@
 func (i *ingress) streamed(ctx context.Context, gate *target.Gate, one *arrival, err error) {
 	switch {
 	case err == io.EOF:
-		i.node.heldBack.EndedWell(&one.Request)
+		i.options.HeldBack.EndedWell(&one.Request)
 	case err == nil || ctx.Err() != nil:
 		i.senderLeft(gate, one)
 	default:
 		i.lost(gate, one)
 	}
 }
+
+// noteRun notes the end of a request at the gate of the target.
+func (i *ingress) noteRun(one *arrival, answer *reply.Reply) {
+	waited, took := one.waited, i.options.Now()-one.at
+	if answer.Arrived {
+		i.options.Metrics.Waited.Observe(waited.Seconds())
+		i.options.Metrics.Held.Observe((took - waited).Seconds())
+	}
+	weight := eventlog.Success
+	if answer.Outcome != outcome.Answered || answer.Status >= http.StatusInternalServerError {
+		weight = eventlog.Failure
+	}
+	if !i.options.Events.Wants(eventlog.Run{}.Kind(), weight) {
+		return
+	}
+	i.options.Events.Add(eventlog.Run{
+		Request: one.Call.RequestID, From: one.Call.From, Service: one.Call.Service, Instance: one.instance, Outcome: string(answer.Outcome),
+		Reason: string(answer.Reason), Status: answer.Status, Importance: one.Call.Importance, WaitMS: eventlog.Milliseconds(waited), TookMS: eventlog.Milliseconds(took),
+		LeftMS: float64(one.Call.Remaining) / 1000, Running: answer.Load.Running, Waiting: answer.Load.Waiting, Slots: answer.Load.Slots, Repeat: one.Call.Repeat,
+	}, weight)
+}
--- a/internal/sidecar/judge.go
+++ b/internal/sidecar/judge.go
@@ -16,8 +16,8 @@
 
 // exchange sends a request to the target and says what its answer is worth.
 func (i *ingress) exchange(ctx context.Context, gate *target.Gate, one *arrival, header http.Header) *reply.Reply {
-	names, call, body := i.node.options.Headers, one.Call, one.Body
-	remaining := one.left(ctx, i.node.now()).Milliseconds()
+	names, call, body := i.options.Headers, one.Call, one.Body
+	remaining := one.left(ctx, i.options.Now()).Milliseconds()
 	if remaining < 1 {
 		return reply.NotRun(outcome.ReasonTimeout)
 	}
@@ -55,7 +55,7 @@
 
 // judge reads the target's answer as far as it is worth it.
 func (i *ingress) judge(ctx context.Context, gate *target.Gate, one *arrival, answer *targetlink.Answer) *reply.Reply {
-	names := i.node.options.Headers
+	names := i.options.Headers
 	end, reason := outcome.TargetAnswer{
 		Status: answer.Status, NotRun: answer.Header.Get(names.NotRun) != "", Signed: answer.Header.Get(names.Signature) != "",
 		Encoded: answer.Header.Get("Content-Encoding") != "",
@@ -95,8 +95,8 @@
 	_, _ = io.Copy(io.Discard, io.LimitReader(answer.Body, reply.KeepBytes))
 	_ = answer.Body.Close()
 	if reason == outcome.ReasonMisdirected {
-		if other := answer.Header.Get(i.node.options.Headers.Instance); other != "" && other != gate.Instance {
-			i.node.target.Replaced(gate.Instance)
+		if other := answer.Header.Get(i.options.Headers.Instance); other != "" && other != gate.Instance {
+			i.options.Target.Replaced(gate.Instance)
 		}
 	}
 	declined := reply.NotRun(reason)
--- a/internal/sidecar/node.go
+++ b/internal/sidecar/node.go
@@ -121,7 +121,6 @@
 	n.services = services.New(services.Options{
 		Node: settings.Node, Zone: settings.Zone, Now: n.now, Budget: budget(settings), FirstStart: settings.FirstStart, Policy: settings.Policy,
 	})
-	n.ingress = newIngress(n)
 	n.egress = &egress{node: n}
 	n.peers = peer.NewClient(options.Dial, options.Headers)
 	n.membership, n.exchanger, n.news = membership.New(n.membershipOptions())
@@ -134,8 +133,10 @@
 	n.heldBack = heldback.New(n.heldBackOptions())
 	n.liveness = peer.NewLiveness(n.now, n.peers.PingPeer, peer.Events{Lost: n.silent, Still: n.services.Suspect, Back: n.heardAgain})
 	n.target = target.New(target.Options{
-		Now: n.now, Changed: n.targetChanged, Link: n.newLink, Identify: n.identify, Followed: n.ingress.instanceReplaced, BeginAll: !n.policyOn(inTime),
+		Now: n.now, Changed: n.targetChanged, Link: n.newLink, Identify: n.identify, BeginAll: !n.policyOn(inTime),
+		Followed: func(before *target.Gate) { n.ingress.instanceReplaced(before) },
 	})
+	n.ingress = newIngress(n.arrivalOptions())
 	return n, n.listen()
 }
 
@@ -259,6 +260,16 @@
 	}
 }
 
+func (n *Node) arrivalOptions() arrivalOptions {
+	return arrivalOptions{
+		Incarnation: n.incarnation, Now: n.now, Headers: n.options.Headers, Version: n.configuration.Version,
+		Target: n.target, HeldBack: n.heldBack, Metrics: n.metrics, Events: n.events,
+		Begin: func(w http.ResponseWriter) (func(), bool) {
+			return n.begin(w, n.planned.leaving.Load(), &n.planned.closed)
+		},
+	}
+}
+
 // settings gives the settings in force.
 func (n *Node) settings() *settings.Settings { return n.checked.Load() }
 
--- a/internal/sidecar/node_test.go
+++ b/internal/sidecar/node_test.go
@@ -26,7 +26,7 @@
 	n.target = target.New(target.Options{Now: n.now})
 	n.peers = peer.NewClient((&net.Dialer{}).DialContext, headers.Names{})
 	n.liveness = peer.NewLiveness(n.now, n.peers.PingPeer, peer.Events{Lost: n.services.Suspect, Still: n.services.Suspect, Back: n.services.Trust})
-	n.ingress = newIngress(n)
+	n.ingress = newIngress(n.arrivalOptions())
 	n.membership, n.exchanger, n.news = membership.New(n.membershipOptions())
 	n.follower = follower.New(n.followerOptions())
 	n.registration = registration.New(n.registrationOptions())
--- a/internal/sidecar/observe.go
+++ b/internal/sidecar/observe.go
@@ -10,7 +10,6 @@
 	"github.com/landingmast/landingmast/internal/core/slots"
 	"github.com/landingmast/landingmast/internal/sidecar/eventlog"
 	"github.com/landingmast/landingmast/internal/sidecar/metrics"
-	"github.com/landingmast/landingmast/internal/sidecar/reply"
 )
 
 // gauges are the figures that are read when the metrics are.
@@ -120,27 +119,6 @@
 	}
 }
 
-// noteRun notes the end of a request at the gate of the target.
-func (i *ingress) noteRun(one *arrival, answer *reply.Reply) {
-	waited, took := one.waited, i.node.now()-one.at
-	if answer.Arrived {
-		i.node.metrics.Waited.Observe(waited.Seconds())
-		i.node.metrics.Held.Observe((took - waited).Seconds())
-	}
-	weight := eventlog.Success
-	if answer.Outcome != outcome.Answered || answer.Status >= http.StatusInternalServerError {
-		weight = eventlog.Failure
-	}
-	if !i.node.events.Wants(eventlog.Run{}.Kind(), weight) {
-		return
-	}
-	i.node.events.Add(eventlog.Run{
-		Request: one.Call.RequestID, From: one.Call.From, Service: one.Call.Service, Instance: one.instance, Outcome: string(answer.Outcome),
-		Reason: string(answer.Reason), Status: answer.Status, Importance: one.Call.Importance, WaitMS: eventlog.Milliseconds(waited), TookMS: eventlog.Milliseconds(took),
-		LeftMS: float64(one.Call.Remaining) / 1000, Running: answer.Load.Running, Waiting: answer.Load.Waiting, Slots: answer.Load.Slots, Repeat: one.Call.Repeat,
-	}, weight)
-}
-
 // gateLoad is the load of the target beside the node.
 func (n *Node) gateLoad() slots.Load {
 	if gate := n.target.Current(); gate != nil {
--- a/internal/sidecar/once.go
+++ b/internal/sidecar/once.go
@@ -80,7 +80,7 @@
 func (o *onceGate) arrive(key string, run *onceRun) bool {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	if !o.ledger.Arrive(o.ingress.node.now(), key) {
+	if !o.ledger.Arrive(o.ingress.options.Now(), key) {
 		return false
 	}
 	if run != nil {
@@ -93,14 +93,14 @@
 func (o *onceGate) send(key string) bool {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	return o.ledger.Send(o.ingress.node.now(), key)
+	return o.ledger.Send(o.ingress.options.Now(), key)
 }
 
 func (o *onceGate) run(ctx context.Context, call *wire.SidecarCall, header http.Header, body *reply.Payload, run *onceRun) {
 	defer run.cancel()
 	answer := o.ingress.admit(ctx, call, header, body, func() bool { return o.send(call.Key) })
 	o.mutex.Lock()
-	now := o.ingress.node.now()
+	now := o.ingress.options.Now()
 	o.ledger.End(now, call.Key)
 	o.ledger.Withdraw(now, call.Key)
 	run.reply = answer
@@ -121,7 +121,7 @@
 	o.mutex.Lock()
 	state := o.ledger.State(key)
 	if state == fence.Waiting {
-		state = o.ledger.Fence(o.ingress.node.now(), key)
+		state = o.ledger.Fence(o.ingress.options.Now(), key)
 	}
 	o.mutex.Unlock()
 	if state == fence.Fenced {
@@ -144,7 +144,7 @@
 // settle says what became of a request whose sender lost its connection.
 func (o *onceGate) settle(ctx context.Context, key string) *reply.Reply {
 	o.mutex.Lock()
-	state := o.ledger.Fence(o.ingress.node.now(), key)
+	state := o.ledger.Fence(o.ingress.options.Now(), key)
 	run := o.runs[key]
 	o.mutex.Unlock()
 	switch {
@@ -172,13 +172,13 @@
 		o.ingress.write(w, reply.Unknown(outcome.ReasonBadMessage))
 		return
 	}
-	if call.Incarnation != o.ingress.node.incarnation {
+	if call.Incarnation != o.ingress.options.Incarnation {
 		o.ingress.write(w, reply.Unknown(outcome.ReasonIncarnation))
 		return
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), time.Duration(call.Remaining)*time.Microsecond)
 	defer cancel()
 	answer := *o.settle(ctx, call.Key) // the kept reply stays as it is
-	o.ingress.node.events.Add(eventlog.Settle{Request: call.RequestID, From: call.From, Outcome: string(answer.Outcome), Reason: string(answer.Reason)}, eventlog.Failure)
+	o.ingress.options.Events.Add(eventlog.Settle{Request: call.RequestID, From: call.From, Outcome: string(answer.Outcome), Reason: string(answer.Reason)}, eventlog.Failure)
 	o.ingress.write(w, &answer)
 }
--- a/internal/sidecar/send.go
+++ b/internal/sidecar/send.go
@@ -101,7 +101,7 @@
 	if current := x.node.configuration.Load(); current != nil {
 		priorities = current.LeastPriority() + 1
 	}
-	start, _, _ := strings.Cut(x.id, callSeparator)
+	start, _, _ := strings.Cut(x.id, wire.CallSeparator)
 	return repeats.Rank(x.importance/importance.Step, priorities, xxhash.Sum64String(start))
 }
 
--- a/internal/wire/sidecar.go
+++ b/internal/wire/sidecar.go
@@ -16,6 +16,10 @@
 	HeaderSidecarWaits  = "Landingmast-Sidecar-Waits"
 )
 
+// CallSeparator stands between the id of a request and the part of its own in the id of a call
+// that its target makes for it.
+const CallSeparator = "."
+
 // SidecarCall is the head of a request from the node where it began to the node
 // beside the target. Method, path and host of the request are in the head; its
 // headers travel as they are.
