--- a/internal/sidecar/answer.go
+++ b/internal/sidecar/answer.go
@@ -9,6 +9,7 @@
 
 	"github.com/landingmast/landingmast/internal/core/outcome"
 	"github.com/landingmast/landingmast/internal/core/retryafter"
+	"github.com/landingmast/landingmast/internal/sidecar/arrival"
 	"github.com/landingmast/landingmast/internal/sidecar/reply"
 	"github.com/landingmast/landingmast/internal/wire"
 )
@@ -20,7 +21,7 @@
 	for name, values := range given.Header {
 		header[name] = values
 	}
-	withoutGuess(header)
+	arrival.WithoutGuessedHeaders(header)
 	if given.Stream == nil {
 		header.Set("Content-Length", strconv.Itoa(len(given.Body)))
 		x.writer.WriteHeader(given.Status)
@@ -45,7 +46,7 @@
 	defer last.Close()
 	if x.lacked = last.Reason.Full(); x.lacked && x.parent != nil {
 		// It would have waited for all the time that it had.
-		x.parent.add([]wire.Need{{Service: x.service, Calls: 1, Occupancy: -1, Wait: x.hold}})
+		x.parent.Add([]wire.Need{{Service: x.service, Calls: 1, Occupancy: -1, Wait: x.hold}})
 	}
 	if x.request.Context().Err() != nil {
 		x.ended(0, outcome.ReasonCancelled, 0)
--- a/internal/sidecar/ended.go
+++ b/internal/sidecar/arrival/ended.go
@@ -1,4 +1,4 @@
-package sidecar
+package arrival
 
 import (
 	"time"
@@ -21,7 +21,7 @@
 
 // lost sorts a run whose connection broke: the target may have ended, or have lost this one
 // answer.
-func (i *ingress) lost(gate *target.Gate, one *arrival) outcome.Reason {
+func (i *Ingress) lost(gate *target.Gate, one *request) outcome.Reason {
 	now := i.options.Now()
 	gate.Unanswered.Add(now, one.unanswered(now+lostKeep))
 	if !gate.Unanswered.Ended(gate.Links.Listens) {
@@ -32,35 +32,35 @@
 }
 
 // senderLeft keeps a run whose sender no longer waits: the target may still be at it.
-func (i *ingress) senderLeft(gate *target.Gate, one *arrival) {
+func (i *Ingress) senderLeft(gate *target.Gate, one *request) {
 	now := i.options.Now()
 	gate.Unanswered.Add(now, one.unanswered(now+leftKeep))
 }
 
 // unreachable looks at runs that were kept when nobody listens at the target's address.
-func (i *ingress) unreachable(gate *target.Gate, err error) {
+func (i *Ingress) unreachable(gate *target.Gate, err error) {
 	if target.IsRefused(err) && gate.Unanswered.HoldsAny(i.options.Now()) {
 		i.targetEnded(gate)
 	}
 }
 
-func (one *arrival) unanswered(until time.Duration) target.UnansweredRun {
+func (one *request) unanswered(until time.Duration) target.UnansweredRun {
 	return target.UnansweredRun{
 		Run:     heldback.Run{Fingerprint: one.Fingerprint(), Alone: one.alone, Route: one.Call.Route},
 		Request: one.Call.RequestID, Until: until,
 	}
 }
 
-// instanceReplaced looks at runs that were kept when another instance stands at the target's
+// InstanceReplaced looks at runs that were kept when another instance stands at the target's
 // address, though the one before has not said that it leaves.
-func (i *ingress) instanceReplaced(gate *target.Gate) {
+func (i *Ingress) InstanceReplaced(gate *target.Gate) {
 	if gate.Unanswered.HoldsAny(i.options.Now()) {
 		i.targetEnded(gate)
 	}
 }
 
 // targetEnded notes which requests the target was running when it ended.
-func (i *ingress) targetEnded(gate *target.Gate) {
+func (i *Ingress) targetEnded(gate *target.Gate) {
 	runs, first := gate.Unanswered.Take(i.options.Now())
 	if len(runs) == 0 {
 		return
--- a/internal/sidecar/ingress.go
+++ b/internal/sidecar/arrival/ingress.go
@@ -1,4 +1,4 @@
-package sidecar
+package arrival
 
 import (
 	"context"
@@ -19,104 +19,36 @@
 	"github.com/landingmast/landingmast/internal/wire"
 )
 
-// running is a request at the target. Calls that the target makes for it find it
-// by its id.
-type running struct {
-	id         string
-	ctx        context.Context
-	importance int
-	repeat     bool
-	tenant     string  // to which it belongs; empty: none
-	granted    float64 // part of the budgets for repeats that is left to its calls
-
-	mutex sync.Mutex
-	needs map[string]wire.Need
-}
-
-// add notes what a call of the target needed below.
-func (r *running) add(needs []wire.Need) {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	for _, need := range needs {
-		sum := r.needs[need.Service]
-		sum.Service = need.Service
-		if calls := sum.Calls + need.Calls; calls > 0 {
-			sum.Wait = (sum.Wait*time.Duration(sum.Calls) + need.Wait*time.Duration(need.Calls)) / time.Duration(calls)
-			sum.Calls = calls
-		}
-		if need.Occupancy >= 0 {
-			sum.Occupancy = need.Occupancy // the newest
-		}
-		r.needs[need.Service] = sum
-	}
-}
-
-func (r *running) below() []wire.Need {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	needs := make([]wire.Need, 0, len(r.needs)+1)
-	for _, need := range r.needs {
-		needs = append(needs, need)
-	}
-	return needs
-}
-
-// runningTable holds the requests at the target by id.
-type runningTable struct {
-	mutex    sync.Mutex
-	requests map[string]*running
-}
-
-func (t *runningTable) add(id string, request *running) {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	t.requests[id] = request
-}
-
-func (t *runningTable) remove(id string, request *running) {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	if t.requests[id] == request {
-		delete(t.requests, id)
-	}
-}
-
-func (t *runningTable) find(id string) *running {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	return t.requests[id]
-}
-
-// ingress takes requests for the target beside the node.
-type ingress struct {
-	options arrivalOptions
-	running runningTable
-	once    *onceGate
+// Ingress takes requests for the target beside the node.
+type Ingress struct {
+	options Options
+	Running runningTable
+	Once    *onceGate
 }
 
-// newIngress makes the ingress of a node.
-func newIngress(options arrivalOptions) *ingress {
-	i := &ingress{options: options, running: runningTable{requests: map[string]*running{}}}
-	i.once = newOnceGate(i)
+// New makes the ingress of a node.
+func New(options Options) *Ingress {
+	i := &Ingress{options: options, Running: runningTable{requests: map[string]*Running{}}}
+	i.Once = newOnceGate(i)
 	return i
 }
 
 // Runs reports whether an id is that of a call of a request at the target.
-func (i *ingress) Runs(id string) bool { return i.Parent(id) != nil }
+func (i *Ingress) Runs(id string) bool { return i.Parent(id) != nil }
 
 // Parent returns the request at the target whose call has an id; nil: there is none. The id of
 // a call is the id of the request that made it, a separator and a part of its own; where ids
 // look otherwise a request stands for itself.
-func (i *ingress) Parent(id string) *running {
+func (i *Ingress) Parent(id string) *Running {
 	at := strings.LastIndex(id, wire.CallSeparator)
 	if at <= 0 {
 		return nil
 	}
-	return i.running.find(id[:at])
+	return i.Running.find(id[:at])
 }
 
 // ServeHTTP takes a request of another node.
-func (i *ingress) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (i *Ingress) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	end, refused := i.options.Begin(w)
 	defer end()
 	if refused {
@@ -131,20 +63,20 @@
 	remaining := time.Duration(call.Remaining) * time.Microsecond
 	ctx, cancel := context.WithTimeout(r.Context(), remaining)
 	defer cancel()
-	body, err := receive(r)
+	body, err := ReadBody(r)
 	if err != nil {
 		i.write(w, reply.NotRun(outcome.ReasonCancelled))
 		return
 	}
-	answer := i.serve(ctx, call, headers.EndToEnd(r.Header), body)
+	answer := i.Serve(ctx, call, headers.EndToEnd(r.Header), body)
 	if r.Header.Get(i.options.Headers.RequestID) == "" {
 		answer = answer.Without(i.options.Headers.RequestID)
 	}
 	i.write(w, answer)
 }
 
-// receive reads the body of a request, whole unless it is long.
-func receive(r *http.Request) (*reply.Payload, error) {
+// ReadBody reads the body of a request, whole unless it is long.
+func ReadBody(r *http.Request) (*reply.Payload, error) {
 	if r.ContentLength == 0 {
 		return &reply.Payload{}, nil
 	}
@@ -160,7 +92,7 @@
 
 // write sends a reply to the node that asked. An answer that breaks off cuts the
 // connection, so that it never passes for a whole one.
-func (i *ingress) write(w http.ResponseWriter, answer *reply.Reply) {
+func (i *Ingress) write(w http.ResponseWriter, answer *reply.Reply) {
 	defer answer.Close()
 	answer.Incarnation = i.options.Incarnation
 	answer.Version = i.options.Version()
@@ -176,7 +108,7 @@
 	if waits := reply.WaitsHeader(answer); waits != "" {
 		header.Set(wire.HeaderSidecarWaits, waits)
 	}
-	withoutGuess(header)
+	WithoutGuessedHeaders(header)
 	if answer.Stream == nil {
 		header.Set("Content-Length", strconv.Itoa(len(answer.Body)))
 		_, _ = w.Write(answer.Body)
@@ -190,8 +122,8 @@
 	}
 }
 
-// withoutGuess keeps net/http from adding headers that the target did not send.
-func withoutGuess(header http.Header) {
+// WithoutGuessedHeaders keeps net/http from adding headers that the target did not send.
+func WithoutGuessedHeaders(header http.Header) {
 	if _, present := header["Content-Type"]; !present {
 		header["Content-Type"] = nil
 	}
@@ -200,29 +132,29 @@
 	}
 }
 
-// serve has the target run a request, once at most where it may not be repeated.
-func (i *ingress) serve(ctx context.Context, call *wire.SidecarCall, header http.Header, body *reply.Payload) *reply.Reply {
+// Serve has the target run a request, once at most where it may not be repeated.
+func (i *Ingress) Serve(ctx context.Context, call *wire.SidecarCall, header http.Header, body *reply.Payload) *reply.Reply {
 	switch {
 	case call.Incarnation != "" && call.Incarnation != i.options.Incarnation:
 		return reply.NotRun(outcome.ReasonIncarnation)
 	case call.Repeatable || call.Key == "":
 		return i.admit(ctx, call, header, body, nil)
 	default:
-		return i.once.serve(ctx, call, header, body)
+		return i.Once.serve(ctx, call, header, body)
 	}
 }
 
 // admit waits for a slot and has the target run the request. maySend is asked
 // right before the request is sent; nil: it may.
-func (i *ingress) admit(ctx context.Context, call *wire.SidecarCall, header http.Header, body *reply.Payload, maySend func() bool) *reply.Reply {
-	one := &arrival{Request: heldback.Request{Call: call, Body: body}, at: i.options.Now()}
+func (i *Ingress) admit(ctx context.Context, call *wire.SidecarCall, header http.Header, body *reply.Payload, maySend func() bool) *reply.Reply {
+	one := &request{Request: heldback.Request{Call: call, Body: body}, at: i.options.Now()}
 	answer := i.gated(ctx, one, header, maySend)
 	i.noteRun(one, answer)
 	return answer
 }
 
-// arrival is a request at the gate, with what the log tells of it.
-type arrival struct {
+// request is a request at the gate, with what the log tells of it.
+type request struct {
 	heldback.Request
 	at       time.Duration
 	instance string
@@ -232,7 +164,7 @@
 
 // left is how much of its time the request has left. The timer of ctx stands still while the
 // machine is suspended.
-func (a *arrival) left(ctx context.Context, now time.Duration) time.Duration {
+func (a *request) left(ctx context.Context, now time.Duration) time.Duration {
 	left := time.Duration(a.Call.Remaining)*time.Microsecond - (now - a.at)
 	if deadline, bounded := ctx.Deadline(); bounded {
 		left = min(left, time.Until(deadline))
@@ -240,7 +172,7 @@
 	return left
 }
 
-func (i *ingress) gated(ctx context.Context, one *arrival, header http.Header, maySend func() bool) *reply.Reply {
+func (i *Ingress) gated(ctx context.Context, one *request, header http.Header, maySend func() bool) *reply.Reply {
 	gate, call := i.options.Target.Current(), one.Call
 	switch {
 	case gate == nil:
@@ -287,12 +219,12 @@
 }
 
 // run sends the request to the target and reads its answer.
-func (i *ingress) run(ctx context.Context, gate *target.Gate, id uint64, one *arrival, header http.Header) *reply.Reply {
+func (i *Ingress) run(ctx context.Context, gate *target.Gate, id uint64, one *request, header http.Header) *reply.Reply {
 	call := one.Call
-	request := &running{id: call.RequestID, ctx: ctx, importance: call.Importance, repeat: call.Repeat, tenant: call.Tenant, granted: call.Granted, needs: map[string]wire.Need{}}
-	i.running.add(call.RequestID, request)
-	answer := i.exchange(ctx, gate, one, header)
-	i.running.remove(call.RequestID, request)
+	request := &Running{ID: call.RequestID, Context: ctx, Importance: call.Importance, Repeat: call.Repeat, Tenant: call.Tenant, Granted: call.Granted, needs: map[string]wire.Need{}}
+	i.Running.add(call.RequestID, request)
+	answer := i.sendToTarget(ctx, gate, one, header)
+	i.Running.remove(call.RequestID, request)
 	learn := answer.Outcome == outcome.Answered
 	if answer.Stream == nil {
 		gate.Leave(id, learn)
@@ -300,7 +232,7 @@
 			i.options.HeldBack.EndedWell(&one.Request)
 		}
 	} else {
-		answer.Stream = &leaving{ReadCloser: answer.Stream, leave: func(err error) {
+		answer.Stream = &slotReader{ReadCloser: answer.Stream, leave: func(err error) {
 			gate.Leave(id, learn)
 			i.streamed(ctx, gate, one, err)
 		}}
@@ -309,8 +241,8 @@
 	return answer
 }
 
-// leaving gives the slot back when a long answer was read.
-type leaving struct {
+// slotReader gives the slot back when a long answer was read.
+type slotReader struct {
 	io.ReadCloser
 	err   error // with which the reading ended; io.EOF: the answer is whole
 	once  sync.Once
@@ -318,7 +250,7 @@
 }
 
 // Read implements io.Reader.
-func (l *leaving) Read(piece []byte) (int, error) {
+func (l *slotReader) Read(piece []byte) (int, error) {
 	count, err := l.ReadCloser.Read(piece)
 	if err != nil {
 		l.err = err
@@ -327,13 +259,13 @@
 }
 
 // Close implements io.Closer.
-func (l *leaving) Close() error {
+func (l *slotReader) Close() error {
 	defer l.once.Do(func() { l.leave(l.err) })
 	return l.ReadCloser.Close()
 }
 
 // streamed takes in how the reading of a long answer ended; nil: its reader went away.
-func (i *ingress) streamed(ctx context.Context, gate *target.Gate, one *arrival, err error) {
+func (i *Ingress) streamed(ctx context.Context, gate *target.Gate, one *request, err error) {
 	switch {
 	case err == io.EOF:
 		i.options.HeldBack.EndedWell(&one.Request)
@@ -345,7 +277,7 @@
 }
 
 // noteRun notes the end of a request at the gate of the target.
-func (i *ingress) noteRun(one *arrival, answer *reply.Reply) {
+func (i *Ingress) noteRun(one *request, answer *reply.Reply) {
 	waited, took := one.waited, i.options.Now()-one.at
 	if answer.Arrived {
 		i.options.Metrics.Waited.Observe(waited.Seconds())
--- a/internal/sidecar/once.go
+++ b/internal/sidecar/arrival/once.go
@@ -1,4 +1,4 @@
-package sidecar
+package arrival
 
 import (
 	"context"
@@ -28,7 +28,7 @@
 // sent to the target goes on when the connection of its sender breaks, and its
 // reply is handed over when the sender asks for it on another connection.
 type onceGate struct {
-	ingress *ingress
+	Ingress *Ingress
 	mutex   sync.Mutex
 	ledger  *fence.Ledger
 	runs    map[string]*onceRun // by key
@@ -43,8 +43,8 @@
 	once   sync.Once
 }
 
-func newOnceGate(ingress *ingress) *onceGate {
-	return &onceGate{ingress: ingress, ledger: fence.New(fenceKeep), runs: map[string]*onceRun{}}
+func newOnceGate(ingress *Ingress) *onceGate {
+	return &onceGate{Ingress: ingress, ledger: fence.New(fenceKeep), runs: map[string]*onceRun{}}
 }
 
 // serve runs a request on behalf of a sender whose interest ends with ctx.
@@ -74,13 +74,13 @@
 	if !o.arrive(call.Key, nil) {
 		return reply.NotRun(outcome.ReasonFenced)
 	}
-	return o.ingress.admit(ctx, call, header, body, func() bool { return o.send(call.Key) })
+	return o.Ingress.admit(ctx, call, header, body, func() bool { return o.send(call.Key) })
 }
 
 func (o *onceGate) arrive(key string, run *onceRun) bool {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	if !o.ledger.Arrive(o.ingress.options.Now(), key) {
+	if !o.ledger.Arrive(o.Ingress.options.Now(), key) {
 		return false
 	}
 	if run != nil {
@@ -93,14 +93,14 @@
 func (o *onceGate) send(key string) bool {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	return o.ledger.Send(o.ingress.options.Now(), key)
+	return o.ledger.Send(o.Ingress.options.Now(), key)
 }
 
 func (o *onceGate) run(ctx context.Context, call *wire.SidecarCall, header http.Header, body *reply.Payload, run *onceRun) {
 	defer run.cancel()
-	answer := o.ingress.admit(ctx, call, header, body, func() bool { return o.send(call.Key) })
+	answer := o.Ingress.admit(ctx, call, header, body, func() bool { return o.send(call.Key) })
 	o.mutex.Lock()
-	now := o.ingress.options.Now()
+	now := o.Ingress.options.Now()
 	o.ledger.End(now, call.Key)
 	o.ledger.Withdraw(now, call.Key)
 	run.reply = answer
@@ -121,7 +121,7 @@
 	o.mutex.Lock()
 	state := o.ledger.State(key)
 	if state == fence.Waiting {
-		state = o.ledger.Fence(o.ingress.options.Now(), key)
+		state = o.ledger.Fence(o.Ingress.options.Now(), key)
 	}
 	o.mutex.Unlock()
 	if state == fence.Fenced {
@@ -144,7 +144,7 @@
 // settle says what became of a request whose sender lost its connection.
 func (o *onceGate) settle(ctx context.Context, key string) *reply.Reply {
 	o.mutex.Lock()
-	state := o.ledger.Fence(o.ingress.options.Now(), key)
+	state := o.ledger.Fence(o.Ingress.options.Now(), key)
 	run := o.runs[key]
 	o.mutex.Unlock()
 	switch {
@@ -169,16 +169,16 @@
 func (o *onceGate) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	call, err := wire.CallFrom(r.Header)
 	if err != nil {
-		o.ingress.write(w, reply.Unknown(outcome.ReasonBadMessage))
+		o.Ingress.write(w, reply.Unknown(outcome.ReasonBadMessage))
 		return
 	}
-	if call.Incarnation != o.ingress.options.Incarnation {
-		o.ingress.write(w, reply.Unknown(outcome.ReasonIncarnation))
+	if call.Incarnation != o.Ingress.options.Incarnation {
+		o.Ingress.write(w, reply.Unknown(outcome.ReasonIncarnation))
 		return
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), time.Duration(call.Remaining)*time.Microsecond)
 	defer cancel()
 	answer := *o.settle(ctx, call.Key) // the kept reply stays as it is
-	o.ingress.options.Events.Add(eventlog.Settle{Request: call.RequestID, From: call.From, Outcome: string(answer.Outcome), Reason: string(answer.Reason)}, eventlog.Failure)
-	o.ingress.write(w, &answer)
+	o.Ingress.options.Events.Add(eventlog.Settle{Request: call.RequestID, From: call.From, Outcome: string(answer.Outcome), Reason: string(answer.Reason)}, eventlog.Failure)
+	o.Ingress.write(w, &answer)
 }
--- a/internal/sidecar/arrivaloptions.go
+++ b/internal/sidecar/arrival/options.go
@@ -1,4 +1,16 @@
-package sidecar
+// Package arrival takes the requests that other nodes, or the entry of this one, send for the
+// target beside the node, and has the target run them.
+//
+// It owns the requests that are at the target now, which calls of the target find by their ids
+// (Running), and the ones that may run at most once with their kept replies. A request goes
+// through the gate of the target in a fixed order: the right instance and service, evidence
+// that it ends targets, a slot, the right to run once, the target. What a run that brings no
+// answer means for the target is decided here too: the target may have ended with it.
+//
+// It relies on package target for the gate and the connections, on heldback for the evidence
+// and on core/fence for run-once; what an answer is worth is decided by core/outcome. All of
+// it is safe for concurrent use.
+package arrival
 
 import (
 	"net/http"
@@ -27,8 +39,8 @@
 	TargetEnded(instance, service string, runs []heldback.Run)
 }
 
-// arrivalOptions are what an ingress needs of the other parts of its node.
-type arrivalOptions struct {
+// Options are what an ingress needs of the other parts of its node.
+type Options struct {
 	Incarnation string               // of the node's process
 	Now         func() time.Duration // the clock that counts suspensions
 	Headers     headers.Names
--- /dev/null
+++ b/internal/sidecar/arrival/running.go
@@ -0,0 +1,77 @@
+package arrival
+
+import (
+	"context"
+	"sync"
+	"time"
+
+	"github.com/landingmast/landingmast/internal/wire"
+)
+
+// Running is a request at the target. Calls that the target makes for it find it
+// by its id.
+type Running struct {
+	ID         string
+	Context    context.Context
+	Importance int
+	Repeat     bool
+	Tenant     string  // to which it belongs; empty: none
+	Granted    float64 // part of the budgets for repeats that is left to its calls
+
+	mutex sync.Mutex
+	needs map[string]wire.Need
+}
+
+// Add notes what a call of the target needed below.
+func (r *Running) Add(needs []wire.Need) {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	for _, need := range needs {
+		sum := r.needs[need.Service]
+		sum.Service = need.Service
+		if calls := sum.Calls + need.Calls; calls > 0 {
+			sum.Wait = (sum.Wait*time.Duration(sum.Calls) + need.Wait*time.Duration(need.Calls)) / time.Duration(calls)
+			sum.Calls = calls
+		}
+		if need.Occupancy >= 0 {
+			sum.Occupancy = need.Occupancy // the newest
+		}
+		r.needs[need.Service] = sum
+	}
+}
+
+func (r *Running) below() []wire.Need {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	needs := make([]wire.Need, 0, len(r.needs)+1)
+	for _, need := range r.needs {
+		needs = append(needs, need)
+	}
+	return needs
+}
+
+// runningTable holds the requests at the target by id.
+type runningTable struct {
+	mutex    sync.Mutex
+	requests map[string]*Running
+}
+
+func (t *runningTable) add(id string, request *Running) {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	t.requests[id] = request
+}
+
+func (t *runningTable) remove(id string, request *Running) {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	if t.requests[id] == request {
+		delete(t.requests, id)
+	}
+}
+
+func (t *runningTable) find(id string) *Running {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	return t.requests[id]
+}
--- a/internal/sidecar/judge.go
+++ b/internal/sidecar/arrival/send.go
@@ -1,4 +1,4 @@
-package sidecar
+package arrival
 
 import (
 	"context"
@@ -14,8 +14,8 @@
 	"github.com/landingmast/landingmast/internal/sidecar/targetlink"
 )
 
-// exchange sends a request to the target and says what its answer is worth.
-func (i *ingress) exchange(ctx context.Context, gate *target.Gate, one *arrival, header http.Header) *reply.Reply {
+// sendToTarget sends a request to the target and says what its answer is worth.
+func (i *Ingress) sendToTarget(ctx context.Context, gate *target.Gate, one *request, header http.Header) *reply.Reply {
 	names, call, body := i.options.Headers, one.Call, one.Body
 	remaining := one.left(ctx, i.options.Now()).Milliseconds()
 	if remaining < 1 {
@@ -35,10 +35,10 @@
 	if err != nil {
 		return i.failed(ctx, gate, one, err)
 	}
-	return i.judge(ctx, gate, one, answer)
+	return i.readAnswer(ctx, gate, one, answer)
 }
 
-func (i *ingress) failed(ctx context.Context, gate *target.Gate, one *arrival, err error) *reply.Reply {
+func (i *Ingress) failed(ctx context.Context, gate *target.Gate, one *request, err error) *reply.Reply {
 	switch {
 	case errors.Is(err, targetlink.ErrNotSent):
 		i.unreachable(gate, err)
@@ -53,8 +53,8 @@
 	}
 }
 
-// judge reads the target's answer as far as it is worth it.
-func (i *ingress) judge(ctx context.Context, gate *target.Gate, one *arrival, answer *targetlink.Answer) *reply.Reply {
+// readAnswer reads the target's answer as far as it is worth it.
+func (i *Ingress) readAnswer(ctx context.Context, gate *target.Gate, one *request, answer *targetlink.Answer) *reply.Reply {
 	names := i.options.Headers
 	end, reason := outcome.TargetAnswer{
 		Status: answer.Status, NotRun: answer.Header.Get(names.NotRun) != "", Signed: answer.Header.Get(names.Signature) != "",
@@ -91,7 +91,7 @@
 // declined is the reply to a request that the target did not run. Its body is read, so that
 // the connection can be used again. An answer of another instance at the target's address
 // means that the one before is gone.
-func (i *ingress) declined(gate *target.Gate, answer *targetlink.Answer, reason outcome.Reason) *reply.Reply {
+func (i *Ingress) declined(gate *target.Gate, answer *targetlink.Answer, reason outcome.Reason) *reply.Reply {
 	_, _ = io.Copy(io.Discard, io.LimitReader(answer.Body, reply.KeepBytes))
 	_ = answer.Body.Close()
 	if reason == outcome.ReasonMisdirected {
--- a/internal/sidecar/egress.go
+++ b/internal/sidecar/egress.go
@@ -11,6 +11,7 @@
 	"github.com/landingmast/landingmast/internal/core/intent"
 	"github.com/landingmast/landingmast/internal/core/outcome"
 	"github.com/landingmast/landingmast/internal/sidecar/admission"
+	"github.com/landingmast/landingmast/internal/sidecar/arrival"
 	"github.com/landingmast/landingmast/internal/sidecar/eventlog"
 	"github.com/landingmast/landingmast/internal/sidecar/heldback"
 	"github.com/landingmast/landingmast/internal/sidecar/reply"
@@ -32,10 +33,10 @@
 	intent     *intent.Intent
 	route      *intent.Route
 	service    string
-	parent     *running       // request of the target that made this one; nil for a client's
-	fresh      bool           // the configuration was confirmed lately enough for keys, as of the arrival
-	holder     *intent.Tenant // whose key a client's request carries; nil: none
-	tenant     string         // to which the request belongs; empty: none
+	parent     *arrival.Running // request of the target that made this one; nil for a client's
+	fresh      bool             // the configuration was confirmed lately enough for keys, as of the arrival
+	holder     *intent.Tenant   // whose key a client's request carries; nil: none
+	tenant     string           // to which the request belongs; empty: none
 	importance int
 	repeat     bool
 	granted    float64 // part of the request's budgets for repeats that goes down the chain
@@ -138,7 +139,7 @@
 	if x.parent == nil {
 		return 1
 	}
-	return x.parent.granted
+	return x.parent.Granted
 }
 
 // release tells how a client's request ended that was let in. One whose time ran out has
@@ -176,7 +177,7 @@
 	}
 	x.needs = needs
 	if x.parent != nil {
-		x.parent.add(needs)
+		x.parent.Add(needs)
 	}
 	x.node.overload.Learn(x.route, needs, answer.Outcome == outcome.Answered && answer.Status < http.StatusBadRequest)
 }
@@ -194,6 +195,6 @@
 		return
 	}
 	x.parent = parent
-	x.importance = importance.OfCall(parent.importance)
-	x.repeat = parent.repeat
+	x.importance = importance.OfCall(parent.Importance)
+	x.repeat = parent.Repeat
 }
--- a/internal/sidecar/identity.go
+++ b/internal/sidecar/identity.go
@@ -19,7 +19,7 @@
 // identify settles the tenant of the request. false: it was refused.
 func (x *exchange) identify() bool {
 	if x.parent != nil {
-		x.tenant = x.parent.tenant
+		x.tenant = x.parent.Tenant
 		return true
 	}
 	if len(x.intent.Tenants) == 0 {
--- a/internal/sidecar/node.go
+++ b/internal/sidecar/node.go
@@ -21,6 +21,7 @@
 	"github.com/landingmast/landingmast/internal/core/roster"
 	"github.com/landingmast/landingmast/internal/failure"
 	"github.com/landingmast/landingmast/internal/sidecar/admission"
+	"github.com/landingmast/landingmast/internal/sidecar/arrival"
 	"github.com/landingmast/landingmast/internal/sidecar/configuration"
 	"github.com/landingmast/landingmast/internal/sidecar/eventlog"
 	"github.com/landingmast/landingmast/internal/sidecar/follower"
@@ -77,7 +78,7 @@
 	splitter      *splitter
 	overload      *admission.Control
 	target        *target.Local
-	ingress       *ingress
+	ingress       *arrival.Ingress
 	egress        *egress
 	peers         *peer.Client
 	membership    *membership.Members
@@ -134,9 +135,9 @@
 	n.liveness = peer.NewLiveness(n.now, n.peers.PingPeer, peer.Events{Lost: n.silent, Still: n.services.Suspect, Back: n.heardAgain})
 	n.target = target.New(target.Options{
 		Now: n.now, Changed: n.targetChanged, Link: n.newLink, Identify: n.identify, BeginAll: !n.policyOn(inTime),
-		Followed: func(before *target.Gate) { n.ingress.instanceReplaced(before) },
+		Followed: func(before *target.Gate) { n.ingress.InstanceReplaced(before) },
 	})
-	n.ingress = newIngress(n.arrivalOptions())
+	n.ingress = arrival.New(n.arrivalOptions())
 	return n, n.listen()
 }
 
@@ -260,8 +261,8 @@
 	}
 }
 
-func (n *Node) arrivalOptions() arrivalOptions {
-	return arrivalOptions{
+func (n *Node) arrivalOptions() arrival.Options {
+	return arrival.Options{
 		Incarnation: n.incarnation, Now: n.now, Headers: n.options.Headers, Version: n.configuration.Version,
 		Target: n.target, HeldBack: n.heldBack, Metrics: n.metrics, Events: n.events,
 		Begin: func(w http.ResponseWriter) (func(), bool) {
@@ -365,7 +366,7 @@
 func (n *Node) inbound() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("POST "+peer.CallPath, n.ingress)
-	mux.Handle("POST "+peer.SettlePath, n.ingress.once)
+	mux.Handle("POST "+peer.SettlePath, n.ingress.Once)
 	mux.Handle("POST "+membership.ExchangePath, n.exchanger)
 	mux.Handle("POST "+membership.BroadcastPath, n.news)
 	mux.Handle("POST "+revalidation.Path, n.freshness)
--- a/internal/sidecar/observe.go
+++ b/internal/sidecar/observe.go
@@ -101,7 +101,7 @@
 		event.ObjectiveMS = eventlog.Milliseconds(x.route.Objective)
 	}
 	if x.parent != nil {
-		event.Parent = x.parent.id
+		event.Parent = x.parent.ID
 	}
 	x.node.events.Add(event, weight)
 }
--- a/internal/sidecar/send.go
+++ b/internal/sidecar/send.go
@@ -125,7 +125,7 @@
 		Version: int64(x.intent.Version), Granted: x.granted, Tenant: x.tenant, Suspect: suspect, Trial: x.trial,
 	}
 	if choice.Node == x.node.settings().Node {
-		return x.node.ingress.serve(ctx, call, x.header.Clone(), x.body)
+		return x.node.ingress.Serve(ctx, call, x.header.Clone(), x.body)
 	}
 	if repeatable {
 		return x.sendRepeatable(ctx, choice, call)
--- a/internal/sidecar/steps.go
+++ b/internal/sidecar/steps.go
@@ -8,6 +8,7 @@
 	"github.com/juju/errors"
 	"github.com/landingmast/landingmast/internal/core/outcome"
 	"github.com/landingmast/landingmast/internal/core/retryafter"
+	"github.com/landingmast/landingmast/internal/sidecar/arrival"
 	"github.com/landingmast/landingmast/internal/sidecar/headers"
 )
 
@@ -108,7 +109,7 @@
 	if x.request.ContentLength != 0 {
 		_ = http.NewResponseController(x.writer).SetReadDeadline(time.Now().Add(x.hold + bodyGrace))
 	}
-	body, err := receive(x.request)
+	body, err := arrival.ReadBody(x.request)
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
@@ -133,7 +134,7 @@
 	x.ctx = ctx
 	x.atEnd(cancel)
 	if x.parent != nil {
-		stop := context.AfterFunc(x.parent.ctx, cancel)
+		stop := context.AfterFunc(x.parent.Context, cancel)
 		x.atEnd(func() { stop() })
 	}
 }
