--- a/internal/sidecar/answer.go
+++ b/internal/sidecar/answer.go
@@ -57,7 +57,7 @@
 		x.refuse(status, reason, notInvited)
 		return
 	}
-	x.node.quotas.GiveBack(x.holder)
+	x.options.Quotas.GiveBack(x.holder)
 	x.refuse(status, reason, retryafter.NotRun(reason))
 }
 
@@ -70,7 +70,7 @@
 	retryAfter := invited.At(rand.Float64())
 	header := x.writer.Header()
 	if x.id != "" {
-		header.Set(x.node.options.Headers.RequestID, x.id)
+		header.Set(x.options.Headers.RequestID, x.id)
 	}
 	if retryAfter > 0 {
 		header.Set("Retry-After", strconv.FormatFloat(retryAfter.Seconds(), 'f', 2, 64))
--- a/internal/sidecar/egress.go
+++ b/internal/sidecar/egress.go
@@ -21,12 +21,19 @@
 
 // egress takes requests of the clients on the machine and of the target there.
 type egress struct {
-	node *Node
+	options  entryOptions
+	splitter *splitter
+}
+
+// newEgress makes the egress of a node.
+func newEgress(options entryOptions) *egress {
+	return &egress{options: options, splitter: &splitter{credit: map[string][]float64{}}}
 }
 
 // exchange is one request and what it takes to have it answered.
 type exchange struct {
-	node       *Node
+	options    *entryOptions
+	splitter   *splitter
 	writer     http.ResponseWriter
 	request    *http.Request
 	id         string
@@ -68,15 +75,14 @@
 // ServeHTTP takes a request: it goes through the steps of the entry in their order, and is
 // sent unless one of them refuses it.
 func (e *egress) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	end, closing := e.node.begin(w, e.node.planned.stopping.Load(), &e.node.planned.closing)
+	end, closing := e.options.Begin(w)
 	defer end()
-	id := r.Header.Get(e.node.options.Headers.RequestID)
-	isCall := e.node.ingress.Runs(id)
+	id := r.Header.Get(e.options.Headers.RequestID)
+	isCall := e.options.Arrivals.Runs(id)
 	if !isCall {
-		e.node.clients.Add(1)
-		defer e.node.clients.Add(-1)
+		defer e.options.CountClient()()
 	}
-	x := &exchange{node: e.node, writer: w, request: r, id: id, started: e.node.now(), closing: closing && !isCall}
+	x := &exchange{options: &e.options, splitter: e.splitter, writer: w, request: r, id: id, started: e.options.Now(), closing: closing && !isCall}
 	defer x.finish()
 	for _, step := range entrySteps {
 		if !step(x) {
@@ -101,7 +107,7 @@
 
 // clientTime is how long the sender will wait.
 func (x *exchange) clientTime() time.Duration {
-	if text := x.request.Header.Get(x.node.options.Headers.Deadline); text != "" {
+	if text := x.request.Header.Get(x.options.Headers.Deadline); text != "" {
 		if milliseconds, err := strconv.ParseFloat(text, 64); err == nil && milliseconds >= 0 {
 			return time.Duration(milliseconds * float64(time.Millisecond))
 		}
@@ -121,15 +127,15 @@
 // heldBack decides on a request that targets ended with. The answer to one that none is to
 // get says that it has not run, and not when to come back.
 func (x *exchange) heldBack() heldback.Verdict {
-	call := &wire.SidecarCall{Method: x.request.Method, URI: uriOf(x.request), Host: x.request.Host, Caller: x.node.caller(), Tenant: x.tenant}
-	return x.node.heldBack.AtStart(&heldback.Request{Call: call, Body: x.body})
+	call := &wire.SidecarCall{Method: x.request.Method, URI: uriOf(x.request), Host: x.request.Host, Caller: x.options.Caller(), Tenant: x.tenant}
+	return x.options.HeldBack.AtStart(&heldback.Request{Call: call, Body: x.body})
 }
 
 // countRequest counts the request and the calls that will be made for it. The result is the
 // part of its budgets for repeats that is left to the nodes below.
 func (x *exchange) countRequest() float64 {
-	return x.node.services.CountRequest(x.service, x.grantedAbove(), func(f func(name string, calls float64)) {
-		x.node.overload.EachNeed(x.route, f)
+	return x.options.Services.CountRequest(x.service, x.grantedAbove(), func(f func(name string, calls float64)) {
+		x.options.Overload.EachNeed(x.route, f)
 	})
 }
 
@@ -145,8 +151,8 @@
 // release tells how a client's request ended that was let in. One whose time ran out has
 // not told what it waited for: there was no room for it in time, whatever was short.
 func (x *exchange) release() {
-	x.node.overload.End(admission.Ended{
-		Route: x.route, Limit: x.limit(), Took: x.node.now() - x.started, Needs: x.needs,
+	x.options.Overload.End(admission.Ended{
+		Route: x.route, Limit: x.limit(), Took: x.options.Now() - x.started, Needs: x.needs,
 		Lacked: x.lacked || x.status == http.StatusGatewayTimeout, Left: x.request.Context().Err() != nil,
 	})
 }
@@ -154,7 +160,7 @@
 // left is how much of its time the request has left. The timer of ctx stands still while the
 // machine is suspended.
 func (x *exchange) left(ctx context.Context) time.Duration {
-	left := x.hold - (x.node.now() - x.started)
+	left := x.hold - (x.options.Now() - x.started)
 	if deadline, bounded := ctx.Deadline(); bounded {
 		left = min(left, time.Until(deadline))
 	}
@@ -172,25 +178,25 @@
 // learn takes in what a sending told of the services down the chain.
 func (x *exchange) learn(answer *reply.Reply) {
 	needs := answer.Needs
-	if pressure, known := x.node.services.Get(x.service).Pressure(x.node.now()); known && answer.Load.Slots > 0 {
+	if pressure, known := x.options.Services.Get(x.service).Pressure(x.options.Now()); known && answer.Load.Slots > 0 {
 		needs = append(needs, wire.Need{Service: x.service, Calls: 1, Occupancy: int(pressure.Occupancy * wire.OccupancyScale), Wait: answer.Waited})
 	}
 	x.needs = needs
 	if x.parent != nil {
 		x.parent.Add(needs)
 	}
-	x.node.overload.Learn(x.route, needs, answer.Outcome == outcome.Answered && answer.Status < http.StatusBadRequest)
+	x.options.Overload.Learn(x.route, needs, answer.Outcome == outcome.Answered && answer.Status < http.StatusBadRequest)
 }
 
 // findParent looks for the request at the target for which this one is made, and settles the
 // importance by it.
 func (x *exchange) findParent() {
 	limit := x.limit()
-	if !x.node.policyOn(settings.Urgency) {
+	if !x.options.PolicyOn(settings.Urgency) {
 		limit = 0
 	}
 	x.importance = importance.Of(x.route, nil, limit)
-	parent := x.node.ingress.Parent(x.id)
+	parent := x.options.Arrivals.Parent(x.id)
 	if parent == nil {
 		return
 	}
--- a/internal/sidecar/identity.go
+++ b/internal/sidecar/identity.go
@@ -25,7 +25,7 @@
 	if len(x.intent.Tenants) == 0 {
 		return true
 	}
-	key := x.node.options.Headers.KeyOf(x.request.Header)
+	key := x.options.Headers.KeyOf(x.request.Header)
 	if key == "" {
 		return x.identifyWithoutKey()
 	}
@@ -48,11 +48,11 @@
 
 // rankByTenant takes the tenant's priority into the request's importance.
 func (x *exchange) rankByTenant() {
-	if !x.node.policyOn(settings.TenantOrder) {
+	if !x.options.PolicyOn(settings.TenantOrder) {
 		return
 	}
 	limit := x.limit()
-	if !x.node.policyOn(settings.Urgency) {
+	if !x.options.PolicyOn(settings.Urgency) {
 		limit = 0
 	}
 	x.importance = importance.Of(x.route, x.holder, limit)
@@ -73,6 +73,6 @@
 }
 
 func (x *exchange) refuseKey() {
-	x.writer.Header().Set("WWW-Authenticate", x.node.options.Headers.KeyScheme)
+	x.writer.Header().Set("WWW-Authenticate", x.options.Headers.KeyScheme)
 	x.refuse(http.StatusUnauthorized, outcome.ReasonUnknownKey, notInvited)
 }
--- a/internal/sidecar/wake_test.go
+++ b/internal/sidecar/left_test.go
@@ -6,19 +6,9 @@
 	"time"
 
 	"github.com/landingmast/landingmast/internal/core/intent"
-	"github.com/landingmast/landingmast/internal/sidecar/configuration"
 	. "github.com/onsi/gomega"
 )
 
-// jumpingClock is that of a machine that was suspended once.
-type jumpingClock struct{ slept time.Duration }
-
-// Steady implements clock.Source.
-func (c *jumpingClock) Steady() time.Duration { return time.Since(steadyStart) }
-
-// Boot implements clock.Source.
-func (c *jumpingClock) Boot() time.Duration { return time.Since(steadyStart) + c.slept }
-
 // Symptom: a request reaches a target after its client has given up.
 //
 // Sequence: a node holds a request with a deadline of a second, its machine is suspended for
@@ -41,12 +31,12 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
-			source := &jumpingClock{}
-			n := &Node{configuration: configuration.New(nil, nil), clock: source}
-			x := &exchange{node: n, hold: time.Second, started: n.now(), route: &intent.Route{}}
+			started, slept := time.Now(), time.Duration(0)
+			now := func() time.Duration { return time.Since(started) + slept }
+			x := &exchange{options: &entryOptions{Now: now}, hold: time.Second, started: now(), route: &intent.Route{}}
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 			defer cancel()
-			source.slept = tc.slept
+			slept = tc.slept
 			g.Expect(x.left(ctx)).To(BeNumerically("~", tc.want, 50*time.Millisecond))
 		})
 	}
--- a/internal/sidecar/node.go
+++ b/internal/sidecar/node.go
@@ -75,7 +75,6 @@
 	store         store.Store
 	configuration *configuration.InForce
 	services      *services.Services
-	splitter      *splitter
 	overload      *admission.Control
 	target        *target.Local
 	ingress       *arrival.Ingress
@@ -111,7 +110,7 @@
 	}
 	n := &Node{
 		options: options, incarnation: strconv.FormatUint(rand.Uint64(), 36), clock: options.Clock,
-		store: options.Store, splitter: &splitter{credit: map[string][]float64{}},
+		store: options.Store,
 	}
 	n.checked.Store(settings)
 	n.events = eventlog.New(settings.Node, options.Output)
@@ -122,7 +121,6 @@
 	n.services = services.New(services.Options{
 		Node: settings.Node, Zone: settings.Zone, Now: n.now, Budget: budget(settings), FirstStart: settings.FirstStart, Policy: settings.Policy,
 	})
-	n.egress = &egress{node: n}
 	n.peers = peer.NewClient(options.Dial, options.Headers)
 	n.membership, n.exchanger, n.news = membership.New(n.membershipOptions())
 	n.follower = follower.New(n.followerOptions())
@@ -138,6 +136,7 @@
 		Followed: func(before *target.Gate) { n.ingress.InstanceReplaced(before) },
 	})
 	n.ingress = arrival.New(n.arrivalOptions())
+	n.egress = newEgress(n.entryOptions())
 	return n, n.listen()
 }
 
@@ -271,6 +270,24 @@
 	}
 }
 
+func (n *Node) entryOptions() entryOptions {
+	return entryOptions{
+		Node: n.settings().Node, Now: n.now, Headers: n.options.Headers, Caller: n.caller, Configuration: n.configuration, Fresh: n.freshness.Fresh,
+		Arrivals: n.ingress, HeldBack: n.heldBack, Quotas: n.quotas, Services: n.services, Overload: n.overload, Liveness: n.liveness,
+		Peers: n.peers, Members: n.membership, Exchange: n.exchanger.StartWith, PolicyOn: n.policyOn, Metrics: n.metrics, Events: n.events,
+		Begin: func(w http.ResponseWriter) (func(), bool) {
+			return n.begin(w, n.planned.stopping.Load(), &n.planned.closing)
+		},
+		CountClient: n.countClient,
+	}
+}
+
+// countClient counts a client's request until the function that it returns is called.
+func (n *Node) countClient() func() {
+	n.clients.Add(1)
+	return func() { n.clients.Add(-1) }
+}
+
 // settings gives the settings in force.
 func (n *Node) settings() *settings.Settings { return n.checked.Load() }
 
--- a/internal/sidecar/release_test.go
+++ b/internal/sidecar/release_test.go
@@ -12,12 +12,6 @@
 	. "github.com/onsi/gomega"
 )
 
-func admittingNode() *Node {
-	n := &Node{configuration: configuration.New(nil, nil), clock: steadyClock{}}
-	n.overload = admission.New(n.now, n.configuration, false)
-	return n
-}
-
 // A request whose time ran out has told nothing of its waits: its route's window shrinks
 // for it, as for one that found no room. Found on masr-claims-grown scale-1, where the
 // window grew with each of 8,500 claims that were let in and failed.
@@ -34,14 +28,15 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
-			n := admittingNode()
+			now := func() time.Duration { return 0 }
+			control := admission.New(now, configuration.New(nil, nil), false)
 			route := &intent.Route{Name: "read", Objective: time.Second}
-			x := &exchange{node: n, route: route, request: httptest.NewRequest(http.MethodGet, "/", nil), hold: time.Second, status: tc.status, lacked: tc.lacked}
-			admitted, _ := n.overload.Admit(route)
+			x := &exchange{options: &entryOptions{Now: now, Overload: control}, route: route, request: httptest.NewRequest(http.MethodGet, "/", nil), hold: time.Second, status: tc.status, lacked: tc.lacked}
+			admitted, _ := control.Admit(route)
 			g.Expect(admitted).To(BeTrue())
-			_, before := n.overload.Window(route)
+			_, before := control.Window(route)
 			x.release()
-			_, after := n.overload.Window(route)
+			_, after := control.Window(route)
 			g.Expect(after < before).To(Equal(tc.shrinks), "%g, then %g", before, after)
 		})
 	}
--- a/internal/sidecar/send.go
+++ b/internal/sidecar/send.go
@@ -24,21 +24,21 @@
 
 // send tries targets until one answers or nothing more can be tried.
 func (x *exchange) send(ctx context.Context) {
-	target := x.node.services.Get(x.service)
-	tried := resend.New(!x.node.policyOn(settings.Declined))
+	target := x.options.Services.Get(x.service)
+	tried := resend.New(!x.options.PolicyOn(settings.Declined))
 	last := reply.NotRun(outcome.ReasonNoTarget)
 	for ctx.Err() == nil && x.left(ctx) > 0 && tried.MayGoOn() {
-		choice := target.Pick(x.node.now(), x.wish(ctx, tried), tried.Excluded())
+		choice := target.Pick(x.options.Now(), x.wish(ctx, tried), tried.Excluded())
 		if choice == nil {
 			break
 		}
 		last.Close()
-		began := x.node.now()
+		began := x.options.Now()
 		last = x.attempt(ctx, choice, tried.Ended())
-		x.noteSend(choice, last, x.node.now()-began)
-		choice.Done(x.node.now(), last)
-		if last.Reason == outcome.ReasonUnreachable && last.Incarnation == "" && choice.Node != x.node.settings().Node {
-			x.node.liveness.Revive(choice.Node, choice.Address)
+		x.noteSend(choice, last, x.options.Now()-began)
+		choice.Done(x.options.Now(), last)
+		if last.Reason == outcome.ReasonUnreachable && last.Incarnation == "" && choice.Node != x.options.Node {
+			x.options.Liveness.Revive(choice.Node, choice.Address)
 		}
 		x.tellIfLost(choice, last)
 		x.learn(last)
@@ -75,11 +75,11 @@
 // takeRepeat takes a repeat of the request out of the budgets. declined means that the target
 // declined the sending before.
 func (x *exchange) takeRepeat(declined bool) bool {
-	if !x.node.services.Repeat(x.service, x.node.overload.Needs(x.route), x.rank(), declined) {
-		x.node.metrics.Denied.WithLabelValues(x.service).Inc()
+	if !x.options.Services.Repeat(x.service, x.options.Overload.Needs(x.route), x.rank(), declined) {
+		x.options.Metrics.Denied.WithLabelValues(x.service).Inc()
 		return false
 	}
-	x.node.metrics.Repeats.WithLabelValues(x.service).Inc()
+	x.options.Metrics.Repeats.WithLabelValues(x.service).Inc()
 	return true
 }
 
@@ -87,7 +87,7 @@
 func (x *exchange) resendRules() resend.Request {
 	return resend.Request{
 		Replayable: x.body.Replayable(), Repeatable: x.route.Kind.Repeatable(), Repeat: x.repeat, Trial: x.trial, MostTargets: x.mostTargets(),
-		NoHoldBack: !x.node.policyOn(settings.HoldBack), NoRepeats: !x.node.policyOn(settings.Repeats),
+		NoHoldBack: !x.options.PolicyOn(settings.HoldBack), NoRepeats: !x.options.PolicyOn(settings.Repeats),
 	}
 }
 
@@ -98,7 +98,7 @@
 // of the chain are made on give it the same.
 func (x *exchange) rank() float64 {
 	priorities := 1
-	if current := x.node.configuration.Load(); current != nil {
+	if current := x.options.Configuration.Load(); current != nil {
 		priorities = current.LeastPriority() + 1
 	}
 	start, _, _ := strings.Cut(x.id, wire.CallSeparator)
@@ -109,7 +109,7 @@
 // and before its time is up.
 func (x *exchange) wish(ctx context.Context, tried *resend.Tried) balancer.Wish {
 	wish := balancer.Wish{Class: x.route.Name, Limit: x.left(ctx), Only: tried.Only(x.mostTargets())}
-	if left := x.route.Objective - (x.node.now() - x.started); left > 0 {
+	if left := x.route.Objective - (x.options.Now() - x.started); left > 0 {
 		wish.Limit = min(wish.Limit, left)
 	}
 	return wish
@@ -120,12 +120,12 @@
 	repeatable := x.route.Kind.Repeatable()
 	call := &wire.SidecarCall{
 		RequestID: x.id, Method: x.request.Method, URI: uriOf(x.request), Host: x.request.Host, Service: x.service, Route: x.route.Name,
-		Caller: x.node.caller(), From: x.node.settings().Node, Importance: x.importance, Repeatable: repeatable,
+		Caller: x.options.Caller(), From: x.options.Node, Importance: x.importance, Repeatable: repeatable,
 		Repeat: x.repeat || x.arrivals > 0, Attempt: x.arrivals, Remaining: x.left(ctx).Microseconds(),
 		Version: int64(x.intent.Version), Granted: x.granted, Tenant: x.tenant, Suspect: suspect, Trial: x.trial,
 	}
-	if choice.Node == x.node.settings().Node {
-		return x.node.ingress.Serve(ctx, call, x.header.Clone(), x.body)
+	if choice.Node == x.options.Node {
+		return x.options.Arrivals.Serve(ctx, call, x.header.Clone(), x.body)
 	}
 	if repeatable {
 		return x.sendRepeatable(ctx, choice, call)
@@ -135,7 +135,7 @@
 
 // noteSend keeps a sending for the log and counts it.
 func (x *exchange) noteSend(choice *services.Choice, answer *reply.Reply, took time.Duration) {
-	x.node.metrics.Sends.WithLabelValues(x.service, string(answer.Outcome), string(answer.Reason)).Inc()
+	x.options.Metrics.Sends.WithLabelValues(x.service, string(answer.Outcome), string(answer.Reason)).Inc()
 	x.sends = append(x.sends, eventlog.Send{
 		Node: choice.Node, Outcome: string(answer.Outcome), Reason: string(answer.Reason), Arrived: answer.Arrived, Status: answer.Status,
 		TookMS: eventlog.Milliseconds(took), Occupancy: answer.Load.Occupancy(),
@@ -144,8 +144,8 @@
 
 // tellIfLost helps a node that replied without knowing any configuration.
 func (x *exchange) tellIfLost(choice *services.Choice, answer *reply.Reply) {
-	if answer.Incarnation != "" && answer.Version == 0 && choice.Node != x.node.settings().Node {
-		x.node.exchanger.StartWith(choice.Address)
+	if answer.Incarnation != "" && answer.Version == 0 && choice.Node != x.options.Node {
+		x.options.Exchange(choice.Address)
 	}
 }
 
@@ -153,8 +153,8 @@
 // sign of life.
 func (x *exchange) sendRepeatable(ctx context.Context, choice *services.Choice, call *wire.SidecarCall) *reply.Reply {
 	ctx, abandon := context.WithCancelCause(ctx)
-	watched := x.node.liveness.Begin(choice.Node, choice.Address, abandon)
-	answer := x.node.peers.Call(ctx, choice.Address, call, x.header, x.body)
+	watched := x.options.Liveness.Begin(choice.Node, choice.Address, abandon)
+	answer := x.options.Peers.Call(ctx, choice.Address, call, x.header, x.body)
 	watched.End(answer.Incarnation != "")
 	if answer.Outcome == outcome.Unknown && errors.Is(context.Cause(ctx), peer.ErrSilent) {
 		answer.Reason = outcome.ReasonSilent
@@ -169,19 +169,19 @@
 // node breaks, the node is asked what became of the request.
 func (x *exchange) sendOnce(ctx context.Context, choice *services.Choice, call *wire.SidecarCall) *reply.Reply {
 	call.Key = strconv.FormatUint(rand.Uint64(), 36)
-	call.Incarnation = x.node.membership.Incarnation(choice.Node)
-	watched := x.node.liveness.Begin(choice.Node, choice.Address, nil)
+	call.Incarnation = x.options.Members.Incarnation(choice.Node)
+	watched := x.options.Liveness.Begin(choice.Node, choice.Address, nil)
 	defer func() { watched.End(false) }()
-	answer := x.node.peers.Call(ctx, choice.Address, call, x.header, x.body)
+	answer := x.options.Peers.Call(ctx, choice.Address, call, x.header, x.body)
 	for range settleTries {
 		if answer.Outcome != outcome.Unknown || answer.Reason != outcome.ReasonLost || call.Incarnation == "" || ctx.Err() != nil {
 			break
 		}
 		call.Remaining = x.left(ctx).Microseconds()
-		answer = x.node.peers.Settle(ctx, choice.Address, call)
+		answer = x.options.Peers.Settle(ctx, choice.Address, call)
 	}
 	if answer.Reason == outcome.ReasonIncarnation {
-		x.node.membership.Restarted(choice.Node, answer.Incarnation)
+		x.options.Members.Restarted(choice.Node, answer.Incarnation)
 	}
 	return answer
 }
--- a/internal/sidecar/steps.go
+++ b/internal/sidecar/steps.go
@@ -55,8 +55,8 @@
 // a configuration that comes in between is newer than what was confirmed; the other way round
 // it might be older.
 func (x *exchange) isReady() bool {
-	x.fresh = x.node.freshness.Fresh()
-	x.intent = x.node.configuration.Load()
+	x.fresh = x.options.Fresh()
+	x.intent = x.options.Configuration.Load()
 	switch {
 	case x.closing:
 		x.refuse(http.StatusServiceUnavailable, outcome.ReasonStopping, retryafter.Unready())
@@ -122,7 +122,7 @@
 	x.body = body
 	x.header = headers.EndToEnd(x.request.Header)
 	if len(x.intent.Tenants) > 0 {
-		x.node.options.Headers.HideIdentity(x.header)
+		x.options.Headers.HideIdentity(x.header)
 	}
 	return true
 }
@@ -157,16 +157,16 @@
 // its chain begins. Calls of requests that are running are always let in: work has gone into
 // them.
 func (x *exchange) isAdmitted() bool {
-	x.service = x.node.splitter.choose(x.route)
+	x.service = x.splitter.choose(x.route)
 	x.granted = x.countRequest()
 	if x.parent != nil {
 		x.door.Share = 1
 		return true
 	}
 	var admitted bool
-	admitted, x.door = x.node.overload.Admit(x.route)
+	admitted, x.door = x.options.Overload.Admit(x.route)
 	if !admitted {
-		x.node.quotas.GiveBack(x.holder)
+		x.options.Quotas.GiveBack(x.holder)
 		x.refuse(http.StatusServiceUnavailable, outcome.ReasonSheds, retryafter.Shed(x.clientTime()))
 		return false
 	}
--- a/internal/sidecar/withinquota.go
+++ b/internal/sidecar/withinquota.go
@@ -23,7 +23,7 @@
 	if x.holder == nil || !x.holder.Limited() {
 		return true
 	}
-	q := x.node.quotas
+	q := x.options.Quotas
 	if q.Admit(x.ctx, x.holder, x.tokenWait()) {
 		return true
 	}
