--- a/internal/sidecar/answer.go
+++ b/internal/sidecar/entry/answer.go
@@ -1,4 +1,4 @@
-package sidecar
+package entry
 
 import (
 	"context"
@@ -15,7 +15,7 @@
 )
 
 // answer gives the target's answer to the sender.
-func (x *exchange) answer(given *reply.Reply) {
+func (x *request) answer(given *reply.Reply) {
 	defer given.Close()
 	header := x.writer.Header()
 	for name, values := range given.Header {
@@ -42,7 +42,7 @@
 
 // giveUp writes the final answer of a request that no target answered. "Not run"
 // is said only where no sending may have run.
-func (x *exchange) giveUp(ctx context.Context, last *reply.Reply) {
+func (x *request) giveUp(ctx context.Context, last *reply.Reply) {
 	defer last.Close()
 	if x.lacked = last.Reason.Full(); x.lacked && x.parent != nil {
 		// It would have waited for all the time that it had.
@@ -66,7 +66,7 @@
 var notInvited = retryafter.Span{}
 
 // refuse writes an answer of the node's own. invited is when the sender may come back.
-func (x *exchange) refuse(status int, reason outcome.Reason, invited retryafter.Span) {
+func (x *request) refuse(status int, reason outcome.Reason, invited retryafter.Span) {
 	retryAfter := invited.At(rand.Float64())
 	header := x.writer.Header()
 	if x.id != "" {
--- a/internal/sidecar/egress.go
+++ b/internal/sidecar/entry/entry.go
@@ -1,4 +1,4 @@
-package sidecar
+package entry
 
 import (
 	"context"
@@ -19,20 +19,20 @@
 	"github.com/landingmast/landingmast/internal/wire"
 )
 
-// egress takes requests of the clients on the machine and of the target there.
-type egress struct {
-	options  entryOptions
+// Egress takes requests of the clients on the machine and of the target there.
+type Egress struct {
+	options  Options
 	splitter *splitter
 }
 
-// newEgress makes the egress of a node.
-func newEgress(options entryOptions) *egress {
-	return &egress{options: options, splitter: &splitter{credit: map[string][]float64{}}}
+// New makes the egress of a node.
+func New(options Options) *Egress {
+	return &Egress{options: options, splitter: &splitter{credit: map[string][]float64{}}}
 }
 
-// exchange is one request and what it takes to have it answered.
-type exchange struct {
-	options    *entryOptions
+// request is one request and what it takes to have it answered.
+type request struct {
+	options    *Options
 	splitter   *splitter
 	writer     http.ResponseWriter
 	request    *http.Request
@@ -74,7 +74,7 @@
 
 // ServeHTTP takes a request: it goes through the steps of the entry in their order, and is
 // sent unless one of them refuses it.
-func (e *egress) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (e *Egress) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	end, closing := e.options.Begin(w)
 	defer end()
 	id := r.Header.Get(e.options.Headers.RequestID)
@@ -82,7 +82,7 @@
 	if !isCall {
 		defer e.options.CountClient()()
 	}
-	x := &exchange{options: &e.options, splitter: e.splitter, writer: w, request: r, id: id, started: e.options.Now(), closing: closing && !isCall}
+	x := &request{options: &e.options, splitter: e.splitter, writer: w, request: r, id: id, started: e.options.Now(), closing: closing && !isCall}
 	defer x.finish()
 	for _, step := range entrySteps {
 		if !step(x) {
@@ -106,7 +106,7 @@
 }
 
 // clientTime is how long the sender will wait.
-func (x *exchange) clientTime() time.Duration {
+func (x *request) clientTime() time.Duration {
 	if text := x.request.Header.Get(x.options.Headers.Deadline); text != "" {
 		if milliseconds, err := strconv.ParseFloat(text, 64); err == nil && milliseconds >= 0 {
 			return time.Duration(milliseconds * float64(time.Millisecond))
@@ -116,7 +116,7 @@
 }
 
 // holdTime is the longest time that the request may be held.
-func (x *exchange) holdTime() time.Duration {
+func (x *request) holdTime() time.Duration {
 	hold := x.clientTime()
 	if x.route.Timeout > 0 {
 		hold = min(hold, x.route.Timeout)
@@ -126,14 +126,14 @@
 
 // heldBack decides on a request that targets ended with. The answer to one that none is to
 // get says that it has not run, and not when to come back.
-func (x *exchange) heldBack() heldback.Verdict {
+func (x *request) heldBack() heldback.Verdict {
 	call := &wire.SidecarCall{Method: x.request.Method, URI: uriOf(x.request), Host: x.request.Host, Caller: x.options.Caller(), Tenant: x.tenant}
 	return x.options.HeldBack.AtStart(&heldback.Request{Call: call, Body: x.body})
 }
 
 // countRequest counts the request and the calls that will be made for it. The result is the
 // part of its budgets for repeats that is left to the nodes below.
-func (x *exchange) countRequest() float64 {
+func (x *request) countRequest() float64 {
 	return x.options.Services.CountRequest(x.service, x.grantedAbove(), func(f func(name string, calls float64)) {
 		x.options.Overload.EachNeed(x.route, f)
 	})
@@ -141,7 +141,7 @@
 
 // grantedAbove is the part of the budgets for repeats that the nodes above leave to
 // this one.
-func (x *exchange) grantedAbove() float64 {
+func (x *request) grantedAbove() float64 {
 	if x.parent == nil {
 		return 1
 	}
@@ -150,7 +150,7 @@
 
 // release tells how a client's request ended that was let in. One whose time ran out has
 // not told what it waited for: there was no room for it in time, whatever was short.
-func (x *exchange) release() {
+func (x *request) release() {
 	x.options.Overload.End(admission.Ended{
 		Route: x.route, Limit: x.limit(), Took: x.options.Now() - x.started, Needs: x.needs,
 		Lacked: x.lacked || x.status == http.StatusGatewayTimeout, Left: x.request.Context().Err() != nil,
@@ -159,7 +159,7 @@
 
 // left is how much of its time the request has left. The timer of ctx stands still while the
 // machine is suspended.
-func (x *exchange) left(ctx context.Context) time.Duration {
+func (x *request) left(ctx context.Context) time.Duration {
 	left := x.hold - (x.options.Now() - x.started)
 	if deadline, bounded := ctx.Deadline(); bounded {
 		left = min(left, time.Until(deadline))
@@ -168,7 +168,7 @@
 }
 
 // limit is the time from its arrival inside which the request's answer is wanted.
-func (x *exchange) limit() time.Duration {
+func (x *request) limit() time.Duration {
 	if objective := x.route.Objective; objective > 0 {
 		return min(objective, x.hold)
 	}
@@ -176,7 +176,7 @@
 }
 
 // learn takes in what a sending told of the services down the chain.
-func (x *exchange) learn(answer *reply.Reply) {
+func (x *request) learn(answer *reply.Reply) {
 	needs := answer.Needs
 	if pressure, known := x.options.Services.Get(x.service).Pressure(x.options.Now()); known && answer.Load.Slots > 0 {
 		needs = append(needs, wire.Need{Service: x.service, Calls: 1, Occupancy: int(pressure.Occupancy * wire.OccupancyScale), Wait: answer.Waited})
@@ -190,7 +190,7 @@
 
 // findParent looks for the request at the target for which this one is made, and settles the
 // importance by it.
-func (x *exchange) findParent() {
+func (x *request) findParent() {
 	limit := x.limit()
 	if !x.options.PolicyOn(settings.Urgency) {
 		limit = 0
--- a/internal/sidecar/entrylog.go
+++ b/internal/sidecar/entry/log.go
@@ -1,4 +1,4 @@
-package sidecar
+package entry
 
 import (
 	"net/http"
@@ -9,7 +9,7 @@
 )
 
 // ended notes the end of a request that began here.
-func (x *exchange) ended(status int, reason outcome.Reason, retryAfter time.Duration) {
+func (x *request) ended(status int, reason outcome.Reason, retryAfter time.Duration) {
 	x.status = status
 	took := x.options.Now() - x.started
 	outcome := outcomeOf(status, reason)
--- a/internal/sidecar/entryoptions.go
+++ b/internal/sidecar/entry/options.go
@@ -1,4 +1,15 @@
-package sidecar
+// Package entry takes the requests of the clients on the machine and of the target there, and
+// has each answered: it goes through the steps of steps.go, and is then sent to targets until
+// one answers or nothing more can be tried.
+//
+// It owns a request from its arrival to its answer, and the shares of a route's parts. All else
+// belongs to others: whether a request is let in to admission, core/overload and quotas, which
+// target it goes to to services and core/balancer, whether it is sent again to core/resend, when
+// a refused sender comes back to core/retryafter, in which order gates take requests to
+// core/importance. It relies on package arrival for the requests that are at the target, since
+// a call of the target belongs to one of them, and on package peer for the other nodes. All of
+// it is safe for concurrent use.
+package entry
 
 import (
 	"context"
@@ -53,8 +64,8 @@
 	Version() uint64
 }
 
-// entryOptions are what an egress needs of the other parts of its node.
-type entryOptions struct {
+// Options are what an egress needs of the other parts of its node.
+type Options struct {
 	Node          string               // the node's name
 	Now           func() time.Duration // the clock that counts suspensions
 	Headers       headers.Names
--- a/internal/sidecar/send.go
+++ b/internal/sidecar/entry/send.go
@@ -1,4 +1,4 @@
-package sidecar
+package entry
 
 import (
 	"context"
@@ -23,7 +23,7 @@
 )
 
 // send tries targets until one answers or nothing more can be tried.
-func (x *exchange) send(ctx context.Context) {
+func (x *request) send(ctx context.Context) {
 	target := x.options.Services.Get(x.service)
 	tried := resend.New(!x.options.PolicyOn(settings.Declined))
 	last := reply.NotRun(outcome.ReasonNoTarget)
@@ -62,7 +62,7 @@
 
 // again reports whether another sending is made after one that brought no answer; one that
 // costs a part of the budgets for repeats takes it.
-func (x *exchange) again(last *reply.Reply, tried *resend.Tried) bool {
+func (x *request) again(last *reply.Reply, tried *resend.Tried) bool {
 	switch tried.Decide(last.End(), x.resendRules()) {
 	case resend.Again:
 		return true
@@ -74,7 +74,7 @@
 
 // takeRepeat takes a repeat of the request out of the budgets. declined means that the target
 // declined the sending before.
-func (x *exchange) takeRepeat(declined bool) bool {
+func (x *request) takeRepeat(declined bool) bool {
 	if !x.options.Services.Repeat(x.service, x.options.Overload.Needs(x.route), x.rank(), declined) {
 		x.options.Metrics.Denied.WithLabelValues(x.service).Inc()
 		return false
@@ -84,7 +84,7 @@
 }
 
 // resendRules is what the decision on another sending depends on besides the sendings.
-func (x *exchange) resendRules() resend.Request {
+func (x *request) resendRules() resend.Request {
 	return resend.Request{
 		Replayable: x.body.Replayable(), Repeatable: x.route.Kind.Repeatable(), Repeat: x.repeat, Trial: x.trial, MostTargets: x.mostTargets(),
 		NoHoldBack: !x.options.PolicyOn(settings.HoldBack), NoRepeats: !x.options.PolicyOn(settings.Repeats),
@@ -92,11 +92,11 @@
 }
 
 // mostTargets is how many targets the request may reach.
-func (x *exchange) mostTargets() int { return max(x.route.MaxAttempts, 1) }
+func (x *request) mostTargets() int { return max(x.route.MaxAttempts, 1) }
 
 // rank is the rank of the request's chain where repeats are short. All nodes that calls
 // of the chain are made on give it the same.
-func (x *exchange) rank() float64 {
+func (x *request) rank() float64 {
 	priorities := 1
 	if current := x.options.Configuration.Load(); current != nil {
 		priorities = current.LeastPriority() + 1
@@ -107,7 +107,7 @@
 
 // wish is what the request asks of a target: an answer within its route's objective,
 // and before its time is up.
-func (x *exchange) wish(ctx context.Context, tried *resend.Tried) balancer.Wish {
+func (x *request) wish(ctx context.Context, tried *resend.Tried) balancer.Wish {
 	wish := balancer.Wish{Class: x.route.Name, Limit: x.left(ctx), Only: tried.Only(x.mostTargets())}
 	if left := x.route.Objective - (x.options.Now() - x.started); left > 0 {
 		wish.Limit = min(wish.Limit, left)
@@ -116,7 +116,7 @@
 }
 
 // attempt sends the request to one target.
-func (x *exchange) attempt(ctx context.Context, choice *services.Choice, suspect bool) *reply.Reply {
+func (x *request) attempt(ctx context.Context, choice *services.Choice, suspect bool) *reply.Reply {
 	repeatable := x.route.Kind.Repeatable()
 	call := &wire.SidecarCall{
 		RequestID: x.id, Method: x.request.Method, URI: uriOf(x.request), Host: x.request.Host, Service: x.service, Route: x.route.Name,
@@ -134,7 +134,7 @@
 }
 
 // noteSend keeps a sending for the log and counts it.
-func (x *exchange) noteSend(choice *services.Choice, answer *reply.Reply, took time.Duration) {
+func (x *request) noteSend(choice *services.Choice, answer *reply.Reply, took time.Duration) {
 	x.options.Metrics.Sends.WithLabelValues(x.service, string(answer.Outcome), string(answer.Reason)).Inc()
 	x.sends = append(x.sends, eventlog.Send{
 		Node: choice.Node, Outcome: string(answer.Outcome), Reason: string(answer.Reason), Arrived: answer.Arrived, Status: answer.Status,
@@ -143,7 +143,7 @@
 }
 
 // tellIfLost helps a node that replied without knowing any configuration.
-func (x *exchange) tellIfLost(choice *services.Choice, answer *reply.Reply) {
+func (x *request) tellIfLost(choice *services.Choice, answer *reply.Reply) {
 	if answer.Incarnation != "" && answer.Version == 0 && choice.Node != x.options.Node {
 		x.options.Exchange(choice.Address)
 	}
@@ -151,7 +151,7 @@
 
 // sendRepeatable sends to another node, and gives up when that node shows no
 // sign of life.
-func (x *exchange) sendRepeatable(ctx context.Context, choice *services.Choice, call *wire.SidecarCall) *reply.Reply {
+func (x *request) sendRepeatable(ctx context.Context, choice *services.Choice, call *wire.SidecarCall) *reply.Reply {
 	ctx, abandon := context.WithCancelCause(ctx)
 	watched := x.options.Liveness.Begin(choice.Node, choice.Address, abandon)
 	answer := x.options.Peers.Call(ctx, choice.Address, call, x.header, x.body)
@@ -167,7 +167,7 @@
 
 // sendOnce sends a request that may run at most once. When the connection to the
 // node breaks, the node is asked what became of the request.
-func (x *exchange) sendOnce(ctx context.Context, choice *services.Choice, call *wire.SidecarCall) *reply.Reply {
+func (x *request) sendOnce(ctx context.Context, choice *services.Choice, call *wire.SidecarCall) *reply.Reply {
 	call.Key = strconv.FormatUint(rand.Uint64(), 36)
 	call.Incarnation = x.options.Members.Incarnation(choice.Node)
 	watched := x.options.Liveness.Begin(choice.Node, choice.Address, nil)
--- a/internal/sidecar/splitter.go
+++ b/internal/sidecar/entry/splitter.go
@@ -1,4 +1,4 @@
-package sidecar
+package entry
 
 import (
 	"math/rand/v2"
--- a/internal/sidecar/steps.go
+++ b/internal/sidecar/entry/steps.go
@@ -1,4 +1,4 @@
-package sidecar
+package entry
 
 import (
 	"context"
@@ -29,23 +29,23 @@
 //	isHarmless   what several targets ended with              503 ends_targets
 //	withinQuota  what is beyond its tenant's limit            429 over_quota, 503 no_allowance
 //	isAdmitted   a share of fresh requests under overload     503 overload
-var entrySteps = [...]func(x *exchange) bool{
-	(*exchange).isReady,
-	(*exchange).hasID,
-	(*exchange).hasRoute,
-	(*exchange).identify,
-	(*exchange).hasSize,
-	(*exchange).hasBody,
-	(*exchange).isHarmless,
-	(*exchange).withinQuota,
-	(*exchange).isAdmitted,
+var entrySteps = [...]func(x *request) bool{
+	(*request).isReady,
+	(*request).hasID,
+	(*request).hasRoute,
+	(*request).identify,
+	(*request).hasSize,
+	(*request).hasBody,
+	(*request).isHarmless,
+	(*request).withinQuota,
+	(*request).isAdmitted,
 }
 
 // atEnd has f called when the request has ended.
-func (x *exchange) atEnd(f func()) { x.cleanups = append(x.cleanups, f) }
+func (x *request) atEnd(f func()) { x.cleanups = append(x.cleanups, f) }
 
 // finish calls what the steps have left for the end of the request, the last first.
-func (x *exchange) finish() {
+func (x *request) finish() {
 	for index := len(x.cleanups) - 1; index >= 0; index-- {
 		x.cleanups[index]()
 	}
@@ -54,7 +54,7 @@
 // isReady takes the configuration that decides on the request. Freshness is looked at before:
 // a configuration that comes in between is newer than what was confirmed; the other way round
 // it might be older.
-func (x *exchange) isReady() bool {
+func (x *request) isReady() bool {
 	x.fresh = x.options.Fresh()
 	x.intent = x.options.Configuration.Load()
 	switch {
@@ -69,7 +69,7 @@
 }
 
 // hasID refuses a request without an id: its answer could not be told from another's.
-func (x *exchange) hasID() bool {
+func (x *request) hasID() bool {
 	if x.id == "" {
 		x.refuse(http.StatusBadRequest, outcome.ReasonBadMessage, notInvited)
 		return false
@@ -78,7 +78,7 @@
 }
 
 // hasRoute finds the route, how long the request may be held, and its importance.
-func (x *exchange) hasRoute() bool {
+func (x *request) hasRoute() bool {
 	x.route = x.intent.Match(x.request.Host, pathOf(x.request))
 	if x.route == nil {
 		x.refuse(http.StatusNotFound, outcome.ReasonNoRoute, notInvited)
@@ -91,7 +91,7 @@
 
 // hasSize refuses a request that is larger than the operators allow. The body of one that
 // does not say its length is bounded while it is read.
-func (x *exchange) hasSize() bool {
+func (x *request) hasSize() bool {
 	if status, reason := refusedBySize(x.request, x.intent.Limits); status != 0 {
 		x.writer.Header().Set("Connection", "close")
 		x.refuse(status, reason, notInvited)
@@ -104,7 +104,7 @@
 }
 
 // hasBody starts the request's time and reads its body, whole unless it is long.
-func (x *exchange) hasBody() bool {
+func (x *request) hasBody() bool {
 	x.startTime()
 	if x.request.ContentLength != 0 {
 		_ = http.NewResponseController(x.writer).SetReadDeadline(time.Now().Add(x.hold + bodyGrace))
@@ -129,7 +129,7 @@
 
 // startTime starts the time for which the request may be held. A call ends with the request
 // that made it.
-func (x *exchange) startTime() {
+func (x *request) startTime() {
 	ctx, cancel := context.WithTimeout(x.request.Context(), x.hold)
 	x.ctx = ctx
 	x.atEnd(cancel)
@@ -141,7 +141,7 @@
 
 // isHarmless refuses a request that several targets ended with. Its sender is not invited to
 // come back: it would be refused again.
-func (x *exchange) isHarmless() bool {
+func (x *request) isHarmless() bool {
 	verdict := x.heldBack()
 	if verdict.Refused {
 		x.refuse(http.StatusServiceUnavailable, outcome.ReasonEndsTargets, notInvited)
@@ -156,7 +156,7 @@
 // isAdmitted chooses the service and lets the request in or, under overload, refuses it where
 // its chain begins. Calls of requests that are running are always let in: work has gone into
 // them.
-func (x *exchange) isAdmitted() bool {
+func (x *request) isAdmitted() bool {
 	x.service = x.splitter.choose(x.route)
 	x.granted = x.countRequest()
 	if x.parent != nil {
--- a/internal/sidecar/identity.go
+++ b/internal/sidecar/entry/tenant.go
@@ -1,4 +1,4 @@
-package sidecar
+package entry
 
 import (
 	"net/http"
@@ -17,7 +17,7 @@
 // tenant's name.
 
 // identify settles the tenant of the request. false: it was refused.
-func (x *exchange) identify() bool {
+func (x *request) identify() bool {
 	if x.parent != nil {
 		x.tenant = x.parent.Tenant
 		return true
@@ -47,7 +47,7 @@
 }
 
 // rankByTenant takes the tenant's priority into the request's importance.
-func (x *exchange) rankByTenant() {
+func (x *request) rankByTenant() {
 	if !x.options.PolicyOn(settings.TenantOrder) {
 		return
 	}
@@ -60,7 +60,7 @@
 
 // identifyWithoutKey lets requests of public routes in. A call whose parent is no longer
 // at the target is refused as not run: its parent's answer can reach nobody.
-func (x *exchange) identifyWithoutKey() bool {
+func (x *request) identifyWithoutKey() bool {
 	switch {
 	case !x.intent.NeedsKey(x.route):
 		return true
@@ -72,7 +72,7 @@
 	return false
 }
 
-func (x *exchange) refuseKey() {
+func (x *request) refuseKey() {
 	x.writer.Header().Set("WWW-Authenticate", x.options.Headers.KeyScheme)
 	x.refuse(http.StatusUnauthorized, outcome.ReasonUnknownKey, notInvited)
 }
--- a/internal/sidecar/withinquota.go
+++ b/internal/sidecar/entry/withinquota.go
@@ -1,4 +1,4 @@
-package sidecar
+package entry
 
 import (
 	"net/http"
@@ -19,7 +19,7 @@
 
 // withinQuota reports whether the request is within its tenant's limit. If not, it has been
 // refused: with 429 if the limit is reached, with 503 if no keeper could say.
-func (x *exchange) withinQuota() bool {
+func (x *request) withinQuota() bool {
 	if x.holder == nil || !x.holder.Limited() {
 		return true
 	}
@@ -37,4 +37,4 @@
 }
 
 // tokenWait returns how long the request may wait for a token.
-func (x *exchange) tokenWait() time.Duration { return min(tokenWait, x.limit()/tokenWaitShare) }
+func (x *request) tokenWait() time.Duration { return min(tokenWait, x.limit()/tokenWaitShare) }
--- a/internal/sidecar/node.go
+++ b/internal/sidecar/node.go
@@ -23,6 +23,7 @@
 	"github.com/landingmast/landingmast/internal/sidecar/admission"
 	"github.com/landingmast/landingmast/internal/sidecar/arrival"
 	"github.com/landingmast/landingmast/internal/sidecar/configuration"
+	"github.com/landingmast/landingmast/internal/sidecar/entry"
 	"github.com/landingmast/landingmast/internal/sidecar/eventlog"
 	"github.com/landingmast/landingmast/internal/sidecar/follower"
 	"github.com/landingmast/landingmast/internal/sidecar/headers"
@@ -78,7 +79,7 @@
 	overload      *admission.Control
 	target        *target.Local
 	ingress       *arrival.Ingress
-	egress        *egress
+	egress        *entry.Egress
 	peers         *peer.Client
 	membership    *membership.Members
 	registration  *registration.Registration
@@ -136,7 +137,7 @@
 		Followed: func(before *target.Gate) { n.ingress.InstanceReplaced(before) },
 	})
 	n.ingress = arrival.New(n.arrivalOptions())
-	n.egress = newEgress(n.entryOptions())
+	n.egress = entry.New(n.entryOptions())
 	return n, n.listen()
 }
 
@@ -270,8 +271,8 @@
 	}
 }
 
-func (n *Node) entryOptions() entryOptions {
-	return entryOptions{
+func (n *Node) entryOptions() entry.Options {
+	return entry.Options{
 		Node: n.settings().Node, Now: n.now, Headers: n.options.Headers, Caller: n.caller, Configuration: n.configuration, Fresh: n.freshness.Fresh,
 		Arrivals: n.ingress, HeldBack: n.heldBack, Quotas: n.quotas, Services: n.services, Overload: n.overload, Liveness: n.liveness,
 		Peers: n.peers, Members: n.membership, Exchange: n.exchanger.StartWith, PolicyOn: n.policyOn, Metrics: n.metrics, Events: n.events,
