--- a/internal/core/balancer/balancer.go
+++ b/internal/core/balancer/balancer.go
@@ -103,18 +103,18 @@
 // Pick chooses the target where least is lost, of those that are not excluded, nil when
 // there is none. Targets to avoid are chosen only when no other is left and desperate
 // is true.
-func (b *Balancer) Pick(now time.Duration, wish Wish, excluded map[string]bool, desperate bool) (best *Endpoint) {
+func (b *Balancer) Pick(now time.Duration, need Requirement, excluded map[string]bool, desperate bool) (best *Endpoint) {
 	var cost float64
-	expected := b.expect(wish)
+	expected := b.expect(need)
 	for _, endpoint := range b.order {
-		if excluded[endpoint.Node] || now < endpoint.avoidUntil || wish.Only != nil && !wish.Only[endpoint.Node] {
+		if excluded[endpoint.Node] || now < endpoint.avoidUntil || need.Only != nil && !need.Only[endpoint.Node] {
 			continue
 		}
 		if estimate := b.cost(now, endpoint, expected); best == nil || estimate < cost {
 			best, cost = endpoint, estimate
 		}
 	}
-	if best == nil && desperate && wish.Only == nil {
+	if best == nil && desperate && need.Only == nil {
 		best = b.leastAvoided(excluded)
 	}
 	return best
--- a/internal/core/balancer/balancer_test.go
+++ b/internal/core/balancer/balancer_test.go
@@ -32,7 +32,7 @@
 	b := pair()
 	report(b, "near", 3, 0)
 	report(b, "far", 1, 0)
-	best := b.Pick(time.Second, Wish{}, nil, false)
+	best := b.Pick(time.Second, Requirement{}, nil, false)
 	g.Expect(best.Node).To(Equal("near"))
 }
 
@@ -41,7 +41,7 @@
 	b := pair()
 	report(b, "near", 10, 4)
 	report(b, "far", 2, 0)
-	best := b.Pick(time.Second, Wish{}, nil, false)
+	best := b.Pick(time.Second, Requirement{}, nil, false)
 	g.Expect(best.Node).To(Equal("far"))
 }
 
@@ -52,7 +52,7 @@
 	b := pair()
 	b.Report(time.Second, b.Endpoint("near"), slots.Load{Slots: 13, Running: 13, Waiting: 13, Hold: 25 * time.Millisecond})
 	b.Report(time.Second, b.Endpoint("far"), slots.Load{Slots: 13, Running: 9, Hold: 57 * time.Millisecond})
-	best := b.Pick(time.Second, Wish{}, nil, false)
+	best := b.Pick(time.Second, Requirement{}, nil, false)
 	g.Expect(best.Node).To(Equal("far"))
 }
 
@@ -66,8 +66,8 @@
 	for range 20 {
 		b.Lost(time.Second, b.Endpoint("near"))
 	}
-	g.Expect(b.Pick(time.Second, Wish{}, nil, false).Node).To(Equal("far"))
-	g.Expect(b.Pick(time.Minute, Wish{}, nil, false).Node).To(Equal("near"), "losses are forgotten, so that it is tried again")
+	g.Expect(b.Pick(time.Second, Requirement{}, nil, false).Node).To(Equal("far"))
+	g.Expect(b.Pick(time.Minute, Requirement{}, nil, false).Node).To(Equal("near"), "losses are forgotten, so that it is tried again")
 }
 
 func TestOneLossInAWhileChangesNothing(t *testing.T) {
@@ -79,7 +79,7 @@
 	for range 5 {
 		b.Answered(time.Second, b.Endpoint("near"), "", 100, hold)
 	}
-	g.Expect(b.Pick(time.Second, Wish{}, nil, false).Node).To(Equal("near"))
+	g.Expect(b.Pick(time.Second, Requirement{}, nil, false).Node).To(Equal("near"))
 }
 
 func TestOccupancyIsThatOfTheWholeService(t *testing.T) {
@@ -102,7 +102,7 @@
 	for range 8 {
 		b.Sent(b.Endpoint("near"))
 	}
-	best := b.Pick(time.Second, Wish{}, nil, false)
+	best := b.Pick(time.Second, Requirement{}, nil, false)
 	g.Expect(best.Node).To(Equal("far"))
 }
 
@@ -110,11 +110,11 @@
 	g := NewWithT(t)
 	b := pair()
 	b.Suspect(time.Second, b.Endpoint("near"))
-	best := b.Pick(time.Second, Wish{}, nil, true)
+	best := b.Pick(time.Second, Requirement{}, nil, true)
 	g.Expect(best.Node).To(Equal("far"))
-	best = b.Pick(time.Second, Wish{}, map[string]bool{"far": true}, true)
+	best = b.Pick(time.Second, Requirement{}, map[string]bool{"far": true}, true)
 	g.Expect(best.Node).To(Equal("near"))
-	best = b.Pick(time.Second, Wish{}, map[string]bool{"far": true}, false)
+	best = b.Pick(time.Second, Requirement{}, map[string]bool{"far": true}, false)
 	g.Expect(best).To(BeNil())
 }
 
@@ -123,7 +123,7 @@
 	b := pair()
 	b.Suspect(time.Second, b.Endpoint("near"))
 	b.Update([]Target{{Node: "near", Zone: "a", Instance: "3", Slots: 10}, {Node: "far", Zone: "b", Instance: "2", Slots: 10}})
-	best := b.Pick(time.Second, Wish{}, nil, false)
+	best := b.Pick(time.Second, Requirement{}, nil, false)
 	g.Expect(best.Node).To(Equal("near"))
 }
 
@@ -150,7 +150,7 @@
 			}
 			b.Report(time.Second, b.Endpoint("near"), slots.Load{Slots: 10, Running: tc.busy, Hold: 5 * hold})
 			b.Report(time.Second, b.Endpoint("far"), slots.Load{Slots: 10, Running: 1, Hold: 5 * hold})
-			g.Expect(b.Pick(time.Second, Wish{}, nil, false).Node).To(Equal(tc.want))
+			g.Expect(b.Pick(time.Second, Requirement{}, nil, false).Node).To(Equal(tc.want))
 		})
 	}
 }
@@ -182,7 +182,7 @@
 			if tc.picked == "new" {
 				b.Report(time.Second, b.Endpoint("old"), slots.Load{Slots: 10, Running: 7, Hold: slow})
 			}
-			g.Expect(b.Pick(time.Second, Wish{}, nil, false).Node).To(Equal(tc.picked))
+			g.Expect(b.Pick(time.Second, Requirement{}, nil, false).Node).To(Equal(tc.picked))
 		})
 	}
 }
--- a/internal/core/balancer/cost.go
+++ b/internal/core/balancer/cost.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Wish is what a request asks of the target that is chosen.
-type Wish struct {
+// Requirement is what a request needs of the target that is chosen.
+type Requirement struct {
 	// Class tells requests that take alike long; empty: none.
 	Class string
 	// Limit is the time inside which the answer is wanted; 0: not known.
@@ -61,10 +61,10 @@
 	far     float64       // cost of another zone
 }
 
-func (b *Balancer) expect(wish Wish) expectation {
-	x := expectation{class: wish.Class, typical: b.typicalHold(), limit: float64(wish.Limit), far: farCost}
+func (b *Balancer) expect(need Requirement) expectation {
+	x := expectation{class: need.Class, typical: b.typicalHold(), limit: float64(need.Limit), far: farCost}
 	x.takes = float64(x.typical)
-	if known := b.classes[wish.Class]; known != nil {
+	if known := b.classes[need.Class]; known != nil {
 		if known.takes > 0 {
 			x.takes = known.takes
 		}
--- a/internal/core/balancer/cost_test.go
+++ b/internal/core/balancer/cost_test.go
@@ -38,7 +38,7 @@
 				b.Answered(time.Second, b.Endpoint("near"), "c", tc.bytes, tc.near)
 				b.Answered(time.Second, b.Endpoint("far"), "c", tc.bytes, tc.far)
 			}
-			g.Expect(b.Pick(time.Second, Wish{Class: "c", Limit: tc.limit}, nil, false).Node).To(Equal(tc.want))
+			g.Expect(b.Pick(time.Second, Requirement{Class: "c", Limit: tc.limit}, nil, false).Node).To(Equal(tc.want))
 		})
 	}
 }
@@ -51,11 +51,11 @@
 	b := pair()
 	free(b, time.Second, "near", 400*time.Millisecond)
 	free(b, time.Second, "far", 200*time.Millisecond)
-	wish := Wish{Class: "lookup", Limit: 300 * time.Millisecond}
+	need := Requirement{Class: "lookup", Limit: 300 * time.Millisecond}
 	b.Answered(time.Second, b.Endpoint("far"), "lookup", 600, 150*time.Millisecond)
-	g.Expect(b.Pick(time.Second, wish, nil, false).Node).To(Equal("far"), "as far as hold times tell")
+	g.Expect(b.Pick(time.Second, need, nil, false).Node).To(Equal("far"), "as far as hold times tell")
 	b.Answered(time.Second, b.Endpoint("near"), "lookup", 600, 160*time.Millisecond)
-	g.Expect(b.Pick(time.Second, wish, nil, false).Node).To(Equal("near"))
+	g.Expect(b.Pick(time.Second, need, nil, false).Node).To(Equal("near"))
 }
 
 // A target that was slow is tried again, also where nothing else tells that it is well.
@@ -64,19 +64,19 @@
 	b := pair()
 	b.Answered(time.Second, b.Endpoint("near"), "c", 600, time.Second)
 	b.Answered(time.Second, b.Endpoint("far"), "c", 600, 20*time.Millisecond)
-	wish := Wish{Class: "c", Limit: 300 * time.Millisecond}
-	g.Expect(b.Pick(time.Second, wish, nil, false).Node).To(Equal("far"))
+	need := Requirement{Class: "c", Limit: 300 * time.Millisecond}
+	g.Expect(b.Pick(time.Second, need, nil, false).Node).To(Equal("far"))
 	for now := time.Second; now < 10*time.Second; now += 100 * time.Millisecond {
 		b.Answered(now, b.Endpoint("far"), "c", 600, 20*time.Millisecond)
 	}
-	g.Expect(b.Pick(10*time.Second, wish, nil, false).Node).To(Equal("near"))
+	g.Expect(b.Pick(10*time.Second, need, nil, false).Node).To(Equal("near"))
 }
 
 func TestOnlyNamedTargetsAreChosen(t *testing.T) {
 	g := NewWithT(t)
 	b := pair()
-	g.Expect(b.Pick(0, Wish{Only: map[string]bool{"far": true}}, nil, true).Node).To(Equal("far"))
-	g.Expect(b.Pick(0, Wish{Only: map[string]bool{"far": true}}, map[string]bool{"far": true}, true)).To(BeNil())
+	g.Expect(b.Pick(0, Requirement{Only: map[string]bool{"far": true}}, nil, true).Node).To(Equal("far"))
+	g.Expect(b.Pick(0, Requirement{Only: map[string]bool{"far": true}}, map[string]bool{"far": true}, true)).To(BeNil())
 }
 
 func TestMechanismsCanBeLeftOut(t *testing.T) {
@@ -108,7 +108,7 @@
 						b.Answered(time.Second, b.Endpoint("far"), "c", 600, 100*time.Millisecond)
 					}
 				}
-				return b.Pick(time.Second, Wish{Class: "c", Limit: time.Second}, nil, false).Node
+				return b.Pick(time.Second, Requirement{Class: "c", Limit: time.Second}, nil, false).Node
 			}
 			config := DefaultConfig()
 			with := pick(config)
--- a/internal/sidecar/entry/answer.go
+++ b/internal/sidecar/entry/answer.go
@@ -46,7 +46,7 @@
 	defer last.Close()
 	if x.lacked = last.Reason.Full(); x.lacked && x.parent != nil {
 		// It would have waited for all the time that it had.
-		x.parent.Add([]wire.Need{{Service: x.service, Calls: 1, Occupancy: -1, Wait: x.hold}})
+		x.parent.Add([]wire.Need{{Service: x.service, Calls: 1, Occupancy: -1, Wait: x.holdFor}})
 	}
 	if x.request.Context().Err() != nil {
 		x.ended(0, outcome.ReasonCancelled, 0)
--- a/internal/sidecar/entry/entry.go
+++ b/internal/sidecar/entry/entry.go
@@ -61,9 +61,9 @@
 	trial      bool            // targets ended with its content; only this one is sent now
 
 	// What the log tells of the request.
-	hold  time.Duration
-	door  admission.Decision
-	sends []eventlog.Send
+	holdFor  time.Duration
+	decision admission.Decision
+	sends    []eventlog.Send
 }
 
 // Times of a request.
@@ -105,8 +105,8 @@
 	return path
 }
 
-// clientTime is how long the sender will wait.
-func (x *request) clientTime() time.Duration {
+// senderTime is how long the sender will wait.
+func (x *request) senderTime() time.Duration {
 	if text := x.request.Header.Get(x.options.Headers.Deadline); text != "" {
 		if milliseconds, err := strconv.ParseFloat(text, 64); err == nil && milliseconds >= 0 {
 			return time.Duration(milliseconds * float64(time.Millisecond))
@@ -115,9 +115,9 @@
 	return defaultDeadline
 }
 
-// holdTime is the longest time that the request may be held.
-func (x *request) holdTime() time.Duration {
-	hold := x.clientTime()
+// longestHold is the longest time that the request may be held.
+func (x *request) longestHold() time.Duration {
+	hold := x.senderTime()
 	if x.route.Timeout > 0 {
 		hold = min(hold, x.route.Timeout)
 	}
@@ -148,9 +148,9 @@
 	return x.parent.Granted
 }
 
-// release tells how a client's request ended that was let in. One whose time ran out has
+// leaveWindow tells how a client's request ended that was let in. One whose time ran out has
 // not told what it waited for: there was no room for it in time, whatever was short.
-func (x *request) release() {
+func (x *request) leaveWindow() {
 	x.options.Overload.End(admission.Ended{
 		Route: x.route, Limit: x.limit(), Took: x.options.Now() - x.started, Needs: x.needs,
 		Lacked: x.lacked || x.status == http.StatusGatewayTimeout, Left: x.request.Context().Err() != nil,
@@ -160,7 +160,7 @@
 // left is how much of its time the request has left. The timer of ctx stands still while the
 // machine is suspended.
 func (x *request) left(ctx context.Context) time.Duration {
-	left := x.hold - (x.options.Now() - x.started)
+	left := x.holdFor - (x.options.Now() - x.started)
 	if deadline, bounded := ctx.Deadline(); bounded {
 		left = min(left, time.Until(deadline))
 	}
@@ -170,9 +170,9 @@
 // limit is the time from its arrival inside which the request's answer is wanted.
 func (x *request) limit() time.Duration {
 	if objective := x.route.Objective; objective > 0 {
-		return min(objective, x.hold)
+		return min(objective, x.holdFor)
 	}
-	return x.hold
+	return x.holdFor
 }
 
 // learn takes in what a sending told of the services down the chain.
--- a/internal/sidecar/entry/left_test.go
+++ b/internal/sidecar/entry/left_test.go
@@ -33,7 +33,7 @@
 			g := NewWithT(t)
 			started, slept := time.Now(), time.Duration(0)
 			now := func() time.Duration { return time.Since(started) + slept }
-			x := &request{options: &Options{Now: now}, hold: time.Second, started: now(), route: &intent.Route{}}
+			x := &request{options: &Options{Now: now}, holdFor: time.Second, started: now(), route: &intent.Route{}}
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 			defer cancel()
 			slept = tc.slept
--- a/internal/sidecar/entry/release_test.go
+++ b/internal/sidecar/entry/release_test.go
@@ -31,11 +31,11 @@
 			now := func() time.Duration { return 0 }
 			control := admission.New(now, configuration.New(nil, nil), false)
 			route := &intent.Route{Name: "read", Objective: time.Second}
-			x := &request{options: &Options{Now: now, Overload: control}, route: route, request: httptest.NewRequest(http.MethodGet, "/", nil), hold: time.Second, status: tc.status, lacked: tc.lacked}
+			x := &request{options: &Options{Now: now, Overload: control}, route: route, request: httptest.NewRequest(http.MethodGet, "/", nil), holdFor: time.Second, status: tc.status, lacked: tc.lacked}
 			admitted, _ := control.Admit(route)
 			g.Expect(admitted).To(BeTrue())
 			_, before := control.Window(route)
-			x.release()
+			x.leaveWindow()
 			_, after := control.Window(route)
 			g.Expect(after < before).To(Equal(tc.shrinks), "%g, then %g", before, after)
 		})
--- a/internal/sidecar/entry/send.go
+++ b/internal/sidecar/entry/send.go
@@ -28,7 +28,7 @@
 	tried := resend.New(!x.options.PolicyOn(settings.Declined))
 	last := reply.NotRun(outcome.ReasonNoTarget)
 	for ctx.Err() == nil && x.left(ctx) > 0 && tried.MayGoOn() {
-		choice := target.Pick(x.options.Now(), x.wish(ctx, tried), tried.Excluded())
+		choice := target.Pick(x.options.Now(), x.requirement(ctx, tried), tried.Excluded())
 		if choice == nil {
 			break
 		}
@@ -40,7 +40,7 @@
 		if last.Reason == outcome.ReasonUnreachable && last.Incarnation == "" && choice.Node != x.options.Node {
 			x.options.Liveness.Revive(choice.Node, choice.Address)
 		}
-		x.tellIfLost(choice, last)
+		x.informIfLost(choice, last)
 		x.learn(last)
 		tried.Add(choice.Node, last.End())
 		if last.Arrived {
@@ -105,14 +105,14 @@
 	return repeats.Rank(x.importance/importance.Step, priorities, xxhash.Sum64String(start))
 }
 
-// wish is what the request asks of a target: an answer within its route's objective,
+// requirement is what the request asks of a target: an answer within its route's objective,
 // and before its time is up.
-func (x *request) wish(ctx context.Context, tried *resend.Tried) balancer.Wish {
-	wish := balancer.Wish{Class: x.route.Name, Limit: x.left(ctx), Only: tried.Only(x.mostTargets())}
+func (x *request) requirement(ctx context.Context, tried *resend.Tried) balancer.Requirement {
+	need := balancer.Requirement{Class: x.route.Name, Limit: x.left(ctx), Only: tried.Only(x.mostTargets())}
 	if left := x.route.Objective - (x.options.Now() - x.started); left > 0 {
-		wish.Limit = min(wish.Limit, left)
+		need.Limit = min(need.Limit, left)
 	}
-	return wish
+	return need
 }
 
 // attempt sends the request to one target.
@@ -142,8 +142,8 @@
 	})
 }
 
-// tellIfLost helps a node that replied without knowing any configuration.
-func (x *request) tellIfLost(choice *services.Choice, answer *reply.Reply) {
+// informIfLost helps a node that replied without knowing any configuration.
+func (x *request) informIfLost(choice *services.Choice, answer *reply.Reply) {
 	if answer.Incarnation != "" && answer.Version == 0 && choice.Node != x.options.Node {
 		x.options.Exchange(choice.Address)
 	}
--- a/internal/sidecar/entry/steps.go
+++ b/internal/sidecar/entry/steps.go
@@ -84,7 +84,7 @@
 		x.refuse(http.StatusNotFound, outcome.ReasonNoRoute, notInvited)
 		return false
 	}
-	x.hold = x.holdTime()
+	x.holdFor = x.longestHold()
 	x.findParent()
 	return true
 }
@@ -107,7 +107,7 @@
 func (x *request) hasBody() bool {
 	x.startTime()
 	if x.request.ContentLength != 0 {
-		_ = http.NewResponseController(x.writer).SetReadDeadline(time.Now().Add(x.hold + bodyGrace))
+		_ = http.NewResponseController(x.writer).SetReadDeadline(time.Now().Add(x.holdFor + bodyGrace))
 	}
 	body, err := arrival.ReadBody(x.request)
 	var tooLarge *http.MaxBytesError
@@ -130,7 +130,7 @@
 // startTime starts the time for which the request may be held. A call ends with the request
 // that made it.
 func (x *request) startTime() {
-	ctx, cancel := context.WithTimeout(x.request.Context(), x.hold)
+	ctx, cancel := context.WithTimeout(x.request.Context(), x.holdFor)
 	x.ctx = ctx
 	x.atEnd(cancel)
 	if x.parent != nil {
@@ -160,16 +160,16 @@
 	x.service = x.splitter.choose(x.route)
 	x.granted = x.countRequest()
 	if x.parent != nil {
-		x.door.Share = 1
+		x.decision.Share = 1
 		return true
 	}
 	var admitted bool
-	admitted, x.door = x.options.Overload.Admit(x.route)
+	admitted, x.decision = x.options.Overload.Admit(x.route)
 	if !admitted {
 		x.options.Quotas.GiveBack(x.holder)
-		x.refuse(http.StatusServiceUnavailable, outcome.ReasonSheds, retryafter.Shed(x.clientTime()))
+		x.refuse(http.StatusServiceUnavailable, outcome.ReasonSheds, retryafter.Shed(x.senderTime()))
 		return false
 	}
-	x.atEnd(x.release)
+	x.atEnd(x.leaveWindow)
 	return true
 }
--- a/internal/sidecar/entry/withinquota.go
+++ b/internal/sidecar/entry/withinquota.go
@@ -27,7 +27,7 @@
 	if q.Admit(x.ctx, x.holder, x.tokenWait()) {
 		return true
 	}
-	limitReached, retryAfter := q.Refusal(x.holder, retryafter.QuotaMost(x.clientTime()))
+	limitReached, retryAfter := q.Refusal(x.holder, retryafter.QuotaMost(x.senderTime()))
 	if limitReached {
 		x.refuse(http.StatusTooManyRequests, outcome.ReasonQuota, retryafter.Span{Least: retryAfter})
 		return false
--- a/internal/sidecar/services/liveness_test.go
+++ b/internal/sidecar/services/liveness_test.go
@@ -52,11 +52,11 @@
 				for now() < tc.away {
 					time.Sleep(50 * time.Millisecond)
 					if now() < tc.away {
-						g.Expect(s.Get("s").Pick(now(), balancer.Wish{}, nil).Node).To(Equal("well"), "at %s", now())
+						g.Expect(s.Get("s").Pick(now(), balancer.Requirement{}, nil).Node).To(Equal("well"), "at %s", now())
 					}
 				}
 				time.Sleep(peer.PingTimeout + peer.ReviveEvery + time.Millisecond)
-				picked := s.Get("s").Pick(now(), balancer.Wish{}, nil)
+				picked := s.Get("s").Pick(now(), balancer.Requirement{}, nil)
 				g.Expect(picked.Node).To(Equal("silent"), "it is near and well again")
 				g.Expect(pings.Load()).To(BeNumerically("<=", tc.away/peer.ReviveEvery+1))
 			})
--- a/internal/sidecar/services/services.go
+++ b/internal/sidecar/services/services.go
@@ -126,7 +126,7 @@
 }
 
 // Pick chooses a target; nil when there is none.
-func (s *Service) Pick(now time.Duration, wish balancer.Wish, excluded map[string]bool) *Choice {
+func (s *Service) Pick(now time.Duration, wish balancer.Requirement, excluded map[string]bool) *Choice {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	endpoint := s.balancer.Pick(now, wish, excluded, true)
--- a/internal/sidecar/services/services_test.go
+++ b/internal/sidecar/services/services_test.go
@@ -117,7 +117,7 @@
 			toBad := 0
 			for range 400 {
 				now += 20 * time.Millisecond
-				picked := s.Get("s").Pick(now, balancer.Wish{}, nil)
+				picked := s.Get("s").Pick(now, balancer.Requirement{}, nil)
 				if picked.Node == "bad" {
 					toBad++
 					picked.Done(now+load.Hold, tc.ends)
