--- a/internal/mesh/lab/standin/platform.go
+++ b/internal/mesh/lab/standin/platform.go
@@ -27,15 +27,9 @@
 }
 
 type keyValue struct {
-	value   []byte
-	session string
-	modify  uint64
-	create  uint64
-}
-
-type session struct {
-	expires time.Time
-	ttl     time.Duration
+	value  []byte
+	modify uint64
+	create uint64
 }
 
 type machineEvent struct {
@@ -51,9 +45,7 @@
 	mutex    sync.Mutex
 	index    uint64
 	keys     map[string]*keyValue
-	sessions map[string]*session
 	events   []machineEvent
-	changed  chan struct{}
 	faults   Faults
 	tokens   float64
 	refilled time.Time
@@ -65,7 +57,7 @@
 
 // NewPlatform makes an empty platform.
 func NewPlatform() *Platform {
-	return &Platform{keys: map[string]*keyValue{}, sessions: map[string]*session{}, changed: make(chan struct{}), refilled: time.Now()}
+	return &Platform{keys: map[string]*keyValue{}, refilled: time.Now()}
 }
 
 // Handler serves the published protocol and the lab's own switches.
@@ -175,48 +167,16 @@
 // WriteHeader implements http.ResponseWriter.
 func (d *discardWriter) WriteHeader(int) {}
 
-// Get implements the service.
-func (p *Platform) Get(ctx context.Context, payload *api.GetPayload) (*api.GetResult, error) {
-	wait := time.Duration(0)
-	if payload.Wait != nil {
-		parsed, err := time.ParseDuration(*payload.Wait)
-		if err != nil {
-			return nil, api.MakeMalformed(err)
-		}
-		wait = parsed
-	}
-	timer := time.NewTimer(wait)
-	defer timer.Stop()
-	for {
-		p.mutex.Lock()
-		entry := p.keys[payload.Key]
-		changed := p.changed
-		result := p.result(payload.Key, entry)
-		waits := payload.Index != nil && wait > 0 && (entry == nil || entry.modify <= *payload.Index)
-		p.mutex.Unlock()
-		if !waits {
-			if entry == nil {
-				return nil, api.MakeMissing(goa.PermanentError("missing", "no such key"))
-			}
-			return result, nil
-		}
-		select {
-		case <-changed:
-		case <-timer.C:
-			wait = 0
-		case <-ctx.Done():
-			return nil, ctx.Err()
-		}
-	}
-}
-
-func (p *Platform) result(key string, entry *keyValue) *api.GetResult {
-	result := &api.GetResult{Pairs: []*api.KeyValuePair{}, Index: strconv.FormatUint(p.index, 10)}
-	if entry != nil {
-		held := entry.session
-		result.Pairs = append(result.Pairs, &api.KeyValuePair{Key: key, Value: bytes.Clone(entry.value), Session: &held, ModifyIndex: entry.modify, CreateIndex: entry.create})
+// Get implements the service. It does not wait for changes: nodes read and never watch.
+func (p *Platform) Get(_ context.Context, payload *api.GetPayload) (*api.GetResult, error) {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	entry := p.keys[payload.Key]
+	if entry == nil {
+		return nil, api.MakeMissing(goa.PermanentError("missing", "no such key"))
 	}
-	return result
+	pair := &api.KeyValuePair{Key: payload.Key, Value: bytes.Clone(entry.value), ModifyIndex: entry.modify, CreateIndex: entry.create}
+	return &api.GetResult{Pairs: []*api.KeyValuePair{pair}, Index: strconv.FormatUint(p.index, 10)}, nil
 }
 
 // Put implements the service.
@@ -227,86 +187,39 @@
 	}
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.expireSessions()
 	entry := p.keys[payload.Key]
 	if payload.Cas != nil {
 		if (entry == nil && *payload.Cas != 0) || (entry != nil && entry.modify != *payload.Cas) {
 			return false, nil
 		}
 	}
-	held := ""
-	if payload.Acquire != nil {
-		if p.sessions[*payload.Acquire] == nil {
-			return false, api.MakeMissing(goa.PermanentError("missing", "no such session"))
-		}
-		if entry != nil && entry.session != "" && entry.session != *payload.Acquire {
-			return false, nil
-		}
-		held = *payload.Acquire
-	}
 	p.index++
 	if entry == nil {
 		entry = &keyValue{create: p.index}
 		p.keys[payload.Key] = entry
 	}
-	entry.value, entry.modify, entry.session = value, p.index, held
-	close(p.changed)
-	p.changed = make(chan struct{})
+	entry.value, entry.modify = value, p.index
 	return true, nil
 }
 
-// expireSessions ends the sessions whose time has passed. The mutex is held.
-func (p *Platform) expireSessions() {
-	now := time.Now()
-	for id, one := range p.sessions {
-		if now.After(one.expires) {
-			p.endSession(id)
-		}
-	}
-}
-
-func (p *Platform) endSession(id string) {
-	delete(p.sessions, id)
-	for _, entry := range p.keys {
-		if entry.session == id {
-			entry.session = ""
-		}
-	}
+// errNoSessions answers the calls for sessions, which no node makes.
+func errNoSessions() error {
+	return api.MakeMalformed(goa.PermanentError("malformed", "the stand-in has no sessions"))
 }
 
 // CreateSession implements the service.
-func (p *Platform) CreateSession(_ context.Context, request *api.SessionRequest) (*api.SessionEntry, error) {
-	ttl, err := time.ParseDuration(request.TTL)
-	if err != nil {
-		return nil, api.MakeMalformed(err)
-	}
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	p.index++
-	id := "session-" + strconv.FormatUint(p.index, 10)
-	p.sessions[id] = &session{ttl: ttl, expires: time.Now().Add(ttl)}
-	return &api.SessionEntry{ID: id, TTL: &request.TTL}, nil
+func (p *Platform) CreateSession(context.Context, *api.SessionRequest) (*api.SessionEntry, error) {
+	return nil, errNoSessions()
 }
 
 // RenewSession implements the service.
-func (p *Platform) RenewSession(_ context.Context, payload *api.RenewSessionPayload) ([]*api.SessionEntry, error) {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	p.expireSessions()
-	one := p.sessions[payload.ID]
-	if one == nil {
-		return nil, api.MakeMissing(goa.PermanentError("missing", "no such session"))
-	}
-	one.expires = time.Now().Add(one.ttl)
-	return []*api.SessionEntry{{ID: payload.ID}}, nil
+func (p *Platform) RenewSession(context.Context, *api.RenewSessionPayload) ([]*api.SessionEntry, error) {
+	return nil, errNoSessions()
 }
 
 // DestroySession implements the service.
-func (p *Platform) DestroySession(_ context.Context, payload *api.DestroySessionPayload) (bool, error) {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	p.endSession(payload.ID)
-	return true, nil
+func (p *Platform) DestroySession(context.Context, *api.DestroySessionPayload) (bool, error) {
+	return false, errNoSessions()
 }
 
 // CatalogNodes implements the service: the machine list as it was some time ago.
--- a/internal/mesh/platform/consul.go
+++ b/internal/mesh/platform/consul.go
@@ -4,7 +4,6 @@
 	"bytes"
 	"context"
 	"encoding/json"
-	"fmt"
 	"io"
 	"net/http"
 	"strconv"
@@ -27,8 +26,6 @@
 
 var _ Store = (*Consul)(nil)
 
-const watchWait = 5 * time.Second
-
 // NewConsul makes the adapter to the service at IP:port.
 func NewConsul(address string, timeout time.Duration) *Consul {
 	transport := plainErrors{&http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2, IdleConnTimeout: time.Minute}}}
@@ -77,19 +74,7 @@
 func (c *Consul) Get(ctx context.Context, key string) (Entry, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
-	return c.read(ctx, &api.GetPayload{Key: key})
-}
-
-// Watch implements Store.
-func (c *Consul) Watch(ctx context.Context, key string, index uint64) (Entry, error) {
-	ctx, cancel := context.WithTimeout(ctx, watchWait+c.timeout)
-	defer cancel()
-	wait := watchWait.String()
-	return c.read(ctx, &api.GetPayload{Key: key, Index: &index, Wait: &wait})
-}
-
-func (c *Consul) read(ctx context.Context, payload *api.GetPayload) (Entry, error) {
-	result, err := c.client.Get(ctx, payload)
+	result, err := c.client.Get(ctx, &api.GetPayload{Key: key})
 	if err != nil {
 		if isNamed(err, "missing") {
 			return Entry{}, nil
@@ -104,17 +89,9 @@
 
 // CompareAndSwap implements Store.
 func (c *Consul) CompareAndSwap(ctx context.Context, key string, value []byte, index uint64) (bool, error) {
-	return c.write(ctx, &api.PutPayload{Key: key, Cas: &index}, value)
-}
-
-// Acquire implements Store.
-func (c *Consul) Acquire(ctx context.Context, key string, value []byte, lease string) (bool, error) {
-	return c.write(ctx, &api.PutPayload{Key: key, Acquire: &lease}, value)
-}
-
-func (c *Consul) write(ctx context.Context, payload *api.PutPayload, value []byte) (bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
+	payload := &api.PutPayload{Key: key, Cas: &index}
 	written, err := c.client.Put(ctx, payload, io.NopCloser(bytes.NewReader(value)))
 	if err != nil {
 		return false, writeError(err)
@@ -122,27 +99,6 @@
 	return written, nil
 }
 
-// CreateLease implements Store.
-func (c *Consul) CreateLease(ctx context.Context, seconds int) (string, error) {
-	ctx, cancel := context.WithTimeout(ctx, c.timeout)
-	defer cancel()
-	session, err := c.client.CreateSession(ctx, &api.SessionRequest{TTL: fmt.Sprintf("%ds", seconds)})
-	if err != nil {
-		return "", writeError(err)
-	}
-	return session.ID, nil
-}
-
-// RenewLease implements Store.
-func (c *Consul) RenewLease(ctx context.Context, lease string) error {
-	ctx, cancel := context.WithTimeout(ctx, c.timeout)
-	defer cancel()
-	if _, err := c.client.RenewSession(ctx, &api.RenewSessionPayload{ID: lease}); err != nil {
-		return readError(err)
-	}
-	return nil
-}
-
 // Machines implements Store.
 func (c *Consul) Machines(ctx context.Context) ([]Machine, uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
--- a/internal/mesh/platform/consul_test.go
+++ b/internal/mesh/platform/consul_test.go
@@ -34,39 +34,6 @@
 	g.Expect(store.CompareAndSwap(ctx, "landingmast/m/x", []byte("two"), entry.Index)).To(BeTrue())
 }
 
-func TestWatchSeesTheNextChange(t *testing.T) {
-	g := NewWithT(t)
-	_, store := start(t)
-	ctx := context.Background()
-	g.Expect(store.CompareAndSwap(ctx, "k", []byte("one"), 0)).To(BeTrue())
-	first, err := store.Get(ctx, "k")
-	g.Expect(err).NotTo(HaveOccurred())
-	seen := make(chan platform.Entry, 1)
-	go func() {
-		next, _ := store.Watch(ctx, "k", first.Index)
-		seen <- next
-	}()
-	g.Expect(store.CompareAndSwap(ctx, "k", []byte("two"), first.Index)).To(BeTrue())
-	g.Eventually(seen, "5s").Should(Receive(HaveField("Value", []byte("two"))))
-}
-
-func TestALeaseHoldsAKeyUntilItLapses(t *testing.T) {
-	g := NewWithT(t)
-	_, store := start(t)
-	ctx := context.Background()
-	first, err := store.CreateLease(ctx, 1)
-	g.Expect(err).NotTo(HaveOccurred())
-	second, err := store.CreateLease(ctx, 30)
-	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(store.Acquire(ctx, "k", nil, first)).To(BeTrue())
-	g.Expect(store.Acquire(ctx, "k", nil, second)).To(BeFalse())
-	g.Eventually(func() bool {
-		taken, err := store.Acquire(ctx, "k", nil, second)
-		return err == nil && taken
-	}, "5s", "100ms").Should(BeTrue())
-	g.Expect(failure.Is(store.RenewLease(ctx, first), failure.Missing)).To(BeTrue())
-}
-
 func TestFaultsHaveTheirKinds(t *testing.T) {
 	g := NewWithT(t)
 	service, store := start(t)
--- a/internal/mesh/platform/platform.go
+++ b/internal/mesh/platform/platform.go
@@ -23,18 +23,9 @@
 type Store interface {
 	// Get reads a key; an absent key has index 0.
 	Get(ctx context.Context, key string) (Entry, error)
-	// Watch waits until the key's index is higher than the given one, or for as
-	// long as the service lets it, and then reads the key.
-	Watch(ctx context.Context, key string, index uint64) (Entry, error)
 	// CompareAndSwap writes the key if its index still is the given one; false
 	// tells that another write came first.
 	CompareAndSwap(ctx context.Context, key string, value []byte, index uint64) (bool, error)
-	// Acquire takes a lease on the key with the value; false: another holds it.
-	Acquire(ctx context.Context, key string, value []byte, lease string) (bool, error)
-	// CreateLease makes a lease that lapses unless it is renewed.
-	CreateLease(ctx context.Context, seconds int) (string, error)
-	// RenewLease keeps a lease; an error of kind Missing tells that it lapsed.
-	RenewLease(ctx context.Context, lease string) error
 	// Machines reads the machine list and its index. It may lag.
 	Machines(ctx context.Context) ([]Machine, uint64, error)
 }
