--- a/internal/mesh/core/claim/claim.go
+++ b/internal/mesh/core/claim/claim.go
@@ -98,9 +98,6 @@
 	return v.epoch
 }
 
-// Keys gives the number of keys held.
-func (v *Voter) Keys() int { return len(v.entries) }
-
 // Handle answers a request [Promise] [Accept].
 func (v *Voter) Handle(request Request) Reply {
 	if request.Ballot.Epoch != v.epoch || v.epoch <= v.sealed {
--- a/internal/mesh/core/claim/claim_test.go
+++ b/internal/mesh/core/claim/claim_test.go
@@ -124,7 +124,7 @@
 	g.Expect(answer).To(BeNil())
 	_, answer = table.Peek("4")
 	g.Expect(answer).NotTo(BeNil())
-	g.Expect(table.Keys()).To(Equal(5))
+	g.Expect(table.records).To(HaveLen(5))
 }
 
 func TestPlanNeedsAMajorityOfTheOldVoters(t *testing.T) {
--- a/internal/mesh/core/claim/proposal.go
+++ b/internal/mesh/core/claim/proposal.go
@@ -37,7 +37,6 @@
 	accepted Ballot // highest accepted ballot found by the prepare step
 	value    Executor
 	refusal  Refusal
-	epoch    int64
 	rounds   int
 }
 
@@ -48,7 +47,7 @@
 // proposals of one process must not share a ballot, because late messages of the
 // first could then vote for another executor than the second found.
 func NewProposal(key string, epoch int64, voters int, self Executor, owner bool, attempt uint64) *Proposal {
-	proposal := &Proposal{key: key, voters: voters, self: self, epoch: epoch, prepare: !owner}
+	proposal := &Proposal{key: key, voters: voters, self: self, prepare: !owner}
 	proposal.identity = fmt.Sprintf("%s#%d", self.Incarnation, attempt)
 	proposal.ballot = Ballot{Epoch: epoch, Proposer: self.Incarnation}
 	if !owner {
@@ -70,13 +69,9 @@
 // Refusal gives the last reason of a voter that did not go along.
 func (p *Proposal) Refusal() Refusal { return p.refusal }
 
-// Epoch gives the highest epoch that a reply named.
-func (p *Proposal) Epoch() int64 { return p.epoch }
-
 // Reply takes one voter's answer to the current request.
 func (p *Proposal) Reply(reply Reply) Step {
 	p.replies++
-	p.epoch = max(p.epoch, reply.Epoch)
 	if reply.Refusal != RefusedNone {
 		p.refusal = reply.Refusal
 		if p.highest.Less(reply.Promised) {
--- a/internal/mesh/core/claim/table.go
+++ b/internal/mesh/core/claim/table.go
@@ -139,6 +139,3 @@
 	known.answer, known.place = nil, nil
 	t.order.Remove(oldest)
 }
-
-// Keys gives the number of keys held.
-func (t *Table) Keys() int { return len(t.records) }
--- a/internal/mesh/dataplane/errors.go
+++ b/internal/mesh/dataplane/errors.go
@@ -13,7 +13,6 @@
 	errPreempted    = errors.ConstError("preempted for more important work")
 	errReceiverGone = errors.ConstError("receiver went away")
 	errDeadline     = errors.ConstError("deadline passed")
-	errSenderGone   = errors.ConstError("caller went away")
 	errParentGone   = errors.ConstError("nobody waits for the parent call any more")
 )
 
