--- a/internal/mesh/adminapi/adminapi.go
+++ b/internal/mesh/adminapi/adminapi.go
@@ -78,12 +78,6 @@
 	return status, c.typed(err)
 }
 
-// Bundle gives the release in force on the node.
-func (c *Client) Bundle(ctx context.Context) (*admin.BundleResult, error) {
-	result, err := c.client.Bundle(ctx)
-	return result, c.typed(err)
-}
-
 // Version gives the version of the node's program.
 func (c *Client) Version(ctx context.Context) (string, error) {
 	version, err := c.client.Version(ctx)
