--- a/Makefile
+++ b/Makefile
@@ -31,11 +31,16 @@
 		$(GO) test -race -count=1 -timeout 900s $(if $(KNOWN_RED),-skip '$(KNOWN_RED)') -run "$$part" $(MESHES); \
 	done
 
+# Packages whose functions have to be reached: all but the generated ones.
+OWN := ^github.com/landingmast/landingmast/(cmd|internal|platform)
+
 check: generated-up-to-date
 	@unformatted=$$($(GO) tool gofumpt -l cmd design internal platform); \
 	if [ -n "$$unformatted" ]; then echo "not formatted (remedy: make format):"; echo "$$unformatted"; exit 1; fi
 	$(GO) vet ./...
 	$(GO) tool staticcheck ./cmd/... ./internal/... ./platform/...
+	@unreached=$$($(GO) tool deadcode -test -filter '$(OWN)' ./cmd/... ./internal/... ./platform/...) || exit 1; \
+	if [ -n "$$unreached" ]; then echo "reached by no program and no test:"; echo "$$unreached"; exit 1; fi
 
 format:
 	$(GO) tool gofumpt -w cmd design internal platform
