--- a/internal/sidecar/arrival/ingress.go
+++ b/internal/sidecar/arrival/ingress.go
@@ -19,7 +19,7 @@
 	"github.com/landingmast/landingmast/internal/wire"
 )
 
-// Ingress takes requests for the target beside the node.
+// Ingress serves the requests for the target beside the node.
 type Ingress struct {
 	options Options
 	Running runningTable
@@ -132,7 +132,7 @@
 	}
 }
 
-// Serve has the target run a request, once at most where it may not be repeated.
+// Serve sends a request to the target, once at most where it may not be repeated.
 func (i *Ingress) Serve(ctx context.Context, call *wire.SidecarCall, header http.Header, body *reply.Payload) *reply.Reply {
 	switch {
 	case call.Incarnation != "" && call.Incarnation != i.options.Incarnation:
@@ -144,8 +144,8 @@
 	}
 }
 
-// admit waits for a slot and has the target run the request. maySend is asked
-// right before the request is sent; nil: it may.
+// admit waits for a slot and sends the request to the target. maySend is asked right before it
+// is sent; nil: it may.
 func (i *Ingress) admit(ctx context.Context, call *wire.SidecarCall, header http.Header, body *reply.Payload, maySend func() bool) *reply.Reply {
 	one := &request{Request: heldback.Request{Call: call, Body: body}, at: i.options.Now()}
 	answer := i.gated(ctx, one, header, maySend)
@@ -153,7 +153,7 @@
 	return answer
 }
 
-// request is a request at the gate, with what the log tells of it.
+// request is a request at the gate, with what its log line has.
 type request struct {
 	heldback.Request
 	at       time.Duration
@@ -264,7 +264,7 @@
 	return l.ReadCloser.Close()
 }
 
-// streamed takes in how the reading of a long answer ended; nil: its reader went away.
+// streamed notes how the reading of a long answer ended; nil: its reader went away.
 func (i *Ingress) streamed(ctx context.Context, gate *target.Gate, one *request, err error) {
 	switch {
 	case err == io.EOF:
--- a/internal/sidecar/arrival/send.go
+++ b/internal/sidecar/arrival/send.go
@@ -14,7 +14,7 @@
 	"github.com/landingmast/landingmast/internal/sidecar/targetlink"
 )
 
-// sendToTarget sends a request to the target and says what its answer is worth.
+// sendToTarget sends a request to the target and reads its answer.
 func (i *Ingress) sendToTarget(ctx context.Context, gate *target.Gate, one *request, header http.Header) *reply.Reply {
 	names, call, body := i.options.Headers, one.Call, one.Body
 	remaining := one.left(ctx, i.options.Now()).Milliseconds()
@@ -53,7 +53,7 @@
 	}
 }
 
-// readAnswer reads the target's answer as far as it is worth it.
+// readAnswer judges the target's answer and reads its body if it is one.
 func (i *Ingress) readAnswer(ctx context.Context, gate *target.Gate, one *request, answer *targetlink.Answer) *reply.Reply {
 	names := i.options.Headers
 	end, reason := outcome.TargetAnswer{
--- a/internal/sidecar/entry/entry.go
+++ b/internal/sidecar/entry/entry.go
@@ -19,7 +19,7 @@
 	"github.com/landingmast/landingmast/internal/wire"
 )
 
-// Egress takes requests of the clients on the machine and of the target there.
+// Egress serves the requests of the clients on the machine and of the target there.
 type Egress struct {
 	options  Options
 	splitter *splitter
@@ -60,7 +60,7 @@
 	mayRun     bool            // one of them may have run
 	trial      bool            // targets ended with its content; only this one is sent now
 
-	// What the log tells of the request.
+	// What its log line has besides.
 	holdFor  time.Duration
 	decision admission.Decision
 	sends    []eventlog.Send
@@ -69,7 +69,9 @@
 // Times of a request.
 const (
 	defaultDeadline = 10 * time.Second // of a sender that names none
-	bodyGrace       = 50 * time.Millisecond
+	// bodyGrace is how long after the request's time its body may still be read: the context ends
+	// first then, and the reason is that the time is up.
+	bodyGrace = 50 * time.Millisecond
 )
 
 // ServeHTTP takes a request: it goes through the steps of the entry in their order, and is
@@ -92,7 +94,7 @@
 	x.send(x.ctx)
 }
 
-// uriOf gives path and query as they were sent.
+// uriOf is path and query as they were sent.
 func uriOf(r *http.Request) string {
 	if strings.HasPrefix(r.RequestURI, "/") {
 		return r.RequestURI
@@ -124,8 +126,7 @@
 	return hold
 }
 
-// heldBack decides on a request that targets ended with. The answer to one that none is to
-// get says that it has not run, and not when to come back.
+// heldBack asks whether the request may be sent though targets ended with it.
 func (x *request) heldBack() heldback.Verdict {
 	call := &wire.SidecarCall{Method: x.request.Method, URI: uriOf(x.request), Host: x.request.Host, Caller: x.options.Caller(), Tenant: x.tenant}
 	return x.options.HeldBack.AtStart(&heldback.Request{Call: call, Body: x.body})
@@ -148,8 +149,8 @@
 	return x.parent.Granted
 }
 
-// leaveWindow tells how a client's request ended that was let in. One whose time ran out has
-// not told what it waited for: there was no room for it in time, whatever was short.
+// leaveWindow notes how a client's request ended that was let in. What one whose time ran out
+// waited for is not known: it counts as without room in time, whatever was short.
 func (x *request) leaveWindow() {
 	x.options.Overload.End(admission.Ended{
 		Route: x.route, Limit: x.limit(), Took: x.options.Now() - x.started, Needs: x.needs,
@@ -175,7 +176,7 @@
 	return x.holdFor
 }
 
-// learn takes in what a sending told of the services down the chain.
+// learn notes what a sending needed of the services down the chain.
 func (x *request) learn(answer *reply.Reply) {
 	needs := answer.Needs
 	if pressure, known := x.options.Services.Get(x.service).Pressure(x.options.Now()); known && answer.Load.Slots > 0 {
--- a/internal/sidecar/entry/send.go
+++ b/internal/sidecar/entry/send.go
@@ -94,8 +94,8 @@
 // mostTargets is how many targets the request may reach.
 func (x *request) mostTargets() int { return max(x.route.MaxAttempts, 1) }
 
-// rank is the rank of the request's chain where repeats are short. All nodes that calls
-// of the chain are made on give it the same.
+// rank is the rank of the request's chain where repeats are short. It is the same at all nodes
+// at which calls of the chain begin.
 func (x *request) rank() float64 {
 	priorities := 1
 	if current := x.options.Configuration.Load(); current != nil {
@@ -105,7 +105,7 @@
 	return repeats.Rank(x.importance/importance.Step, priorities, xxhash.Sum64String(start))
 }
 
-// requirement is what the request asks of a target: an answer within its route's objective,
+// requirement is what the request needs of a target: an answer within its route's objective,
 // and before its time is up.
 func (x *request) requirement(ctx context.Context, tried *resend.Tried) balancer.Requirement {
 	need := balancer.Requirement{Class: x.route.Name, Limit: x.left(ctx), Only: tried.Only(x.mostTargets())}
@@ -133,7 +133,7 @@
 	return x.sendOnce(ctx, choice, call)
 }
 
-// noteSend keeps a sending for the log and counts it.
+// noteSend counts a sending and keeps it for the log line.
 func (x *request) noteSend(choice *services.Choice, answer *reply.Reply, took time.Duration) {
 	x.options.Metrics.Sends.WithLabelValues(x.service, string(answer.Outcome), string(answer.Reason)).Inc()
 	x.sends = append(x.sends, eventlog.Send{
@@ -142,7 +142,7 @@
 	})
 }
 
-// informIfLost helps a node that replied without knowing any configuration.
+// informIfLost exchanges with a node that replied without knowing any configuration.
 func (x *request) informIfLost(choice *services.Choice, answer *reply.Reply) {
 	if answer.Incarnation != "" && answer.Version == 0 && choice.Node != x.options.Node {
 		x.options.Exchange(choice.Address)
@@ -186,5 +186,6 @@
 	return answer
 }
 
-// settleTries is how often a node is asked what became of a request.
+// settleTries is how often a node is asked what became of a request whose connection broke; no
+// measurement set it.
 const settleTries = 3
--- a/internal/sidecar/peer/client.go
+++ b/internal/sidecar/peer/client.go
@@ -26,8 +26,8 @@
 	"github.com/landingmast/landingmast/internal/wire"
 )
 
-// Bounds of the connections between nodes. A handshake within a region takes a few ms; one
-// that takes peerDialTimeout does not come about, and the request goes elsewhere.
+// Bounds of the connections between nodes; no measurement set them. A request whose connection
+// is not there after peerDialTimeout goes elsewhere.
 const (
 	peerDialTimeout = 500 * time.Millisecond
 	peerIdle        = 30 * time.Second
--- a/internal/sidecar/reply/reply.go
+++ b/internal/sidecar/reply/reply.go
@@ -149,7 +149,8 @@
 }
 
 // WaitsHeader writes the waits of a request and of its calls for the node that asked; empty
-// where nothing waited.
+// where nothing waited. Waits that cannot be written are left out, as by a node of an earlier
+// release: they sharpen what is learned of a chain, and the reply stands without them.
 func WaitsHeader(r *Reply) string {
 	message := &wire.Waits{}
 	if r.Waited > 0 {
@@ -170,7 +171,8 @@
 	return head
 }
 
-// TakeWaits reads the waits of services; a node of an earlier release sends none.
+// TakeWaits reads the waits of services; a node of an earlier release sends none. Waits that
+// cannot be read count as none for the same reason.
 func (r *Reply) TakeWaits(head string) {
 	if head == "" {
 		return
