--- a/internal/sidecar/quotas/keepers.go
+++ b/internal/sidecar/quotas/keepers.go
@@ -11,40 +11,40 @@
 	"github.com/landingmast/landingmast/internal/wire"
 )
 
-// Shards is the number of shards into which the tenants fall; each has a keeper. Four spread
-// the work over the followers of as many zones. All nodes must use the same number.
+// Shards is the number of shards that tenants are hashed into. Each shard has its own keeper.
+// All nodes must use the same number.
 const Shards = 4
 
-// shardOf returns the shard of a tenant.
+// shardOf returns the shard that a tenant is hashed to.
 func shardOf(tenant string) int { return int(xxhash.Sum64String(tenant) % Shards) }
 
-// Keepers is what this node knows of the keeper of each shard, from the store or from other
-// nodes. An entry that is out of date costs one message: a node that is not the keeper says so.
+// Keepers caches the keeper of each shard, as learned from the store or from other nodes. A
+// stale entry is harmless: a node that is no longer the keeper says so in its answer.
 type Keepers struct {
-	prefix string // of the keepers' keys in the store
+	prefix string // key prefix of the records in the store
 
 	mutex   sync.Mutex
 	keepers [Shards]*wire.Keeper
-	absent  [Shards]bool // the store has no keeper of the shard
+	absent  [Shards]bool // the store has no record of the shard
 }
 
-// NewKeepers makes an empty list. prefix is that of the records' keys in the store.
+// NewKeepers returns an empty cache. prefix is the key prefix of the records in the store.
 func NewKeepers(prefix string) *Keepers { return &Keepers{prefix: prefix} }
 
-// key returns the key of a shard's record in the store.
+// key returns the store key of a shard's record.
 func (k *Keepers) key(shard int) string { return k.prefix + strconv.Itoa(shard) }
 
-// TakeStored takes in records of the store; other keys are passed over.
+// TakeStored applies records read from the store. Items with other keys are ignored.
 func (k *Keepers) TakeStored(items []store.Item) {
-	for index := range items {
-		item := &items[index]
-		name, below := strings.CutPrefix(item.Key, k.prefix)
-		shard, is := shardOfKey(name)
-		if !below || !is {
+	for i := range items {
+		item := &items[i]
+		suffix, found := strings.CutPrefix(item.Key, k.prefix)
+		shard, ok := parseShard(suffix)
+		if !found || !ok {
 			continue
 		}
 		if item.Gone {
-			k.Lapsed(shard, item.Revision)
+			k.MarkAbsent(shard, item.Revision)
 			continue
 		}
 		if record, err := wire.KeeperRecordCodec.Decode(item.Value); err == nil {
@@ -53,26 +53,27 @@
 	}
 }
 
-// NoteAbsent notes the shards that have no record; items are all that the store has as of a
-// revision.
-func (k *Keepers) NoteAbsent(items []store.Item, at int64) {
+// NoteAbsent marks the shards that have no record among items, which must be a complete
+// listing of the store at the given revision.
+func (k *Keepers) NoteAbsent(items []store.Item, revision int64) {
 	for shard := range Shards {
 		key := k.key(shard)
 		if !slices.ContainsFunc(items, func(item store.Item) bool { return item.Key == key }) {
-			k.Lapsed(shard, at+1)
+			k.MarkAbsent(shard, revision+1)
 		}
 	}
 }
 
-// shardOfKey reads the shard's number at the end of a key.
-func shardOfKey(text string) (int, bool) {
+// parseShard parses the shard number that ends a record's key.
+func parseShard(text string) (int, bool) {
 	if len(text) != 1 || text[0] < '0' || text[0] >= '0'+Shards {
 		return 0, false
 	}
 	return int(text[0] - '0'), true
 }
 
-// Learn takes in the keeper of a shard; false: the node knows it or a newer one.
+// Learn records the keeper of a shard. It returns false if the shard number is invalid or the
+// known record is at least as recent.
 func (k *Keepers) Learn(keeper *wire.Keeper) bool {
 	if keeper.Shard < 0 || keeper.Shard >= Shards {
 		return false
@@ -86,8 +87,8 @@
 	return true
 }
 
-// Lapsed notes that the record of a shard is gone as of a revision.
-func (k *Keepers) Lapsed(shard int, revision int64) {
+// MarkAbsent marks a shard as having no record as of a revision.
+func (k *Keepers) MarkAbsent(shard int, revision int64) {
 	if shard < 0 || shard >= Shards {
 		return
 	}
@@ -98,15 +99,15 @@
 	}
 }
 
-// Of returns the keeper of a shard; nil: none is known.
-func (k *Keepers) Of(shard int) *wire.Keeper {
+// Get returns the last known keeper of a shard, or nil.
+func (k *Keepers) Get(shard int) *wire.Keeper {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	return k.keepers[shard]
 }
 
-// Without lists the shards of which the store has no keeper.
-func (k *Keepers) Without() (shards []int) {
+// AbsentShards returns the shards that have no record in the store.
+func (k *Keepers) AbsentShards() (shards []int) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	for shard, absent := range k.absent {
@@ -117,28 +118,29 @@
 	return shards
 }
 
-// All lists the known keepers.
+// All returns the known keepers.
 func (k *Keepers) All() []wire.Keeper {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	found := []wire.Keeper{}
+	known := []wire.Keeper{}
 	for _, keeper := range k.keepers {
 		if keeper != nil {
-			found = append(found, *keeper)
+			known = append(known, *keeper)
 		}
 	}
-	return found
+	return known
 }
 
-// turnOf returns the turn of a zone, 0 being the first, among those whose followers may take
-// over a shard. The order is the same at all nodes and differs from shard to shard.
-func turnOf(shard int, zone string, zones []string) int {
+// zoneRank returns the position of a zone in the order in which the followers of the zones may
+// take over a shard, starting at 0. The order is a rendezvous hash, so all nodes agree on it
+// and it differs between shards.
+func zoneRank(shard int, zone string, zones []string) int {
 	weight := func(zone string) uint64 { return xxhash.Sum64String(zone + "/" + string(rune('0'+shard))) }
-	turn := 0
+	rank := 0
 	for _, other := range zones {
 		if other != zone && (weight(other) < weight(zone) || weight(other) == weight(zone) && other < zone) {
-			turn++
+			rank++
 		}
 	}
-	return turn
+	return rank
 }
--- a/internal/sidecar/quotas/keepers_test.go
+++ b/internal/sidecar/quotas/keepers_test.go
@@ -8,62 +8,63 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestTheNewestKeeperCounts(t *testing.T) {
+func TestKeepersKeepLatestRevision(t *testing.T) {
 	g := NewWithT(t)
-	var d Keepers
-	g.Expect(d.Learn(&wire.Keeper{Shard: 1, Node: "a", Revision: 5})).To(BeTrue())
-	g.Expect(d.Learn(&wire.Keeper{Shard: 1, Node: "b", Revision: 4})).To(BeFalse())
-	g.Expect(d.Of(1).Node).To(Equal("a"))
-	d.Lapsed(1, 3) // news of a time before
-	g.Expect(d.Without()).To(BeEmpty())
-	d.Lapsed(1, 6)
-	g.Expect(d.Without()).To(ConsistOf(1))
-	g.Expect(d.Learn(&wire.Keeper{Shard: 1, Node: "c", Revision: 7})).To(BeTrue())
-	g.Expect(d.Without()).To(BeEmpty())
-	g.Expect(d.Learn(&wire.Keeper{Shard: Shards, Revision: 9})).To(BeFalse())
-	g.Expect(d.All()).To(HaveLen(1))
+	var k Keepers
+	g.Expect(k.Learn(&wire.Keeper{Shard: 1, Node: "a", Revision: 5})).To(BeTrue())
+	g.Expect(k.Learn(&wire.Keeper{Shard: 1, Node: "b", Revision: 4})).To(BeFalse())
+	g.Expect(k.Get(1).Node).To(Equal("a"))
+	k.MarkAbsent(1, 3) // older than the known record
+	g.Expect(k.AbsentShards()).To(BeEmpty())
+	k.MarkAbsent(1, 6)
+	g.Expect(k.AbsentShards()).To(ConsistOf(1))
+	g.Expect(k.Learn(&wire.Keeper{Shard: 1, Node: "c", Revision: 7})).To(BeTrue())
+	g.Expect(k.AbsentShards()).To(BeEmpty())
+	g.Expect(k.Learn(&wire.Keeper{Shard: Shards, Revision: 9})).To(BeFalse())
+	g.Expect(k.All()).To(HaveLen(1))
 }
 
-// The zones take the groups in turns that all compute alike, and the first turns differ.
-func TestZonesTakeTurns(t *testing.T) {
+// Zones must have distinct ranks for each shard, and no zone may come first for all shards.
+func TestZoneRanksAreDistinctAndVaryByShard(t *testing.T) {
 	g := NewWithT(t)
 	zones := []string{"hall-a", "hall-b", "hall-c", "hall-d"}
 	first := map[string]int{}
 	for shard := range Shards {
-		turns := map[int]bool{}
+		ranks := map[int]bool{}
 		for _, zone := range zones {
-			turn := turnOf(shard, zone, zones)
-			turns[turn] = true
-			if turn == 0 {
+			rank := zoneRank(shard, zone, zones)
+			ranks[rank] = true
+			if rank == 0 {
 				first[zone]++
 			}
 		}
-		g.Expect(turns).To(HaveLen(len(zones)), "group %d", shard)
+		g.Expect(ranks).To(HaveLen(len(zones)), "shard %d", shard)
 	}
 	g.Expect(len(first)).To(BeNumerically(">", 1))
 }
 
-// Only a process that is gone is followed before its lease is over.
-func TestOnlyAProcessThatIsGoneIsFollowed(t *testing.T) {
-	gone := &wire.Keeper{Node: "a", Address: "1", Incarnation: "old"}
+// A shard may be taken over before its lease expires only if the process that wrote the record
+// has ended.
+func TestMayReplaceOnlyEndedProcess(t *testing.T) {
+	failed := &wire.Keeper{Node: "a", Address: "1", Incarnation: "old"}
 	for _, tc := range []struct {
 		name   string
 		self   string
 		record *wire.KeeperRecord
 		want   bool
 	}{
-		{"the process that was found gone", "b", &wire.KeeperRecord{Node: "a", Address: "1", Incarnation: "old"}, true},
-		{"its node has come back and keeps the group", "b", &wire.KeeperRecord{Node: "a", Address: "1", Incarnation: "new"}, false},
-		{"another node has taken over", "b", &wire.KeeperRecord{Node: "c", Address: "2", Incarnation: "x"}, false},
-		{"nobody keeps it", "b", nil, false},
-		{"an earlier process of the own node", "a", &wire.KeeperRecord{Node: "a", Address: "1", Incarnation: "older"}, true},
+		{"record of the failed process", "b", &wire.KeeperRecord{Node: "a", Address: "1", Incarnation: "old"}, true},
+		{"node restarted and keeps the shard", "b", &wire.KeeperRecord{Node: "a", Address: "1", Incarnation: "new"}, false},
+		{"another node took over", "b", &wire.KeeperRecord{Node: "c", Address: "2", Incarnation: "x"}, false},
+		{"no record", "b", nil, false},
+		{"earlier process of this node", "a", &wire.KeeperRecord{Node: "a", Address: "1", Incarnation: "older"}, true},
 		{"this process", "a", &wire.KeeperRecord{Node: "a", Address: "1", Incarnation: "own"}, false},
-		{"the own name at another address", "a", &wire.KeeperRecord{Node: "a", Address: "2", Incarnation: "old"}, false},
+		{"this node's name at another address", "a", &wire.KeeperRecord{Node: "a", Address: "2", Incarnation: "old"}, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
 			own := func() *settings.Settings { return &settings.Settings{Node: tc.self} }
-			g.Expect(NewServer(Options{Settings: own, Incarnation: "own"}, nil).mayFollow(gone, tc.record)).To(Equal(tc.want))
+			g.Expect(NewServer(Options{Settings: own, Incarnation: "own"}, nil).mayReplace(failed, tc.record)).To(Equal(tc.want))
 		})
 	}
 }
--- a/internal/sidecar/quotas/limiter.go
+++ b/internal/sidecar/quotas/limiter.go
@@ -12,75 +12,74 @@
 	"github.com/landingmast/landingmast/internal/sidecar/wait"
 )
 
-// Intervals and timeouts of the messages to keepers. No measurement set them but gatherEach.
+// Intervals and timeouts of requests to keepers.
 const (
-	askEvery = 500 * time.Millisecond // between two messages of a node to one keeper
-	// completeEvery is the time between two messages that report all that the node holds. Those
-	// between report only tenants whose stock is low, to save traffic between zones.
-	completeEvery = 2 * time.Second
-	askTimeout    = 150 * time.Millisecond // of one message; below quota.Travel, after which its tokens would be dropped
-	retryFirst    = 20 * time.Millisecond  // pause after the first failure in a row
-	retryLater    = 100 * time.Millisecond // pause after each further one
-	// gatherEach, times the number of other nodes and within gatherLeast and gatherMost, is how
-	// long waiting requests are collected before one message asks for tokens for all of them:
-	// the rate of messages at a keeper then does not grow with the number of nodes. With
-	// 0.15 ms, 32 nodes and 40 tenants at their limits, a CPU profile showed 4.3 s for these
-	// messages and 2.4 s for the requests themselves.
-	gatherEach  = 250 * time.Microsecond
-	gatherLeast = 4 * time.Millisecond
-	gatherMost  = 250 * time.Millisecond
-	// gatherShort multiplies that time after an answer with too few tokens.
-	gatherShort = 2
-	// listEvery is the least time between two reads of all keepers' keys in the store.
-	listEvery = 900 * time.Millisecond
+	requestInterval = 500 * time.Millisecond // between requests of a node for a shard
+	// fullReportInterval is the time between full reports. Requests in between report only
+	// tenants that need tokens, to reduce cross-zone traffic.
+	fullReportInterval = 2 * time.Second
+	requestTimeout     = 150 * time.Millisecond // below quota.Travel, after which tokens in the answer are dropped
+	firstRetryDelay    = 20 * time.Millisecond  // after the first failure in a row
+	retryDelay         = 100 * time.Millisecond // after further failures in a row
+	// batchDelayPerNode is multiplied by the number of other nodes, and clamped to minBatchDelay
+	// and maxBatchDelay, to get the time for which waiters are collected into one request. This
+	// keeps the request rate at a keeper independent of the number of nodes.
+	batchDelayPerNode = 250 * time.Microsecond
+	minBatchDelay     = 4 * time.Millisecond
+	maxBatchDelay     = 250 * time.Millisecond
+	// shortageFactor multiplies the batch delay after an answer with too few tokens.
+	shortageFactor = 2
+	// listInterval is the minimum time between reads of all shards' records in the store.
+	listInterval = 900 * time.Millisecond
 )
 
-// Limiter keeps the requests that begin at this node within the limits of their tenants over
-// all nodes. A request is admitted for a token of the node's stock; if there is none it waits
-// for the tenant's keeper to answer.
+// Limiter is a distributed rate limiter that enforces the limits of tenants on the requests
+// that enter at this node. A request is admitted with a token held by the node. If there is
+// none, the request waits for an answer from the keeper of the tenant's shard.
 type Limiter struct {
 	options Options
 	keepers *Keepers
 	server  *Server
-	urgent  [Shards]chan struct{} // requests wait: the keeper is to be asked soon
-	// unreachable: the keeper of a shard does not answer, so requests do not wait for it.
+	wake    [Shards]chan struct{} // makes Run send a request before the next interval
+	// unreachable is set while the keeper of a shard does not answer. Requests that find no
+	// token are then rejected without waiting.
 	unreachable [Shards]atomic.Bool
-	// short: the last answer of the keeper had too few tokens.
-	short [Shards]atomic.Bool
+	// shortage is set if the last answer of the keeper had too few tokens.
+	shortage [Shards]atomic.Bool
 
-	mutex        sync.Mutex
-	tenants      map[string]*tenantState // by tenant
-	lastComplete [Shards]completeReport
-	lastList     time.Duration // last read of all keepers' keys; 0: never
+	mutex          sync.Mutex
+	tenants        map[string]*tenantState // by name
+	lastFullReport [Shards]fullReport
+	lastListAt     time.Duration // when the records were last listed; 0 if never
 }
 
-// completeReport is the last message that reported all that the node holds.
-type completeReport struct {
-	epoch int64         // of the keeper that answered
-	at    time.Duration // when it was sent; 0: a new one is due
+// fullReport describes the last request for a shard that reported all tenants.
+type fullReport struct {
+	epoch  int64         // of the keeper that answered
+	sentAt time.Duration // 0 if a full report is due
 }
 
-// tenantState is what the node holds of one tenant's limit, and the requests that wait.
+// tenantState holds the tokens of a tenant at this node and the requests that wait for one.
 type tenantState struct {
 	holder  *quota.Holder
-	waiters []chan bool // each receives once whether the request is admitted
+	waiters []chan bool // each receives the admission decision once
 }
 
-// NewLimiter makes a limiter that holds no tokens yet; server is that of the same node.
+// NewLimiter returns a limiter that holds no tokens. server is the Server of the same node.
 func NewLimiter(options Options, keepers *Keepers, server *Server) *Limiter {
 	l := &Limiter{options: options, keepers: keepers, server: server, tenants: map[string]*tenantState{}}
-	for shard := range l.urgent {
-		l.urgent[shard] = make(chan struct{}, 1)
+	for shard := range l.wake {
+		l.wake[shard] = make(chan struct{}, 1)
 	}
 	return l
 }
 
-// tenantLocked returns the state of a tenant, with the limit in force.
+// tenantLocked returns the state of a tenant, updated to the current limit.
 func (l *Limiter) tenantLocked(now time.Duration, tenant *intent.Tenant) *tenantState {
 	limit := quota.Limit{Rate: tenant.Rate, Burst: tenant.Burst}
 	t := l.tenants[tenant.Name]
 	if t == nil {
-		t = &tenantState{holder: quota.NewHolder(l.options.bound(), limit, now)}
+		t = &tenantState{holder: quota.NewHolder(l.options.quotaConfig(), limit, now)}
 		l.tenants[tenant.Name] = t
 	}
 	t.holder.SetLimit(now, limit)
@@ -88,8 +87,8 @@
 }
 
 // Admit takes a token for a request of the tenant and reports whether it got one. If the node
-// has none the request waits, at most for wait and until ctx ends.
-func (l *Limiter) Admit(ctx context.Context, tenant *intent.Tenant, wait time.Duration) bool {
+// has no token, it waits up to maxWait or until ctx is done.
+func (l *Limiter) Admit(ctx context.Context, tenant *intent.Tenant, maxWait time.Duration) bool {
 	l.mutex.Lock()
 	now := l.options.Now()
 	t := l.tenantLocked(now, tenant)
@@ -104,8 +103,8 @@
 	admitted := make(chan bool, 1)
 	t.waiters = append(t.waiters, admitted)
 	l.mutex.Unlock()
-	l.askNow(shardOf(tenant.Name))
-	timer := time.NewTimer(wait)
+	l.requestNow(shardOf(tenant.Name))
+	timer := time.NewTimer(maxWait)
 	defer timer.Stop()
 	select {
 	case ok := <-admitted:
@@ -113,11 +112,11 @@
 	case <-timer.C:
 	case <-ctx.Done():
 	}
-	return l.giveUp(t, admitted)
+	return l.cancelWait(t, admitted)
 }
 
-// giveUp ends the wait of a request. A token that arrived at the last moment still admits it.
-func (l *Limiter) giveUp(t *tenantState, admitted chan bool) bool {
+// cancelWait removes a waiter. It returns the decision if one was made in the meantime.
+func (l *Limiter) cancelWait(t *tenantState, admitted chan bool) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	select {
@@ -129,17 +128,18 @@
 	return false
 }
 
-// Refusal explains why a request of the tenant was not admitted: the limit is reached, or else
-// no keeper has allowed it. retryAfter is when there may be tokens again, most at most.
-func (l *Limiter) Refusal(tenant *intent.Tenant, most time.Duration) (limitReached bool, retryAfter time.Duration) {
+// Refusal explains why a request of the tenant was rejected. limitReached is false if the node
+// has no tokens for another reason, such as an unreachable keeper. retryAfter is the estimated
+// time until tokens are available, at most maxDelay.
+func (l *Limiter) Refusal(tenant *intent.Tenant, maxDelay time.Duration) (limitReached bool, retryAfter time.Duration) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	now := l.options.Now()
 	t := l.tenantLocked(now, tenant)
-	return t.holder.Spent(), t.holder.ComeBack(now, most)
+	return t.holder.Spent(), t.holder.ComeBack(now, maxDelay)
 }
 
-// GiveBack returns the token of a request that was admitted but will not run.
+// GiveBack returns the token of an admitted request that will not be executed.
 func (l *Limiter) GiveBack(tenant *intent.Tenant) {
 	if tenant == nil || !tenant.Limited() {
 		return
@@ -150,7 +150,7 @@
 	l.tenantLocked(now, tenant).holder.GiveBack(now)
 }
 
-// askNow has the keeper of a shard asked before its next interval.
-func (l *Limiter) askNow(shard int) {
-	wait.Signal(l.urgent[shard])
+// requestNow makes Run send a request for a shard before the next interval.
+func (l *Limiter) requestNow(shard int) {
+	wait.Signal(l.wake[shard])
 }
--- a/internal/sidecar/quotas/messages.go
+++ b/internal/sidecar/quotas/messages.go
@@ -7,31 +7,31 @@
 	"github.com/landingmast/landingmast/internal/wire"
 )
 
-// The functions of this file translate between package quota and the messages. Shares are sent
-// in single precision; keeper and holder both count the rounded value.
+// The functions in this file convert between the types of package quota and their wire
+// messages. Shares are rounded to single precision; both sides use the rounded value.
 
-func reportTo(r quota.Report) wire.QuotaReport {
+func reportToWire(r quota.Report) wire.QuotaReport {
 	return wire.QuotaReport{
 		Tenant: r.Tenant, Demand: float32(r.Demand), Need: r.Need, Want: r.Want, Stock: float32(r.Stock), Rate: float32(r.Held.Rate), Depth: float32(r.Held.Depth),
 		Epoch: r.Grant.Epoch, Number: r.Grant.Number, Left: r.Left.Microseconds(),
 	}
 }
 
-func reportOf(r *wire.QuotaReport) quota.Report {
+func reportFromWire(r *wire.QuotaReport) quota.Report {
 	return quota.Report{
 		Tenant: r.Tenant, Demand: float64(r.Demand), Need: r.Need, Want: r.Want, Stock: float64(r.Stock), Held: quota.Share{Rate: float64(r.Rate), Depth: float64(r.Depth)},
 		Grant: quota.Grant{Epoch: r.Epoch, Number: r.Number}, Left: time.Duration(r.Left) * time.Microsecond,
 	}
 }
 
-func allotmentTo(a quota.Allotment) wire.QuotaAllotment {
+func allotmentToWire(a quota.Allotment) wire.QuotaAllotment {
 	return wire.QuotaAllotment{
 		Tenant: a.Tenant, Rate: float32(a.Share.Rate), Depth: float32(a.Share.Depth), Number: a.Grant.Number,
 		Life: a.Life.Microseconds(), Tokens: a.Tokens, Again: a.Again.Microseconds(), Unsettled: a.Unsettled,
 	}
 }
 
-func allotmentOf(epoch int64, a *wire.QuotaAllotment) quota.Allotment {
+func allotmentFromWire(epoch int64, a *wire.QuotaAllotment) quota.Allotment {
 	return quota.Allotment{
 		Tenant: a.Tenant, Share: quota.Share{Rate: float64(a.Rate), Depth: float64(a.Depth)}, Grant: quota.Grant{Epoch: epoch, Number: a.Number},
 		Life: time.Duration(a.Life) * time.Microsecond, Tokens: a.Tokens, Again: time.Duration(a.Again) * time.Microsecond, Unsettled: a.Unsettled,
--- a/internal/sidecar/quotas/quotas.go
+++ b/internal/sidecar/quotas/quotas.go
@@ -1,21 +1,19 @@
-// Package quotas keeps the requests that begin at a node within the limits of their tenants
-// over all nodes. Package core/quota decides how many tokens a node gets and uses; this
-// package does the messages, the store and the timing for it.
+// Package quotas enforces the rate limits of tenants across all nodes. Package core/quota
+// implements the allocation of tokens; this package adds messaging, storage and timing.
 //
-// The tenants fall into shards. At most one node is the keeper of a shard and gives the others
-// shares of its tenants' limits. Which one it is stands in the shard's record in the store,
-// under a lease of the keeper. A Limiter admits requests for the tokens that its node holds,
-// and asks the keepers for more. A Server does the work of a keeper: it renews the lease,
-// answers limiters, and takes over a shard whose keeper's process has ended or whose record
-// the store no longer has. Keepers is what the node knows of the keeper of each shard.
+// Tenants are hashed into shards. At most one node is the keeper of a shard, and allocates
+// shares of its tenants' limits to the other nodes. The shard's record in the store names the
+// keeper and is attached to the keeper's lease. A Limiter admits requests with the tokens that
+// its node holds and requests more from the keepers. A Server performs the work of a keeper:
+// it renews the lease, answers limiters, and takes over shards whose keeper's process has
+// ended or whose record has expired. Keepers caches the keeper of each shard.
 //
-// The package owns the tokens at this node, the shards that it keeps with their lease and
-// records, and the list of known keepers. It relies on the store's leases for there being one
-// keeper at a time, on Options.Now counting the time for which the machine was suspended, and
-// on the follower of the zone to pass on the records of the store and to call Server.Fill.
-// While the store is away keepers give shares until their lease ends; while no keeper
-// answers, a node admits what its shares still allow and refuses the rest. All types are safe
-// for concurrent use.
+// The package relies on the leases of the store to ensure that there is one keeper at a time,
+// on Options.Now to include the time for which the machine was suspended, and on the zone's
+// follower to relay records from the store and to call Server.Fill. While the store is
+// unavailable, keepers allocate shares until their lease expires. While the keeper is
+// unreachable, a node admits what its shares still allow and rejects all other requests. All
+// types are safe for concurrent use.
 package quotas
 
 import (
@@ -32,46 +30,46 @@
 	"github.com/landingmast/landingmast/internal/wire"
 )
 
-// Options are what limiter and server need of the other parts of a node.
+// Options configure a Limiter and a Server, and connect them to the other parts of a node.
 type Options struct {
-	Settings      func() *settings.Settings // in force
-	Incarnation   string                    // of the process
-	Now           func() time.Duration      // since the start, suspensions of the machine included
+	Settings      func() *settings.Settings // current settings
+	Incarnation   string                    // unique id of this process
+	Now           func() time.Duration      // time since start, including suspensions of the machine
 	Configuration *configuration.InForce
 	Events        *eventlog.Log
-	Store         store.Store // nil: none
+	Store         store.Store // nil if the node has no store
 	StoreHealth   *storehealth.Health
 	Peers         *peer.Client
 	Membership    Membership
 	Follower      Follower
-	// AskPeer asks the node at an address which keepers it knows; no address: nobody is asked.
+	// AskPeer asks the node at an address for the keepers it knows. An empty address is a no-op.
 	AskPeer func(ctx context.Context, address string)
-	// Stopping reports whether the planned stop has begun: no shard is taken over any more.
+	// Stopping reports whether a graceful shutdown has begun, after which no shard is taken over.
 	Stopping func() bool
 }
 
-// Membership is what is known of the nodes.
+// Membership provides the known nodes.
 type Membership interface {
-	All() []wire.NodeRecord   // this node's record among them
+	All() []wire.NodeRecord   // including this node
 	Others() int              // number of other nodes
 	ZoneNames() []string      // sorted
-	AddressElsewhere() string // of a node in another zone; empty: no other node is known
+	AddressElsewhere() string // address of a node in another zone, or empty
 }
 
-// Follower is the election of the node that follows the store for the zone.
+// Follower provides the state of the zone's follower, the node elected to watch the store.
 type Follower interface {
-	Address() string // of another follower of the zone that hears the store; empty: none is known
-	Reaches() bool   // this node follows the store, and the store answers
+	Address() string // address of another follower in the zone that is connected to the store, or empty
+	Reaches() bool   // this node is a follower and the store answers
 }
 
-// bound returns the bound of the settings on the requests in a window.
-func (o *Options) bound() quota.Config {
+// quotaConfig returns the bound on requests per window from the current settings.
+func (o *Options) quotaConfig() quota.Config {
 	bounds := o.Settings().Quotas
 	return quota.Config{Window: time.Duration(bounds.Window), Overshoot: bounds.Overshoot, Slack: bounds.Slack}
 }
 
-// limited reports whether some tenant has a limit.
-func (o *Options) limited() bool {
+// anyTenantLimited reports whether the configuration limits any tenant.
+func (o *Options) anyTenantLimited() bool {
 	current := o.Configuration.Load()
 	return current != nil && current.Limited()
 }
--- a/internal/sidecar/quotas/record.go
+++ b/internal/sidecar/quotas/record.go
@@ -7,7 +7,7 @@
 	"github.com/landingmast/landingmast/internal/wire"
 )
 
-// readRecord reads the record of a shard; nil: there is none.
+// readRecord reads the record of a shard. It returns nil if the shard has none.
 func (s *Server) readRecord(ctx context.Context, shard int) (*store.Item, *wire.KeeperRecord, error) {
 	call, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
@@ -20,18 +20,19 @@
 	return item, record, err
 }
 
-// ownKeeper is this node as the keeper of a shard.
+// ownKeeper returns the entry that names this node as the keeper of a shard.
 func (s *Server) ownKeeper(shard int, revision int64) *wire.Keeper {
 	own := s.options.Settings()
 	return &wire.Keeper{Shard: shard, Node: own.Node, Address: own.Listen.Inbound, Incarnation: s.options.Incarnation, Revision: revision}
 }
 
-// writeRecord writes the record of a shard with this node as its keeper, if the record still has
-// a revision (0: if there is none). It returns the new revision.
-func (s *Server) writeRecord(ctx context.Context, shard int, lease int64, names []string, part float64, revision int64) (int64, error) {
+// writeRecord writes the record of a shard with this node as its keeper and returns the new
+// revision. The write succeeds only if the record is still at the given revision, or does not
+// exist if revision is 0.
+func (s *Server) writeRecord(ctx context.Context, shard int, lease int64, holders []string, maxShare float64, revision int64) (int64, error) {
 	own := s.options.Settings()
 	value, err := wire.KeeperRecordCodec.Encode(&wire.KeeperRecord{
-		Node: own.Node, Incarnation: s.options.Incarnation, Address: own.Listen.Inbound, Listed: names, Part: part,
+		Node: own.Node, Incarnation: s.options.Incarnation, Address: own.Listen.Inbound, Listed: holders, Part: maxShare,
 	})
 	if err != nil {
 		return 0, err
--- a/internal/sidecar/quotas/server.go
+++ b/internal/sidecar/quotas/server.go
@@ -15,101 +15,101 @@
 	"github.com/landingmast/landingmast/internal/wire"
 )
 
-// Times of the keepers. No measurement set them.
+// Intervals and timeouts of keepers.
 const (
-	// leaseTTL is how long a keeper may give shares while it cannot renew its lease: longer
-	// than most outages of the store last. All shares of a keeper have ended once its lease has.
-	leaseTTL     = 6 * time.Second
-	renewEvery   = 1500 * time.Millisecond
-	renewAgain   = 300 * time.Millisecond // after a renewal that failed
-	storeTimeout = 400 * time.Millisecond // of one call of the store
-	// turnStep is how long the follower of each zone waits for those of the zones before it in
-	// turn, so that not all of them try to take over a shard without a keeper.
-	turnStep = 400 * time.Millisecond
-	// replaceStep is that time if the keeper's process is known to have ended.
-	replaceStep = 150 * time.Millisecond
-	// settleAfter and settleEvery are when, after a takeover, the nodes are pinged that the new
-	// keeper has not heard from.
-	settleAfter = 200 * time.Millisecond
-	settleEvery = 500 * time.Millisecond
-	// pruneAfter is how long after its last share has ended a node is taken off a record: a
-	// keeper that takes over withholds a share for each listed node until it hears from it.
+	// leaseTTL bounds how long a keeper allocates shares without renewing its lease; it covers
+	// most outages of the store. No share outlives the lease.
+	leaseTTL        = 6 * time.Second
+	renewInterval   = 1500 * time.Millisecond
+	renewRetryDelay = 300 * time.Millisecond // after a failed renewal
+	storeTimeout    = 400 * time.Millisecond // of a store call
+	// takeoverStagger delays the takeover of a shard without a record, per rank of the zone, so
+	// that the followers do not compete for it.
+	takeoverStagger = 400 * time.Millisecond
+	// replaceStagger replaces takeoverStagger if the keeper's process is known to have ended.
+	replaceStagger = 150 * time.Millisecond
+	// probeDelay and probeInterval schedule the pings of unreported holders after a takeover.
+	probeDelay    = 200 * time.Millisecond
+	probeInterval = 500 * time.Millisecond
+	// pruneAfter is the time after the end of its last share at which a holder is removed from
+	// the record. Each listed holder reduces what a new keeper can allocate until it reports.
 	pruneAfter = 2 * time.Second
-	// gatherNames is how long names of new nodes are collected for one write.
-	gatherNames = 20 * time.Millisecond
+	// holderBatchDelay is how long new holders are collected for one write of the record.
+	holderBatchDelay = 20 * time.Millisecond
 )
 
-// Path is where a node receives the messages of other nodes' limiters.
+// Path is the HTTP path of requests to a keeper.
 const Path = "/quota"
 
-// Server is this node's side as a keeper. Each shard that it keeps has a record in the store
-// under the server's lease, so that there is at most one keeper of a shard. The record lists
-// the nodes that may hold shares, for the keeper that takes over.
+// Server allocates the limits of the tenants in the shards that this node keeps. Each of these
+// shards has a record in the store that is attached to the server's lease, so that a shard has
+// at most one keeper. The record lists the nodes that may hold shares, for the next keeper.
 type Server struct {
 	options Options
 	keepers *Keepers
 
 	takeovers chan struct{} // semaphore: takeovers share the lease, so one runs at a time
 
-	mutex       sync.Mutex
-	lease       *store.Lease
-	leaseEnds   time.Duration // when the node must stop giving shares, by Options.Now
-	paused      bool          // leaseEnds has passed, but the lease may still be in the store
-	held        map[int]*heldShard
-	absentSince map[int]time.Duration // since when the store has no keeper of a shard
-	takingOver  map[int]bool
+	mutex        sync.Mutex
+	lease        *store.Lease
+	leaseExpires time.Duration // when this node must stop allocating, by Options.Now
+	paused       bool          // leaseExpires has passed, but the store may still have the lease
+	shards       map[int]*shardState
+	absentSince  map[int]time.Duration // when a shard was first seen without a record
+	takingOver   map[int]bool
 }
 
-// heldShard is one shard that the node keeps. Server.mutex guards its fields.
-type heldShard struct {
-	keeper   *quota.Keeper
-	part     float64         // most of a limit that one share is
-	epoch    int64           // of its shares: the record's revision at the takeover
-	revision int64           // of the record now
-	joining  map[string]bool // nodes that are not in the record yet
-	writing  bool            // the record is being written
+// shardState is the state of a shard that this node keeps. Server.mutex guards its fields.
+type shardState struct {
+	keeper         *quota.Keeper
+	maxShare       float64         // upper bound of a share, as a fraction of the limit
+	epoch          int64           // revision of the record at the takeover
+	revision       int64           // current revision of the record
+	joiningHolders map[string]bool // nodes that are not yet listed in the record
+	writing        bool            // a write of the record is scheduled or in progress
 }
 
-// NewServer makes a server that keeps no shard yet.
+// NewServer returns a server that keeps no shards.
 func NewServer(options Options, keepers *Keepers) *Server {
-	return &Server{options: options, keepers: keepers, takeovers: make(chan struct{}, 1), held: map[int]*heldShard{}, absentSince: map[int]time.Duration{}, takingOver: map[int]bool{}}
+	return &Server{options: options, keepers: keepers, takeovers: make(chan struct{}, 1), shards: map[int]*shardState{}, absentSince: map[int]time.Duration{}, takingOver: map[int]bool{}}
 }
 
-// Run renews the lease, and takes nodes that hold nothing off the records, until ctx ends.
+// Run renews the lease and prunes inactive holders until ctx is done.
 func (s *Server) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		rest := renewEvery
+		delay := renewInterval
 		s.prune()
-		if lease := s.leaseInUse(); lease != nil && !s.renew(ctx, lease) {
-			rest = renewAgain
+		if lease := s.activeLease(); lease != nil && !s.renew(ctx, lease) {
+			delay = renewRetryDelay
 		}
-		wait.For(ctx, rest)
+		wait.For(ctx, delay)
 	}
 }
 
-// leaseInUse returns the lease of the shards that the node keeps; nil: it keeps none. A lease
-// that has ended by the node's own clock is renewed all the same: the store may not have let
-// it expire while it was away, and while the record is there nobody else can take over.
-func (s *Server) leaseInUse() *store.Lease {
+// activeLease returns the lease of the shards that this node keeps, or nil if it keeps none. It
+// also returns a lease that has expired by the local clock: the store may not have expired it,
+// and no other node can take over while the records exist.
+func (s *Server) activeLease() *store.Lease {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if len(s.held) == 0 {
+	if len(s.shards) == 0 {
 		return nil
 	}
-	if ended := s.options.Now() >= s.leaseEnds; ended != s.paused {
-		s.pauseLocked(ended)
+	if expired := s.options.Now() >= s.leaseExpires; expired != s.paused {
+		s.setPausedLocked(expired)
 	}
 	return s.lease
 }
 
-// acquireLease returns the lease of the shards that the node keeps, or takes a new one.
+// acquireLease returns the current lease if it can be used for another shard, and a new one
+// otherwise.
 func (s *Server) acquireLease(ctx context.Context) (*store.Lease, error) {
-	s.leaseInUse()
+	s.activeLease()
 	s.mutex.Lock()
-	known, left := s.lease, s.leaseEnds-s.options.Now()
+	known, left := s.lease, s.leaseExpires-s.options.Now()
 	s.mutex.Unlock()
-	// A lease without shards is not renewed, so it is only used again while it is young.
-	if known != nil && (s.keeps() || left > leaseTTL/2) {
+	// A lease without shards is not renewed, so reuse it only if enough of its TTL is left.
+	if known != nil && (s.keepsAny() || left > leaseTTL/2) {
 		return known, nil
 	}
 	began := s.options.Now()
@@ -123,38 +123,39 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	lease.TTL = min(lease.TTL, leaseTTL)
-	s.lease, s.leaseEnds = &lease, began+lease.TTL
+	s.lease, s.leaseExpires = &lease, began+lease.TTL
 	return s.lease, nil
 }
 
-// pauseLocked notes that leaseEnds has passed, or that the lease was renewed after that.
-func (s *Server) pauseLocked(ended bool) {
-	s.paused = ended
+// setPausedLocked records and logs that the lease has expired by the local clock, or that it has
+// been renewed afterwards.
+func (s *Server) setPausedLocked(paused bool) {
+	s.paused = paused
 	change := "resumed"
-	if ended {
+	if paused {
 		change = "paused"
 	}
-	for shard, held := range s.held {
-		s.options.Events.Add(eventlog.Keeper{Shard: shard, Change: change, Epoch: held.epoch}, eventlog.State)
+	for shard, state := range s.shards {
+		s.options.Events.Add(eventlog.Keeper{Shard: shard, Change: change, Epoch: state.epoch}, eventlog.State)
 	}
 }
 
-// keeps reports whether the node is the keeper of any shard.
-func (s *Server) keeps() bool {
+// keepsAny reports whether this node is the keeper of any shard.
+func (s *Server) keepsAny() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return len(s.held) > 0
+	return len(s.shards) > 0
 }
 
-// dropAllLocked stops keeping all shards: their lease is gone.
-func (s *Server) dropAllLocked(why string) {
-	for shard, held := range s.held {
-		s.options.Events.Add(eventlog.Keeper{Shard: shard, Change: "ended", Epoch: held.epoch, Error: why}, eventlog.State)
+// dropAllLocked stops serving all shards after the lease was lost.
+func (s *Server) dropAllLocked(reason string) {
+	for shard, state := range s.shards {
+		s.options.Events.Add(eventlog.Keeper{Shard: shard, Change: "ended", Epoch: state.epoch, Error: reason}, eventlog.State)
 	}
-	s.held, s.lease, s.paused = map[int]*heldShard{}, nil, false
+	s.shards, s.lease, s.paused = map[int]*shardState{}, nil, false
 }
 
-// renew renews the lease and reports whether the store has done so.
+// renew renews the lease and reports whether that succeeded.
 func (s *Server) renew(ctx context.Context, lease *store.Lease) bool {
 	began := s.options.Now()
 	call, cancel := context.WithTimeout(ctx, storeTimeout)
@@ -165,62 +166,62 @@
 	defer s.mutex.Unlock()
 	switch {
 	case err == nil && s.lease == lease:
-		s.leaseEnds = max(s.leaseEnds, began+lease.TTL)
+		s.leaseExpires = max(s.leaseExpires, began+lease.TTL)
 	case errors.Is(err, store.ErrLeaseGone) && s.lease == lease:
-		s.dropAllLocked("lease is gone")
+		s.dropAllLocked("store no longer has the lease")
 	}
 	return err == nil
 }
 
-// prune takes nodes that have held nothing for pruneAfter off the records.
+// prune removes holders without shares from the records after pruneAfter.
 func (s *Server) prune() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	for shard, held := range s.held {
-		if held.keeper.Prune(s.options.Now(), pruneAfter) && !held.writing {
-			held.writing = true
-			go s.writeNames(shard, held)
+	for shard, state := range s.shards {
+		if state.keeper.Prune(s.options.Now(), pruneAfter) && !state.writing {
+			state.writing = true
+			go s.updateHolders(shard, state)
 		}
 	}
 }
 
-// ServeHTTP answers the limiter of another node.
+// ServeHTTP answers a request from the limiter of another node.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	asked, read := peer.ReadMessage(w, r, wire.QuotaAskCodec)
-	if !read {
+	request, ok := peer.ReadMessage(w, r, wire.QuotaAskCodec)
+	if !ok {
 		return
 	}
-	peer.WriteMessage(w, wire.QuotaAnswerCodec, s.Answer(asked))
+	peer.WriteMessage(w, wire.QuotaAnswerCodec, s.Answer(request))
 }
 
-// Answer gives a limiter shares and tokens of the tenants of a shard. A node that is not listed
-// in the record gets none before it is.
-func (s *Server) Answer(asked *wire.QuotaAsk) *wire.QuotaAnswer {
+// Answer allocates shares and tokens to the node that sent the request. If the node is not yet
+// listed in the record, it is added and receives nothing.
+func (s *Server) Answer(request *wire.QuotaAsk) *wire.QuotaAnswer {
 	answer := &wire.QuotaAnswer{Allotments: []wire.QuotaAllotment{}}
 	current := s.options.Configuration.Load()
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	held, now := s.held[asked.Shard], s.options.Now()
-	if held == nil || now >= s.leaseEnds || current == nil {
+	state, now := s.shards[request.Shard], s.options.Now()
+	if state == nil || now >= s.leaseExpires || current == nil {
 		return answer
 	}
 	answer.Keeps = true
-	if !held.keeper.Lists(asked.Holder) {
-		s.addNameLocked(asked.Shard, held, asked.Holder)
+	if !state.keeper.Lists(request.Holder) {
+		s.addHolderLocked(request.Shard, state, request.Holder)
 		return answer
 	}
-	answer.Listed, answer.Epoch = true, held.epoch
-	process, left := asked.Holder+"/"+asked.Incarnation, s.leaseEnds-now
-	for index := range asked.Reports {
-		report := reportOf(&asked.Reports[index])
+	answer.Listed, answer.Epoch = true, state.epoch
+	process, remaining := request.Holder+"/"+request.Incarnation, s.leaseExpires-now
+	for i := range request.Reports {
+		report := reportFromWire(&request.Reports[i])
 		limit := quota.Limit{}
 		if tenant := current.Tenant(report.Tenant); tenant != nil {
 			limit = quota.Limit{Rate: tenant.Rate, Burst: tenant.Burst}
 		}
-		answer.Allotments = append(answer.Allotments, allotmentTo(held.keeper.Answer(now, asked.Holder, process, limit, report, left)))
+		answer.Allotments = append(answer.Allotments, allotmentToWire(state.keeper.Answer(now, request.Holder, process, limit, report, remaining)))
 	}
-	if asked.Complete {
-		held.keeper.Heard(now, asked.Holder)
+	if request.Complete {
+		state.keeper.Heard(now, request.Holder)
 	}
 	return answer
 }
--- a/internal/sidecar/quotas/takeover.go
+++ b/internal/sidecar/quotas/takeover.go
@@ -16,75 +16,75 @@
 	"github.com/landingmast/landingmast/internal/wire"
 )
 
-// Fill takes over the shards of which the store has no keeper. The follower of each zone calls
-// it again and again; it waits until it is the turn of this zone.
+// Fill takes over shards that have no record in the store. The follower of each zone calls it
+// periodically; takeovers are staggered by the rank of the zone.
 func (s *Server) Fill(ctx context.Context) {
-	if s.options.Stopping() || !s.options.limited() {
+	if s.options.Stopping() || !s.options.anyTenantLimited() {
 		return
 	}
 	now := s.options.Now()
 	zones := s.options.Membership.ZoneNames()
-	without := map[int]bool{}
-	for _, shard := range s.keepers.Without() {
-		without[shard] = true
+	vacant := map[int]bool{}
+	for _, shard := range s.keepers.AbsentShards() {
+		vacant[shard] = true
 		since, seen := s.absentSince[shard]
 		if !seen {
 			s.absentSince[shard], since = now, now
 		}
-		if now-since >= turnStep*time.Duration(turnOf(shard, s.options.Settings().Zone, zones)) {
-			s.beginTakeOver(ctx, shard, nil)
+		if now-since >= takeoverStagger*time.Duration(zoneRank(shard, s.options.Settings().Zone, zones)) {
+			s.startTakeover(ctx, shard, nil)
 		}
 	}
 	for shard := range s.absentSince {
-		if !without[shard] {
+		if !vacant[shard] {
 			delete(s.absentSince, shard)
 		}
 	}
 }
 
-// Resume takes over the shards that an earlier process of this node kept. It need not wait for
-// the lease of that process to end.
+// Resume takes over the shards of an earlier process of this node, without waiting for the
+// lease of that process to expire.
 func (s *Server) Resume(ctx context.Context) {
 	own := s.options.Settings()
 	for _, keeper := range s.keepers.All() {
 		if keeper.Node == own.Node && keeper.Address == own.Listen.Inbound && keeper.Incarnation != s.options.Incarnation {
-			s.beginTakeOver(ctx, keeper.Shard, &keeper)
+			s.startTakeover(ctx, keeper.Shard, &keeper)
 		}
 	}
 }
 
-// Replace takes over a shard whose keeper's process has ended: nobody listens at its address
-// any more. Only the follower of a zone does so, in turn. What that keeper gave is learned from
-// the reports of the nodes; the shares of a node whose process has ended too went with it.
-func (s *Server) Replace(ctx context.Context, gone *wire.Keeper) {
+// Replace takes over a shard whose keeper refuses connections, so its process has ended. It
+// does nothing unless this node is the follower of its zone. The new keeper learns from the
+// nodes' reports which shares are allocated.
+func (s *Server) Replace(ctx context.Context, failed *wire.Keeper) {
 	if s.options.Stopping() || !s.options.Follower.Reaches() {
 		return
 	}
-	turn := turnOf(gone.Shard, s.options.Settings().Zone, s.options.Membership.ZoneNames())
-	wait.For(ctx, replaceStep*time.Duration(turn))
-	if known := s.keepers.Of(gone.Shard); known != nil && known.Revision == gone.Revision {
-		s.beginTakeOver(ctx, gone.Shard, gone)
+	rank := zoneRank(failed.Shard, s.options.Settings().Zone, s.options.Membership.ZoneNames())
+	wait.For(ctx, replaceStagger*time.Duration(rank))
+	if known := s.keepers.Get(failed.Shard); known != nil && known.Revision == failed.Revision {
+		s.startTakeover(ctx, failed.Shard, failed)
 	}
 }
 
-// settle pings the nodes that a new keeper has not heard from, until there are none left. If
-// nobody listens at a node's address its process has ended, and it holds nothing.
-func (s *Server) settle(ctx context.Context) {
-	for wait.For(ctx, settleAfter); ctx.Err() == nil; wait.For(ctx, settleEvery) {
-		awaited := s.awaited()
-		if len(awaited) == 0 {
+// probeHolders pings the holders that have not sent a full report to this keeper, until none
+// are left. If a holder refuses the connection, its process has ended and it has no shares.
+func (s *Server) probeHolders(ctx context.Context) {
+	for wait.For(ctx, probeDelay); ctx.Err() == nil; wait.For(ctx, probeInterval) {
+		unreported := s.unreportedHolders()
+		if len(unreported) == 0 {
 			return
 		}
-		var asked sync.WaitGroup
-		for _, holder := range awaited {
-			asked.Go(func() { s.settleHolder(ctx, holder) })
+		var probes sync.WaitGroup
+		for _, holder := range unreported {
+			probes.Go(func() { s.probeHolder(ctx, holder) })
 		}
-		asked.Wait()
+		probes.Wait()
 	}
 }
 
-// settleHolder pings one of them.
-func (s *Server) settleHolder(ctx context.Context, holder string) {
+// probeHolder pings a holder and marks it as reported if it refuses the connection.
+func (s *Server) probeHolder(ctx context.Context, holder string) {
 	call, cancel := context.WithTimeout(ctx, peer.PingTimeout)
 	defer cancel()
 	if err := s.options.Peers.PingPeer(call, addressOfHolder(holder)); !errors.Is(err, syscall.ECONNREFUSED) {
@@ -92,37 +92,38 @@
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	for _, held := range s.held {
-		held.keeper.Heard(s.options.Now(), holder)
+	for _, state := range s.shards {
+		state.keeper.Heard(s.options.Now(), holder)
 	}
 }
 
-// awaited lists the holders that this node has not heard from as a keeper.
-func (s *Server) awaited() []string {
+// unreportedHolders returns the holders that have not yet sent a full report to this keeper.
+func (s *Server) unreportedHolders() []string {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	var found []string
-	for _, held := range s.held {
-		for _, holder := range held.keeper.Awaited(s.options.Now()) {
-			if !slices.Contains(found, holder) {
-				found = append(found, holder)
+	var holders []string
+	for _, state := range s.shards {
+		for _, holder := range state.keeper.Awaited(s.options.Now()) {
+			if !slices.Contains(holders, holder) {
+				holders = append(holders, holder)
 			}
 		}
 	}
-	return found
+	return holders
 }
 
-// beginTakeOver takes a shard over in the background, unless that is under way or done. gone is
-// the keeper whose process has ended; nil: the store has no keeper.
-func (s *Server) beginTakeOver(ctx context.Context, shard int, gone *wire.Keeper) {
+// startTakeover takes over a shard in the background, unless this node already keeps it or a
+// takeover is in progress. failed is the keeper whose process has ended; nil means that the
+// shard has no record.
+func (s *Server) startTakeover(ctx context.Context, shard int, failed *wire.Keeper) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.takingOver[shard] || s.held[shard] != nil {
+	if s.takingOver[shard] || s.shards[shard] != nil {
 		return
 	}
 	s.takingOver[shard] = true
 	go func() {
-		err := s.takeOver(ctx, shard, gone)
+		err := s.takeOver(ctx, shard, failed)
 		if err != nil {
 			s.options.Events.Add(eventlog.Keeper{Shard: shard, Change: "not taken over", Error: err.Error()}, eventlog.Failure)
 		}
@@ -132,24 +133,25 @@
 	}()
 }
 
-// takeover is one takeover of a shard.
+// takeover is the state of a takeover of a shard.
 type takeover struct {
 	shard    int
-	gone     *wire.Keeper // whose process has ended; nil: the store has no keeper
-	revision int64        // that the record must still have; 0: there must be none
-	before   quota.Before // what the record says of the keeper before
-	names    []string     // of the nodes that may hold shares
-	part     float64      // most of a limit that one share is
+	failed   *wire.Keeper // keeper whose process has ended; nil if the shard has no record
+	revision int64        // expected revision of the record; 0 if there is none
+	prior    quota.Before // allocation state recorded by the previous keeper
+	holders  []string     // nodes that may hold shares
+	maxShare float64      // upper bound of a share, as a fraction of the limit
 }
 
-// takeOver writes this node into the record of a shard and begins to keep it.
-func (s *Server) takeOver(ctx context.Context, shard int, gone *wire.Keeper) error {
+// takeOver writes a record that names this node as the keeper of a shard, and starts to serve
+// the shard.
+func (s *Server) takeOver(ctx context.Context, shard int, failed *wire.Keeper) error {
 	s.takeovers <- struct{}{}
 	defer func() { <-s.takeovers }()
-	t := &takeover{shard: shard, gone: gone}
-	if gone != nil {
-		follows, err := s.readBefore(ctx, t)
-		if err != nil || !follows {
+	t := &takeover{shard: shard, failed: failed}
+	if failed != nil {
+		replaceable, err := s.readPrior(ctx, t)
+		if err != nil || !replaceable {
 			return err
 		}
 	}
@@ -157,71 +159,71 @@
 	if err != nil {
 		return err
 	}
-	s.listHolders(t)
-	epoch, err := s.writeRecord(ctx, shard, lease.ID, t.names, t.part, t.revision)
+	s.selectHolders(t)
+	epoch, err := s.writeRecord(ctx, shard, lease.ID, t.holders, t.maxShare, t.revision)
 	if err != nil {
 		return err
 	}
-	return s.keep(ctx, t, lease, epoch)
+	return s.startKeeping(ctx, t, lease, epoch)
 }
 
-// readBefore reads the record of the keeper before. It returns false if the record is not that
-// of the process that has ended: then there is nothing to follow.
-func (s *Server) readBefore(ctx context.Context, t *takeover) (bool, error) {
+// readPrior reads the record of the failed keeper. It returns false if the record was written
+// by a different process, in which case the shard must not be taken over.
+func (s *Server) readPrior(ctx context.Context, t *takeover) (bool, error) {
 	item, record, err := s.readRecord(ctx, t.shard)
-	if err != nil || !s.mayFollow(t.gone, record) {
+	if err != nil || !s.mayReplace(t.failed, record) {
 		return false, err
 	}
 	t.revision = item.Revision
-	// The keeper before may have given shares that last as long as its lease would have.
-	t.before = quota.Before{Listed: record.Listed, Part: record.Part, Ends: s.options.Now() + leaseTTL}
+	// Shares of the previous keeper may be valid for up to the TTL of its lease.
+	t.prior = quota.Before{Listed: record.Listed, Part: record.Part, Ends: s.options.Now() + leaseTTL}
 	return true, nil
 }
 
-// listHolders chooses the nodes that the record lists, and the largest share.
-func (s *Server) listHolders(t *takeover) {
-	if t.gone != nil {
-		// A listed node may be heard from only by the next keeper, so what it may hold by the
-		// record must not shrink.
-		t.names, t.part = t.before.Listed, t.before.Part
+// selectHolders sets the holders to list in the record and the upper bound of a share.
+func (s *Server) selectHolders(t *takeover) {
+	if t.failed != nil {
+		// A holder might not report before the next takeover, so the record must keep covering
+		// the shares that it may have from the previous keeper.
+		t.holders, t.maxShare = t.prior.Listed, t.prior.Part
 		return
 	}
 	for _, record := range s.options.Membership.All() {
-		t.names = append(t.names, holderName(record.Node, record.Address))
+		t.holders = append(t.holders, holderName(record.Node, record.Address))
 	}
-	t.part = quota.PartOf(len(t.names))
+	t.maxShare = quota.PartOf(len(t.holders))
 }
 
-// keep begins to keep a shard; epoch is the revision of the record that was written.
-func (s *Server) keep(ctx context.Context, t *takeover, lease *store.Lease, epoch int64) error {
+// startKeeping starts to serve a shard. epoch is the revision of the record just written.
+func (s *Server) startKeeping(ctx context.Context, t *takeover, lease *store.Lease, epoch int64) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.lease != lease {
-		return errors.New("lease ended meanwhile")
+		return errors.New("lease was lost during the takeover")
 	}
 	now := s.options.Now()
-	keeper := quota.NewKeeper(s.options.bound(), epoch, now, t.part, t.before)
-	if t.gone == nil {
-		keeper.List(now, t.names)
+	keeper := quota.NewKeeper(s.options.quotaConfig(), epoch, now, t.maxShare, t.prior)
+	if t.failed == nil {
+		keeper.List(now, t.holders)
 	}
-	s.held[t.shard] = &heldShard{keeper: keeper, part: t.part, epoch: epoch, revision: epoch, joining: map[string]bool{}}
+	s.shards[t.shard] = &shardState{keeper: keeper, maxShare: t.maxShare, epoch: epoch, revision: epoch, joiningHolders: map[string]bool{}}
 	s.keepers.Learn(s.ownKeeper(t.shard, epoch))
-	if t.gone != nil {
-		go s.settle(ctx)
+	if t.failed != nil {
+		go s.probeHolders(ctx)
 	}
-	s.options.Events.Add(eventlog.Keeper{Shard: t.shard, Change: "taken over", Epoch: epoch, Listed: len(t.before.Listed)}, eventlog.State)
+	s.options.Events.Add(eventlog.Keeper{Shard: t.shard, Change: "taken over", Epoch: epoch, Listed: len(t.prior.Listed)}, eventlog.State)
 	return nil
 }
 
-// mayFollow reports whether a record is that of a process that has ended: the one that was
-// found gone, or any earlier one of this node.
-func (s *Server) mayFollow(gone *wire.Keeper, record *wire.KeeperRecord) bool {
+// mayReplace reports whether a record was written by a process that has ended: the failed
+// keeper or any earlier process of this node.
+func (s *Server) mayReplace(failed *wire.Keeper, record *wire.KeeperRecord) bool {
 	switch {
-	case record == nil || record.Node != gone.Node || record.Address != gone.Address:
+	case record == nil || record.Node != failed.Node || record.Address != failed.Address:
 		return false
-	case gone.Node == s.options.Settings().Node:
+	case failed.Node == s.options.Settings().Node:
 		return record.Incarnation != s.options.Incarnation
 	default:
-		return record.Incarnation == gone.Incarnation
+		return record.Incarnation == failed.Incarnation
 	}
 }
