--- a/internal/sidecar/heldback/exchange.go
+++ b/internal/sidecar/heldback/exchange.go
@@ -12,25 +12,25 @@
 	"github.com/landingmast/landingmast/internal/wire"
 )
 
-// Path is where a node takes the evidence of another one.
+// Path is the HTTP path of evidence sent by other nodes.
 const Path = "/crashes"
 
-// Times of messages between nodes.
+// Intervals and timeouts of messages between nodes.
 const (
-	// endGather joins the runs that break off as a target ends in one broadcast; the next
-	// target may end some tens of ms later.
-	endGather = 5 * time.Millisecond
-	// clearGather joins requests that end well after one end: dozens within half a second.
-	clearGather = 200 * time.Millisecond
-	// compareEvery is the mean time between two comparisons with another node.
-	compareEvery = time.Second
-	// compareFirst is how long after its start a node without evidence makes comparisons.
-	compareFirst = 10 * time.Second
-	// compareTimeout bounds a comparison, both messages of it.
+	// crashBatchDelay collects the requests that fail when a target crashes into one broadcast.
+	crashBatchDelay = 5 * time.Millisecond
+	// clearBatchDelay collects requests that succeed after a crash into one broadcast.
+	clearBatchDelay = 200 * time.Millisecond
+	// compareInterval is the mean time between comparisons with another node.
+	compareInterval = time.Second
+	// startupComparePeriod is the time after its start in which a node compares even if it has no
+	// evidence.
+	startupComparePeriod = 10 * time.Second
+	// compareTimeout bounds both messages of a comparison.
 	compareTimeout = 500 * time.Millisecond
 )
 
-// broadcastPending sends the evidence that was gathered to all nodes.
+// broadcastPending sends pending changes of the evidence to all nodes.
 func (c *Control) broadcastPending() {
 	c.mutex.Lock()
 	message := &wire.Crashes{Digest: int64(c.ledger.Digest()), Evidence: wire.CrashForms(c.pending)}
@@ -42,7 +42,7 @@
 	broadcast.ToZones(c.options.Nodes.Addresses(), c.options.Zone, c.sender(message))
 }
 
-// sender returns a function that sends a message to one node.
+// sender returns a broadcast.Send for a message.
 func (c *Control) sender(message *wire.Crashes) broadcast.Send {
 	return func(address string, forward []string) error {
 		sent := *message
@@ -54,28 +54,29 @@
 	}
 }
 
-// post sends a message to the node at an address and returns its answer; nil: it is empty.
+// post sends a message to the node at address. It returns nil if the answer is empty.
 func (c *Control) post(ctx context.Context, address string, message *wire.Crashes) (*wire.Crashes, error) {
 	data, err := wire.CrashesCodec.Encode(message)
 	if err != nil {
 		return nil, err
 	}
-	read, err := c.options.Peers.Post(ctx, address, Path, data)
-	if err != nil || len(read) == 0 {
+	body, err := c.options.Peers.Post(ctx, address, Path, data)
+	if err != nil || len(body) == 0 {
 		return nil, err
 	}
-	return wire.CrashesCodec.Decode(read)
+	return wire.CrashesCodec.Decode(body)
 }
 
-// ServeHTTP adds the evidence of another node. It answers a comparison, and passes a broadcast on.
+// ServeHTTP merges the evidence of another node. It answers a comparison with the evidence of
+// this node, and forwards a broadcast.
 func (c *Control) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	message, read := peer.ReadMessage(w, r, wire.CrashesCodec)
-	if !read {
+	message, ok := peer.ReadMessage(w, r, wire.CrashesCodec)
+	if !ok {
 		return
 	}
-	c.receive(message.Known())
+	c.merge(message.Known())
 	if message.Asks {
-		peer.WriteMessage(w, wire.CrashesCodec, c.differingFrom(message.Digest))
+		peer.WriteMessage(w, wire.CrashesCodec, c.evidenceFor(message.Digest))
 		return
 	}
 	peer.BareAnswer(w)
@@ -83,9 +84,9 @@
 	broadcast.ToNodes(message.Forward, c.sender(message))
 }
 
-// differingFrom returns all evidence for a node whose evidence has another digest than the
-// own, none for one that has the same.
-func (c *Control) differingFrom(digest int64) *wire.Crashes {
+// evidenceFor returns a message with all evidence, or with none if the digest of the receiver's
+// evidence is the same.
+func (c *Control) evidenceFor(digest int64) *wire.Crashes {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	message := &wire.Crashes{Digest: int64(c.ledger.Digest()), Evidence: []wire.CrashEvidence{}, Forward: []string{}}
@@ -95,12 +96,12 @@
 	return message
 }
 
-// Run compares evidence with other nodes until ctx ends, so that a node that missed a
-// broadcast, or came back without evidence, gets the rest.
+// Run periodically compares evidence with another node until ctx is done. This anti-entropy
+// repairs missed broadcasts and restores the evidence of a restarted node.
 func (c *Control) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		wait.For(ctx, compareEvery/2+time.Duration(rand.Int64N(int64(compareEvery))))
-		if c.empty() && c.options.Now() > compareFirst {
+		wait.For(ctx, compareInterval/2+time.Duration(rand.Int64N(int64(compareInterval))))
+		if c.empty() && c.options.Now() > startupComparePeriod {
 			continue
 		}
 		if address := c.options.Nodes.AnyAddress(); address != "" {
@@ -115,9 +116,8 @@
 	return c.ledger.Len() == 0
 }
 
-// Compare exchanges evidence with the node at an address if the digests differ; after it both
-// have the same. An error is not logged: a message that is lost is made up for by the next
-// comparison, about a second later.
+// Compare exchanges evidence with the node at address if the digests differ. Errors are ignored,
+// since the next comparison repairs the difference.
 func (c *Control) Compare(ctx context.Context, address string) {
 	ctx, cancel := context.WithTimeout(ctx, compareTimeout)
 	defer cancel()
@@ -128,8 +128,8 @@
 	if err != nil || answer == nil || answer.Digest == own {
 		return
 	}
-	c.receive(answer.Known())
-	if missing := c.differingFrom(answer.Digest); len(missing.Evidence) > 0 {
+	c.merge(answer.Known())
+	if missing := c.evidenceFor(answer.Digest); len(missing.Evidence) > 0 {
 		_, _ = c.post(ctx, address, missing)
 	}
 }
--- a/internal/sidecar/heldback/heldback.go
+++ b/internal/sidecar/heldback/heldback.go
@@ -1,17 +1,17 @@
-// Package heldback keeps a node from sending requests that end the targets that run them.
+// Package heldback blocks poison requests: requests that crash the targets that process them.
 //
-// It owns the node's evidence, which is what targets were running when they ended, and the
-// requests that the target beside the node has answered of late. From these it decides whether
-// a request may be sent, whether it has to be the only suspected one at its target, and
-// whether this node is the one that tries a doubtful one; the rule is that of package crashes.
+// A Control collects evidence, which records the requests in flight at a target when it
+// crashed, and remembers the requests that the local target has recently completed. From these
+// it decides whether a request may be sent, whether it must be the only suspect at its target,
+// and whether this node may send a trial of a doubtful one. Package core/crashes implements
+// the rules.
 //
-// Evidence reaches the other nodes in three ways: by a broadcast as soon as it is new, by a
-// comparison with a random node each second, and by the store, where the nodes that follow
-// the store keep what has to last when all nodes lose power.
+// Evidence is replicated in three ways: new evidence is broadcast to all nodes, each node
+// compares its evidence with a random peer about every second, and the nodes that follow the
+// store save the evidence that must survive a restart of all nodes.
 //
-// It relies on package broadcast for the tree of a broadcast and on package peer for the
-// connections. Which nodes there are, and when a target has ended, it learns from the node
-// that makes it. All of it is safe for concurrent use, but for Request.
+// The package relies on package broadcast for fan-out and on package peer for connections. All
+// types but Request are safe for concurrent use.
 package heldback
 
 import (
@@ -26,66 +26,65 @@
 	"github.com/landingmast/landingmast/internal/store"
 )
 
-// Control decides for one node which requests are held back. It is safe for concurrent use.
+// Control decides which requests a node blocks. It is safe for concurrent use.
 type Control struct {
 	options Options
-	good    recentlyGood
+	recent  recentSuccesses
 
-	// suspects is whether any request is suspected. While none is, no fingerprint has to be
-	// computed.
+	// suspects is set while any request is suspected. Otherwise no fingerprints are computed.
 	suspects atomic.Bool
 
 	mutex     sync.Mutex
 	ledger    *crashes.Ledger
-	pending   []crashes.Evidence       // for the next broadcast
-	scheduled bool                     // a broadcast is about to begin
-	held      map[crashes.Content]bool // as it was logged last
-	trials    map[crashes.Content]bool // doubtful contents of which this node has a request under way
+	pending   []crashes.Evidence       // changes for the next broadcast
+	scheduled bool                     // a broadcast is scheduled
+	held      map[crashes.Content]bool // contents last logged as held back
+	trials    map[crashes.Content]bool // contents with a trial in flight
 	stored    storedEvidence
 }
 
-// Nodes are the other nodes, as membership knows them.
+// Nodes provides the known nodes.
 type Nodes interface {
-	// IsFirstFor is whether this node comes before all others for a key.
+	// IsFirstFor reports whether this node ranks first among all nodes for a key.
 	IsFirstFor(key []byte) bool
-	// Addresses are those of the other nodes by zone.
+	// Addresses returns the addresses of the other nodes by zone.
 	Addresses() map[string][]string
-	// AnyAddress is that of another node chosen at random; empty: none is known.
+	// AnyAddress returns the address of a random other node, or an empty string.
 	AnyAddress() string
 }
 
-// Options are what the parts of a node bring in.
+// Options configure a Control and connect it to the other parts of a node.
 type Options struct {
-	Zone    string               // of the node
-	Enabled func() bool          // requests are held back at all
-	Now     func() time.Duration // the clock that counts suspensions
+	Zone    string               // zone of this node
+	Enabled func() bool          // whether requests are blocked at all
+	Now     func() time.Duration // time since start, including suspensions of the machine
 	Nodes   Nodes
 	Peers   *peer.Client
 	Events  *eventlog.Log
-	Store   store.Store // nil: none; Save must not be called then
-	Key     string      // of the evidence in the store
+	Store   store.Store // nil if the node has no store, in which case Save must not be called
+	Key     string      // store key of the evidence
 	Health  *storehealth.Health
 }
 
-// New makes the control of a node that has no evidence yet.
+// New returns a Control without evidence.
 func New(options Options) *Control {
 	return &Control{options: options, ledger: crashes.New(crashes.DefaultConfig()), held: map[crashes.Content]bool{}, trials: map[crashes.Content]bool{}}
 }
 
-// state is the state of a request by all evidence and by what ended well here of late.
+// state returns the state of a request, based on all evidence and on recent local successes.
 func (c *Control) state(r *Request) crashes.State {
 	if !c.suspects.Load() || !c.options.Enabled() {
 		return crashes.Free
 	}
 	fingerprint := r.Fingerprint()
-	recently := c.good.holds(c.options.Now(), fingerprint.Variant)
+	recently := c.recent.contains(c.options.Now(), fingerprint.Variant)
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.ledger.State(fingerprint, recently)
 }
 
-// MaySend reports whether a request may be sent to the target beside the node. A doubtful one
-// may if it is the trial of the node where it began.
+// MaySend reports whether a request may be sent to the local target. A doubtful request may be
+// sent only if it is marked as a trial.
 func (c *Control) MaySend(r *Request) bool {
 	switch c.state(r) {
 	case crashes.Held:
@@ -96,25 +95,25 @@
 	return true
 }
 
-// Suspected reports whether a request has to be the only suspected one at its target, since a
-// target has ended with it.
+// Suspected reports whether a request was in flight at a target that crashed, so that it must be
+// the only suspect at its target.
 func (c *Control) Suspected(r *Request) bool {
-	if r.Call.Suspect && c.options.Enabled() && !c.good.holds(c.options.Now(), r.Fingerprint().Variant) {
+	if r.Call.Suspect && c.options.Enabled() && !c.recent.contains(c.options.Now(), r.Fingerprint().Variant) {
 		return true
 	}
 	return c.state(r) != crashes.Free
 }
 
-// Verdict is what becomes of a request at the node where it begins.
+// Verdict is the decision on a request at the node where it enters.
 type Verdict struct {
 	Refused bool
-	// EndTrial is called at the end of a request that is sent as the only one of its
-	// content; nil: it is sent as any other.
+	// EndTrial is set if the request is a trial, and must be called when the request has
+	// ended.
 	EndTrial func()
 }
 
-// AtStart decides on a request at the node where it begins. What ended well of late is known
-// only beside the targets: a request that may have is not refused here.
+// AtStart decides on a request at the node where it enters. Recent successes are known only at
+// the nodes of the targets, so a request that could be cleared by one is not refused here.
 func (c *Control) AtStart(r *Request) Verdict {
 	if !c.suspects.Load() || !c.options.Enabled() {
 		return Verdict{}
@@ -142,28 +141,27 @@
 	delete(c.trials, content)
 }
 
-// TargetEnded adds the runs that were at the target beside the node when it ended, an instance
-// of a service. A run is left out if the same request ended well here of late: it is not what
-// ended the target.
+// TargetEnded adds evidence against the requests that were in flight at the local target, an
+// instance of a service, when it crashed. Requests that have recently succeeded are skipped.
 func (c *Control) TargetEnded(instance, service string, runs []Run) {
 	at := time.Now().UnixMilli()
 	evidence := make([]crashes.Evidence, 0, len(runs))
 	for _, run := range runs {
-		if !c.good.holds(c.options.Now(), run.Fingerprint.Variant) {
+		if !c.recent.contains(c.options.Now(), run.Fingerprint.Variant) {
 			evidence = append(evidence, crashes.Evidence{Print: run.Fingerprint, Instance: instance, Service: service, Route: run.Route, At: at, Alone: run.Alone})
 		}
 	}
 	c.add(evidence)
 }
 
-// EndedWell notes that the target beside the node answered a request. Evidence against it is
-// cleared at all nodes.
+// EndedWell records that the local target completed a request, and clears the evidence against
+// the request at all nodes.
 func (c *Control) EndedWell(r *Request) {
 	if !c.options.Enabled() {
 		return
 	}
 	fingerprint := r.Fingerprint()
-	c.good.add(c.options.Now(), fingerprint.Variant)
+	c.recent.add(c.options.Now(), fingerprint.Variant)
 	if c.suspects.Load() {
 		c.clear(fingerprint)
 	}
@@ -173,50 +171,50 @@
 	c.mutex.Lock()
 	cleared := c.ledger.EndedWell(fingerprint)
 	c.mutex.Unlock()
-	c.publish(cleared, clearGather)
+	c.publish(cleared, clearBatchDelay)
 }
 
-// add adds evidence that other nodes may not have.
+// add adds new evidence and broadcasts it.
 func (c *Control) add(evidence []crashes.Evidence) {
 	c.mutex.Lock()
 	added := c.ledger.Add(evidence...)
 	c.mutex.Unlock()
-	c.publish(added, endGather)
+	c.publish(added, crashBatchDelay)
 }
 
-// receive adds evidence that another node has sent to all. Evidence against a request that
-// ended well here of late is cleared at all nodes.
-func (c *Control) receive(evidence []crashes.Evidence) {
+// merge adds evidence received from another node. It clears evidence against requests that have
+// recently succeeded here.
+func (c *Control) merge(evidence []crashes.Evidence) {
 	c.mutex.Lock()
 	added := c.ledger.Add(evidence...)
 	c.mutex.Unlock()
-	c.logChanges(added)
-	for _, one := range added {
-		if !one.Cleared && c.good.holds(c.options.Now(), one.Variant) {
-			c.clear(one.Print)
+	c.updateHeld(added)
+	for _, e := range added {
+		if !e.Cleared && c.recent.contains(c.options.Now(), e.Variant) {
+			c.clear(e.Print)
 		}
 	}
 }
 
-// publish logs evidence that was added or cleared here and sends it to all nodes after a time
-// in which more is gathered.
-func (c *Control) publish(changed []crashes.Evidence, gather time.Duration) {
+// publish applies changes of the evidence and schedules a broadcast of them. The delay allows
+// further changes to be sent in the same broadcast.
+func (c *Control) publish(changed []crashes.Evidence, delay time.Duration) {
 	if len(changed) == 0 {
 		return
 	}
-	c.logChanges(changed)
+	c.updateHeld(changed)
 	c.mutex.Lock()
 	c.pending = append(c.pending, changed...)
-	begun := c.scheduled && gather >= clearGather
+	sendScheduled := c.scheduled && delay >= clearBatchDelay
 	c.scheduled = true
 	c.mutex.Unlock()
-	if !begun {
-		time.AfterFunc(gather, c.broadcastPending)
+	if !sendScheduled {
+		time.AfterFunc(delay, c.broadcastPending)
 	}
 }
 
-// logChanges logs which contents are held back from now on and which no longer.
-func (c *Control) logChanges(changed []crashes.Evidence) {
+// updateHeld updates the blocked contents after a change of the evidence and logs the difference.
+func (c *Control) updateHeld(changed []crashes.Evidence) {
 	if len(changed) == 0 {
 		return
 	}
@@ -238,7 +236,7 @@
 	}
 }
 
-// Count is the number of contents that are held back.
+// Count returns the number of blocked contents.
 func (c *Control) Count() int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/sidecar/heldback/heldback_test.go
+++ b/internal/sidecar/heldback/heldback_test.go
@@ -18,27 +18,23 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// noOthers is a node that knows no other one.
-type noOthers struct{ first bool }
+// singleNode implements Nodes without other nodes.
+type singleNode struct{ first bool }
 
-// IsFirstFor implements Nodes.
-func (n noOthers) IsFirstFor([]byte) bool { return n.first }
+func (n singleNode) IsFirstFor([]byte) bool { return n.first }
 
-// Addresses implements Nodes.
-func (noOthers) Addresses() map[string][]string { return nil }
+func (singleNode) Addresses() map[string][]string { return nil }
 
-// AnyAddress implements Nodes.
-func (noOthers) AnyAddress() string { return "" }
+func (singleNode) AnyAddress() string { return "" }
 
-// oneKey is a store with one key; other calls than Put are not expected.
-type oneKey struct {
+// singleKeyStore is a store with one key. It implements only Put.
+type singleKeyStore struct {
 	store.Store
 	item   store.Item
 	writes int
 }
 
-// Put implements store.Store.
-func (s *oneKey) Put(_ context.Context, write store.Write) (int64, error) {
+func (s *singleKeyStore) Put(_ context.Context, write store.Write) (int64, error) {
 	if *write.IfRevision != s.item.Revision {
 		return 0, store.ErrConflict
 	}
@@ -47,13 +43,13 @@
 	return s.item.Revision, nil
 }
 
-func newTestControl(nodes Nodes, kept store.Store) *Control {
+func newTestControl(nodes Nodes, fakeStore store.Store) *Control {
 	began := time.Now()
 	events := eventlog.New("me", io.Discard)
 	calls := prometheus.NewCounterVec(prometheus.CounterOpts{Name: "calls"}, []string{"call", "result"})
 	return New(Options{
 		Zone: "a", Enabled: func() bool { return true }, Now: func() time.Duration { return time.Since(began) },
-		Nodes: nodes, Events: events, Store: kept, Key: "ends", Health: storehealth.New(events, calls),
+		Nodes: nodes, Events: events, Store: fakeStore, Key: "ends", Health: storehealth.New(events, calls),
 	})
 }
 
@@ -61,116 +57,115 @@
 	return &Request{Call: &wire.SidecarCall{Method: "GET", URI: uri, Host: "h", Caller: caller}, Body: &reply.Payload{}}
 }
 
-// endTargets ends targets with a request at each.
-func endTargets(c *Control, r *Request, targets int, alone bool) {
+// crashTargets reports crashes of a number of targets, each with the request in flight.
+func crashTargets(c *Control, r *Request, targets int, alone bool) {
 	for target := range targets {
 		c.TargetEnded(fmt.Sprint("i-", target), "s", []Run{{Fingerprint: r.Fingerprint(), Alone: alone, Route: "r"}})
 	}
 }
 
-func TestRequestIsHeldBackByWhatItEnded(t *testing.T) {
+func TestDecisionsByNumberOfCrashes(t *testing.T) {
 	for _, tc := range []struct {
 		name      string
 		ends      int
 		alone     bool
-		first     bool // the node is the first one for the content
+		first     bool // the node ranks first for the content
 		suspected bool
-		refused   bool // where it begins
+		refused   bool // by AtStart
 		trial     bool
-		maySend   bool // to the target, but for a trial
+		maySend   bool // if not marked as a trial
 		held      int
 	}{
-		{"no end", 0, true, true, false, false, false, true, 0},
-		{"one end", 1, true, true, true, false, false, true, 0},
-		{"three ends", 3, true, true, true, true, false, false, 1},
-		{"three ends with other suspects, at the first node", 3, false, true, true, false, true, false, 1},
-		{"three ends with other suspects, at another node", 3, false, false, true, true, false, false, 1},
+		{"no crash", 0, true, true, false, false, false, true, 0},
+		{"one crash", 1, true, true, true, false, false, true, 0},
+		{"three crashes", 3, true, true, true, true, false, false, 1},
+		{"three crashes with other suspects, first node", 3, false, true, true, false, true, false, 1},
+		{"three crashes with other suspects, other node", 3, false, false, true, true, false, false, 1},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
-				c := newTestControl(noOthers{first: tc.first}, nil)
+				c := newTestControl(singleNode{first: tc.first}, nil)
 				r := requestFor("/a?q", "caller")
-				endTargets(c, r, tc.ends, tc.alone)
+				crashTargets(c, r, tc.ends, tc.alone)
 				g.Expect(c.Suspected(r)).To(Equal(tc.suspected))
 				verdict := c.AtStart(r)
 				g.Expect(verdict.Refused).To(Equal(tc.refused))
 				g.Expect(verdict.EndTrial != nil).To(Equal(tc.trial))
 				g.Expect(c.MaySend(r)).To(Equal(tc.maySend))
 				g.Expect(c.Count()).To(Equal(tc.held))
-				g.Expect(c.AtStart(requestFor("/b", "caller"))).To(Equal(Verdict{}), "another content")
+				g.Expect(c.AtStart(requestFor("/b", "caller"))).To(Equal(Verdict{}), "different content")
 			})
 		})
 	}
 }
 
-// A doubtful request is sent by the first node for its content alone, one at a time, and its
-// good end clears it.
-func TestDoubtfulRequestIsTriedByOneNode(t *testing.T) {
+// Only the first-ranked node may send a doubtful request, one at a time, and a success clears it.
+func TestDoubtfulRequestIsTriedByFirstNode(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		ended, asked := requestFor("/a?q", "one"), requestFor("/a?q", "another")
+		crashing, retried := requestFor("/a?q", "one"), requestFor("/a?q", "another")
 
-		other := newTestControl(noOthers{}, nil)
-		endTargets(other, ended, 3, false)
-		g.Expect(other.AtStart(asked).EndTrial).To(BeNil())
+		other := newTestControl(singleNode{}, nil)
+		crashTargets(other, crashing, 3, false)
+		g.Expect(other.AtStart(retried).EndTrial).To(BeNil())
 
-		c := newTestControl(noOthers{first: true}, nil)
-		endTargets(c, ended, 3, false)
-		trial := c.AtStart(asked)
+		c := newTestControl(singleNode{first: true}, nil)
+		crashTargets(c, crashing, 3, false)
+		trial := c.AtStart(retried)
 		g.Expect(trial.Refused).To(BeFalse())
 		g.Expect(trial.EndTrial).NotTo(BeNil())
-		g.Expect(c.AtStart(asked).EndTrial).To(BeNil(), "one is under way")
-		g.Expect(c.MaySend(asked)).To(BeFalse(), "it is not marked as the trial")
-		asked.Call.Trial = true
-		g.Expect(c.MaySend(asked)).To(BeTrue())
+		g.Expect(c.AtStart(retried).EndTrial).To(BeNil(), "a trial is in flight")
+		g.Expect(c.MaySend(retried)).To(BeFalse(), "not marked as a trial")
+		retried.Call.Trial = true
+		g.Expect(c.MaySend(retried)).To(BeTrue())
 		trial.EndTrial()
-		g.Expect(c.AtStart(asked).EndTrial).NotTo(BeNil())
+		g.Expect(c.AtStart(retried).EndTrial).NotTo(BeNil())
 
-		c.EndedWell(ended)
+		c.EndedWell(crashing)
 		g.Expect(c.Count()).To(BeZero())
-		g.Expect(c.AtStart(asked)).To(Equal(Verdict{}))
+		g.Expect(c.AtStart(retried)).To(Equal(Verdict{}))
 	})
 }
 
-func TestRequestThatEndedWellOfLateIsNoEvidence(t *testing.T) {
+func TestRecentSuccessPreventsEvidence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		c := newTestControl(noOthers{first: true}, nil)
+		c := newTestControl(singleNode{first: true}, nil)
 		r := requestFor("/a", "caller")
 		c.EndedWell(r)
-		endTargets(c, r, 3, true)
+		crashTargets(c, r, 3, true)
 		g.Expect(c.Suspected(r)).To(BeFalse())
-		time.Sleep(goodFor)
-		endTargets(c, r, 3, true)
+		time.Sleep(recentTTL)
+		crashTargets(c, r, 3, true)
 		g.Expect(c.MaySend(r)).To(BeFalse())
 	})
 }
 
-// Evidence is written once, after it was gathered, and a node that starts reads it.
-func TestEvidenceOutlivesTheNodes(t *testing.T) {
+// Evidence must be saved in one write after saveDelay, and loaded by a node that starts.
+func TestEvidenceIsSavedAndLoaded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		kept := &oneKey{}
-		c := newTestControl(noOthers{first: true}, kept)
+		fakeStore := &singleKeyStore{}
+		c := newTestControl(singleNode{first: true}, fakeStore)
 		time.Sleep(time.Second)
 		r := requestFor("/a", "caller")
-		endTargets(c, r, 3, true)
+		crashTargets(c, r, 3, true)
 		for began := time.Now(); time.Since(began) < time.Second; time.Sleep(50 * time.Millisecond) {
 			c.Save(t.Context())
 			synctest.Wait()
-			if time.Since(began) < saveAfter {
-				g.Expect(kept.writes).To(BeZero())
+			if time.Since(began) < saveDelay {
+				g.Expect(fakeStore.writes).To(BeZero())
 			}
 		}
-		g.Expect(kept.writes).To(Equal(1))
-		g.Expect(kept.item.Key).To(Equal("ends"))
+		g.Expect(fakeStore.writes).To(Equal(1))
+		g.Expect(fakeStore.item.Key).To(Equal("ends"))
 
-		started := newTestControl(noOthers{first: true}, kept)
-		started.TakeStored(&kept.item)
+		started := newTestControl(singleNode{first: true}, fakeStore)
+		started.TakeStored(&fakeStore.item)
 		g.Expect(started.MaySend(r)).To(BeFalse())
 		g.Expect(started.stored.digest).To(Equal(crashes.DigestOf(c.ledger.Lasting())))
 		started.TakeStored(&store.Item{Key: "ends", Gone: true})
-		g.Expect(started.MaySend(r)).To(BeFalse(), "what the store has lost the nodes still know")
+		g.Expect(started.MaySend(r)).To(BeFalse(), "evidence must survive its deletion from the store")
 	})
 }
--- a/internal/sidecar/heldback/recent.go
+++ b/internal/sidecar/heldback/recent.go
@@ -7,51 +7,51 @@
 	"github.com/landingmast/landingmast/internal/core/crashes"
 )
 
-// Bounds of what a node remembers of requests that ended well.
+// Limits of recentSuccesses.
 const (
-	// goodKept is more than the answers of one target within goodFor; about 150 KB.
-	goodKept = 4096
-	// goodFor is the time in which a node in contact with others has to learn of an end: a
-	// request that turns harmful counts as good for no longer.
-	goodFor = 3 * time.Second
+	// maxRecent exceeds the number of requests that a target completes within recentTTL.
+	maxRecent = 4096
+	// recentTTL covers the time in which evidence reaches all connected nodes. It bounds how
+	// long a request that becomes harmful still counts as harmless.
+	recentTTL = 3 * time.Second
 )
 
-// recentlyGood holds the requests that the target beside the node answered of late. A target
-// that ends by itself, or with another request, has popular ones in flight, and those are not
-// to be suspected.
-type recentlyGood struct {
-	mutex sync.Mutex
-	at    map[crashes.Variant]time.Duration // when it last ended well
-	ring  []crashes.Variant                 // the keys of at; once it is full the oldest is at next
-	next  int
+// recentSuccesses is a bounded set of the requests that the local target has recently
+// completed. It keeps popular requests from becoming suspects whenever a target crashes while
+// they are in flight.
+type recentSuccesses struct {
+	mutex    sync.Mutex
+	lastSeen map[crashes.Variant]time.Duration
+	ring     []crashes.Variant // keys of lastSeen; when full, the oldest is at next
+	next     int
 }
 
-func (r *recentlyGood) add(now time.Duration, variant crashes.Variant) {
+func (r *recentSuccesses) add(now time.Duration, variant crashes.Variant) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if r.at == nil {
-		r.at = make(map[crashes.Variant]time.Duration, goodKept)
+	if r.lastSeen == nil {
+		r.lastSeen = make(map[crashes.Variant]time.Duration, maxRecent)
 	}
-	if _, known := r.at[variant]; !known {
-		r.place(variant)
+	if _, known := r.lastSeen[variant]; !known {
+		r.insert(variant)
 	}
-	r.at[variant] = now
+	r.lastSeen[variant] = now
 }
 
-// place puts a variant into the ring; when it is full, instead of the oldest.
-func (r *recentlyGood) place(variant crashes.Variant) {
-	if len(r.ring) < goodKept {
+// insert adds a variant to the ring, evicting the oldest if the ring is full.
+func (r *recentSuccesses) insert(variant crashes.Variant) {
+	if len(r.ring) < maxRecent {
 		r.ring = append(r.ring, variant)
 		return
 	}
-	delete(r.at, r.ring[r.next])
+	delete(r.lastSeen, r.ring[r.next])
 	r.ring[r.next] = variant
-	r.next = (r.next + 1) % goodKept
+	r.next = (r.next + 1) % maxRecent
 }
 
-func (r *recentlyGood) holds(now time.Duration, variant crashes.Variant) bool {
+func (r *recentSuccesses) contains(now time.Duration, variant crashes.Variant) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	at, known := r.at[variant]
-	return known && now-at < goodFor
+	seenAt, known := r.lastSeen[variant]
+	return known && now-seenAt < recentTTL
 }
--- a/internal/sidecar/heldback/recent_test.go
+++ b/internal/sidecar/heldback/recent_test.go
@@ -7,18 +7,18 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestGoodEndsAreRememberedForAWhileWithinBounds(t *testing.T) {
+func TestRecentSuccessesExpireAndAreBounded(t *testing.T) {
 	g := NewWithT(t)
-	var r recentlyGood
+	var r recentSuccesses
 	r.add(0, 1)
-	g.Expect(r.holds(goodFor-1, 1)).To(BeTrue())
-	g.Expect(r.holds(goodFor, 1)).To(BeFalse())
-	r.add(goodFor, 1)
-	g.Expect(r.holds(goodFor, 1)).To(BeTrue())
-	for variant := range crashes.Variant(3 * goodKept) {
-		r.add(goodFor, variant)
+	g.Expect(r.contains(recentTTL-1, 1)).To(BeTrue())
+	g.Expect(r.contains(recentTTL, 1)).To(BeFalse())
+	r.add(recentTTL, 1)
+	g.Expect(r.contains(recentTTL, 1)).To(BeTrue())
+	for variant := range crashes.Variant(3 * maxRecent) {
+		r.add(recentTTL, variant)
 	}
-	g.Expect(len(r.at)).To(Equal(goodKept))
-	g.Expect(len(r.ring)).To(Equal(goodKept))
-	g.Expect(r.holds(goodFor, 3*goodKept-1)).To(BeTrue())
+	g.Expect(len(r.lastSeen)).To(Equal(maxRecent))
+	g.Expect(len(r.ring)).To(Equal(maxRecent))
+	g.Expect(r.contains(recentTTL, 3*maxRecent-1)).To(BeTrue())
 }
--- a/internal/sidecar/heldback/request.go
+++ b/internal/sidecar/heldback/request.go
@@ -8,30 +8,29 @@
 	"github.com/landingmast/landingmast/internal/wire"
 )
 
-// Request is a request with its fingerprint, which is computed when it is first asked
-// for. It is not safe for concurrent use.
+// Request is a request with a lazily computed fingerprint. It is not safe for concurrent use.
 type Request struct {
 	Call        *wire.SidecarCall
 	Body        *reply.Payload
-	fingerprint *crashes.Print // nil: not computed yet
+	fingerprint *crashes.Print // nil until computed
 }
 
-// Fingerprint is what the request is known by when it comes again.
+// Fingerprint returns the fingerprint that identifies repetitions of the request.
 func (r *Request) Fingerprint() crashes.Print {
 	if r.fingerprint == nil {
 		path, query, _ := strings.Cut(r.Call.URI, "?")
-		begin, length := r.Body.Begin()
+		prefix, length := r.Body.Begin()
 		fingerprint := crashes.PrintOf(crashes.Request{
-			Method: r.Call.Method, Host: r.Call.Host, Path: path, Query: query, Body: begin, Length: length, Caller: r.Call.Caller, Tenant: r.Call.Tenant,
+			Method: r.Call.Method, Host: r.Call.Host, Path: path, Query: query, Body: prefix, Length: length, Caller: r.Call.Caller, Tenant: r.Call.Tenant,
 		})
 		r.fingerprint = &fingerprint
 	}
 	return *r.fingerprint
 }
 
-// Run is a run of a request that was at a target when the target ended.
+// Run describes a request that was in flight at a target when the target crashed.
 type Run struct {
 	Fingerprint crashes.Print
-	Alone       bool // no other suspected request was at the target
+	Alone       bool // no other suspect was in flight at the target
 	Route       string
 }
--- a/internal/sidecar/heldback/storage.go
+++ b/internal/sidecar/heldback/storage.go
@@ -12,28 +12,27 @@
 	"github.com/landingmast/landingmast/internal/wire"
 )
 
-// storedEvidence is what the store has of the evidence, as far as the node knows. The mutex of
-// Control guards it.
+// storedEvidence is the last known state of the evidence in the store. Control.mutex guards it.
 type storedEvidence struct {
-	revision     int64 // 0: no such key
-	digest       uint64
-	differsSince time.Duration // from when on other evidence has to last; 0: it is the same
-	writing      bool
+	revision   int64 // 0 if the key does not exist
+	digest     uint64
+	dirtySince time.Duration // when unsaved changes were first seen, plus jitter; 0 if none
+	writing    bool
 }
 
-// Times of the writes to the store.
+// Delays and timeout of writes to the store.
 const (
-	// saveAfter is how long evidence is gathered before it is written. If all nodes lose
-	// power in this time, one end at the most is lost for a request on its way.
-	saveAfter = 200 * time.Millisecond
-	// saveSpread is the most by which a node waits longer than another one, so that one
-	// writes and the others find it done.
-	saveSpread  = 300 * time.Millisecond
+	// saveDelay is how long changes are collected before a write. Evidence that is younger is
+	// lost if all nodes fail at once.
+	saveDelay = 200 * time.Millisecond
+	// saveJitter is the maximum random delay added to saveDelay. Usually the first node writes
+	// and the others then have nothing to save.
+	saveJitter  = 300 * time.Millisecond
 	saveTimeout = 400 * time.Millisecond
 )
 
-// TakeStored adds the evidence that the store has. Evidence that cannot be read is logged and
-// left alone.
+// TakeStored adds the evidence in the store. If it cannot be decoded, the error is logged and
+// the item is ignored.
 func (c *Control) TakeStored(item *store.Item) {
 	if item.Gone {
 		c.mutex.Lock()
@@ -60,31 +59,32 @@
 	}
 }
 
-// Save writes the evidence that has to last to the store if the store has other evidence. The
-// nodes that follow the store call it every few hundred ms; it does not wait for the write.
+// Save starts a write of the persistent evidence if it differs from the evidence in the store. A
+// node that follows the store calls it periodically. Save does not wait for the write.
 func (c *Control) Save(ctx context.Context) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	now, s := c.options.Now(), &c.stored
+	now, stored := c.options.Now(), &c.stored
 	lasting := c.ledger.Lasting()
 	switch {
-	case crashes.DigestOf(lasting) == s.digest:
-		s.differsSince = 0
-	case s.differsSince == 0:
-		s.differsSince = now + time.Duration(rand.Int64N(int64(saveSpread)))
-	case now-s.differsSince >= saveAfter && !s.writing:
-		s.writing = true
-		go c.write(ctx, lasting, s.revision)
+	case crashes.DigestOf(lasting) == stored.digest:
+		stored.dirtySince = 0
+	case stored.dirtySince == 0:
+		stored.dirtySince = now + time.Duration(rand.Int64N(int64(saveJitter)))
+	case now-stored.dirtySince >= saveDelay && !stored.writing:
+		stored.writing = true
+		go c.write(ctx, lasting, stored.revision)
 	}
 }
 
-// write writes evidence over the given revision. A conflict means that another node was first.
+// write writes evidence if the key is still at the given revision. On a conflict, another node
+// has written first.
 func (c *Control) write(ctx context.Context, lasting []crashes.Evidence, revision int64) {
 	ctx, cancel := context.WithTimeout(ctx, saveTimeout)
 	defer cancel()
 	written, err := c.put(ctx, lasting, revision)
 	if !errors.Is(err, store.ErrConflict) {
-		c.options.Health.Note("crashes", err) // logged there
+		c.options.Health.Note("crashes", err)
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
