--- a/internal/sidecar/broadcast/broadcast.go
+++ b/internal/sidecar/broadcast/broadcast.go
@@ -1,9 +1,9 @@
-// Package broadcast sends a message to many nodes along a tree: the sender lays out the
-// branches, and the first node of each branch passes the message on to the rest of it.
+// Package broadcast sends a message to many nodes along a tree: the sender divides the nodes
+// into branches, and the first node of each branch forwards the message to the rest of it.
 //
-// It owns no state. It relies on its caller for the addresses of the nodes and for the
-// sending itself. A node that does not take the message is passed over; whoever a lost
-// message leaves out has to learn it another way, by comparing what it knows with others.
+// The package is stateless; the caller provides the addresses and the transport. Delivery is
+// best effort: nodes that do not accept the message are skipped, and callers need another
+// mechanism, such as anti-entropy, to repair missed messages.
 package broadcast
 
 import (
@@ -11,41 +11,40 @@
 	"time"
 )
 
-// Bounds of a broadcast.
+// Limits of a broadcast.
 const (
-	// fanOut is the number of nodes that one node sends to itself. 4,000 nodes in 29 zones
-	// are 138 a zone; all of them are reached in three steps.
+	// fanOut is the maximum number of branches that a node sends to.
 	fanOut = 16
-	// tries is the number of nodes of a branch that are tried in turn.
-	tries = 3
-	// Timeout bounds the sending to one node.
+	// maxAttempts is the maximum number of nodes of a branch to which a sender tries to send.
+	maxAttempts = 3
+	// Timeout is the timeout for sending to one node.
 	Timeout = 300 * time.Millisecond
 )
 
-// Send sends the message to the node at an address, which passes it on to those at forward.
-// An error means that the node has not taken it. Branches call it at the same time.
+// Send sends the message to the node at address, which forwards it to the nodes in forward. An
+// error means that the node did not accept the message. Calls may be concurrent.
 type Send func(address string, forward []string) error
 
-// ToZones sends to nodes by their zone: in the own zone along a tree, in each other one along
-// a single branch, so that a message crosses into a zone once. It does not wait for the end.
-func ToZones(addresses map[string][]string, own string, send Send) {
-	for zone, there := range addresses {
-		if zone == own {
-			ToNodes(there, send)
+// ToZones sends to nodes grouped by zone. It uses a tree in the sender's own zone, and a single
+// branch in each other zone to limit cross-zone traffic. It does not wait for delivery.
+func ToZones(addresses map[string][]string, ownZone string, send Send) {
+	for zone, nodes := range addresses {
+		if zone == ownZone {
+			ToNodes(nodes, send)
 			continue
 		}
-		go alongBranch(there, send)
+		go sendAlongBranch(nodes, send)
 	}
 }
 
-// ToNodes sends to nodes along a tree. It does not wait for the end.
+// ToNodes sends to nodes along a tree. It does not wait for delivery.
 func ToNodes(addresses []string, send Send) {
 	for _, branch := range branches(addresses) {
-		go alongBranch(branch, send)
+		go sendAlongBranch(branch, send)
 	}
 }
 
-// branches divides nodes among the branches of a tree.
+// branches divides addresses into at most fanOut branches.
 func branches(addresses []string) [][]string {
 	if len(addresses) == 0 {
 		return nil
@@ -54,9 +53,10 @@
 	return slices.Collect(slices.Chunk(addresses, size))
 }
 
-// alongBranch sends to the first node of a branch that takes the message and leaves the others to it.
-func alongBranch(branch []string, send Send) {
-	for range min(tries, len(branch)) {
+// sendAlongBranch sends to the first node of a branch that accepts the message, which forwards
+// it to the nodes after it.
+func sendAlongBranch(branch []string, send Send) {
+	for range min(maxAttempts, len(branch)) {
 		if send(branch[0], branch[1:]) == nil {
 			return
 		}
--- a/internal/sidecar/broadcast/broadcast_test.go
+++ b/internal/sidecar/broadcast/broadcast_test.go
@@ -10,24 +10,24 @@
 	. "github.com/onsi/gomega"
 )
 
-// network passes a message on as nodes do that get it, and counts who got it how often.
+// network forwards messages as nodes do and counts deliveries.
 type network struct {
-	mutex sync.Mutex
-	dead  map[string]bool
-	taken map[string]int
-	sent  map[string]int // by who sent it
+	mutex     sync.Mutex
+	dead      map[string]bool
+	delivered map[string]int // by recipient
+	sent      map[string]int // by sender
 }
 
-func (n *network) from(sender string) Send {
+func (n *network) sendFrom(sender string) Send {
 	return func(address string, forward []string) error {
 		n.mutex.Lock()
 		defer n.mutex.Unlock()
 		n.sent[sender]++
 		if n.dead[address] {
-			return errors.New("nothing listens")
+			return errors.New("connection refused")
 		}
-		n.taken[address]++
-		ToNodes(forward, n.from(address))
+		n.delivered[address]++
+		ToNodes(forward, n.sendFrom(address))
 		return nil
 	}
 }
@@ -37,19 +37,19 @@
 		name         string
 		zones, nodes int // nodes in each zone
 		dead         []string
-		most         int // messages that the first sender sends
+		maxSent      int // by the original sender
 	}{
-		{"nobody else", 0, 0, nil, 0},
+		{"no other nodes", 0, 0, nil, 0},
 		{"one zone", 1, 15, nil, 15},
-		{"a tree in the own zone", 1, 200, nil, 16},
-		{"one message for each other zone", 29, 138, nil, 16 + 28},
+		{"tree in the sender's zone", 1, 200, nil, 16},
+		{"one message per other zone", 29, 138, nil, 16 + 28},
 		{"two dead nodes at the head of a branch", 2, 20, []string{"1-0", "1-1"}, 16 + 3},
-		{"three dead nodes at the head of a branch cut it off", 2, 20, []string{"1-0", "1-1", "1-2"}, 16 + 3},
+		{"branch with three dead nodes at its head is not reached", 2, 20, []string{"1-0", "1-1", "1-2"}, 16 + 3},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
-				n := &network{dead: map[string]bool{}, taken: map[string]int{}, sent: map[string]int{}}
+				n := &network{dead: map[string]bool{}, delivered: map[string]int{}, sent: map[string]int{}}
 				for _, address := range tc.dead {
 					n.dead[address] = true
 				}
@@ -60,17 +60,17 @@
 						addresses[name] = append(addresses[name], fmt.Sprintf("%d-%d", zone, node))
 					}
 				}
-				ToZones(addresses, "0", n.from("sender"))
+				ToZones(addresses, "0", n.sendFrom("sender"))
 				synctest.Wait()
 				want := tc.zones*tc.nodes - len(tc.dead)
-				if len(tc.dead) == tries {
-					want = tc.nodes // the own zone alone
+				if len(tc.dead) == maxAttempts {
+					want = tc.nodes // only the sender's zone
 				}
-				g.Expect(n.taken).To(HaveLen(want))
-				for address, times := range n.taken {
+				g.Expect(n.delivered).To(HaveLen(want))
+				for address, times := range n.delivered {
 					g.Expect(times).To(Equal(1), address)
 				}
-				g.Expect(n.sent["sender"]).To(BeNumerically("<=", tc.most))
+				g.Expect(n.sent["sender"]).To(BeNumerically("<=", tc.maxSent))
 			})
 		})
 	}
