--- a/internal/sidecar/revalidation/revalidation_test.go
+++ b/internal/sidecar/revalidation/revalidation_test.go
@@ -7,12 +7,12 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestSignalsAreLeftOnce(t *testing.T) {
+func TestRevalidateNowCoalescesSignals(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		r := New(Options{})
 		r.RevalidateNow()
 		r.RevalidateNow()
-		g.Expect(r.early).To(HaveLen(1))
+		g.Expect(r.wake).To(HaveLen(1))
 	})
 }
