--- a/internal/sidecar/storehealth/storehealth.go
+++ b/internal/sidecar/storehealth/storehealth.go
@@ -1,7 +1,6 @@
-// Package storehealth follows whether the platform's store answers a node. It owns the
-// time of the last answer and of the first failure since; every part that calls the store
-// notes the end of its calls here, so that an outage is one line in the log however many
-// parts run into it. It is safe for concurrent use.
+// Package storehealth tracks the availability of the platform's store. All parts of a node that
+// call the store report their results here, so that an outage is logged once. All types are safe
+// for concurrent use.
 package storehealth
 
 import (
@@ -15,61 +14,60 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// CallTimeout bounds one call of the store, but for watches and for calls that are to end
-// sooner.
+// CallTimeout is the default timeout of store calls other than watches.
 const CallTimeout = time.Second
 
-// Health is whether the store answers.
+// Health tracks whether the store answers.
 type Health struct {
 	events *eventlog.Log
-	calls  *prometheus.CounterVec // call, result
+	calls  *prometheus.CounterVec // labels: call, result
 
-	mutex  sync.Mutex
-	worked time.Time
-	lost   time.Time // zero: it answers
+	mutex       sync.Mutex
+	lastSuccess time.Time
+	failedSince time.Time // first failure since lastSuccess; zero if none
 }
 
-// New makes the health of a store that has not been called yet.
+// New returns a Health without reported calls.
 func New(events *eventlog.Log, calls *prometheus.CounterVec) *Health {
 	return &Health{events: events, calls: calls}
 }
 
-// Age is the time since the store last answered; 0: it never has.
+// Age returns the time since the last successful call, or 0 if there was none.
 func (h *Health) Age() time.Duration {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	if h.worked.IsZero() {
+	if h.lastSuccess.IsZero() {
 		return 0
 	}
-	return time.Since(h.worked)
+	return time.Since(h.lastSuccess)
 }
 
-// Away tells that the last call failed.
+// Away reports whether the last call failed.
 func (h *Health) Away() bool {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	return !h.lost.IsZero()
+	return !h.failedSince.IsZero()
 }
 
-// Note takes in the end of a call of the store; the first failure of a row,
-// and the first success after it, are logged.
+// Note records the result of a store call. It logs the first failure in a row and the first
+// success after failures.
 func (h *Health) Note(call string, err error) {
-	h.calls.WithLabelValues(call, resultOf(err)).Inc()
+	h.calls.WithLabelValues(call, resultLabel(err)).Inc()
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	now := time.Now()
 	if err == nil || errors.Is(err, store.ErrCompacted) || errors.Is(err, store.ErrLeaseGone) {
-		h.worked = now
-		if !h.lost.IsZero() {
-			h.events.Add(eventlog.Store{Change: "regained", Call: call, AwayMS: eventlog.Milliseconds(now.Sub(h.lost))}, eventlog.State)
-			h.lost = time.Time{}
+		h.lastSuccess = now
+		if !h.failedSince.IsZero() {
+			h.events.Add(eventlog.Store{Change: "regained", Call: call, AwayMS: eventlog.Milliseconds(now.Sub(h.failedSince))}, eventlog.State)
+			h.failedSince = time.Time{}
 		}
 		return
 	}
-	if !h.lost.IsZero() {
+	if !h.failedSince.IsZero() {
 		return
 	}
-	h.lost = now
+	h.failedSince = now
 	change := "lost"
 	if errors.Is(err, store.ErrLimited) {
 		change = "limited"
@@ -77,11 +75,11 @@
 	h.events.Add(eventlog.Store{Change: change, Call: call, Error: err.Error()}, eventlog.State)
 }
 
-// resultOf gives the word for the end of a call of the store.
-func resultOf(err error) string {
-	for _, one := range []struct {
-		is   error
-		word string
+// resultLabel returns the value of the result label for a store call.
+func resultLabel(err error) string {
+	for _, r := range []struct {
+		err   error
+		label string
 	}{
 		{store.ErrCompacted, "compacted"},
 		{store.ErrLeaseGone, "lease_gone"},
@@ -90,8 +88,8 @@
 		{store.ErrConflict, "conflict"},
 		{store.ErrRefused, "refused"},
 	} {
-		if errors.Is(err, one.is) {
-			return one.word
+		if errors.Is(err, r.err) {
+			return r.label
 		}
 	}
 	if err != nil {
@@ -100,10 +98,10 @@
 	return "ok"
 }
 
-// probeTimeout bounds a probe; after it the store is taken for away.
+// probeTimeout is the time after which a probe counts as failed.
 const probeTimeout = 400 * time.Millisecond
 
-// Probe reports whether the store answers.
+// Probe pings the store, records the result, and reports whether the store answered.
 func (h *Health) Probe(ctx context.Context, s store.Store) bool {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
