--- a/internal/sidecar/follower/follower.go
+++ b/internal/sidecar/follower/follower.go
@@ -53,7 +53,7 @@
 	defer f.mutex.Unlock()
 	if f.election == nil {
 		f.election = election.New(election.DefaultConfig(), f.options.Settings().Node, f.options.Now())
-		f.election.SetMembers(f.options.Members.ZoneMembers())
+		f.election.SetMembers(f.options.Members.ZonePeers())
 	}
 }
 
@@ -272,7 +272,7 @@
 		return
 	}
 	m.LogChange(record, "forgotten", configuration.FromStore)
-	m.Forget(record)
+	m.Remove(record)
 	f.mutex.Lock()
 	f.gone[name] = goneNode{record: *record, until: f.options.Now() + goneNamed}
 	f.mutex.Unlock()
--- a/internal/sidecar/follower/options.go
+++ b/internal/sidecar/follower/options.go
@@ -26,13 +26,13 @@
 // Members are the records of all nodes.
 type Members interface {
 	Record(node string) *wire.NodeRecord // nil: none is known
-	Names() []string
-	ZoneMembers() []string // the other nodes of the zone
-	Zones() int            // that have a node
+	PeerNames() []string
+	ZonePeers() []string // the other nodes of the zone
+	ZoneCount() int      // that have a node
 	AddressElsewhere() string
-	Put(record *wire.NodeRecord)
-	Forget(record *wire.NodeRecord)
-	SetListed()
+	MergeStored(record *wire.NodeRecord)
+	Remove(record *wire.NodeRecord)
+	MarkStoreListed()
 	Apply()
 	LogChange(record *wire.NodeRecord, change, source string)
 }
--- a/internal/sidecar/follower/watch.go
+++ b/internal/sidecar/follower/watch.go
@@ -46,8 +46,8 @@
 			}
 		}
 		if whole {
-			m.SetListed()
-			for _, name := range append(m.Names(), f.options.Settings().Node) {
+			m.MarkStoreListed()
+			for _, name := range append(m.PeerNames(), f.options.Settings().Node) {
 				if !seen[name] {
 					f.lapsed(name)
 				}
@@ -63,7 +63,7 @@
 	f.lapses.Back(record.Node)
 	delete(f.gone, record.Node)
 	f.mutex.Unlock()
-	f.options.Members.Put(record)
+	f.options.Members.MergeStored(record)
 }
 
 // lapsed notes that the store has lost a node's record. The node's own record is
@@ -139,7 +139,7 @@
 	if rate <= 0 {
 		return 0
 	}
-	return time.Duration(float64(f.options.Members.Zones()) / rate * float64(time.Second))
+	return time.Duration(float64(f.options.Members.ZoneCount()) / rate * float64(time.Second))
 }
 
 // restOfConfiguration bounds the calls while configurations come in quick succession.
--- a/internal/sidecar/follower/watch_test.go
+++ b/internal/sidecar/follower/watch_test.go
@@ -14,8 +14,8 @@
 	count int
 }
 
-// Zones implements Members.
-func (z zones) Zones() int { return z.count }
+// ZoneCount implements Members.
+func (z zones) ZoneCount() int { return z.count }
 
 // The watches of one follower for each zone take 0.4 of the store's rate at most.
 func TestFollowersKeepToTheStoresRate(t *testing.T) {
--- a/internal/sidecar/membership/addresses.go
+++ b/internal/sidecar/membership/addresses.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// ZoneMembers returns the names of the other nodes of the zone.
-func (m *Members) ZoneMembers() []string {
+// ZonePeers returns the names of the other nodes of the zone.
+func (m *Members) ZonePeers() []string {
 	zone := m.options.Settings().Zone
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -19,8 +19,8 @@
 	return names
 }
 
-// Zones returns the number of zones that have a node, the own one among them.
-func (m *Members) Zones() int { return len(m.ZoneNames()) }
+// ZoneCount returns the number of zones that have a node, the own one among them.
+func (m *Members) ZoneCount() int { return len(m.ZoneNames()) }
 
 // ZoneNames returns the zones that have a node, the own one among them, in alphabetical order.
 func (m *Members) ZoneNames() []string {
@@ -50,36 +50,36 @@
 	}
 	m.mutex.Unlock()
 	for _, addresses := range found {
-		shuffled(addresses)
+		shuffle(addresses)
 	}
 	return found
 }
 
-// nearShare is the share of exchanges that stay in the zone, where traffic is free of charge.
-const nearShare = 0.75
+// sameZoneProbability is the share of exchanges that stay in the zone, where traffic is free of charge.
+const sameZoneProbability = 0.75
 
 // AnyAddress returns the address of another node, chosen at random, more often one of the own
 // zone; empty: none is known.
 func (m *Members) AnyAddress() string {
-	near, far := m.split()
-	if len(near) == 0 || len(far) > 0 && rand.Float64() >= nearShare {
+	near, far := m.addressesByLocality()
+	if len(near) == 0 || len(far) > 0 && rand.Float64() >= sameZoneProbability {
 		near = far
 	}
-	return anyOf(near)
+	return randomAddress(near)
 }
 
 // AddressElsewhere returns the address of a node in another zone, chosen at random, or of any
 // other node if there is none; empty: no other node is known.
 func (m *Members) AddressElsewhere() string {
-	near, far := m.split()
+	near, far := m.addressesByLocality()
 	if len(far) == 0 {
 		far = near
 	}
-	return anyOf(far)
+	return randomAddress(far)
 }
 
-// split returns the addresses of the other nodes in the own zone and in others.
-func (m *Members) split() (near, far []string) {
+// addressesByLocality returns the addresses of the other nodes in the own zone and in others.
+func (m *Members) addressesByLocality() (near, far []string) {
 	for zone, addresses := range m.Addresses() {
 		if zone == m.options.Settings().Zone {
 			near = addresses
@@ -90,15 +90,15 @@
 	return near, far
 }
 
-func anyOf(addresses []string) string {
+func randomAddress(addresses []string) string {
 	if len(addresses) == 0 {
 		return ""
 	}
 	return addresses[rand.IntN(len(addresses))]
 }
 
-// shuffled puts the addresses into a random order.
-func shuffled(addresses []string) []string {
+// shuffle puts the addresses into a random order.
+func shuffle(addresses []string) []string {
 	rand.Shuffle(len(addresses), func(a, b int) { addresses[a], addresses[b] = addresses[b], addresses[a] })
 	return addresses
 }
--- a/internal/sidecar/membership/addresses_test.go
+++ b/internal/sidecar/membership/addresses_test.go
@@ -8,19 +8,19 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestZonesAreCountedFromTheRecords(t *testing.T) {
+func TestZoneCount(t *testing.T) {
 	for _, zones := range []int{1, 6, 29} {
 		g := NewWithT(t)
-		n := memberNode("node-0", "node-0")
+		n := newTestNode("node-0", "node-0")
 		changed := *n.settings()
 		changed.Zone = "zone-0"
-		n.checked.Store(&changed)
+		n.current.Store(&changed)
 		var others []wire.NodeRecord
 		for i := 1; i < zones*2; i++ {
 			name := fmt.Sprintf("node-%d", i)
 			others = append(others, wire.NodeRecord{Node: name, Incarnation: name, Zone: fmt.Sprintf("zone-%d", i%zones)})
 		}
 		n.membership.Merge(others)
-		g.Expect(n.membership.Zones()).To(Equal(zones))
+		g.Expect(n.membership.ZoneCount()).To(Equal(zones))
 	}
 }
--- a/internal/sidecar/membership/broadcast.go
+++ b/internal/sidecar/membership/broadcast.go
@@ -15,43 +15,43 @@
 // BroadcastPath is where a node takes the broadcasts of others.
 const BroadcastPath = "/news"
 
-// ownGather joins changes of the own record that come shortly one after the other.
-const ownGather = 20 * time.Millisecond
+// recordCoalesceDelay joins changes of the own record that come shortly one after the other.
+const recordCoalesceDelay = 20 * time.Millisecond
 
 // Broadcaster sends to all nodes at once what has changed: the own record, the heartbeats of
 // followers, the version of the configuration. A message goes along a tree that the sender
 // lays out, with one branch for each other zone, so that a change crosses into a zone once.
 type Broadcaster struct {
-	options   Options
-	members   *Members
-	exchanger *Exchanger
-	scheduled atomic.Bool // the own record is about to be sent
-	fetching  atomic.Bool // another node is being asked for its configuration
+	options       Options
+	members       *Members
+	exchanger     *Exchanger
+	sendScheduled atomic.Bool // the own record is about to be sent
+	fetching      atomic.Bool // another node is being asked for its configuration
 }
 
 // SendOwn sends the own record to all nodes after a moment, with the changes until then.
 func (b *Broadcaster) SendOwn() {
-	if !b.scheduled.CompareAndSwap(false, true) {
+	if !b.sendScheduled.CompareAndSwap(false, true) {
 		return
 	}
-	time.AfterFunc(ownGather, func() {
-		b.scheduled.Store(false)
-		b.SendAll(&wire.News{Records: []wire.NodeRecord{*b.members.Own()}})
+	time.AfterFunc(recordCoalesceDelay, func() {
+		b.sendScheduled.Store(false)
+		b.SendAll(&wire.News{Records: []wire.NodeRecord{*b.members.LocalRecord()}})
 	})
 }
 
 // SendAll sends a message to the nodes of all zones. It does not wait for the end.
 func (b *Broadcaster) SendAll(message *wire.News) {
-	broadcast.ToZones(b.members.Addresses(), b.options.Settings().Zone, b.sender(message))
+	broadcast.ToZones(b.members.Addresses(), b.options.Settings().Zone, b.sendFunc(message))
 }
 
 // SendZone sends a message to the nodes of the own zone. It does not wait for the end.
 func (b *Broadcaster) SendZone(message *wire.News) {
-	broadcast.ToNodes(b.members.Addresses()[b.options.Settings().Zone], b.sender(message))
+	broadcast.ToNodes(b.members.Addresses()[b.options.Settings().Zone], b.sendFunc(message))
 }
 
-// sender returns a function that sends a message to one node.
-func (b *Broadcaster) sender(message *wire.News) broadcast.Send {
+// sendFunc returns a function that sends a message to one node.
+func (b *Broadcaster) sendFunc(message *wire.News) broadcast.Send {
 	return func(address string, forward []string) error {
 		sent := *message
 		sent.From = b.options.Settings().Listen.Inbound
@@ -80,13 +80,13 @@
 	}
 	peer.BareAnswer(w)
 	b.receive(message)
-	go b.passOn(message)
+	go b.forward(message)
 }
 
 // receive takes over the records of a message and the heartbeat of a follower.
 func (b *Broadcaster) receive(message *wire.News) {
 	b.members.Merge(message.Records)
-	b.members.forgetGone(message.Gone)
+	b.members.applyRemovals(message.Gone)
 	if !message.Beat {
 		return
 	}
@@ -96,9 +96,9 @@
 	}
 }
 
-// passOn fetches the configuration of the sender if it is newer, and passes the message on. A
+// forward fetches the configuration of the sender if it is newer, and passes the message on. A
 // message that only names a version known here goes no further.
-func (b *Broadcaster) passOn(message *wire.News) {
+func (b *Broadcaster) forward(message *wire.News) {
 	newer := message.Version > int64(b.options.Configuration.Version())
 	if newer {
 		b.Fetch(message.From)
@@ -106,7 +106,7 @@
 	if !newer && !message.Beat && len(message.Records) == 0 && len(message.Gone) == 0 {
 		return
 	}
-	broadcast.ToNodes(message.Forward, b.sender(message))
+	broadcast.ToNodes(message.Forward, b.sendFunc(message))
 }
 
 // Fetch asks the node at an address for its configuration, unless another one is being asked.
--- a/internal/sidecar/membership/broadcast_test.go
+++ b/internal/sidecar/membership/broadcast_test.go
@@ -12,15 +12,15 @@
 	. "github.com/onsi/gomega"
 )
 
-// tellingNodes makes nodes in some zones that know each other, each with its
+// newConnectedNodes makes nodes in some zones that know each other, each with its
 // listener for other nodes.
-func tellingNodes(t *testing.T, count, zones int) []*testNode {
+func newConnectedNodes(t *testing.T, count, zones int) []*testNode {
 	t.Helper()
 	nodes := make([]*testNode, count)
 	records := make([]wire.NodeRecord, count)
 	for i := range nodes {
 		name := fmt.Sprintf("node-%d", i)
-		n := memberNode(name, name)
+		n := newTestNode(name, name)
 		server := httptest.NewServer(n.inbound())
 		t.Cleanup(func() {
 			n.peers.Transport.CloseIdleConnections()
@@ -29,9 +29,9 @@
 		changed := *n.settings()
 		changed.Zone = fmt.Sprintf("zone-%d", i%zones)
 		changed.Listen.Inbound = strings.TrimPrefix(server.URL, "http://")
-		n.checked.Store(&changed)
+		n.current.Store(&changed)
 		nodes[i] = n
-		records[i] = *n.membership.Own()
+		records[i] = *n.membership.LocalRecord()
 	}
 	for _, n := range nodes {
 		n.membership.Merge(records)
@@ -41,7 +41,7 @@
 
 // One node tells all others of its change, also where nodes that would pass it on
 // are dead and nobody knows it yet.
-func TestNewsReachAllThroughDeadNodes(t *testing.T) {
+func TestBroadcastReachesAllNodes(t *testing.T) {
 	for _, tc := range []struct {
 		name               string
 		nodes, zones, dead int
@@ -53,13 +53,13 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
-			nodes := tellingNodes(t, tc.nodes, tc.zones)
+			nodes := newConnectedNodes(t, tc.nodes, tc.zones)
 			for _, n := range nodes[1 : 1+tc.dead] {
 				// Nothing listens there any more.
 				gone := httptest.NewServer(http.NotFoundHandler())
 				address := strings.TrimPrefix(gone.URL, "http://")
 				gone.Close()
-				record := *n.membership.Own()
+				record := *n.membership.LocalRecord()
 				record.Address, record.Sequence = address, 1
 				for _, other := range nodes {
 					if other != n {
@@ -69,7 +69,7 @@
 			}
 			teller := nodes[0]
 			teller.membership.Changed()
-			want := teller.membership.Own().Sequence
+			want := teller.membership.LocalRecord().Sequence
 			reached := func() (count int) {
 				for _, n := range nodes[1+tc.dead:] {
 					if known := n.membership.Record("node-0"); known != nil && known.Sequence == want {
@@ -85,15 +85,15 @@
 
 // A node that others took for gone is told so when it speaks to one of them, and
 // its next record is news to them.
-func TestNodeHearsThatItIsTakenForGone(t *testing.T) {
+func TestRemovedNodeIsNotified(t *testing.T) {
 	g := NewWithT(t)
-	nodes := tellingNodes(t, 2, 1)
+	nodes := newConnectedNodes(t, 2, 1)
 	here, there := nodes[0], nodes[1]
-	there.membership.forgetGone([]wire.NodeRecord{*here.membership.Own()})
+	there.membership.applyRemovals([]wire.NodeRecord{*here.membership.LocalRecord()})
 	g.Expect(there.membership.Others()).To(BeZero())
 	here.exchanger.With(t.Context(), there.settings().Listen.Inbound)
 	g.Expect(there.membership.Others()).To(BeZero(), "the record that is gone is not brought back")
-	g.Expect(here.lost).To(Receive())
+	g.Expect(here.recordLost).To(Receive())
 	here.membership.Changed()
 	here.exchanger.With(t.Context(), there.settings().Listen.Inbound)
 	g.Expect(there.membership.Others()).To(Equal(1))
--- a/internal/sidecar/membership/exchange.go
+++ b/internal/sidecar/membership/exchange.go
@@ -15,8 +15,8 @@
 
 // Times and sizes of the exchange between nodes.
 const (
-	exchangeEvery   = time.Second
-	exchangeTimeout = 500 * time.Millisecond
+	exchangeInterval = time.Second
+	exchangeTimeout  = 500 * time.Millisecond
 )
 
 // ExchangePath is where a node answers the exchange of another one.
@@ -27,20 +27,20 @@
 // it from those who know it. Each node asks one other, chosen at random, each second; records
 // are sent only where digests differ, so that a node's traffic does not grow with their number.
 type Exchanger struct {
-	options Options
-	members *Members
-	started sync.Map // addresses of nodes with an exchange begun by StartWith
+	options  Options
+	members  *Members
+	inFlight sync.Map // addresses of nodes with an exchange begun by StartWith
 }
 
 // StartWith begins an exchange with the node at an address unless one that it began there is
 // still under way. It is for a node that has shown that it knows no others, as one does that
 // restarted while the store does not serve it.
 func (e *Exchanger) StartWith(address string) {
-	if _, busy := e.started.LoadOrStore(address, true); busy {
+	if _, busy := e.inFlight.LoadOrStore(address, true); busy {
 		return
 	}
 	go func() {
-		defer e.started.Delete(address)
+		defer e.inFlight.Delete(address)
 		e.With(context.Background(), address)
 	}()
 }
@@ -48,7 +48,7 @@
 // Run exchanges until ctx ends.
 func (e *Exchanger) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		wait.For(ctx, exchangeEvery/2+time.Duration(rand.Int64N(int64(exchangeEvery))))
+		wait.For(ctx, exchangeInterval/2+time.Duration(rand.Int64N(int64(exchangeInterval))))
 		if address := e.members.AnyAddress(); address != "" {
 			e.With(ctx, address)
 		}
@@ -61,7 +61,7 @@
 func (e *Exchanger) With(ctx context.Context, address string) {
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
-	asked, _ := e.message()
+	asked, _ := e.newMessage()
 	answer, err := e.send(ctx, address, asked)
 	if err != nil {
 		return
@@ -70,10 +70,10 @@
 		e.options.RecordLost()
 	}
 	e.receive(answer)
-	reply, own := e.message()
+	reply, own := e.newMessage()
 	if len(answer.Buckets) > 0 {
 		reply.Buckets = own[:]
-		reply.Records = e.members.inBuckets(own.differing(answer.Buckets))
+		reply.Records = e.members.recordsInBuckets(own.differing(answer.Buckets))
 	}
 	if answer.Version < reply.Version {
 		reply.Configuration = e.options.Configuration.Source()
@@ -86,9 +86,9 @@
 	}
 }
 
-// message returns a message with the digest of the own records and the configuration's version,
+// newMessage returns a newMessage with the digest of the own records and the configuration's version,
 // and the digests by bucket.
-func (e *Exchanger) message() (*wire.Exchange, *buckets) {
+func (e *Exchanger) newMessage() (*wire.Exchange, *buckets) {
 	own := e.members.digests()
 	return &wire.Exchange{Digest: own.digest(), Version: int64(e.options.Configuration.Version()), Records: []wire.NodeRecord{}, Buckets: []int64{}, From: e.options.Settings().Node}, own
 }
@@ -112,14 +112,14 @@
 		return
 	}
 	e.receive(message)
-	answer, own := e.message()
-	answer.Gone = e.members.isGone(message.From)
+	answer, own := e.newMessage()
+	answer.Gone = e.members.isRemoved(message.From)
 	switch {
 	case message.Digest == answer.Digest:
 	case len(message.Buckets) == 0:
 		answer.Buckets = own[:]
 	default:
-		answer.Records = e.members.inBuckets(own.differing(message.Buckets))
+		answer.Records = e.members.recordsInBuckets(own.differing(message.Buckets))
 	}
 	if message.Version < answer.Version {
 		answer.Configuration = e.options.Configuration.Source()
--- a/internal/sidecar/membership/exchange_test.go
+++ b/internal/sidecar/membership/exchange_test.go
@@ -15,10 +15,10 @@
 	. "github.com/onsi/gomega"
 )
 
-// countedNode is a node whose exchange is served over HTTP, and the bytes of it.
-func countedNode(t *testing.T, name string) (n *testNode, address string, bytes *atomic.Int64) {
+// newMeteredNode is a node whose exchange is served over HTTP, and the bytes of it.
+func newMeteredNode(t *testing.T, name string) (n *testNode, address string, bytes *atomic.Int64) {
 	t.Helper()
-	n = memberNode(name, name)
+	n = newTestNode(name, name)
 	bytes = &atomic.Int64{}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		bytes.Add(r.ContentLength)
@@ -41,7 +41,7 @@
 	return c.ResponseWriter.Write(data)
 }
 
-func fill(n *testNode, from, to int) {
+func addRecords(n *testNode, from, to int) {
 	var records []wire.NodeRecord
 	for i := from; i < to; i++ {
 		records = append(records, wire.NodeRecord{
@@ -54,7 +54,7 @@
 
 // A node spends at most 4 KB a second on control. Nodes whose records differ in a
 // few must not send each other all of them.
-func TestExchangeSendsDifferences(t *testing.T) {
+func TestExchangeSendsOnlyDifferences(t *testing.T) {
 	const others = 2000
 	for _, tc := range []struct {
 		name        string
@@ -70,10 +70,10 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
-			here, _, _ := countedNode(t, "here")
-			there, address, bytes := countedNode(t, "there")
-			fill(here, tc.here[0], tc.here[1])
-			fill(there, tc.there[0], tc.there[1])
+			here, _, _ := newMeteredNode(t, "here")
+			there, address, bytes := newMeteredNode(t, "there")
+			addRecords(here, tc.here[0], tc.here[1])
+			addRecords(there, tc.there[0], tc.there[1])
 			here.exchanger.With(context.Background(), address)
 			t.Logf("%d bytes", bytes.Load())
 			g.Expect(here.membership.digests()).To(Equal(there.membership.digests()))
@@ -84,10 +84,10 @@
 }
 
 // A node of the release before answers with all it knows, and is told the same way.
-func TestExchangeWithAnOlderNode(t *testing.T) {
+func TestExchangeWithOlderRelease(t *testing.T) {
 	g := NewWithT(t)
-	here, _, _ := countedNode(t, "here")
-	fill(here, 0, 10)
+	here, _, _ := newMeteredNode(t, "here")
+	addRecords(here, 0, 10)
 	old := codec.New[wire.Exchange](4<<20, wire.ExchangeSchema1)
 	var told *wire.Exchange
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/sidecar/membership/membership.go
+++ b/internal/sidecar/membership/membership.go
@@ -32,17 +32,17 @@
 	options     Options
 	broadcaster *Broadcaster
 
-	mutex    sync.Mutex
-	records  map[string]*wire.NodeRecord // by node
-	dropped  map[string]*wire.NodeRecord // the last records of nodes that are gone
-	sequence int64                       // of the own record
-	started  int64                       // of the own process, ms of the wall clock; orders incarnations
-	listed   bool                        // the store has listed all records once
+	mutex       sync.Mutex
+	records     map[string]*wire.NodeRecord // by node
+	tombstones  map[string]*wire.NodeRecord // the last records of nodes that are gone
+	sequence    int64                       // of the own record
+	started     int64                       // of the own process, ms of the wall clock; orders incarnations
+	storeListed bool                        // the store has listed all records once
 }
 
 // New makes the records of a node that knows no other, their exchange and their broadcast.
 func New(options Options) (*Members, *Exchanger, *Broadcaster) {
-	m := &Members{options: options, records: map[string]*wire.NodeRecord{}, dropped: map[string]*wire.NodeRecord{}, started: time.Now().UnixMilli()}
+	m := &Members{options: options, records: map[string]*wire.NodeRecord{}, tombstones: map[string]*wire.NodeRecord{}, started: time.Now().UnixMilli()}
 	e := &Exchanger{options: options, members: m}
 	m.broadcaster = &Broadcaster{options: options, members: m, exchanger: e}
 	return m, e, m.broadcaster
@@ -57,8 +57,8 @@
 	m.broadcaster.SendOwn()
 }
 
-// Own returns the node's own record as it is now.
-func (m *Members) Own() *wire.NodeRecord {
+// LocalRecord returns the node's own record as it is now.
+func (m *Members) LocalRecord() *wire.NodeRecord {
 	report, coldTill := m.options.Target()
 	settings := m.options.Settings()
 	record := &wire.NodeRecord{
@@ -118,8 +118,8 @@
 		r := records[i]
 		switch {
 		case r.Node == m.options.Settings().Node:
-			m.Outrank(&r)
-		case !m.hasDropped(&r):
+			m.Supersede(&r)
+		case !m.isTombstoned(&r):
 			fresh = m.add(&r) || fresh
 		}
 	}
@@ -128,36 +128,36 @@
 	}
 }
 
-// hasDropped reports whether a record was dropped, or a newer one of the same process.
-func (m *Members) hasDropped(record *wire.NodeRecord) bool {
+// isTombstoned reports whether a record was dropped, or a newer one of the same process.
+func (m *Members) isTombstoned(record *wire.NodeRecord) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	dropped := m.dropped[record.Node]
+	dropped := m.tombstones[record.Node]
 	return dropped != nil && dropped.Incarnation == record.Incarnation && dropped.Sequence >= record.Sequence
 }
 
-// isGone reports whether a node is taken for gone.
-func (m *Members) isGone(node string) bool {
+// isRemoved reports whether a node is taken for gone.
+func (m *Members) isRemoved(node string) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return node != "" && m.records[node] == nil && m.dropped[node] != nil
+	return node != "" && m.records[node] == nil && m.tombstones[node] != nil
 }
 
-// forgetGone drops the records of nodes that a follower of the zone takes for gone.
-func (m *Members) forgetGone(records []wire.NodeRecord) {
+// applyRemovals drops the records of nodes that a follower of the zone takes for gone.
+func (m *Members) applyRemovals(records []wire.NodeRecord) {
 	for i := range records {
 		known := m.Record(records[i].Node)
 		if known == nil || isNewer(known, &records[i]) {
 			continue
 		}
 		m.LogChange(known, "forgotten", configuration.FromPeer)
-		m.Forget(known)
+		m.Remove(known)
 	}
 }
 
-// Outrank makes the own record newer than one of an earlier process of this node. The wall
+// Supersede makes the own record newer than one of an earlier process of this node. The wall
 // clock orders the two, and it may have been set back between them.
-func (m *Members) Outrank(record *wire.NodeRecord) {
+func (m *Members) Supersede(record *wire.NodeRecord) {
 	m.mutex.Lock()
 	later := record.Incarnation != m.options.Incarnation && record.Started >= m.started
 	if later {
@@ -169,20 +169,20 @@
 	}
 }
 
-// Forget drops a record, unless another one has taken its place.
-func (m *Members) Forget(record *wire.NodeRecord) {
+// Remove drops a record, unless another one has taken its place.
+func (m *Members) Remove(record *wire.NodeRecord) {
 	m.mutex.Lock()
 	if m.records[record.Node] == record {
-		m.dropped[record.Node] = record
+		m.tombstones[record.Node] = record
 		delete(m.records, record.Node)
 	}
 	m.mutex.Unlock()
 	m.Apply()
 }
 
-// Put stores a record that the store has, unless a newer one is known: the store has a node's
+// MergeStored stores a record that the store has, unless a newer one is known: the store has a node's
 // record as it was when the node wrote it, and what changed since comes from the node itself.
-func (m *Members) Put(record *wire.NodeRecord) {
+func (m *Members) MergeStored(record *wire.NodeRecord) {
 	if record.Node == m.options.Settings().Node {
 		return
 	}
@@ -190,7 +190,7 @@
 	fresh := isNewer(record, m.records[record.Node])
 	if fresh {
 		m.records[record.Node] = record
-		delete(m.dropped, record.Node)
+		delete(m.tombstones, record.Node)
 	}
 	m.mutex.Unlock()
 	if fresh {
@@ -198,11 +198,11 @@
 	}
 }
 
-// SetListed notes that the store has listed all records.
-func (m *Members) SetListed() {
+// MarkStoreListed notes that the store has listed all records.
+func (m *Members) MarkStoreListed() {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.listed = true
+	m.storeListed = true
 }
 
 // Record returns the record of another node; nil: none is known.
@@ -212,8 +212,8 @@
 	return m.records[node]
 }
 
-// Names returns the names of the other nodes that are known.
-func (m *Members) Names() []string {
+// PeerNames returns the names of the other nodes that are known.
+func (m *Members) PeerNames() []string {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return slices.Collect(maps.Keys(m.records))
@@ -244,19 +244,19 @@
 // that know the same others agree on which one has.
 func (m *Members) IsFirstFor(key []byte) bool {
 	own := m.options.Settings().Node
-	mine := weightFor(own, key)
+	mine := rendezvousWeight(own, key)
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	for name := range m.records {
-		if name != own && weightFor(name, key) > mine {
+		if name != own && rendezvousWeight(name, key) > mine {
 			return false
 		}
 	}
 	return true
 }
 
-// weightFor is the weight of a node in the rendezvous for a key.
-func weightFor(name string, key []byte) uint64 {
+// rendezvousWeight is the weight of a node in the rendezvous for a key.
+func rendezvousWeight(name string, key []byte) uint64 {
 	return xxhash.Sum64(append(append([]byte(nil), key...), name...))
 }
 
@@ -273,7 +273,7 @@
 
 // All returns the records of all nodes, the own one among them.
 func (m *Members) All() []wire.NodeRecord {
-	own := m.Own()
+	own := m.LocalRecord()
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	records := make([]wire.NodeRecord, 0, len(m.records)+1)
@@ -294,8 +294,8 @@
 	return b
 }
 
-// inBuckets returns the records of some buckets, the own one if it is in one of them.
-func (m *Members) inBuckets(wanted [digestBuckets]bool) []wire.NodeRecord {
+// recordsInBuckets returns the records of some buckets, the own one if it is in one of them.
+func (m *Members) recordsInBuckets(wanted [digestBuckets]bool) []wire.NodeRecord {
 	found := []wire.NodeRecord{}
 	for _, r := range m.All() {
 		if wanted[bucketOf(r.Node)] {
@@ -308,12 +308,12 @@
 // Apply sets the targets of all services, the number of nodes and the nodes of the zone as the
 // records have them. Who stores several records calls it once, after the last.
 func (m *Members) Apply() {
-	own := m.Own()
+	own := m.LocalRecord()
 	now := m.options.Now()
 	targets := map[string][]balancer.Target{}
 	others := 0
 	m.mutex.Lock()
-	listed := m.listed
+	listed := m.storeListed
 	for name, record := range m.records {
 		if name != own.Node {
 			others++
@@ -326,7 +326,7 @@
 	if others > 0 || listed {
 		m.options.Routing.Count(others + 1)
 	}
-	m.options.Follower.SetMembers(m.ZoneMembers())
+	m.options.Follower.SetMembers(m.ZonePeers())
 }
 
 // addTarget adds the target beside a node to those of its service if it takes new work.
--- a/internal/sidecar/membership/membership_test.go
+++ b/internal/sidecar/membership/membership_test.go
@@ -23,19 +23,19 @@
 
 // testNode is the membership of a node that has no target and no store.
 type testNode struct {
-	checked     atomic.Pointer[settings.Settings]
+	current     atomic.Pointer[settings.Settings]
 	peers       *peer.Client
 	membership  *Members
 	exchanger   *Exchanger
 	broadcaster *Broadcaster
-	driven      *driven
-	lost        chan struct{} // the store has no record of the node
+	dependents  *fakeDependents
+	recordLost  chan struct{} // the store has no record of the node
 }
 
-// memberNode makes a node with a membership and nothing that listens.
-func memberNode(name, incarnation string) *testNode {
-	n := &testNode{peers: peer.NewClient((&net.Dialer{}).DialContext, headers.Names{}), driven: &driven{}, lost: make(chan struct{}, 1)}
-	n.checked.Store(&settings.Settings{Node: name, Zone: "a"})
+// newTestNode makes a node with a membership and nothing that listens.
+func newTestNode(name, incarnation string) *testNode {
+	n := &testNode{peers: peer.NewClient((&net.Dialer{}).DialContext, headers.Names{}), dependents: &fakeDependents{}, recordLost: make(chan struct{}, 1)}
+	n.current.Store(&settings.Settings{Node: name, Zone: "a"})
 	started := time.Now()
 	n.membership, n.exchanger, n.broadcaster = New(Options{
 		Settings: n.settings, Incarnation: incarnation,
@@ -43,14 +43,14 @@
 		Target:     func() (roster.Report, time.Duration) { return roster.Report{}, 0 },
 		Leaving:    func() bool { return false },
 		Silent:     func(string) bool { return false },
-		RecordLost: func() { wait.Signal(n.lost) },
-		Routing:    n.driven, Follower: n.driven,
+		RecordLost: func() { wait.Signal(n.recordLost) },
+		Routing:    n.dependents, Follower: n.dependents,
 		Configuration: configuration.New(nil, nil), Peers: n.peers, Events: eventlog.New(name, io.Discard),
 	})
 	return n
 }
 
-func (n *testNode) settings() *settings.Settings { return n.checked.Load() }
+func (n *testNode) settings() *settings.Settings { return n.current.Load() }
 
 // inbound serves what other nodes send.
 func (n *testNode) inbound() http.Handler {
@@ -60,45 +60,45 @@
 	return mux
 }
 
-// driven is the routing and the follower of a node, as its records drive them.
-type driven struct {
-	mutex   sync.Mutex
-	targets map[string][]balancer.Target
-	nodes   int
-	zone    []string
-	beats   []string
+// fakeDependents is the routing and the follower of a node, as its records drive them.
+type fakeDependents struct {
+	mutex      sync.Mutex
+	targets    map[string][]balancer.Target
+	nodeCount  int
+	zonePeers  []string
+	heartbeats []string
 }
 
 // Update implements Routing.
-func (d *driven) Update(targets map[string][]balancer.Target) {
+func (d *fakeDependents) Update(targets map[string][]balancer.Target) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.targets = targets
 }
 
 // Count implements Routing.
-func (d *driven) Count(nodes int) {
+func (d *fakeDependents) Count(nodes int) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.nodes = nodes
+	d.nodeCount = nodes
 }
 
 // SetMembers implements Follower.
-func (d *driven) SetMembers(names []string) {
+func (d *fakeDependents) SetMembers(names []string) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.zone = names
+	d.zonePeers = names
 }
 
 // Heard implements Follower.
-func (d *driven) Heard(name string, _ bool) {
+func (d *fakeDependents) Heard(name string, _ bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.beats = append(d.beats, name)
+	d.heartbeats = append(d.heartbeats, name)
 }
 
-// names are the nodes beside the targets of a service.
-func (d *driven) names(service string) (names []string) {
+// targetNodes are the nodes beside the targets of a service.
+func (d *fakeDependents) targetNodes(service string) (names []string) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	for _, target := range d.targets[service] {
@@ -107,11 +107,11 @@
 	return names
 }
 
-func TestRecordsDriveRoutingAndElection(t *testing.T) {
+func TestRecordsUpdateRoutingAndElection(t *testing.T) {
 	g := NewWithT(t)
-	n := memberNode("me", "i")
+	n := newTestNode("me", "i")
 	n.membership.Apply()
-	g.Expect(n.driven.nodes).To(BeZero(), "nothing is known of others yet")
+	g.Expect(n.dependents.nodeCount).To(BeZero(), "nothing is known of others yet")
 	records := []wire.NodeRecord{
 		{Node: "serving", Incarnation: "1", Zone: "a", Service: "s", Instance: "x", Serving: true},
 		{Node: "draining", Incarnation: "2", Zone: "a", Service: "s", Instance: "y"},
@@ -119,39 +119,39 @@
 		{Node: "far", Incarnation: "4", Zone: "b", Service: "s", Instance: "z", Serving: true, Sequence: 1},
 	}
 	n.membership.Merge(records)
-	g.Expect(n.driven.names("s")).To(ConsistOf("serving", "far"))
-	g.Expect(n.driven.nodes).To(Equal(5))
-	g.Expect(n.driven.zone).To(ConsistOf("serving", "draining", "alone"))
+	g.Expect(n.dependents.targetNodes("s")).To(ConsistOf("serving", "far"))
+	g.Expect(n.dependents.nodeCount).To(Equal(5))
+	g.Expect(n.dependents.zonePeers).To(ConsistOf("serving", "draining", "alone"))
 
 	older := records[3]
 	older.Sequence, older.Serving = 0, false
 	n.membership.Merge([]wire.NodeRecord{older})
-	g.Expect(n.driven.names("s")).To(ConsistOf("serving", "far"), "an older record changes nothing")
+	g.Expect(n.dependents.targetNodes("s")).To(ConsistOf("serving", "far"), "an older record changes nothing")
 
-	n.membership.forgetGone(records[3:])
+	n.membership.applyRemovals(records[3:])
 	n.membership.Merge(records)
-	g.Expect(n.driven.names("s")).To(ConsistOf("serving"), "a node that is gone is not brought back")
-	g.Expect(n.driven.nodes).To(Equal(4))
-	n.membership.Put(&records[3])
+	g.Expect(n.dependents.targetNodes("s")).To(ConsistOf("serving"), "a node that is gone is not brought back")
+	g.Expect(n.dependents.nodeCount).To(Equal(4))
+	n.membership.MergeStored(&records[3])
 	n.membership.Apply()
-	g.Expect(n.driven.names("s")).To(ConsistOf("serving", "far"), "but by its record in the store")
+	g.Expect(n.dependents.targetNodes("s")).To(ConsistOf("serving", "far"), "but by its record in the store")
 }
 
-func TestHeartbeatsOfFollowersArePassedOn(t *testing.T) {
+func TestFollowerHeartbeatsAreDelivered(t *testing.T) {
 	g := NewWithT(t)
-	n := memberNode("me", "i")
+	n := newTestNode("me", "i")
 	n.broadcaster.receive(&wire.News{Follower: "none"})
 	n.broadcaster.receive(&wire.News{Beat: true, Follower: "f", Missing: []string{"another"}})
-	g.Expect(n.lost).NotTo(Receive())
+	g.Expect(n.recordLost).NotTo(Receive())
 	n.broadcaster.receive(&wire.News{Beat: true, Follower: "f", Missing: []string{"another", "me"}})
-	g.Expect(n.lost).To(Receive())
-	g.Expect(n.driven.beats).To(Equal([]string{"f", "f"}))
+	g.Expect(n.recordLost).To(Receive())
+	g.Expect(n.dependents.heartbeats).To(Equal([]string{"f", "f"}))
 }
 
 // A clock that was set back makes a process look older than the one before it on
 // the same node. Others that the store does not tell would never take its record.
 // Found by reading (clock_step with a restart while the store refuses the node).
-func TestRecordOfARestartedNodeGoesBeforeTheOldOne(t *testing.T) {
+func TestRestartedNodeSupersedesOldRecord(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		step time.Duration // of the clock between the two lives
@@ -162,18 +162,18 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
-			other := memberNode("other", "o")
-			node := memberNode("me", "second")
-			first := wire.NodeRecord{Node: "me", Incarnation: "first", Sequence: 9, Started: node.membership.Own().Started - tc.step.Milliseconds()}
+			other := newTestNode("other", "o")
+			node := newTestNode("me", "second")
+			first := wire.NodeRecord{Node: "me", Incarnation: "first", Sequence: 9, Started: node.membership.LocalRecord().Started - tc.step.Milliseconds()}
 			other.membership.add(&first)
 
 			// They exchange what they know.
 			node.membership.Merge(other.membership.All())
 			other.membership.Merge(node.membership.All())
 			g.Expect(other.membership.Incarnation("me")).To(Equal("second"))
-			before := node.membership.Own().Started
+			before := node.membership.LocalRecord().Started
 			node.membership.Merge(other.membership.All())
-			g.Expect(node.membership.Own().Started).To(Equal(before), "its own record moves nothing")
+			g.Expect(node.membership.LocalRecord().Started).To(Equal(before), "its own record moves nothing")
 		})
 	}
 }
--- a/internal/sidecar/registration/registration.go
+++ b/internal/sidecar/registration/registration.go
@@ -53,18 +53,18 @@
 
 // Members are the records of all nodes.
 type Members interface {
-	// Own is the record of this node as it is now.
-	Own() *wire.NodeRecord
+	// LocalRecord is the record of this node as it is now.
+	LocalRecord() *wire.NodeRecord
 	// Changed sends the own record to the other nodes with a new sequence number.
 	Changed()
-	// Outrank makes the own record newer than one of an earlier process of this node.
-	Outrank(record *wire.NodeRecord)
+	// Supersede makes the own record newer than one of an earlier process of this node.
+	Supersede(record *wire.NodeRecord)
 	// Others is the number of other nodes that are known.
 	Others() int
-	// Put takes in the record of another node that the store has.
-	Put(record *wire.NodeRecord)
-	// SetListed notes that the store has listed all records.
-	SetListed()
+	// MergeStored takes in the record of another node that the store has.
+	MergeStored(record *wire.NodeRecord)
+	// MarkStoreListed notes that the store has listed all records.
+	MarkStoreListed()
 	// Apply brings the records into routing.
 	Apply()
 }
@@ -154,13 +154,13 @@
 			continue
 		}
 		if name == r.options.Settings().Node {
-			m.Outrank(record)
+			m.Supersede(record)
 			r.takeLease(record, item.Lease)
 			continue
 		}
-		m.Put(record)
+		m.MergeStored(record)
 	}
-	m.SetListed()
+	m.MarkStoreListed()
 	m.Apply()
 }
 
@@ -221,7 +221,7 @@
 	if err != nil {
 		return err
 	}
-	value, err := wire.NodeRecordCodec.Encode(r.options.Members.Own())
+	value, err := wire.NodeRecordCodec.Encode(r.options.Members.LocalRecord())
 	if err != nil {
 		return err
 	}
--- a/internal/sidecar/registration/registration_test.go
+++ b/internal/sidecar/registration/registration_test.go
@@ -87,23 +87,25 @@
 	changed   int
 }
 
-// Own implements Members.
-func (r *records) Own() *wire.NodeRecord { return &wire.NodeRecord{Node: "me", Incarnation: "second"} }
+// LocalRecord implements Members.
+func (r *records) LocalRecord() *wire.NodeRecord {
+	return &wire.NodeRecord{Node: "me", Incarnation: "second"}
+}
 
 // Changed implements Members.
 func (r *records) Changed() { r.changed++ }
 
-// Outrank implements Members.
-func (r *records) Outrank(*wire.NodeRecord) { r.outranked++ }
+// Supersede implements Members.
+func (r *records) Supersede(*wire.NodeRecord) { r.outranked++ }
 
 // Others implements Members.
 func (r *records) Others() int { return len(r.put) }
 
-// Put implements Members.
-func (r *records) Put(record *wire.NodeRecord) { r.put = append(r.put, record.Node) }
+// MergeStored implements Members.
+func (r *records) MergeStored(record *wire.NodeRecord) { r.put = append(r.put, record.Node) }
 
-// SetListed implements Members.
-func (r *records) SetListed() {}
+// MarkStoreListed implements Members.
+func (r *records) MarkStoreListed() {}
 
 // Apply implements Members.
 func (r *records) Apply() {}
