--- a/internal/sidecar/membership/addresses.go
+++ b/internal/sidecar/membership/addresses.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// ZonePeers returns the names of the other nodes of the zone.
+// ZonePeers returns the names of the other nodes in the local zone.
 func (m *Members) ZonePeers() []string {
 	zone := m.options.Settings().Zone
 	m.mutex.Lock()
@@ -19,10 +19,10 @@
 	return names
 }
 
-// ZoneCount returns the number of zones that have a node, the own one among them.
+// ZoneCount returns the number of zones with at least one node, including the local zone.
 func (m *Members) ZoneCount() int { return len(m.ZoneNames()) }
 
-// ZoneNames returns the zones that have a node, the own one among them, in alphabetical order.
+// ZoneNames returns the zones with at least one node, including the local zone, sorted by name.
 func (m *Members) ZoneNames() []string {
 	found := map[string]bool{m.options.Settings().Zone: true}
 	m.mutex.Lock()
@@ -38,8 +38,8 @@
 	return names
 }
 
-// Addresses returns the addresses of the other nodes by zone, in a random order. Nodes that
-// are taken for dead are left out.
+// Addresses returns the addresses of the other nodes by zone, each list shuffled. It omits nodes
+// that the failure detector considers dead.
 func (m *Members) Addresses() map[string][]string {
 	found := map[string][]string{}
 	m.mutex.Lock()
@@ -55,39 +55,41 @@
 	return found
 }
 
-// sameZoneProbability is the share of exchanges that stay in the zone, where traffic is free of charge.
+// sameZoneProbability is the fraction of exchanges with a node of the local zone. Traffic between
+// zones is billed.
 const sameZoneProbability = 0.75
 
-// AnyAddress returns the address of another node, chosen at random, more often one of the own
-// zone; empty: none is known.
+// AnyAddress returns the address of a random other node and prefers the local zone. It returns an
+// empty string if no other node is known.
 func (m *Members) AnyAddress() string {
-	near, far := m.addressesByLocality()
-	if len(near) == 0 || len(far) > 0 && rand.Float64() >= sameZoneProbability {
-		near = far
+	local, remote := m.addressesByLocality()
+	if len(local) == 0 || len(remote) > 0 && rand.Float64() >= sameZoneProbability {
+		return randomAddress(remote)
 	}
-	return randomAddress(near)
+	return randomAddress(local)
 }
 
-// AddressElsewhere returns the address of a node in another zone, chosen at random, or of any
-// other node if there is none; empty: no other node is known.
+// AddressElsewhere returns the address of a random node in another zone, or of any other node if
+// all are in the local zone. It returns an empty string if no other node is known.
 func (m *Members) AddressElsewhere() string {
-	near, far := m.addressesByLocality()
-	if len(far) == 0 {
-		far = near
+	local, remote := m.addressesByLocality()
+	if len(remote) == 0 {
+		return randomAddress(local)
 	}
-	return randomAddress(far)
+	return randomAddress(remote)
 }
 
-// addressesByLocality returns the addresses of the other nodes in the own zone and in others.
-func (m *Members) addressesByLocality() (near, far []string) {
+// addressesByLocality returns the addresses of the other nodes in the local zone and in all
+// remote zones.
+func (m *Members) addressesByLocality() (local, remote []string) {
 	for zone, addresses := range m.Addresses() {
 		if zone == m.options.Settings().Zone {
-			near = addresses
+			local = addresses
 			continue
 		}
-		far = append(far, addresses...)
+		remote = append(remote, addresses...)
 	}
-	return near, far
+	return local, remote
 }
 
 func randomAddress(addresses []string) string {
@@ -97,8 +99,6 @@
 	return addresses[rand.IntN(len(addresses))]
 }
 
-// shuffle puts the addresses into a random order.
-func shuffle(addresses []string) []string {
+func shuffle(addresses []string) {
 	rand.Shuffle(len(addresses), func(a, b int) { addresses[a], addresses[b] = addresses[b], addresses[a] })
-	return addresses
 }
--- a/internal/sidecar/membership/broadcast.go
+++ b/internal/sidecar/membership/broadcast.go
@@ -12,24 +12,26 @@
 	"github.com/landingmast/landingmast/internal/wire"
 )
 
-// BroadcastPath is where a node takes the broadcasts of others.
+// BroadcastPath is the HTTP path that receives broadcasts from other nodes.
 const BroadcastPath = "/news"
 
-// recordCoalesceDelay joins changes of the own record that come shortly one after the other.
+// recordCoalesceDelay is the window in which successive changes of the local record are coalesced
+// into one broadcast.
 const recordCoalesceDelay = 20 * time.Millisecond
 
-// Broadcaster sends to all nodes at once what has changed: the own record, the heartbeats of
-// followers, the version of the configuration. A message goes along a tree that the sender
-// lays out, with one branch for each other zone, so that a change crosses into a zone once.
+// Broadcaster disseminates changes to other nodes: the local record, heartbeats of followers and
+// the configuration version. The sender computes a distribution tree with one branch per remote
+// zone, so that each message enters a zone only once.
 type Broadcaster struct {
 	options       Options
 	members       *Members
 	exchanger     *Exchanger
-	sendScheduled atomic.Bool // the own record is about to be sent
-	fetching      atomic.Bool // another node is being asked for its configuration
+	sendScheduled atomic.Bool // a broadcast of the local record is pending
+	fetching      atomic.Bool // a Fetch is in progress
 }
 
-// SendOwn sends the own record to all nodes after a moment, with the changes until then.
+// SendOwn schedules a broadcast of the local record after recordCoalesceDelay. The broadcast
+// contains all changes made until then.
 func (b *Broadcaster) SendOwn() {
 	if !b.sendScheduled.CompareAndSwap(false, true) {
 		return
@@ -40,17 +42,18 @@
 	})
 }
 
-// SendAll sends a message to the nodes of all zones. It does not wait for the end.
+// SendAll sends a message to the nodes of all zones. It does not block on delivery.
 func (b *Broadcaster) SendAll(message *wire.News) {
 	broadcast.ToZones(b.members.Addresses(), b.options.Settings().Zone, b.sendFunc(message))
 }
 
-// SendZone sends a message to the nodes of the own zone. It does not wait for the end.
+// SendZone sends a message to the nodes of the local zone. It does not block on delivery.
 func (b *Broadcaster) SendZone(message *wire.News) {
 	broadcast.ToNodes(b.members.Addresses()[b.options.Settings().Zone], b.sendFunc(message))
 }
 
-// sendFunc returns a function that sends a message to one node.
+// sendFunc returns a function that sends message to one node, together with the addresses that
+// the node forwards it to.
 func (b *Broadcaster) sendFunc(message *wire.News) broadcast.Send {
 	return func(address string, forward []string) error {
 		sent := *message
@@ -72,10 +75,10 @@
 	return err
 }
 
-// ServeHTTP takes over what another node sent and passes it on.
+// ServeHTTP handles a broadcast from another node and forwards it along the distribution tree.
 func (b *Broadcaster) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	message, read := peer.ReadMessage(w, r, wire.NewsCodec)
-	if !read {
+	message, ok := peer.ReadMessage(w, r, wire.NewsCodec)
+	if !ok {
 		return
 	}
 	peer.BareAnswer(w)
@@ -83,7 +86,7 @@
 	go b.forward(message)
 }
 
-// receive takes over the records of a message and the heartbeat of a follower.
+// receive applies the records, removals and follower heartbeat of a message.
 func (b *Broadcaster) receive(message *wire.News) {
 	b.members.Merge(message.Records)
 	b.members.applyRemovals(message.Gone)
@@ -96,8 +99,8 @@
 	}
 }
 
-// forward fetches the configuration of the sender if it is newer, and passes the message on. A
-// message that only names a version known here goes no further.
+// forward fetches the sender's configuration if it is newer, and forwards the message. A message
+// that carries nothing but an already known configuration version is not forwarded.
 func (b *Broadcaster) forward(message *wire.News) {
 	newer := message.Version > int64(b.options.Configuration.Version())
 	if newer {
@@ -109,7 +112,8 @@
 	broadcast.ToNodes(message.Forward, b.sendFunc(message))
 }
 
-// Fetch asks the node at an address for its configuration, unless another one is being asked.
+// Fetch runs an exchange with the node at address to obtain its configuration. It returns
+// immediately if another Fetch is in progress.
 func (b *Broadcaster) Fetch(address string) {
 	if !b.fetching.CompareAndSwap(false, true) {
 		return
--- a/internal/sidecar/membership/broadcast_test.go
+++ b/internal/sidecar/membership/broadcast_test.go
@@ -12,8 +12,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// newConnectedNodes makes nodes in some zones that know each other, each with its
-// listener for other nodes.
+// newConnectedNodes returns count nodes, spread over zones, that know each other and each
+// have an HTTP server for messages of other nodes.
 func newConnectedNodes(t *testing.T, count, zones int) []*testNode {
 	t.Helper()
 	nodes := make([]*testNode, count)
@@ -39,8 +39,8 @@
 	return nodes
 }
 
-// One node tells all others of its change, also where nodes that would pass it on
-// are dead and nobody knows it yet.
+// Guards against broadcasts that miss nodes because a forwarding node is dead and not yet
+// detected as such.
 func TestBroadcastReachesAllNodes(t *testing.T) {
 	for _, tc := range []struct {
 		name               string
@@ -55,10 +55,10 @@
 			g := NewWithT(t)
 			nodes := newConnectedNodes(t, tc.nodes, tc.zones)
 			for _, n := range nodes[1 : 1+tc.dead] {
-				// Nothing listens there any more.
-				gone := httptest.NewServer(http.NotFoundHandler())
-				address := strings.TrimPrefix(gone.URL, "http://")
-				gone.Close()
+				// Connections to the address of a closed server are refused.
+				closed := httptest.NewServer(http.NotFoundHandler())
+				address := strings.TrimPrefix(closed.URL, "http://")
+				closed.Close()
 				record := *n.membership.LocalRecord()
 				record.Address, record.Sequence = address, 1
 				for _, other := range nodes {
@@ -67,9 +67,9 @@
 					}
 				}
 			}
-			teller := nodes[0]
-			teller.membership.Changed()
-			want := teller.membership.LocalRecord().Sequence
+			sender := nodes[0]
+			sender.membership.Changed()
+			want := sender.membership.LocalRecord().Sequence
 			reached := func() (count int) {
 				for _, n := range nodes[1+tc.dead:] {
 					if known := n.membership.Record("node-0"); known != nil && known.Sequence == want {
@@ -83,8 +83,7 @@
 	}
 }
 
-// A node that others took for gone is told so when it speaks to one of them, and
-// its next record is news to them.
+// A removed node learns of its removal by an exchange and is re-added with its next record.
 func TestRemovedNodeIsNotified(t *testing.T) {
 	g := NewWithT(t)
 	nodes := newConnectedNodes(t, 2, 1)
@@ -92,7 +91,7 @@
 	there.membership.applyRemovals([]wire.NodeRecord{*here.membership.LocalRecord()})
 	g.Expect(there.membership.Others()).To(BeZero())
 	here.exchanger.With(t.Context(), there.settings().Listen.Inbound)
-	g.Expect(there.membership.Others()).To(BeZero(), "the record that is gone is not brought back")
+	g.Expect(there.membership.Others()).To(BeZero(), "a removed record must not be re-added")
 	g.Expect(here.recordLost).To(Receive())
 	here.membership.Changed()
 	here.exchanger.With(t.Context(), there.settings().Listen.Inbound)
--- a/internal/sidecar/membership/digest.go
+++ b/internal/sidecar/membership/digest.go
@@ -7,22 +7,23 @@
 	"github.com/landingmast/landingmast/internal/wire"
 )
 
-// digestBuckets is the number of groups that records are compared by: at 4,000
-// nodes a differing record costs its group of 31, at 17 nodes a list of digests.
+// digestBuckets is the number of groups in which records are compared. One differing record
+// causes its whole group to be sent: about 31 records at 4,000 nodes. The list of digests itself
+// has a fixed size, whatever the number of nodes.
 const digestBuckets = 128
 
-// buckets are the digests of records, grouped by the hash of their nodes' names. Two nodes with
-// the same records have the same buckets, in whatever order the records came.
+// buckets holds one digest per group of records; records are grouped by the hash of the node
+// name. The digests do not depend on the order in which records are added.
 type buckets [digestBuckets]int64
 
 func bucketOf(node string) int { return int(xxhash.Sum64String(node) % digestBuckets) }
 
 func (b *buckets) add(r *wire.NodeRecord) {
-	// The sum is that of one record; the digest of many is the exclusive or.
+	// Combining the hashes of records by XOR makes the digest independent of their order.
 	b[bucketOf(r.Node)] ^= int64(xxhash.Sum64String(r.Node + "\x00" + r.Incarnation + "\x00" + strconv.FormatInt(r.Sequence, 36)))
 }
 
-// digest is the digest of all records.
+// digest returns the digest of all records.
 func (b *buckets) digest() (sum int64) {
 	for _, bucket := range b {
 		sum ^= bucket
@@ -30,7 +31,7 @@
 	return sum
 }
 
-// differing returns which buckets are not the same at another node.
+// differing returns the buckets whose digests differ from those of another node.
 func (b *buckets) differing(others []int64) (differs [digestBuckets]bool) {
 	for i := range differs {
 		differs[i] = i >= len(others) || others[i] != b[i]
--- a/internal/sidecar/membership/exchange.go
+++ b/internal/sidecar/membership/exchange.go
@@ -13,30 +13,29 @@
 	"github.com/landingmast/landingmast/internal/wire"
 )
 
-// Times and sizes of the exchange between nodes.
 const (
 	exchangeInterval = time.Second
 	exchangeTimeout  = 500 * time.Millisecond
 )
 
-// ExchangePath is where a node answers the exchange of another one.
+// ExchangePath is the HTTP path that serves exchanges with other nodes.
 const ExchangePath = "/exchange"
 
-// Exchanger compares records and the configuration with other nodes, so that a node that the
-// store does not serve has what the others have, and one that restarts without anything gets
-// it from those who know it. Each node asks one other, chosen at random, each second; records
-// are sent only where digests differ, so that a node's traffic does not grow with their number.
+// Exchanger runs the anti-entropy protocol for records and the configuration. It keeps nodes
+// up to date that cannot reach the store, and restores the state of nodes that restarted empty.
+// Each node contacts one random node per second on average. Records are sent only for buckets
+// with differing digests, so that steady-state traffic does not grow with the number of nodes.
 type Exchanger struct {
 	options  Options
 	members  *Members
-	inFlight sync.Map // addresses of nodes with an exchange begun by StartWith
+	inFlight sync.Map // set of addresses with a running exchange of StartWith
 }
 
-// StartWith begins an exchange with the node at an address unless one that it began there is
-// still under way. It is for a node that has shown that it knows no others, as one does that
-// restarted while the store does not serve it.
+// StartWith starts an exchange with the node at address in the background, unless an earlier call
+// for the same address is still running. Callers use it for nodes that appear to have lost their
+// state, such as nodes that restarted while the store is unreachable.
 func (e *Exchanger) StartWith(address string) {
-	if _, busy := e.inFlight.LoadOrStore(address, true); busy {
+	if _, loaded := e.inFlight.LoadOrStore(address, true); loaded {
 		return
 	}
 	go func() {
@@ -45,7 +44,7 @@
 	}()
 }
 
-// Run exchanges until ctx ends.
+// Run exchanges with random nodes at randomized intervals until ctx is done.
 func (e *Exchanger) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		wait.For(ctx, exchangeInterval/2+time.Duration(rand.Int64N(int64(exchangeInterval))))
@@ -55,14 +54,15 @@
 	}
 }
 
-// With exchanges with the node at an address: digests first; if they differ the other node
-// answers with those of its buckets, and both send the records of the buckets that differ. An
-// error is not logged: a message that is lost is made up for by the next exchange.
+// With runs one exchange with the node at address. The first message carries the digest of all
+// records; if it differs, the other node replies with its bucket digests, and both nodes send the
+// records of the differing buckets. Errors are not logged: the next exchange repairs what a lost
+// message left out.
 func (e *Exchanger) With(ctx context.Context, address string) {
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
-	asked, _ := e.newMessage()
-	answer, err := e.send(ctx, address, asked)
+	request, _ := e.newMessage()
+	answer, err := e.send(ctx, address, request)
 	if err != nil {
 		return
 	}
@@ -70,10 +70,10 @@
 		e.options.RecordLost()
 	}
 	e.receive(answer)
-	reply, own := e.newMessage()
+	reply, local := e.newMessage()
 	if len(answer.Buckets) > 0 {
-		reply.Buckets = own[:]
-		reply.Records = e.members.recordsInBuckets(own.differing(answer.Buckets))
+		reply.Buckets = local[:]
+		reply.Records = e.members.recordsInBuckets(local.differing(answer.Buckets))
 	}
 	if answer.Version < reply.Version {
 		reply.Configuration = e.options.Configuration.Source()
@@ -86,40 +86,43 @@
 	}
 }
 
-// newMessage returns a newMessage with the digest of the own records and the configuration's version,
-// and the digests by bucket.
+// newMessage returns a message with the digest of all known records and the configuration
+// version, and the bucket digests that the digest was computed from.
 func (e *Exchanger) newMessage() (*wire.Exchange, *buckets) {
-	own := e.members.digests()
-	return &wire.Exchange{Digest: own.digest(), Version: int64(e.options.Configuration.Version()), Records: []wire.NodeRecord{}, Buckets: []int64{}, From: e.options.Settings().Node}, own
+	local := e.members.digests()
+	return &wire.Exchange{
+		Digest: local.digest(), Version: int64(e.options.Configuration.Version()),
+		Records: []wire.NodeRecord{}, Buckets: []int64{}, From: e.options.Settings().Node,
+	}, local
 }
 
 func (e *Exchanger) send(ctx context.Context, address string, message *wire.Exchange) (*wire.Exchange, error) {
 	return peer.Ask(ctx, e.options.Peers, address, ExchangePath, wire.ExchangeCodec, message, wire.ExchangeCodec)
 }
 
-// receive takes over the records and the configuration of a message.
+// receive applies the records and the configuration of a message.
 func (e *Exchanger) receive(message *wire.Exchange) {
 	e.members.Merge(message.Records)
 	if len(message.Configuration) > 0 {
-		_, _ = e.options.Configuration.Install(message.Configuration, configuration.FromPeer) // an error is logged where it occurs
+		_, _ = e.options.Configuration.Install(message.Configuration, configuration.FromPeer) // Install logs errors
 	}
 }
 
-// ServeHTTP answers the message of another node.
+// ServeHTTP answers an exchange message of another node.
 func (e *Exchanger) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	message, read := peer.ReadMessage(w, r, wire.ExchangeCodec)
-	if !read {
+	message, ok := peer.ReadMessage(w, r, wire.ExchangeCodec)
+	if !ok {
 		return
 	}
 	e.receive(message)
-	answer, own := e.newMessage()
+	answer, local := e.newMessage()
 	answer.Gone = e.members.isRemoved(message.From)
 	switch {
 	case message.Digest == answer.Digest:
 	case len(message.Buckets) == 0:
-		answer.Buckets = own[:]
+		answer.Buckets = local[:]
 	default:
-		answer.Records = e.members.recordsInBuckets(own.differing(message.Buckets))
+		answer.Records = e.members.recordsInBuckets(local.differing(message.Buckets))
 	}
 	if message.Version < answer.Version {
 		answer.Configuration = e.options.Configuration.Source()
--- a/internal/sidecar/membership/exchange_test.go
+++ b/internal/sidecar/membership/exchange_test.go
@@ -15,7 +15,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// newMeteredNode is a node whose exchange is served over HTTP, and the bytes of it.
+// newMeteredNode returns a node that serves exchanges over HTTP, its address, and the number of
+// body bytes received and sent.
 func newMeteredNode(t *testing.T, name string) (n *testNode, address string, bytes *atomic.Int64) {
 	t.Helper()
 	n = newTestNode(name, name)
@@ -52,14 +53,13 @@
 	n.membership.Merge(records)
 }
 
-// A node spends at most 4 KB a second on control. Nodes whose records differ in a
-// few must not send each other all of them.
+// Guards against nodes sending all records when only a few differ.
 func TestExchangeSendsOnlyDifferences(t *testing.T) {
 	const others = 2000
 	for _, tc := range []struct {
 		name        string
-		here, there [2]int // records known, from and to
-		most        int64  // bytes both ways
+		here, there [2]int // range of known records
+		maxBytes    int64  // in both directions
 	}{
 		{"equal", [2]int{0, others}, [2]int{0, others}, 16 << 10},
 		{"one more here", [2]int{0, others}, [2]int{1, others}, 16 << 10},
@@ -78,21 +78,21 @@
 			t.Logf("%d bytes", bytes.Load())
 			g.Expect(here.membership.digests()).To(Equal(there.membership.digests()))
 			g.Expect(here.membership.Others()).To(Equal(there.membership.Others()))
-			g.Expect(bytes.Load()).To(BeNumerically("<", tc.most))
+			g.Expect(bytes.Load()).To(BeNumerically("<", tc.maxBytes))
 		})
 	}
 }
 
-// A node of the release before answers with all it knows, and is told the same way.
+// A node of the previous release answers with all of its records and without bucket digests.
 func TestExchangeWithOlderRelease(t *testing.T) {
 	g := NewWithT(t)
 	here, _, _ := newMeteredNode(t, "here")
 	addRecords(here, 0, 10)
 	old := codec.New[wire.Exchange](4<<20, wire.ExchangeSchema1)
-	var told *wire.Exchange
+	var received *wire.Exchange
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		data, _ := io.ReadAll(r.Body)
-		told, _ = wire.ExchangeCodec.Decode(data)
+		received, _ = wire.ExchangeCodec.Decode(data)
 		answer, _ := old.Encode(&wire.Exchange{Digest: 1, Version: 0, Records: []wire.NodeRecord{{Node: "old", Incarnation: "o", Address: "10.2.0.1:1", Started: 1}}})
 		_, _ = w.Write(answer)
 	}))
@@ -100,5 +100,5 @@
 	defer here.peers.Transport.CloseIdleConnections()
 	here.exchanger.With(context.Background(), strings.TrimPrefix(server.URL, "http://"))
 	g.Expect(here.membership.Incarnation("old")).To(Equal("o"))
-	g.Expect(told).NotTo(BeNil())
+	g.Expect(received).NotTo(BeNil())
 }
--- a/internal/sidecar/membership/membership.go
+++ b/internal/sidecar/membership/membership.go
@@ -1,16 +1,13 @@
-// Package membership holds what a node knows of the nodes of the site, itself among them.
+// Package membership maintains a node's view of all nodes of the site, including itself.
 //
-// It owns one record for each node, the order of the records of one node, and which nodes are
-// gone. What changes is sent to all nodes by a broadcast; what a lost message leaves out is
-// made up for by an exchange with a random node each second, which compares digests and sends
-// the records that differ. Both also carry the version of the configuration, so that a node
-// that the store does not serve gets a new one from the others.
+// It keeps one versioned record per node and a tombstone for each removed node. Changes are
+// broadcast to all nodes. A periodic anti-entropy exchange with a random node compares digests
+// and repairs what lost broadcasts left out. Both also carry the configuration version, so that
+// a node that cannot reach the store obtains new configurations from other nodes.
 //
-// It relies on package broadcast for the tree of a broadcast, on package peer for the
-// connections and on package configuration for what is in force. Routing and the election of
-// followers are driven by the records through Routing and Follower; the state of the target
-// and of the node's own stop comes in by Options. Records that the store has, and those that
-// it has lost, are put in by whoever reads the store. All of it is safe for concurrent use.
+// Changes of the records are reported to Routing and Follower. The package does not read the
+// store itself: its callers pass in the records that the store holds and remove those that it
+// has lost. All types are safe for concurrent use.
 package membership
 
 import (
@@ -26,21 +23,22 @@
 	"github.com/landingmast/landingmast/internal/wire"
 )
 
-// Members holds the records of all nodes: the own one, and those of the others as they or the
-// store sent them.
+// Members holds the records of all nodes. The local record is built on demand; the records of
+// other nodes are received from them or read from the store.
 type Members struct {
 	options     Options
 	broadcaster *Broadcaster
 
 	mutex       sync.Mutex
-	records     map[string]*wire.NodeRecord // by node
-	tombstones  map[string]*wire.NodeRecord // the last records of nodes that are gone
-	sequence    int64                       // of the own record
-	started     int64                       // of the own process, ms of the wall clock; orders incarnations
-	storeListed bool                        // the store has listed all records once
+	records     map[string]*wire.NodeRecord // other nodes by name
+	tombstones  map[string]*wire.NodeRecord // last known records of removed nodes, by name
+	sequence    int64                       // of the local record; incremented with each change
+	started     int64                       // wall clock at process start, in ms; orders incarnations
+	storeListed bool                        // all records of the store have been read once
 }
 
-// New makes the records of a node that knows no other, their exchange and their broadcast.
+// New returns the Members of a node that knows no other node yet, with its Exchanger and
+// Broadcaster.
 func New(options Options) (*Members, *Exchanger, *Broadcaster) {
 	m := &Members{options: options, records: map[string]*wire.NodeRecord{}, tombstones: map[string]*wire.NodeRecord{}, started: time.Now().UnixMilli()}
 	e := &Exchanger{options: options, members: m}
@@ -48,7 +46,8 @@
 	return m, e, m.broadcaster
 }
 
-// Changed notes that the own record has changed, and sends it to all nodes.
+// Changed increments the sequence number of the local record, applies the change locally and
+// broadcasts the record.
 func (m *Members) Changed() {
 	m.mutex.Lock()
 	m.sequence++
@@ -57,15 +56,15 @@
 	m.broadcaster.SendOwn()
 }
 
-// LocalRecord returns the node's own record as it is now.
+// LocalRecord returns the current record of this node.
 func (m *Members) LocalRecord() *wire.NodeRecord {
-	report, coldTill := m.options.Target()
+	report, coldUntil := m.options.Target()
 	settings := m.options.Settings()
 	record := &wire.NodeRecord{
 		Node: settings.Node, Incarnation: m.options.Incarnation,
 		Address: settings.Listen.Inbound, Zone: settings.Zone, Service: report.Service, Instance: report.Instance, Slots: report.Slots,
 		Serving: report.Instance != "" && !report.Draining && !m.options.Leaving(),
-		Cold:    max(coldTill-m.options.Now(), 0).Milliseconds(),
+		Cold:    max(coldUntil-m.options.Now(), 0).Milliseconds(),
 	}
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -73,7 +72,7 @@
 	return record
 }
 
-// isNewer reports whether a record replaces the one that is known; nil: none is.
+// isNewer reports whether record replaces known. known may be nil.
 func isNewer(record, known *wire.NodeRecord) bool {
 	if known == nil {
 		return true
@@ -84,22 +83,22 @@
 	return record.Sequence > known.Sequence
 }
 
-// add stores a record that a node sent if it is newer than the one that is known. It returns
-// whether it is.
+// add stores a record received from a node if it is newer than the known one, and reports whether
+// it was stored.
 func (m *Members) add(record *wire.NodeRecord) bool {
 	m.mutex.Lock()
-	fresh := isNewer(record, m.records[record.Node])
-	if fresh {
+	newer := isNewer(record, m.records[record.Node])
+	if newer {
 		m.records[record.Node] = record
 	}
 	m.mutex.Unlock()
-	if fresh {
+	if newer {
 		m.LogChange(record, "learned", configuration.FromPeer)
 	}
-	return fresh
+	return newer
 }
 
-// LogChange logs a change of what is known of another node.
+// LogChange logs a change to the record of another node. Changes of the local record are ignored.
 func (m *Members) LogChange(record *wire.NodeRecord, change, source string) {
 	if record.Node == m.options.Settings().Node {
 		return
@@ -110,40 +109,41 @@
 	}, eventlog.State)
 }
 
-// Merge adds records that another node has sent. A record of a node that is gone is not
-// brought back by a node that does not know yet that it is.
+// Merge adds the newer ones of the records received from another node. A removed node is not
+// re-added by a node that has not yet learned of the removal.
 func (m *Members) Merge(records []wire.NodeRecord) {
-	fresh := false
+	changed := false
 	for i := range records {
 		r := records[i]
 		switch {
 		case r.Node == m.options.Settings().Node:
 			m.Supersede(&r)
 		case !m.isTombstoned(&r):
-			fresh = m.add(&r) || fresh
+			changed = m.add(&r) || changed
 		}
 	}
-	if fresh {
+	if changed {
 		m.Apply()
 	}
 }
 
-// isTombstoned reports whether a record was dropped, or a newer one of the same process.
+// isTombstoned reports whether record, or a newer one of the same incarnation, was removed.
 func (m *Members) isTombstoned(record *wire.NodeRecord) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	dropped := m.tombstones[record.Node]
-	return dropped != nil && dropped.Incarnation == record.Incarnation && dropped.Sequence >= record.Sequence
+	tombstone := m.tombstones[record.Node]
+	return tombstone != nil && tombstone.Incarnation == record.Incarnation && tombstone.Sequence >= record.Sequence
 }
 
-// isRemoved reports whether a node is taken for gone.
+// isRemoved reports whether the named node has been removed and not been re-added.
 func (m *Members) isRemoved(node string) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return node != "" && m.records[node] == nil && m.tombstones[node] != nil
 }
 
-// applyRemovals drops the records of nodes that a follower of the zone takes for gone.
+// applyRemovals removes the nodes that a follower of the zone has removed. A node with a newer
+// record is kept.
 func (m *Members) applyRemovals(records []wire.NodeRecord) {
 	for i := range records {
 		known := m.Record(records[i].Node)
@@ -155,21 +155,21 @@
 	}
 }
 
-// Supersede makes the own record newer than one of an earlier process of this node. The wall
-// clock orders the two, and it may have been set back between them.
+// Supersede makes the local record newer than record, which an earlier process of this node may
+// have written. The wall clock orders the two, and it may have been set back in between.
 func (m *Members) Supersede(record *wire.NodeRecord) {
 	m.mutex.Lock()
-	later := record.Incarnation != m.options.Incarnation && record.Started >= m.started
-	if later {
+	superseded := record.Incarnation != m.options.Incarnation && record.Started >= m.started
+	if superseded {
 		m.started = record.Started + 1
 	}
 	m.mutex.Unlock()
-	if later {
+	if superseded {
 		m.Changed()
 	}
 }
 
-// Remove drops a record, unless another one has taken its place.
+// Remove removes a record and keeps it as a tombstone, unless it has been replaced meanwhile.
 func (m *Members) Remove(record *wire.NodeRecord) {
 	m.mutex.Lock()
 	if m.records[record.Node] == record {
@@ -180,46 +180,48 @@
 	m.Apply()
 }
 
-// MergeStored stores a record that the store has, unless a newer one is known: the store has a node's
-// record as it was when the node wrote it, and what changed since comes from the node itself.
+// MergeStored adds a record read from the store unless a newer one is known, and clears the node's
+// tombstone. The store holds the record as of its last write; later changes are received from
+// the node itself. The caller calls Apply afterwards.
 func (m *Members) MergeStored(record *wire.NodeRecord) {
 	if record.Node == m.options.Settings().Node {
 		return
 	}
 	m.mutex.Lock()
-	fresh := isNewer(record, m.records[record.Node])
-	if fresh {
+	newer := isNewer(record, m.records[record.Node])
+	if newer {
 		m.records[record.Node] = record
 		delete(m.tombstones, record.Node)
 	}
 	m.mutex.Unlock()
-	if fresh {
+	if newer {
 		m.LogChange(record, "learned", configuration.FromStore)
 	}
 }
 
-// MarkStoreListed notes that the store has listed all records.
+// MarkStoreListed records that all records of the store have been read.
 func (m *Members) MarkStoreListed() {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.storeListed = true
 }
 
-// Record returns the record of another node; nil: none is known.
+// Record returns the record of another node, or nil if the node is unknown.
 func (m *Members) Record(node string) *wire.NodeRecord {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.records[node]
 }
 
-// PeerNames returns the names of the other nodes that are known.
+// PeerNames returns the names of all other known nodes.
 func (m *Members) PeerNames() []string {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return slices.Collect(maps.Keys(m.records))
 }
 
-// Restarted sets the process of a node that answered as another one than its record names.
+// Restarted updates the incarnation of a node that replied with a different one than its record
+// has.
 func (m *Members) Restarted(node, incarnation string) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -230,7 +232,7 @@
 	}
 }
 
-// Incarnation returns the process that the record of a node names; empty: none is known.
+// Incarnation returns the incarnation of a node, or an empty string if the node is unknown.
 func (m *Members) Incarnation(node string) string {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -240,27 +242,27 @@
 	return ""
 }
 
-// IsFirstFor reports whether this node has the highest weight of all nodes for a key. Nodes
-// that know the same others agree on which one has.
+// IsFirstFor reports whether rendezvous hashing selects this node for a key. Nodes with the same
+// view of the membership agree on the selected node.
 func (m *Members) IsFirstFor(key []byte) bool {
-	own := m.options.Settings().Node
-	mine := rendezvousWeight(own, key)
+	local := m.options.Settings().Node
+	localWeight := rendezvousWeight(local, key)
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	for name := range m.records {
-		if name != own && rendezvousWeight(name, key) > mine {
+		if name != local && rendezvousWeight(name, key) > localWeight {
 			return false
 		}
 	}
 	return true
 }
 
-// rendezvousWeight is the weight of a node in the rendezvous for a key.
+// rendezvousWeight returns the rendezvous hashing weight of a node for a key.
 func rendezvousWeight(name string, key []byte) uint64 {
 	return xxhash.Sum64(append(append([]byte(nil), key...), name...))
 }
 
-// Others returns the number of other nodes that are known.
+// Others returns the number of other known nodes.
 func (m *Members) Others() int {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -271,21 +273,21 @@
 	return count
 }
 
-// All returns the records of all nodes, the own one among them.
+// All returns the records of all nodes, including the local record.
 func (m *Members) All() []wire.NodeRecord {
-	own := m.LocalRecord()
+	local := m.LocalRecord()
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	records := make([]wire.NodeRecord, 0, len(m.records)+1)
 	for name, record := range m.records {
-		if name != own.Node {
+		if name != local.Node {
 			records = append(records, *record)
 		}
 	}
-	return append(records, *own)
+	return append(records, *local)
 }
 
-// digests returns the digests of the records of all nodes.
+// digests returns the bucket digests of all records.
 func (m *Members) digests() *buckets {
 	b := &buckets{}
 	for _, r := range m.All() {
@@ -294,7 +296,7 @@
 	return b
 }
 
-// recordsInBuckets returns the records of some buckets, the own one if it is in one of them.
+// recordsInBuckets returns the records of all nodes, including this node, in the wanted buckets.
 func (m *Members) recordsInBuckets(wanted [digestBuckets]bool) []wire.NodeRecord {
 	found := []wire.NodeRecord{}
 	for _, r := range m.All() {
@@ -305,23 +307,23 @@
 	return found
 }
 
-// Apply sets the targets of all services, the number of nodes and the nodes of the zone as the
-// records have them. Who stores several records calls it once, after the last.
+// Apply updates Routing and Follower from the current records. A caller that merges several
+// records calls it once, after the last.
 func (m *Members) Apply() {
-	own := m.LocalRecord()
+	local := m.LocalRecord()
 	now := m.options.Now()
 	targets := map[string][]balancer.Target{}
 	others := 0
 	m.mutex.Lock()
 	listed := m.storeListed
 	for name, record := range m.records {
-		if name != own.Node {
+		if name != local.Node {
 			others++
 			addTarget(targets, record, now)
 		}
 	}
 	m.mutex.Unlock()
-	addTarget(targets, own, now)
+	addTarget(targets, local, now)
 	m.options.Routing.Update(targets)
 	if others > 0 || listed {
 		m.options.Routing.Count(others + 1)
@@ -329,7 +331,7 @@
 	m.options.Follower.SetMembers(m.ZonePeers())
 }
 
-// addTarget adds the target beside a node to those of its service if it takes new work.
+// addTarget adds the target of a node to the targets of its service, if it accepts new requests.
 func addTarget(targets map[string][]balancer.Target, record *wire.NodeRecord, now time.Duration) {
 	if !record.Serving || record.Instance == "" {
 		return
--- a/internal/sidecar/membership/membership_test.go
+++ b/internal/sidecar/membership/membership_test.go
@@ -21,7 +21,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// testNode is the membership of a node that has no target and no store.
+// testNode is the membership of a node without target and store.
 type testNode struct {
 	current     atomic.Pointer[settings.Settings]
 	peers       *peer.Client
@@ -29,10 +29,10 @@
 	exchanger   *Exchanger
 	broadcaster *Broadcaster
 	dependents  *fakeDependents
-	recordLost  chan struct{} // the store has no record of the node
+	recordLost  chan struct{} // signaled by Options.RecordLost
 }
 
-// newTestNode makes a node with a membership and nothing that listens.
+// newTestNode returns a node that does not serve HTTP.
 func newTestNode(name, incarnation string) *testNode {
 	n := &testNode{peers: peer.NewClient((&net.Dialer{}).DialContext, headers.Names{}), dependents: &fakeDependents{}, recordLost: make(chan struct{}, 1)}
 	n.current.Store(&settings.Settings{Node: name, Zone: "a"})
@@ -52,7 +52,7 @@
 
 func (n *testNode) settings() *settings.Settings { return n.current.Load() }
 
-// inbound serves what other nodes send.
+// inbound returns the handler for messages from other nodes.
 func (n *testNode) inbound() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("POST "+ExchangePath, n.exchanger)
@@ -60,7 +60,7 @@
 	return mux
 }
 
-// fakeDependents is the routing and the follower of a node, as its records drive them.
+// fakeDependents implements Routing and Follower and records their calls.
 type fakeDependents struct {
 	mutex      sync.Mutex
 	targets    map[string][]balancer.Target
@@ -97,7 +97,7 @@
 	d.heartbeats = append(d.heartbeats, name)
 }
 
-// targetNodes are the nodes beside the targets of a service.
+// targetNodes returns the nodes that have a target of a service.
 func (d *fakeDependents) targetNodes(service string) (names []string) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -111,7 +111,7 @@
 	g := NewWithT(t)
 	n := newTestNode("me", "i")
 	n.membership.Apply()
-	g.Expect(n.dependents.nodeCount).To(BeZero(), "nothing is known of others yet")
+	g.Expect(n.dependents.nodeCount).To(BeZero(), "the number of nodes is unknown until another node or the store reports it")
 	records := []wire.NodeRecord{
 		{Node: "serving", Incarnation: "1", Zone: "a", Service: "s", Instance: "x", Serving: true},
 		{Node: "draining", Incarnation: "2", Zone: "a", Service: "s", Instance: "y"},
@@ -126,15 +126,15 @@
 	older := records[3]
 	older.Sequence, older.Serving = 0, false
 	n.membership.Merge([]wire.NodeRecord{older})
-	g.Expect(n.dependents.targetNodes("s")).To(ConsistOf("serving", "far"), "an older record changes nothing")
+	g.Expect(n.dependents.targetNodes("s")).To(ConsistOf("serving", "far"), "an older record is ignored")
 
 	n.membership.applyRemovals(records[3:])
 	n.membership.Merge(records)
-	g.Expect(n.dependents.targetNodes("s")).To(ConsistOf("serving"), "a node that is gone is not brought back")
+	g.Expect(n.dependents.targetNodes("s")).To(ConsistOf("serving"), "a removed node is not re-added by other nodes")
 	g.Expect(n.dependents.nodeCount).To(Equal(4))
 	n.membership.MergeStored(&records[3])
 	n.membership.Apply()
-	g.Expect(n.dependents.targetNodes("s")).To(ConsistOf("serving", "far"), "but by its record in the store")
+	g.Expect(n.dependents.targetNodes("s")).To(ConsistOf("serving", "far"), "a record in the store re-adds a removed node")
 }
 
 func TestFollowerHeartbeatsAreDelivered(t *testing.T) {
@@ -148,16 +148,14 @@
 	g.Expect(n.dependents.heartbeats).To(Equal([]string{"f", "f"}))
 }
 
-// A clock that was set back makes a process look older than the one before it on
-// the same node. Others that the store does not tell would never take its record.
-// Found by reading (clock_step with a restart while the store refuses the node).
+// Guards against peers ignoring the record of a restarted node whose wall clock was set back.
 func TestRestartedNodeSupersedesOldRecord(t *testing.T) {
 	for _, tc := range []struct {
 		name string
-		step time.Duration // of the clock between the two lives
+		step time.Duration // of the wall clock between the two processes
 	}{
-		{"clock goes on", time.Second},
-		{"clock stands", 0},
+		{"clock advances", time.Second},
+		{"clock unchanged", 0},
 		{"clock set back", -2 * time.Second},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -167,13 +165,12 @@
 			first := wire.NodeRecord{Node: "me", Incarnation: "first", Sequence: 9, Started: node.membership.LocalRecord().Started - tc.step.Milliseconds()}
 			other.membership.add(&first)
 
-			// They exchange what they know.
 			node.membership.Merge(other.membership.All())
 			other.membership.Merge(node.membership.All())
 			g.Expect(other.membership.Incarnation("me")).To(Equal("second"))
 			before := node.membership.LocalRecord().Started
 			node.membership.Merge(other.membership.All())
-			g.Expect(node.membership.LocalRecord().Started).To(Equal(before), "its own record moves nothing")
+			g.Expect(node.membership.LocalRecord().Started).To(Equal(before), "a record of the same incarnation is not superseded")
 		})
 	}
 }
--- a/internal/sidecar/membership/options.go
+++ b/internal/sidecar/membership/options.go
@@ -11,31 +11,32 @@
 	"github.com/landingmast/landingmast/internal/sidecar/settings"
 )
 
-// Routing chooses the targets of requests by the records.
+// Routing selects the targets of requests.
 type Routing interface {
-	// Update sets the targets of every service.
+	// Update replaces the targets of all services.
 	Update(targets map[string][]balancer.Target)
-	// Count sets the number of nodes, this one among them.
-	Count(members int)
+	// Count sets the number of nodes, including this node.
+	Count(nodes int)
 }
 
-// Follower elects the nodes of the zone that follow the store.
+// Follower elects the nodes of the zone that watch the store.
 type Follower interface {
-	// SetMembers sets the other nodes of the zone.
+	// SetMembers replaces the set of other nodes in the zone.
 	SetMembers(names []string)
-	// Heard notes the heartbeat of a follower; well: the store answers it.
+	// Heard records a heartbeat of the named follower. well reports whether the follower can
+	// reach the store.
 	Heard(name string, well bool)
 }
 
-// Options are what the parts of a node bring in.
+// Options holds the dependencies of Members, Exchanger and Broadcaster.
 type Options struct {
-	Settings      func() *settings.Settings             // in force
-	Incarnation   string                                // of the node's process
-	Now           func() time.Duration                  // the clock that counts suspensions
-	Target        func() (roster.Report, time.Duration) // beside the node, and until when it is slow
-	Leaving       func() bool                           // the node is to be sent nothing more
-	Silent        func(node string) bool                // another node is taken for dead
-	RecordLost    func()                                // the store has no record of this node
+	Settings      func() *settings.Settings             // returns the current settings
+	Incarnation   string                                // identifies this process of the node
+	Now           func() time.Duration                  // monotonic clock that includes time suspended
+	Target        func() (roster.Report, time.Duration) // state of the local target, and the end of its warm-up
+	Leaving       func() bool                           // reports whether the node no longer accepts requests
+	Silent        func(node string) bool                // reports whether a node is considered dead
+	RecordLost    func()                                // called when the store has no record of this node
 	Routing       Routing
 	Follower      Follower
 	Configuration *configuration.InForce
