--- a/internal/sidecar/registration/registration.go
+++ b/internal/sidecar/registration/registration.go
@@ -1,12 +1,11 @@
-// Package registration keeps a node's own record in the store, under a lease.
+// Package registration registers a node in the store: it writes the node's record under a lease
+// and renews the lease.
 //
-// It owns that lease. At the start of a process it also lists the records of all nodes, so
-// that the node knows others before any of them knows it. A record that the store has lost is
-// written anew; while the store does not serve the node, it is tried again after a pause.
+// At startup it also lists the records of all nodes, so that the node discovers its peers. It
+// rewrites a record that the store has lost, and retries with randomized delays while the store
+// is unavailable. Package storehealth logs the outages.
 //
-// It relies on the membership for the records, on package storehealth for the log of outages
-// and on its maker for the question whether the store answers. A Registration is safe for
-// concurrent use; Run is called once.
+// A Registration is safe for concurrent use, but Run must be called only once.
 package registration
 
 import (
@@ -24,90 +23,88 @@
 	"github.com/landingmast/landingmast/internal/wire"
 )
 
-// Times of the node's own record in the store.
 const (
-	// renewals is the number of renewals of a lease in the time for which it is granted.
-	renewals = 3
-	// writeSpread and readSpread are the times over which nodes that all start at once spread
-	// the writes of their records and the lists of all records.
-	writeSpread = 300 * time.Millisecond
-	readSpread  = 700 * time.Millisecond
-	// revokeTimeout bounds the withdrawal of a record.
+	// renewalsPerTTL is the number of renewals within the TTL of a lease.
+	renewalsPerTTL = 3
+	// writeJitter and listJitter spread the load on the store when many nodes start at once.
+	writeJitter = 300 * time.Millisecond
+	listJitter  = 700 * time.Millisecond
+	// revokeTimeout bounds the call that revokes the lease in Withdraw.
 	revokeTimeout = 300 * time.Millisecond
-	// retryLeast and retrySpread are the pause after a call that failed. A node whose record
-	// is missing has to have it back within about two seconds of the store's return.
-	retryLeast  = 900 * time.Millisecond
-	retrySpread = 400 * time.Millisecond
+	// The delay after a failed call is retryMinDelay plus a random part of retryJitter. A missing
+	// record has to be rewritten within about two seconds after the store becomes available.
+	retryMinDelay = 900 * time.Millisecond
+	retryJitter   = 400 * time.Millisecond
 )
 
-// Registration keeps the node's own record in the store. The record is written once in the
-// life of a machine: other nodes find this one by it, and nodes send each other what changes.
-// It is written anew when the store has lost it.
+// Registration keeps the record of the local node in the store. Other nodes use the record to
+// discover this node; later changes are broadcast between nodes and not written to the store. The
+// record is rewritten only if the store has lost it or if its lease has expired.
 type Registration struct {
-	options  Options
-	lease    atomic.Pointer[store.Lease] // nil: none
-	lost     chan struct{}               // the store has lost the record
-	renewNow chan struct{}               // the lease is to be renewed before its time
-	failing  atomic.Bool                 // the last try to write the record failed
+	options     Options
+	lease       atomic.Pointer[store.Lease] // nil if no lease is held
+	recordLost  chan struct{}               // signaled by Lost
+	renewNow    chan struct{}               // signaled by RenewNow
+	writeFailed atomic.Bool                 // the last attempt to write the record failed
 }
 
-// Members are the records of all nodes.
+// Members holds the records of all nodes.
 type Members interface {
-	// LocalRecord is the record of this node as it is now.
+	// LocalRecord returns the current record of this node.
 	LocalRecord() *wire.NodeRecord
-	// Changed sends the own record to the other nodes with a new sequence number.
+	// Changed broadcasts the local record to the other nodes with a new sequence number.
 	Changed()
-	// Supersede makes the own record newer than one of an earlier process of this node.
+	// Supersede makes the local record newer than one of an earlier process of this node.
 	Supersede(record *wire.NodeRecord)
-	// Others is the number of other nodes that are known.
+	// Others returns the number of other known nodes.
 	Others() int
-	// MergeStored takes in the record of another node that the store has.
+	// MergeStored adds the record of another node that was read from the store.
 	MergeStored(record *wire.NodeRecord)
-	// MarkStoreListed notes that the store has listed all records.
+	// MarkStoreListed records that all records of the store have been read.
 	MarkStoreListed()
-	// Apply brings the records into routing.
+	// Apply updates routing from the current records.
 	Apply()
 }
 
-// Options are what the parts of a node bring in.
+// Options holds the configuration and the dependencies of a Registration.
 type Options struct {
-	Settings     func() *settings.Settings // in force
-	Store        store.Store               // nil: none; Run must not be called then
+	Settings     func() *settings.Settings // returns the current settings
+	Store        store.Store               // Run must not be called if nil
 	Health       *storehealth.Health
-	Probe        func(ctx context.Context) bool // whether the store answers
-	RecordPrefix string                         // where all that the nodes keep in the store lies
-	NodePrefix   string                         // below it, where the nodes' records lie
+	Probe        func(ctx context.Context) bool // reports whether the store answers
+	RecordPrefix string                         // key prefix of all data that nodes keep in the store
+	NodePrefix   string                         // key prefix of the node records; starts with RecordPrefix
 	Members      Members
-	TakeOther    func(item *store.Item)    // takes what is listed besides the nodes' records
-	Meet         func(ctx context.Context) // asks other nodes for what they know
-	Listed       func()                    // called once, when the other nodes are known
-	TargetLeft   func() bool               // the target has left for good
+	TakeOther    func(item *store.Item)    // handles a listed item that is not a node record
+	Meet         func(ctx context.Context) // exchanges state with other nodes after they are known
+	Listed       func()                    // called once, after peer discovery
+	TargetLeft   func() bool               // reports whether the target has left permanently
 }
 
-// New makes the registration of a node that has no lease.
+// New returns a Registration that holds no lease yet.
 func New(options Options) *Registration {
-	return &Registration{options: options, lost: make(chan struct{}, 1), renewNow: make(chan struct{}, 1)}
+	return &Registration{options: options, recordLost: make(chan struct{}, 1), renewNow: make(chan struct{}, 1)}
 }
 
-// Lost notes that the store has no record of the node; it is written anew.
-func (r *Registration) Lost() { wait.Signal(r.lost) }
+// Lost reports that the store has no record of this node. Run rewrites the record.
+func (r *Registration) Lost() { wait.Signal(r.recordLost) }
 
-// RenewNow renews the lease before its time. It does not wait for the end.
+// RenewNow makes Run renew the lease immediately. It does not wait for the renewal.
 func (r *Registration) RenewNow() { wait.Signal(r.renewNow) }
 
-// TurnedAway reports whether the store does not serve the node, as far as its last calls show.
-func (r *Registration) TurnedAway() bool { return r.failing.Load() || r.options.Health.Away() }
+// TurnedAway reports whether the store is unavailable to this node, according to its latest calls.
+func (r *Registration) TurnedAway() bool { return r.writeFailed.Load() || r.options.Health.Away() }
 
-// Run finds the other nodes and keeps the own record and its lease until ctx ends.
+// Run discovers the other nodes, then keeps the local record and its lease until ctx is done.
 func (r *Registration) Run(ctx context.Context) {
 	if r.options.Settings().FirstStart {
-		wait.For(ctx, time.Duration(rand.Int64N(int64(writeSpread))))
+		wait.For(ctx, time.Duration(rand.Int64N(int64(writeJitter))))
 		r.register(ctx)
-		wait.For(ctx, time.Duration(rand.Int64N(int64(readSpread))))
-		r.findOthers(ctx)
+		wait.For(ctx, time.Duration(rand.Int64N(int64(listJitter))))
+		r.discoverPeers(ctx)
 		r.options.Listed()
 	} else {
-		r.findOthers(ctx)
+		r.discoverPeers(ctx)
 		r.options.Listed()
 		r.register(ctx)
 	}
@@ -121,31 +118,31 @@
 	}
 }
 
-// findOthers lists the records of all nodes, unless another node has sent them, and asks some
-// nodes for what they know.
-func (r *Registration) findOthers(ctx context.Context) {
+// discoverPeers lists the records of all nodes, unless other nodes are already known, and then
+// exchanges state with some of them.
+func (r *Registration) discoverPeers(ctx context.Context) {
 	for ctx.Err() == nil && r.options.Members.Others() == 0 {
-		call, cancel := context.WithTimeout(ctx, storehealth.CallTimeout)
-		items, _, err := r.options.Store.List(call, r.options.RecordPrefix)
+		callCtx, cancel := context.WithTimeout(ctx, storehealth.CallTimeout)
+		items, _, err := r.options.Store.List(callCtx, r.options.RecordPrefix)
 		cancel()
 		r.options.Health.Note("read", err)
 		if err != nil {
-			r.pause(ctx)
+			r.waitForStore(ctx)
 			continue
 		}
-		r.takeListed(items)
+		r.loadListed(items)
 		break
 	}
 	r.options.Meet(ctx)
 }
 
-// takeListed takes over the records that the store has. If the own one is among them, written by
-// an earlier process of the node, its lease is taken over too.
-func (r *Registration) takeListed(items []store.Item) {
+// loadListed merges the records read from the store. If an earlier process of this node wrote one
+// of them, its lease is adopted.
+func (r *Registration) loadListed(items []store.Item) {
 	m := r.options.Members
 	for _, item := range items {
-		name, is := strings.CutPrefix(item.Key, r.options.NodePrefix)
-		if !is {
+		name, found := strings.CutPrefix(item.Key, r.options.NodePrefix)
+		if !found {
 			r.options.TakeOther(&item)
 			continue
 		}
@@ -155,7 +152,7 @@
 		}
 		if name == r.options.Settings().Node {
 			m.Supersede(record)
-			r.takeLease(record, item.Lease)
+			r.adoptLease(record, item.Lease)
 			continue
 		}
 		m.MergeStored(record)
@@ -164,50 +161,50 @@
 	m.Apply()
 }
 
-// takeLease takes over the lease of an earlier process of the node, unless its record has
-// another address or zone and must be written anew.
-func (r *Registration) takeLease(record *wire.NodeRecord, lease int64) {
+// adoptLease adopts the lease of an earlier process of this node, unless its record has another
+// address or zone and has to be rewritten.
+func (r *Registration) adoptLease(record *wire.NodeRecord, lease int64) {
 	settings := r.options.Settings()
 	if record.Address == settings.Listen.Inbound && record.Zone == settings.Zone {
 		r.lease.Store(&store.Lease{ID: lease, TTL: time.Duration(settings.Store.Lease)})
 	}
 }
 
-// pause waits after a call that failed until the store answers a probe.
-func (r *Registration) pause(ctx context.Context) {
+// waitForStore waits after a failed call until the store answers a probe or ctx is done.
+func (r *Registration) waitForStore(ctx context.Context) {
 	for ctx.Err() == nil {
-		wait.For(ctx, retryLeast+time.Duration(rand.Int64N(int64(retrySpread))))
+		wait.For(ctx, retryMinDelay+time.Duration(rand.Int64N(int64(retryJitter))))
 		if ctx.Err() != nil || r.options.Probe(ctx) {
 			return
 		}
 	}
 }
 
-// register writes the own record until the store takes it or ctx ends.
+// register writes the local record, with retries, until it succeeds or ctx is done.
 func (r *Registration) register(ctx context.Context) {
 	for ctx.Err() == nil {
-		err := r.write(ctx)
+		err := r.writeRecord(ctx)
 		r.options.Health.Note("record", err)
-		r.failing.Store(err != nil)
+		r.writeFailed.Store(err != nil)
 		if err == nil {
 			r.clearLost()
 			return
 		}
-		r.pause(ctx)
+		r.waitForStore(ctx)
 	}
 }
 
-// clearLost drops a signal of Lost from before the record was written.
+// clearLost discards a signal of Lost that precedes the write of the record.
 func (r *Registration) clearLost() {
 	select {
-	case <-r.lost:
+	case <-r.recordLost:
 	default:
 	}
 }
 
-// write writes the own record under a new lease. A lease that was taken over is renewed
-// instead: the record is there then.
-func (r *Registration) write(ctx context.Context) error {
+// writeRecord writes the local record under a new lease. If a lease was adopted and is still valid,
+// it renews that lease instead, because the record still exists.
+func (r *Registration) writeRecord(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, storehealth.CallTimeout)
 	defer cancel()
 	s := r.options.Store
@@ -232,29 +229,29 @@
 	return nil
 }
 
-// renew waits until the lease is to be renewed and renews it. It returns false if the record
-// has to be written anew: it is lost, or the lease is over.
+// renew waits until the lease is due for renewal and renews it. It returns false if the record has
+// been lost or the lease has expired, so that the record has to be rewritten, or if ctx is done.
 func (r *Registration) renew(ctx context.Context) bool {
 	lease := r.lease.Load()
-	timer := time.NewTimer(lease.TTL / renewals)
+	timer := time.NewTimer(lease.TTL / renewalsPerTTL)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 		return false
-	case <-r.lost:
+	case <-r.recordLost:
 		return false
 	case <-r.renewNow:
 	case <-timer.C:
 	}
-	call, cancel := context.WithTimeout(ctx, storehealth.CallTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, storehealth.CallTimeout)
 	defer cancel()
-	err := r.options.Store.Keep(call, lease.ID)
+	err := r.options.Store.Keep(callCtx, lease.ID)
 	r.options.Health.Note("lease", err)
 	return !errors.Is(err, store.ErrLeaseGone)
 }
 
-// Withdraw takes the record out of the store if the target has left for good: the machine goes
-// with it. A failure is logged by the store's health; the lease then runs out.
+// Withdraw revokes the lease, and thereby deletes the record, if the target has left permanently.
+// The machine is then about to be shut down. If the call fails, the lease expires on its own.
 func (r *Registration) Withdraw() {
 	lease := r.lease.Load()
 	if lease == nil || !r.options.TargetLeft() {
--- a/internal/sidecar/registration/registration_test.go
+++ b/internal/sidecar/registration/registration_test.go
@@ -18,47 +18,49 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// leases is a store that counts the calls for leases and records.
-type leases struct {
+// fakeStore records the calls that concern leases and node records.
+type fakeStore struct {
 	store.Store
 
-	mutex   sync.Mutex
-	items   []store.Item
-	failing error // of Grant
-	kept    map[int64]int
-	gone    map[int64]bool
-	granted int64
-	written []store.Write
-	revoked []int64
+	mutex    sync.Mutex
+	items    []store.Item
+	grantErr error // returned by Grant
+	renewals map[int64]int
+	expired  map[int64]bool
+	granted  int64
+	written  []store.Write
+	revoked  []int64
 }
 
 // List implements store.Store.
-func (s *leases) List(context.Context, string) ([]store.Item, int64, error) { return s.items, 1, nil }
+func (s *fakeStore) List(context.Context, string) ([]store.Item, int64, error) {
+	return s.items, 1, nil
+}
 
 // Grant implements store.Store.
-func (s *leases) Grant(_ context.Context, ttl time.Duration) (store.Lease, error) {
+func (s *fakeStore) Grant(_ context.Context, ttl time.Duration) (store.Lease, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.failing != nil {
-		return store.Lease{}, s.failing
+	if s.grantErr != nil {
+		return store.Lease{}, s.grantErr
 	}
 	s.granted++
 	return store.Lease{ID: s.granted, TTL: ttl}, nil
 }
 
 // Keep implements store.Store.
-func (s *leases) Keep(_ context.Context, lease int64) error {
+func (s *fakeStore) Keep(_ context.Context, lease int64) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.gone[lease] {
+	if s.expired[lease] {
 		return store.ErrLeaseGone
 	}
-	s.kept[lease]++
+	s.renewals[lease]++
 	return nil
 }
 
 // Put implements store.Store.
-func (s *leases) Put(_ context.Context, write store.Write) (int64, error) {
+func (s *fakeStore) Put(_ context.Context, write store.Write) (int64, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.written = append(s.written, write)
@@ -66,150 +68,150 @@
 }
 
 // Revoke implements store.Store.
-func (s *leases) Revoke(_ context.Context, lease int64) error {
+func (s *fakeStore) Revoke(_ context.Context, lease int64) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.revoked = append(s.revoked, lease)
 	return nil
 }
 
-// end ends a lease.
-func (s *leases) end(lease int64) {
+// expire marks a lease as expired.
+func (s *fakeStore) expire(lease int64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.gone[lease] = true
+	s.expired[lease] = true
 }
 
-// records are those of a node that knows some others.
-type records struct {
-	put       []string
-	outranked int
-	changed   int
+// fakeMembers records the calls of Members. It knows the nodes whose records were merged.
+type fakeMembers struct {
+	merged     []string
+	superseded int
+	changed    int
 }
 
 // LocalRecord implements Members.
-func (r *records) LocalRecord() *wire.NodeRecord {
+func (m *fakeMembers) LocalRecord() *wire.NodeRecord {
 	return &wire.NodeRecord{Node: "me", Incarnation: "second"}
 }
 
 // Changed implements Members.
-func (r *records) Changed() { r.changed++ }
+func (m *fakeMembers) Changed() { m.changed++ }
 
 // Supersede implements Members.
-func (r *records) Supersede(*wire.NodeRecord) { r.outranked++ }
+func (m *fakeMembers) Supersede(*wire.NodeRecord) { m.superseded++ }
 
 // Others implements Members.
-func (r *records) Others() int { return len(r.put) }
+func (m *fakeMembers) Others() int { return len(m.merged) }
 
 // MergeStored implements Members.
-func (r *records) MergeStored(record *wire.NodeRecord) { r.put = append(r.put, record.Node) }
+func (m *fakeMembers) MergeStored(record *wire.NodeRecord) { m.merged = append(m.merged, record.Node) }
 
 // MarkStoreListed implements Members.
-func (r *records) MarkStoreListed() {}
+func (m *fakeMembers) MarkStoreListed() {}
 
 // Apply implements Members.
-func (r *records) Apply() {}
+func (m *fakeMembers) Apply() {}
 
-// testNode is a registration with all that it calls.
+// testNode is a Registration with fake dependencies.
 type testNode struct {
 	*Registration
-	store   *leases
-	records *records
-	others  []string // keys that were listed besides the records
-	met     int
-	listed  int
-	left    bool
+	store       *fakeStore
+	members     *fakeMembers
+	otherKeys   []string // keys of listed items that are not node records
+	meetCalls   int
+	listedCalls int
+	targetLeft  bool
 }
 
 func newTestNode(items ...store.Item) *testNode {
 	events := eventlog.New("me", io.Discard)
 	calls := prometheus.NewCounterVec(prometheus.CounterOpts{Name: "calls"}, []string{"call", "result"})
-	n := &testNode{store: &leases{items: items, kept: map[int64]int{}, gone: map[int64]bool{}}, records: &records{}}
+	n := &testNode{store: &fakeStore{items: items, renewals: map[int64]int{}, expired: map[int64]bool{}}, members: &fakeMembers{}}
 	checked := &settings.Settings{Node: "me", Zone: "a"}
 	checked.Listen.Inbound = "10.0.0.1:1"
 	checked.Store.Lease = units.Duration(30 * time.Second)
 	n.Registration = New(Options{
 		Settings: func() *settings.Settings { return checked }, Store: n.store, Health: storehealth.New(events, calls),
 		Probe:        func(context.Context) bool { return true },
-		RecordPrefix: "p/", NodePrefix: "p/nodes/", Members: n.records,
-		TakeOther:  func(item *store.Item) { n.others = append(n.others, item.Key) },
-		Meet:       func(context.Context) { n.met++ },
-		Listed:     func() { n.listed++ },
-		TargetLeft: func() bool { return n.left },
+		RecordPrefix: "p/", NodePrefix: "p/nodes/", Members: n.members,
+		TakeOther:  func(item *store.Item) { n.otherKeys = append(n.otherKeys, item.Key) },
+		Meet:       func(context.Context) { n.meetCalls++ },
+		Listed:     func() { n.listedCalls++ },
+		TargetLeft: func() bool { return n.targetLeft },
 	})
 	return n
 }
 
-func item(t *testing.T, record wire.NodeRecord, lease int64) store.Item {
+func recordItem(t *testing.T, record wire.NodeRecord, lease int64) store.Item {
 	t.Helper()
 	value, err := wire.NodeRecordCodec.Encode(&record)
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
 	return store.Item{Key: "p/nodes/" + record.Node, Value: value, Lease: lease}
 }
 
-func TestLeaseOfTheProcessBeforeIsTakenOver(t *testing.T) {
+func TestLeaseOfPreviousProcessIsAdopted(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
-		own     *wire.NodeRecord // in the store; nil: none
-		over    bool             // its lease is
+		own     *wire.NodeRecord // record in the store; nil if there is none
+		expired bool             // the lease of own
 		written int
-		renewed int // the lease that is renewed
+		renewed int // ID of the renewed lease
 	}{
 		{"no record", nil, false, 1, 1},
 		{"same address and zone", &wire.NodeRecord{Node: "me", Address: "10.0.0.1:1", Zone: "a"}, false, 0, 7},
-		{"same, but the lease is over", &wire.NodeRecord{Node: "me", Address: "10.0.0.1:1", Zone: "a"}, true, 1, 1},
+		{"same, lease expired", &wire.NodeRecord{Node: "me", Address: "10.0.0.1:1", Zone: "a"}, true, 1, 1},
 		{"another address", &wire.NodeRecord{Node: "me", Address: "10.0.0.2:1", Zone: "a"}, false, 1, 1},
 		{"another zone", &wire.NodeRecord{Node: "me", Address: "10.0.0.1:1", Zone: "b"}, false, 1, 1},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
-				items := []store.Item{item(t, wire.NodeRecord{Node: "other"}, 3), {Key: "p/ends"}}
+				items := []store.Item{recordItem(t, wire.NodeRecord{Node: "other"}, 3), {Key: "p/ends"}}
 				if tc.own != nil {
-					items = append(items, item(t, *tc.own, 7))
+					items = append(items, recordItem(t, *tc.own, 7))
 				}
 				n := newTestNode(items...)
-				n.store.gone[7] = tc.over
+				n.store.expired[7] = tc.expired
 				ctx, cancel := context.WithCancel(t.Context())
 				go n.Run(ctx)
 				time.Sleep(31 * time.Second)
 				cancel()
 				synctest.Wait()
-				g.Expect(n.records.put).To(Equal([]string{"other"}))
-				g.Expect(n.others).To(Equal([]string{"p/ends"}))
-				g.Expect([]int{n.met, n.listed}).To(Equal([]int{1, 1}))
+				g.Expect(n.members.merged).To(Equal([]string{"other"}))
+				g.Expect(n.otherKeys).To(Equal([]string{"p/ends"}))
+				g.Expect([]int{n.meetCalls, n.listedCalls}).To(Equal([]int{1, 1}))
 				g.Expect(n.store.written).To(HaveLen(tc.written))
-				g.Expect(n.store.kept[int64(tc.renewed)]).To(BeNumerically(">=", renewals))
+				g.Expect(n.store.renewals[int64(tc.renewed)]).To(BeNumerically(">=", renewalsPerTTL))
 			})
 		})
 	}
 }
 
-func TestRecordThatIsLostIsWrittenAnew(t *testing.T) {
+func TestLostRecordIsRewritten(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		lose func(n *testNode)
-		by   time.Duration // it is written again
+		wait time.Duration // until the record is rewritten
 	}{
 		{"the store has no record", func(n *testNode) { n.Lost() }, time.Millisecond},
-		{"the lease is over", func(n *testNode) { n.store.end(1) }, 10 * time.Second},
-		{"the lease is over, as is found on waking", func(n *testNode) { n.store.end(1); n.RenewNow() }, time.Millisecond},
+		{"the lease has expired", func(n *testNode) { n.store.expire(1) }, 10 * time.Second},
+		{"RenewNow finds the lease expired", func(n *testNode) { n.store.expire(1); n.RenewNow() }, time.Millisecond},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
-				n := newTestNode(item(t, wire.NodeRecord{Node: "other"}, 3))
+				n := newTestNode(recordItem(t, wire.NodeRecord{Node: "other"}, 3))
 				ctx, cancel := context.WithCancel(t.Context())
 				go n.Run(ctx)
 				time.Sleep(time.Second)
 				synctest.Wait()
 				g.Expect(n.store.written).To(HaveLen(1))
 				tc.lose(n)
-				time.Sleep(tc.by)
+				time.Sleep(tc.wait)
 				synctest.Wait()
 				g.Expect(n.store.written).To(HaveLen(2))
 				g.Expect(n.store.written[1].Key).To(Equal("p/nodes/me"))
-				g.Expect(n.records.changed).To(Equal(1))
+				g.Expect(n.members.changed).To(Equal(1))
 				cancel()
 				synctest.Wait()
 			})
@@ -217,20 +219,20 @@
 	}
 }
 
-// While the store does not serve the node it says so, and tries again after pauses.
-func TestNodeThatTheStoreDoesNotServe(t *testing.T) {
+// Guards against a node that does not report an outage of the store or does not recover from it.
+func TestStoreUnavailable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		n := newTestNode(item(t, wire.NodeRecord{Node: "other"}, 3))
-		n.store.failing = store.ErrUnavailable
+		n := newTestNode(recordItem(t, wire.NodeRecord{Node: "other"}, 3))
+		n.store.grantErr = store.ErrUnavailable
 		ctx, cancel := context.WithCancel(t.Context())
 		go n.Run(ctx)
 		time.Sleep(5 * time.Second)
 		g.Expect(n.TurnedAway()).To(BeTrue())
 		n.store.mutex.Lock()
-		n.store.failing = nil
+		n.store.grantErr = nil
 		n.store.mutex.Unlock()
-		time.Sleep(retryLeast + retrySpread)
+		time.Sleep(retryMinDelay + retryJitter)
 		synctest.Wait()
 		g.Expect(n.TurnedAway()).To(BeFalse())
 		g.Expect(n.store.written).To(HaveLen(1))
@@ -239,14 +241,14 @@
 	})
 }
 
-func TestRecordIsWithdrawnWithTheTarget(t *testing.T) {
+func TestRecordIsWithdrawnWithTarget(t *testing.T) {
 	for _, left := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			g := NewWithT(t)
-			n := newTestNode(item(t, wire.NodeRecord{Node: "other"}, 3))
-			n.left = left
+			n := newTestNode(recordItem(t, wire.NodeRecord{Node: "other"}, 3))
+			n.targetLeft = left
 			n.Withdraw()
-			g.Expect(n.store.revoked).To(BeEmpty(), "there is no lease yet")
+			g.Expect(n.store.revoked).To(BeEmpty(), "no lease is held yet")
 			ctx, cancel := context.WithCancel(t.Context())
 			go n.Run(ctx)
 			time.Sleep(time.Second)
