--- a/internal/sidecar/configuration/configuration.go
+++ b/internal/sidecar/configuration/configuration.go
@@ -1,7 +1,6 @@
-// Package configuration holds the operators' configuration that is in force at a node. It
-// owns that one version and lets none go back to an older one; what is refused is logged
-// and changes nothing. How a configuration is written is known to the reader that it gets.
-// Where it comes from, the store or another node, is told by whoever found it.
+// Package configuration holds the active configuration of a node. Versions only increase: an
+// older configuration never replaces a newer one. A configuration that cannot be parsed is logged
+// and discarded.
 package configuration
 
 import (
@@ -11,29 +10,32 @@
 	"github.com/landingmast/landingmast/internal/sidecar/eventlog"
 )
 
-// Sources of what a node learns, as the log names them.
+// Values of the source field in log entries.
 const (
 	FromStore = "store"
 	FromPeer  = "peer"
 )
 
-// Reader reads a configuration in the operators' form; an error names what to correct.
+// Reader parses a configuration from the format that operators write. Its error names what to
+// correct.
 type Reader func(data []byte) (*intent.Intent, error)
 
-// InForce is the configuration in force. It is safe for concurrent use.
+// InForce holds the active configuration. It is safe for concurrent use.
 type InForce struct {
-	read    Reader
+	parse   Reader
 	events  *eventlog.Log
 	current atomic.Pointer[intent.Intent]
 }
 
-// New makes the place of a configuration; none is in force yet.
-func New(read Reader, events *eventlog.Log) *InForce { return &InForce{read: read, events: events} }
+// New returns an InForce without a configuration. Install parses with parse and logs to events.
+func New(parse Reader, events *eventlog.Log) *InForce {
+	return &InForce{parse: parse, events: events}
+}
 
-// Load gives the configuration in force; nil: none is known.
+// Load returns the active configuration, or nil if there is none.
 func (c *InForce) Load() *intent.Intent { return c.current.Load() }
 
-// Version gives the version in force; 0: none is known.
+// Version returns the version of the active configuration, or 0 if there is none.
 func (c *InForce) Version() uint64 {
 	if current := c.current.Load(); current != nil {
 		return current.Version
@@ -41,7 +43,7 @@
 	return 0
 }
 
-// Source gives the configuration in force in the operators' form; nil: none is known.
+// Source returns the active configuration as received, or nil if there is none.
 func (c *InForce) Source() []byte {
 	if current := c.current.Load(); current != nil {
 		return current.Source
@@ -49,26 +51,27 @@
 	return nil
 }
 
-// Install puts a configuration in force unless a newer one is. It gives its version.
+// Install parses data and activates it unless the active version is the same or newer. It returns
+// the parsed version either way. source is FromStore or FromPeer.
 func (c *InForce) Install(data []byte, source string) (uint64, error) {
-	read, err := c.read(data)
+	parsed, err := c.parse(data)
 	if err != nil {
 		c.events.Add(eventlog.Configuration{Before: c.Version(), Source: source, Error: err.Error()}, eventlog.State)
 		return 0, err
 	}
-	read.Source = data
+	parsed.Source = data
 	for {
 		current := c.current.Load()
-		if current != nil && current.Version >= read.Version {
-			return read.Version, nil
+		if current != nil && current.Version >= parsed.Version {
+			return parsed.Version, nil
 		}
-		if c.current.CompareAndSwap(current, read) {
+		if c.current.CompareAndSwap(current, parsed) {
 			before := uint64(0)
 			if current != nil {
 				before = current.Version
 			}
-			c.events.Add(eventlog.Configuration{Version: read.Version, Before: before, Routes: len(read.Routes), Tenants: len(read.Tenants), Source: source}, eventlog.State)
-			return read.Version, nil
+			c.events.Add(eventlog.Configuration{Version: parsed.Version, Before: before, Routes: len(parsed.Routes), Tenants: len(parsed.Tenants), Source: source}, eventlog.State)
+			return parsed.Version, nil
 		}
 	}
 }
