--- a/internal/sidecar/follower/follower.go
+++ b/internal/sidecar/follower/follower.go
@@ -14,40 +14,39 @@
 	"github.com/landingmast/landingmast/internal/wire"
 )
 
-// Times of a follower.
 const (
-	followerTick = 100 * time.Millisecond // between two looks at the election
-	beatEvery    = 300 * time.Millisecond // between two heartbeats
-	goneNamed    = 5 * time.Second        // how long heartbeats name a node that is gone
+	electionInterval    = 100 * time.Millisecond // between checks of the election
+	heartbeatInterval   = 300 * time.Millisecond // between heartbeats
+	removalAnnounceTime = 5 * time.Second        // how long heartbeats list a removed node
 )
 
-// Follower follows the store on behalf of the nodes of the zone while it is elected, and
+// Follower watches the store on behalf of the nodes of the zone while this node is elected, and
 // sends them heartbeats. It is safe for concurrent use.
 type Follower struct {
 	options Options
 
-	mutex     sync.Mutex
-	election  *election.Election // nil until Begin
-	lapses    *lapse.Tracker
-	hears     map[string]bool // by what is followed: its last call succeeded
-	gone      map[string]goneNode
-	following bool
-	heard     string // follower of the zone that last said that the store answers it
-	heardAt   time.Duration
+	mutex         sync.Mutex
+	election      *election.Election // nil until Begin
+	lapses        *lapse.Tracker
+	callSucceeded map[string]bool // result of the last call, by watched prefix or probeSource
+	removed       map[string]removedNode
+	following     bool          // used by Run only
+	healthyPeer   string        // sender of the last heartbeat that reported a reachable store
+	healthyPeerAt time.Duration // when that heartbeat was received
 }
 
-// New makes the follower of a node that does not take part in the election yet.
+// New returns a Follower that does not take part in the election until Begin is called.
 func New(options Options) *Follower {
-	return &Follower{options: options, lapses: lapse.New(lapse.DefaultConfig()), hears: map[string]bool{}, gone: map[string]goneNode{}}
+	return &Follower{options: options, lapses: lapse.New(lapse.DefaultConfig()), callSucceeded: map[string]bool{}, removed: map[string]removedNode{}}
 }
 
-// goneNode is a node that is gone; heartbeats name it until a time.
-type goneNode struct {
+// removedNode is a removed node, which heartbeats list until the given time.
+type removedNode struct {
 	record wire.NodeRecord
 	until  time.Duration
 }
 
-// Begin lets the node take part in the election, once it knows the other nodes.
+// Begin makes the node take part in the election. It is called once the other nodes are known.
 func (f *Follower) Begin() {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -57,7 +56,7 @@
 	}
 }
 
-// Resign ends the node's part in the election; it follows no more.
+// Resign withdraws the node from the election, so that it is never elected again.
 func (f *Follower) Resign() {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -66,7 +65,7 @@
 	}
 }
 
-// SetMembers sets the other nodes of the zone.
+// SetMembers replaces the set of other nodes in the zone.
 func (f *Follower) SetMembers(names []string) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -75,26 +74,28 @@
 	}
 }
 
-// Heard notes the heartbeat of another follower; well: the store answers it.
+// Heard records a heartbeat of another follower. well reports whether that follower can reach the
+// store.
 func (f *Follower) Heard(name string, well bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	if well {
-		f.heard, f.heardAt = name, f.options.Now()
+		f.healthyPeer, f.healthyPeerAt = name, f.options.Now()
 	}
 	if f.election != nil {
 		f.election.Beat(f.options.Now(), name, well)
 	}
 }
 
-// heardFor is how long a heartbeat counts: the time of three, and some time on the way.
-const heardFor = 3*beatEvery + 100*time.Millisecond
+// healthyPeerTTL is how long a heartbeat is considered current: three intervals plus an allowance
+// for the network delay.
+const healthyPeerTTL = 3*heartbeatInterval + 100*time.Millisecond
 
-// Address is the address of another follower of the zone that the store answers; empty: none
-// is known.
+// Address returns the address of another follower of the zone that can reach the store, or an
+// empty string if none is known.
 func (f *Follower) Address() string {
 	f.mutex.Lock()
-	name, recent := f.heard, f.options.Now()-f.heardAt < heardFor
+	name, recent := f.healthyPeer, f.options.Now()-f.healthyPeerAt < healthyPeerTTL
 	f.mutex.Unlock()
 	if name == "" || !recent {
 		return ""
@@ -105,138 +106,140 @@
 	return ""
 }
 
-// Reaches reports whether the node follows the store and the store answers it.
+// Reaches reports whether the node is an elected follower and the store answered its last probe.
 func (f *Follower) Reaches() bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.election != nil && f.election.Follows(f.options.Now()) && f.hears[probed]
+	return f.election != nil && f.election.Follows(f.options.Now()) && f.callSucceeded[probeSource]
 }
 
-// Follows reports whether the node follows the store now.
+// Follows reports whether the node is currently elected as a follower of its zone.
 func (f *Follower) Follows() bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.election != nil && f.election.Follows(f.options.Now())
 }
 
-// Run follows the store while the node is elected, until ctx ends.
+// Run watches the store while the node is elected, until ctx is done.
 func (f *Follower) Run(ctx context.Context) {
-	var loops sync.WaitGroup
-	defer loops.Wait()
-	end := context.CancelFunc(func() {})
-	defer func() { end() }()
-	beaten := time.Duration(0)
-	for ; ctx.Err() == nil; wait.For(ctx, followerTick) {
+	var wg sync.WaitGroup
+	defer wg.Wait()
+	stop := context.CancelFunc(func() {})
+	defer func() { stop() }()
+	lastHeartbeat := time.Duration(0)
+	for ; ctx.Err() == nil; wait.For(ctx, electionInterval) {
 		follows := f.Follows()
 		if follows != f.following {
 			f.following = follows
-			f.logFollowing(follows)
-			end()
-			loops.Wait()
+			f.logRoleChange(follows)
+			stop()
+			wg.Wait()
 			if follows {
-				end = f.start(ctx, &loops)
+				stop = f.start(ctx, &wg)
 			}
 		}
-		if now := f.options.Now(); follows && now-beaten >= beatEvery {
-			beaten = now
-			f.decide(ctx)
+		if now := f.options.Now(); follows && now-lastHeartbeat >= heartbeatInterval {
+			lastHeartbeat = now
+			f.resolveMissing(ctx)
 			f.options.Heartbeat(ctx)
-			f.beat(ctx)
+			f.sendHeartbeat(ctx)
 		}
 	}
 }
 
-// start begins to follow the store; the returned function ends it.
-func (f *Follower) start(ctx context.Context, loops *sync.WaitGroup) context.CancelFunc {
-	ctx, end := context.WithCancel(ctx)
+// start starts watching the store and returns a function that stops it.
+func (f *Follower) start(ctx context.Context, wg *sync.WaitGroup) context.CancelFunc {
+	ctx, stop := context.WithCancel(ctx)
 	f.mutex.Lock()
 	f.lapses = lapse.New(lapse.DefaultConfig())
-	f.hears = map[string]bool{}
+	f.callSucceeded = map[string]bool{}
 	f.mutex.Unlock()
-	loops.Go(func() { f.whileReached(ctx) })
-	return end
+	wg.Go(func() { f.runWatches(ctx) })
+	return stop
 }
 
-// Times of the probes, which notice within a second that the store no longer
-// answers: a watch may hang for long on a path that was cut.
+// Intervals of the probes. They detect an unreachable store within a second, whereas a watch call
+// can hang for much longer after a network partition.
 const (
-	probeEvery = 700 * time.Millisecond
-	probeAgain = 400 * time.Millisecond // while the store does not answer
+	probeInterval      = 700 * time.Millisecond
+	probeRetryInterval = 400 * time.Millisecond // while the store does not answer
 )
 
-// probed stands for the probes among what is followed.
-const probed = "probe"
+// probeSource is the key of the probes in callSucceeded.
+const probeSource = "probe"
 
-// whileReached follows the store as long as it answers probes; while it does not,
-// nothing but probes is sent.
-func (f *Follower) whileReached(ctx context.Context) {
-	var loops sync.WaitGroup
-	defer loops.Wait()
-	end := context.CancelFunc(func() {})
-	defer func() { end() }()
+// runWatches probes the store and runs the watches while it answers. While it does not, only
+// probes are sent.
+func (f *Follower) runWatches(ctx context.Context) {
+	var wg sync.WaitGroup
+	defer wg.Wait()
+	stop := context.CancelFunc(func() {})
+	defer func() { stop() }()
 	for reached := false; ctx.Err() == nil; {
 		answers := f.options.Health.Probe(ctx, f.options.Store)
 		if ctx.Err() != nil {
 			return
 		}
-		f.hear(probed, answers)
+		f.noteCall(probeSource, answers)
 		if answers != reached {
 			reached = answers
-			end()
-			loops.Wait()
+			stop()
+			wg.Wait()
 			if answers {
-				end = f.watch(ctx, &loops)
+				stop = f.startWatches(ctx, &wg)
 			}
 		}
-		rest := probeEvery
+		interval := probeInterval
 		if !answers {
-			rest = probeAgain
+			interval = probeRetryInterval
 		}
-		wait.For(ctx, rest)
+		wait.For(ctx, interval)
 	}
 }
 
-// watch begins the watches; the returned function ends them.
-func (f *Follower) watch(ctx context.Context, loops *sync.WaitGroup) context.CancelFunc {
-	ctx, end := context.WithCancel(ctx)
-	loops.Go(func() { f.followRecords(ctx) })
-	loops.Go(func() { f.followConfiguration(ctx) })
-	return end
+// startWatches starts the watches and returns a function that stops them.
+func (f *Follower) startWatches(ctx context.Context, wg *sync.WaitGroup) context.CancelFunc {
+	ctx, stop := context.WithCancel(ctx)
+	wg.Go(func() { f.followRecords(ctx) })
+	wg.Go(func() { f.followConfiguration(ctx) })
+	return stop
 }
 
-// hear notes whether a call of the store succeeded.
-func (f *Follower) hear(what string, succeeded bool) {
+// noteCall records the result of a store call for source, a watched prefix or probeSource.
+func (f *Follower) noteCall(source string, succeeded bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.hears[what] = succeeded
-	f.election.SetWell(f.wellLocked())
-	f.lapses.Store(f.options.Now(), f.wellLocked())
+	f.callSucceeded[source] = succeeded
+	f.election.SetWell(f.storeHealthyLocked())
+	f.lapses.Store(f.options.Now(), f.storeHealthyLocked())
 }
 
-func (f *Follower) wellLocked() bool {
-	for _, hears := range f.hears {
-		if !hears {
+// storeHealthyLocked reports whether the last call of every source succeeded and the node records
+// have been listed. The caller must hold f.mutex.
+func (f *Follower) storeHealthyLocked() bool {
+	for _, succeeded := range f.callSucceeded {
+		if !succeeded {
 			return false
 		}
 	}
-	return f.hears[f.options.RecordPrefix]
+	return f.callSucceeded[f.options.RecordPrefix]
 }
 
-// beat sends the zone a heartbeat: that this node follows the store, whether the store answers
-// it, and which records are missing there. A follower that the store does not answer exchanges
-// with a node of another zone.
-func (f *Follower) beat(ctx context.Context) {
+// sendHeartbeat sends a heartbeat to the zone: whether this follower can reach the store, which
+// records are missing there, and which nodes have been removed. If it cannot reach the store, it
+// also runs an exchange with a node of another zone.
+func (f *Follower) sendHeartbeat(ctx context.Context) {
 	now := f.options.Now()
 	message := &wire.News{Beat: true, Follower: f.options.Settings().Node}
 	f.mutex.Lock()
-	message.Well = f.wellLocked()
+	message.Well = f.storeHealthyLocked()
 	message.Missing = f.lapses.Missing()
-	for name, one := range f.gone {
-		if now >= one.until {
-			delete(f.gone, name)
+	for name, node := range f.removed {
+		if now >= node.until {
+			delete(f.removed, name)
 			continue
 		}
-		message.Gone = append(message.Gone, one.record)
+		message.Gone = append(message.Gone, node.record)
 	}
 	f.mutex.Unlock()
 	f.options.SendZone(message)
@@ -248,24 +251,25 @@
 	}
 }
 
-// decide asks the nodes whose records are missing in the store whether they are alive, and
-// forgets those that are gone.
-func (f *Follower) decide(ctx context.Context) {
+// resolveMissing queries the nodes whose records are missing in the store, and removes those that
+// did not reply repeatedly or whose grace period has expired.
+func (f *Follower) resolveMissing(ctx context.Context) {
 	f.mutex.Lock()
-	ask, gone := f.lapses.Due(f.options.Now())
+	query, dead := f.lapses.Due(f.options.Now())
 	f.mutex.Unlock()
-	for _, name := range ask {
+	for _, name := range query {
 		if record := f.options.Members.Record(name); record != nil {
-			go f.ask(ctx, record)
+			go f.queryNode(ctx, record)
 		}
 	}
-	for _, name := range gone {
-		f.drop(name)
+	for _, name := range dead {
+		f.removeNode(name)
 	}
 }
 
-// drop forgets a node, and names it in the next heartbeats so that the zone does.
-func (f *Follower) drop(name string) {
+// removeNode removes a node and lists it in the following heartbeats, so that the other nodes of
+// the zone remove it too.
+func (f *Follower) removeNode(name string) {
 	m := f.options.Members
 	record := m.Record(name)
 	if record == nil {
@@ -274,12 +278,12 @@
 	m.LogChange(record, "forgotten", configuration.FromStore)
 	m.Remove(record)
 	f.mutex.Lock()
-	f.gone[name] = goneNode{record: *record, until: f.options.Now() + goneNamed}
+	f.removed[name] = removedNode{record: *record, until: f.options.Now() + removalAnnounceTime}
 	f.mutex.Unlock()
 }
 
-// ask asks a node whose record is missing whether it is alive and the store serves it.
-func (f *Follower) ask(ctx context.Context, record *wire.NodeRecord) {
+// queryNode asks a node whose record is missing whether it is alive and can reach the store.
+func (f *Follower) queryNode(ctx context.Context, record *wire.NodeRecord) {
 	ctx, cancel := context.WithTimeout(ctx, peer.PingTimeout)
 	defer cancel()
 	pong, err := f.options.Peers.Ask(ctx, record.Address)
@@ -295,8 +299,8 @@
 	f.lapses.Answered(f.options.Now(), record.Node, answer)
 }
 
-// logFollowing logs that the node begins or ends to follow the store for its zone.
-func (f *Follower) logFollowing(follows bool) {
+// logRoleChange logs that the node has become a follower of its zone or ceased to be one.
+func (f *Follower) logRoleChange(follows bool) {
 	change := "unfollowed"
 	if follows {
 		change = "followed"
--- a/internal/sidecar/follower/options.go
+++ b/internal/sidecar/follower/options.go
@@ -1,14 +1,13 @@
-// Package follower follows the platform's store on behalf of the nodes of a zone, so that the
-// store is watched by one node of each zone and not by all.
+// Package follower watches the platform's store on behalf of the nodes of a zone, so that only one
+// node per zone has to watch it.
 //
-// It owns the node's part in the election of that one, what the store has lost, and the nodes
-// that are taken for gone for it. The elected node watches the nodes' records and the
-// configuration, and sends the zone a heartbeat every 300 ms with what is missing and what is
-// gone. While the store does not answer it sends nothing but probes.
+// The nodes of a zone elect a follower, which watches the node records and the configuration. It
+// sends the zone a heartbeat every 300 ms, with the nodes whose records are missing in the store
+// and the nodes that have been removed. While the store does not answer, the follower only sends
+// probes to it.
 //
-// The rules are those of packages core/election and core/lapse. It relies on package
-// membership for the records and the broadcasts; what else is kept beside the records in the
-// store is handed to Options.TakeStored.
+// Package core/election implements the election and package core/lapse decides when to remove a
+// node whose record is missing. Package membership holds the records and broadcasts the messages.
 package follower
 
 import (
@@ -23,12 +22,12 @@
 	"github.com/landingmast/landingmast/internal/wire"
 )
 
-// Members are the records of all nodes.
+// Members holds the records of all nodes.
 type Members interface {
-	Record(node string) *wire.NodeRecord // nil: none is known
+	Record(node string) *wire.NodeRecord // nil if the node is unknown
 	PeerNames() []string
-	ZonePeers() []string // the other nodes of the zone
-	ZoneCount() int      // that have a node
+	ZonePeers() []string // the other nodes in the zone
+	ZoneCount() int      // zones with at least one node
 	AddressElsewhere() string
 	MergeStored(record *wire.NodeRecord)
 	Remove(record *wire.NodeRecord)
@@ -37,33 +36,33 @@
 	LogChange(record *wire.NodeRecord, change, source string)
 }
 
-// Options are what a follower needs of the other parts of its node.
+// Options holds the configuration and the dependencies of a Follower.
 type Options struct {
-	Settings func() *settings.Settings // in force
-	Now      func() time.Duration      // the clock that counts suspensions
+	Settings func() *settings.Settings // returns the current settings
+	Now      func() time.Duration      // monotonic clock that includes time suspended
 	Events   *eventlog.Log
-	Store    store.Store // nil: none; then Run must not be called
+	Store    store.Store // Run must not be called if nil
 	Health   *storehealth.Health
 	Peers    *peer.Client
 	Members  Members
 
-	RecordPrefix     string // where all that the nodes keep lies in the store
-	NodePrefix       string // below it, where their records lie
+	RecordPrefix     string // key prefix of all data that nodes keep in the store
+	NodePrefix       string // key prefix of the node records; starts with RecordPrefix
 	ConfigurationKey string
 
-	// Version is that of the configuration in force; 0: none is known.
+	// Version returns the version of the active configuration, or 0 if there is none.
 	Version func() uint64
-	// InstallStored puts a configuration of the store in force unless a newer one is.
+	// InstallStored activates a configuration read from the store unless a newer one is active.
 	InstallStored func(item *store.Item) (uint64, error)
-	// SendZone sends a message to the nodes of the zone, SendAll to all nodes.
+	// SendZone sends a message to the nodes of the zone, SendAll to the nodes of all zones.
 	SendZone, SendAll func(message *wire.News)
-	// Exchange exchanges what is known with the node at an address.
+	// Exchange runs an anti-entropy exchange with the node at address.
 	Exchange func(ctx context.Context, address string)
 	// RecordLost is called when the store has no record of this node.
 	RecordLost func()
-	// TakeStored is called with what lies below RecordPrefix and has changed; whole: with all
-	// that lies there at a revision.
-	TakeStored func(items []store.Item, whole bool, at int64)
-	// Heartbeat is called with each heartbeat of the elected node.
+	// TakeStored is called with the changed items below RecordPrefix, or with all of them if
+	// snapshot is set, as of the given store revision.
+	TakeStored func(items []store.Item, snapshot bool, revision int64)
+	// Heartbeat is called before each heartbeat that this node sends as a follower.
 	Heartbeat func(ctx context.Context)
 }
--- a/internal/sidecar/follower/watch.go
+++ b/internal/sidecar/follower/watch.go
@@ -14,42 +14,44 @@
 	"github.com/landingmast/landingmast/internal/wire"
 )
 
-// Times of the watches.
 const (
-	watchWait = 25 * time.Second
-	// retryLeast and retrySpread are the pause after a call that failed: short
-	// enough for the store's return to be seen well within two seconds.
-	retryLeast    = 400 * time.Millisecond
-	retrySpread   = 300 * time.Millisecond
-	restOfRecords = time.Second
+	watchTimeout = 25 * time.Second
+	// The delay after a failed call is retryMinDelay plus a random part of retryJitter. It has to
+	// be short enough to detect a recovered store well within two seconds.
+	retryMinDelay = 400 * time.Millisecond
+	retryJitter   = 300 * time.Millisecond
+	// recordWatchInterval and configurationWatchInterval are the minimum times between an event
+	// and the next watch call.
+	recordWatchInterval        = time.Second
+	configurationWatchInterval = 100 * time.Millisecond
 )
 
-// followRecords follows the records of all nodes.
+// followRecords watches the records of all nodes and the other items below RecordPrefix.
 func (f *Follower) followRecords(ctx context.Context) {
 	prefix := f.options.NodePrefix
 	m := f.options.Members
-	f.follow(ctx, f.options.RecordPrefix, restOfRecords, func(items []store.Item, whole bool, at int64) {
-		f.options.TakeStored(items, whole, at)
+	f.followPrefix(ctx, f.options.RecordPrefix, recordWatchInterval, func(items []store.Item, snapshot bool, revision int64) {
+		f.options.TakeStored(items, snapshot, revision)
 		seen := map[string]bool{}
 		for _, item := range items {
-			name, is := strings.CutPrefix(item.Key, prefix)
-			if !is {
+			name, found := strings.CutPrefix(item.Key, prefix)
+			if !found {
 				continue
 			}
 			seen[name] = true
 			if item.Gone {
-				f.lapsed(name)
+				f.recordMissing(name)
 				continue
 			}
 			if record, err := wire.NodeRecordCodec.Decode(item.Value); err == nil {
-				f.present(record)
+				f.recordFound(record)
 			}
 		}
-		if whole {
+		if snapshot {
 			m.MarkStoreListed()
 			for _, name := range append(m.PeerNames(), f.options.Settings().Node) {
 				if !seen[name] {
-					f.lapsed(name)
+					f.recordMissing(name)
 				}
 			}
 		}
@@ -57,18 +59,18 @@
 	})
 }
 
-// present notes that the store has a node's record.
-func (f *Follower) present(record *wire.NodeRecord) {
+// recordFound handles a node record read from the store.
+func (f *Follower) recordFound(record *wire.NodeRecord) {
 	f.mutex.Lock()
 	f.lapses.Back(record.Node)
-	delete(f.gone, record.Node)
+	delete(f.removed, record.Node)
 	f.mutex.Unlock()
 	f.options.Members.MergeStored(record)
 }
 
-// lapsed notes that the store has lost a node's record. The node's own record is
-// written anew.
-func (f *Follower) lapsed(name string) {
+// recordMissing handles a node without a record in the store. A missing record of the local node
+// is rewritten.
+func (f *Follower) recordMissing(name string) {
 	if name == f.options.Settings().Node {
 		f.options.RecordLost()
 		return
@@ -83,77 +85,75 @@
 	f.lapses.Lapsed(f.options.Now(), name)
 }
 
-// follow reads everything below a prefix and then watches it; where the history
-// is gone it reads anew.
+// followPrefix lists all items below prefix and then watches it. It lists them again if the store
+// has compacted the revision to watch from.
 //
-// rest is the least time between an event and the next watch: events that come in
-// a row are then fetched with one call.
-func (f *Follower) follow(ctx context.Context, prefix string, rest time.Duration, take func(items []store.Item, whole bool, at int64)) {
-	at := int64(-1)
+// interval is the minimum time between an event and the next watch call, so that one call fetches
+// successive events together. handle is called with all items if snapshot is set, otherwise with
+// the changed ones.
+func (f *Follower) followPrefix(ctx context.Context, prefix string, interval time.Duration, handle func(items []store.Item, snapshot bool, revision int64)) {
+	current := int64(-1) // last revision seen; -1 if the items have to be listed
 	for ctx.Err() == nil {
-		if at < 0 {
-			call, cancel := context.WithTimeout(ctx, storehealth.CallTimeout)
-			items, revision, err := f.options.Store.List(call, prefix)
+		if current < 0 {
+			callCtx, cancel := context.WithTimeout(ctx, storehealth.CallTimeout)
+			items, revision, err := f.options.Store.List(callCtx, prefix)
 			cancel()
 			if ctx.Err() != nil {
 				return
 			}
 			f.options.Health.Note("read", err)
-			f.hear(prefix, err == nil)
+			f.noteCall(prefix, err == nil)
 			if err != nil {
-				wait.For(ctx, retryLeast+time.Duration(rand.Int64N(int64(retrySpread))))
+				wait.For(ctx, retryMinDelay+time.Duration(rand.Int64N(int64(retryJitter))))
 				continue
 			}
-			at = revision
-			take(items, true, at)
+			current = revision
+			handle(items, true, current)
 		}
-		events, revision, err := f.options.Store.Watch(ctx, prefix, at, watchWait)
+		events, revision, err := f.options.Store.Watch(ctx, prefix, current, watchTimeout)
 		if ctx.Err() != nil {
 			return
 		}
 		f.options.Health.Note("watch", err)
-		f.hear(prefix, err == nil || errors.Is(err, store.ErrCompacted))
+		f.noteCall(prefix, err == nil || errors.Is(err, store.ErrCompacted))
 		switch {
 		case errors.Is(err, store.ErrCompacted):
-			at = -1
+			current = -1
 		case err != nil:
-			wait.For(ctx, retryLeast+time.Duration(rand.Int64N(int64(retrySpread))))
+			wait.For(ctx, retryMinDelay+time.Duration(rand.Int64N(int64(retryJitter))))
 		default:
-			at = max(at, revision)
-			take(events, false, at)
+			current = max(current, revision)
+			handle(events, false, current)
 			if len(events) > 0 {
-				wait.For(ctx, max(rest, f.fairRest()))
+				wait.For(ctx, max(interval, f.rateLimitInterval()))
 			}
 		}
 	}
 }
 
-// watchShare is the part of the store's rate that each of the two watches of all
-// followers together may take while changes come in a row.
-const watchShare = 0.4
+// watchRateShare is the fraction of the store's read rate limit that each of the two watches may
+// use under continuous changes, summed over the followers of all zones.
+const watchRateShare = 0.4
 
-// fairRest is the time between two calls of a watch at which one follower for each
-// zone keeps to that share; 0 when the rate is not known.
-func (f *Follower) fairRest() time.Duration {
-	rate := watchShare * f.options.Settings().Store.ReadsPerSecond
+// rateLimitInterval returns the minimum time between two calls of a watch that keeps the followers
+// of all zones within watchRateShare. It returns 0 if the rate limit is unknown.
+func (f *Follower) rateLimitInterval() time.Duration {
+	rate := watchRateShare * f.options.Settings().Store.ReadsPerSecond
 	if rate <= 0 {
 		return 0
 	}
 	return time.Duration(float64(f.options.Members.ZoneCount()) / rate * float64(time.Second))
 }
 
-// restOfConfiguration bounds the calls while configurations come in quick succession.
-const restOfConfiguration = 100 * time.Millisecond
-
-// followConfiguration follows the operators' configuration and tells all nodes of a
-// new one.
+// followConfiguration watches the configuration and broadcasts its version to all nodes when it
+// changes.
 func (f *Follower) followConfiguration(ctx context.Context) {
 	key := f.options.ConfigurationKey
-	f.follow(ctx, key, restOfConfiguration, func(items []store.Item, _ bool, _ int64) {
+	f.followPrefix(ctx, key, configurationWatchInterval, func(items []store.Item, _ bool, _ int64) {
 		before := f.options.Version()
 		for _, item := range items {
 			if item.Key == key && !item.Gone {
-				_, _ = f.options.InstallStored(&item) // an error is logged where it occurs
+				_, _ = f.options.InstallStored(&item) // InstallStored logs errors
 			}
 		}
 		if f.options.Version() > before {
