--- a/internal/sidecar/membership/exchange_test.go
+++ b/internal/sidecar/membership/exchange_test.go
@@ -53,7 +53,8 @@
 	n.membership.Merge(records)
 }
 
-// Guards against nodes sending all records when only a few differ.
+// Guards against nodes sending all records when only a few differ: control traffic is limited to
+// 4 KB per second and node.
 func TestExchangeSendsOnlyDifferences(t *testing.T) {
 	const others = 2000
 	for _, tc := range []struct {
@@ -83,7 +84,8 @@
 	}
 }
 
-// A node of the previous release answers with all of its records and without bucket digests.
+// Guards against losing the records of a node of the previous release, which answers with all of
+// its records and without bucket digests.
 func TestExchangeWithOlderRelease(t *testing.T) {
 	g := NewWithT(t)
 	here, _, _ := newMeteredNode(t, "here")
