--- a/internal/sidecar/membership/addresses.go
+++ b/internal/sidecar/membership/addresses.go
@@ -64,7 +64,7 @@
 func (m *Members) AnyAddress() string {
 	local, remote := m.addressesByLocality()
 	if len(local) == 0 || len(remote) > 0 && rand.Float64() >= sameZoneProbability {
-		return randomAddress(remote)
+		local = remote
 	}
 	return randomAddress(local)
 }
@@ -74,7 +74,7 @@
 func (m *Members) AddressElsewhere() string {
 	local, remote := m.addressesByLocality()
 	if len(remote) == 0 {
-		return randomAddress(local)
+		remote = local
 	}
 	return randomAddress(remote)
 }
@@ -99,6 +99,7 @@
 	return addresses[rand.IntN(len(addresses))]
 }
 
-func shuffle(addresses []string) {
+func shuffle(addresses []string) []string {
 	rand.Shuffle(len(addresses), func(a, b int) { addresses[a], addresses[b] = addresses[b], addresses[a] })
+	return addresses
 }
