--- a/internal/sidecar/admission/admission.go
+++ b/internal/sidecar/admission/admission.go
@@ -38,11 +38,11 @@
 
 // Decision is what decided whether a client's request was let in.
 type Decision struct {
-	Share     float64 // chance with which it was
-	Decisive  string  // service for whose slots its chain waits most; empty: none is known to
-	Occupancy float64 // of that service
-	InFlight  int     // of a refused one: requests of its route that were
-	Fits      float64 // and how many its window held
+	Probability float64 // chance with which it was
+	Bottleneck  string  // service for whose slots its chain waits most; empty: none is known to
+	Occupancy   float64 // of that service
+	InFlight    int     // of a refused one: requests of its route that were
+	WindowSize  float64 // and how many its window held
 }
 
 // Admit decides whether a client's request on the route is let in. End must follow when it is.
@@ -50,18 +50,18 @@
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	now := o.now()
-	view.Share = 1
+	view.Probability = 1
 	if !o.noWindow {
-		view.Share, view.Decisive = o.core.Share(now, route.Name)
+		view.Probability, view.Bottleneck = o.core.Share(now, route.Name)
 	}
-	if view.Decisive != "" {
-		view.Occupancy = o.core.Occupancy(view.Decisive)
+	if view.Bottleneck != "" {
+		view.Occupancy = o.core.Occupancy(view.Bottleneck)
 	}
-	if view.Share >= 1 || rand.Float64() < view.Share {
+	if view.Probability >= 1 || rand.Float64() < view.Probability {
 		o.core.Begin(now, route.Name)
 		return true, view
 	}
-	view.InFlight, view.Fits = o.core.Window(now, route.Name)
+	view.InFlight, view.WindowSize = o.core.Window(now, route.Name)
 	return false, view
 }
 
@@ -72,27 +72,27 @@
 	return o.core.Window(o.now(), route.Name)
 }
 
-// Ended is how a client's request ended that was let in.
-type Ended struct {
-	Route  *intent.Route
-	Limit  time.Duration // inside which its answer was wanted
-	Took   time.Duration
-	Needs  []wire.Need // what its last sending needed
-	Lacked bool        // there was no room for it in time
-	Left   bool        // its client left, or nothing was learned of its chain
+// Completion is how a client's request ended that was let in.
+type Completion struct {
+	Route         *intent.Route
+	LatencyBudget time.Duration // inside which its answer was wanted
+	Latency       time.Duration
+	Needs         []wire.Need // what its last sending needed
+	NoCapacity    bool        // there was no room for it in time
+	Abandoned     bool        // its client left, or nothing was learned of its chain
 }
 
 // End notes the end of a client's request.
-func (o *Control) End(one Ended) {
+func (o *Control) End(one Completion) {
 	steps := o.stepsAboveLeast(one.Route)
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	now := o.now()
-	if one.Left {
+	if one.Abandoned {
 		o.core.Leave(now, one.Route.Name)
 		return
 	}
-	o.core.End(now, one.Route.Name, overload.Ended{Needs: needsOf(one.Needs), Steps: steps, Limit: one.Limit, Took: one.Took, Lacked: one.Lacked})
+	o.core.End(now, one.Route.Name, overload.Ended{Needs: needsOf(one.Needs), Steps: steps, Limit: one.LatencyBudget, Took: one.Latency, Lacked: one.NoCapacity})
 }
 
 // stepsAboveLeast is how many priorities the route stands above the least
@@ -120,9 +120,9 @@
 	o.core.EachNeed(route.Name, f)
 }
 
-// Learn notes what a sending needed of the services down the chain; served: the request was
+// RecordNeeds notes what a sending needed of the services down the chain; served: the request was
 // served, so that its needs are whole.
-func (o *Control) Learn(route *intent.Route, needs []wire.Need, served bool) {
+func (o *Control) RecordNeeds(route *intent.Route, needs []wire.Need, served bool) {
 	now := o.now()
 	read := needsOf(needs)
 	o.mutex.Lock()
--- a/internal/sidecar/arrival/ingress.go
+++ b/internal/sidecar/arrival/ingress.go
@@ -33,8 +33,8 @@
 	return i
 }
 
-// Runs reports whether an id is that of a call of a request at the target.
-func (i *Ingress) Runs(id string) bool { return i.Parent(id) != nil }
+// IsCall reports whether an id is that of a call of a request at the target.
+func (i *Ingress) IsCall(id string) bool { return i.Parent(id) != nil }
 
 // Parent returns the request at the target whose call has an id; nil: there is none. The id of
 // a call is the id of the request that made it, a separator and a part of its own; where ids
@@ -72,7 +72,7 @@
 	}
 	answer := i.Serve(ctx, call, headers.EndToEnd(r.Header), body)
 	if r.Header.Get(i.options.Headers.RequestID) == "" {
-		answer = answer.Without(i.options.Headers.RequestID)
+		answer = answer.WithoutHeader(i.options.Headers.RequestID)
 	}
 	i.write(w, answer)
 }
@@ -82,7 +82,7 @@
 	if r.ContentLength == 0 {
 		return &reply.Payload{}, nil
 	}
-	data, rest, err := reply.ReadWhole(r.Body, r.ContentLength)
+	data, rest, err := reply.ReadBuffered(r.Body, r.ContentLength)
 	if err != nil {
 		return nil, err
 	}
@@ -107,10 +107,10 @@
 		header[name] = values
 	}
 	header.Set(wire.HeaderSidecarResult, head)
-	if waits := reply.WaitsHeader(answer); waits != "" {
+	if waits := reply.EncodeWaits(answer); waits != "" {
 		header.Set(wire.HeaderSidecarWaits, waits)
 	}
-	WithoutGuessedHeaders(header)
+	SuppressDefaultHeaders(header)
 	if answer.Stream == nil {
 		header.Set("Content-Length", strconv.Itoa(len(answer.Body)))
 		_, _ = w.Write(answer.Body)
@@ -124,8 +124,8 @@
 	}
 }
 
-// WithoutGuessedHeaders keeps net/http from adding headers that the target did not send.
-func WithoutGuessedHeaders(header http.Header) {
+// SuppressDefaultHeaders keeps net/http from adding headers that the target did not send.
+func SuppressDefaultHeaders(header http.Header) {
 	if _, present := header["Content-Type"]; !present {
 		header["Content-Type"] = nil
 	}
@@ -203,7 +203,7 @@
 	var answer *reply.Reply
 	switch {
 	case !decision.Send && ctx.Err() != nil:
-		answer = reply.NotRun(reply.EndOf(ctx))
+		answer = reply.NotRun(reply.CancelReason(ctx))
 	case !decision.Send:
 		answer = reply.NotRun(outcome.Reason(decision.Reason))
 	case maySend != nil && !maySend():
@@ -223,7 +223,7 @@
 // run sends the request to the target and reads its answer.
 func (i *Ingress) run(ctx context.Context, gate *target.Gate, id uint64, one *request, header http.Header) *reply.Reply {
 	call := one.Call
-	request := &Running{ID: call.RequestID, Context: ctx, Importance: call.Importance, Repeat: call.Repeat, Tenant: call.Tenant, Granted: call.Granted, needs: map[string]wire.Need{}}
+	request := &Running{ID: call.RequestID, Context: ctx, Importance: call.Importance, IsRetry: call.Repeat, Tenant: call.Tenant, RetryGrant: call.Granted, needs: map[string]wire.Need{}}
 	i.Running.add(call.RequestID, request)
 	answer := i.sendToTarget(ctx, gate, one, header)
 	i.Running.remove(call.RequestID, request)
--- a/internal/sidecar/arrival/once.go
+++ b/internal/sidecar/arrival/once.go
@@ -66,7 +66,7 @@
 	case <-ctx.Done():
 	}
 	o.orphaned(call.Key, run)
-	return reply.Unknown(reply.EndOf(ctx))
+	return reply.Unknown(reply.CancelReason(ctx))
 }
 
 // serveStream runs a request whose body cannot be kept: its end is the sender's.
@@ -161,7 +161,7 @@
 		}
 		return run.reply
 	case <-ctx.Done():
-		return reply.Unknown(reply.EndOf(ctx))
+		return reply.Unknown(reply.CancelReason(ctx))
 	}
 }
 
--- a/internal/sidecar/arrival/running.go
+++ b/internal/sidecar/arrival/running.go
@@ -14,16 +14,16 @@
 	ID         string
 	Context    context.Context
 	Importance int
-	Repeat     bool
+	IsRetry    bool
 	Tenant     string  // to which it belongs; empty: none
-	Granted    float64 // part of the budgets for repeats that is left to its calls
+	RetryGrant float64 // part of the budgets for repeats that is left to its calls
 
 	mutex sync.Mutex
 	needs map[string]wire.Need
 }
 
-// Add notes what a call of the target needed below.
-func (r *Running) Add(needs []wire.Need) {
+// AddNeeds notes what a call of the target needed below.
+func (r *Running) AddNeeds(needs []wire.Need) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	for _, need := range needs {
--- a/internal/sidecar/arrival/send.go
+++ b/internal/sidecar/arrival/send.go
@@ -45,7 +45,7 @@
 		return reply.NotRun(outcome.ReasonUnreachable)
 	case ctx.Err() != nil:
 		i.senderLeft(gate, one)
-		return reply.Unknown(reply.EndOf(ctx))
+		return reply.Unknown(reply.CancelReason(ctx))
 	case errors.Is(err, targetlink.ErrSpoiled):
 		return reply.Unknown(outcome.ReasonSpoiled)
 	default:
@@ -67,11 +67,11 @@
 		_ = answer.Body.Close()
 		return reply.Unknown(reason)
 	}
-	data, rest, err := reply.ReadWhole(answer.Body, answer.Length)
+	data, rest, err := reply.ReadBuffered(answer.Body, answer.Length)
 	if err != nil {
 		_ = answer.Body.Close()
 		if ctx.Err() != nil {
-			return reply.Unknown(reply.EndOf(ctx))
+			return reply.Unknown(reply.CancelReason(ctx))
 		}
 		return reply.Unknown(i.lost(gate, one))
 	}
@@ -92,7 +92,7 @@
 // the connection can be used again. An answer of another instance at the target's address
 // means that the one before is gone.
 func (i *Ingress) declined(gate *target.Gate, answer *targetlink.Answer, reason outcome.Reason) *reply.Reply {
-	_, _ = io.Copy(io.Discard, io.LimitReader(answer.Body, reply.KeepBytes))
+	_, _ = io.Copy(io.Discard, io.LimitReader(answer.Body, reply.MaxBuffered))
 	_ = answer.Body.Close()
 	if reason == outcome.ReasonMisdirected {
 		if other := answer.Header.Get(i.options.Headers.Instance); other != "" && other != gate.Instance {
--- a/internal/sidecar/entry/answer.go
+++ b/internal/sidecar/entry/answer.go
@@ -21,7 +21,7 @@
 	for name, values := range given.Header {
 		header[name] = values
 	}
-	arrival.WithoutGuessedHeaders(header)
+	arrival.SuppressDefaultHeaders(header)
 	if given.Stream == nil {
 		header.Set("Content-Length", strconv.Itoa(len(given.Body)))
 		x.writer.WriteHeader(given.Status)
@@ -46,7 +46,7 @@
 	defer last.Close()
 	if x.lacked = last.Reason.Full(); x.lacked && x.parent != nil {
 		// It would have waited for all the time that it had.
-		x.parent.Add([]wire.Need{{Service: x.service, Calls: 1, Occupancy: -1, Wait: x.holdFor}})
+		x.parent.AddNeeds([]wire.Need{{Service: x.service, Calls: 1, Occupancy: -1, Wait: x.holdFor}})
 	}
 	if x.request.Context().Err() != nil {
 		x.ended(0, outcome.ReasonCancelled, 0)
--- a/internal/sidecar/entry/entry.go
+++ b/internal/sidecar/entry/entry.go
@@ -81,7 +81,7 @@
 	w, r, end, closing := e.options.Begin(writer, received)
 	defer end()
 	id := r.Header.Get(e.options.Headers.RequestID)
-	isCall := e.options.Arrivals.Runs(id)
+	isCall := e.options.Arrivals.IsCall(id)
 	if !isCall {
 		defer e.options.CountClient()()
 	}
@@ -136,7 +136,7 @@
 // countRequest counts the request and the calls that will be made for it. The result is the
 // part of its budgets for repeats that is left to the nodes below.
 func (x *request) countRequest() float64 {
-	return x.options.Services.CountRequest(x.service, x.grantedAbove(), func(f func(name string, calls float64)) {
+	return x.options.Services.RecordRequest(x.service, x.grantedAbove(), func(f func(name string, calls float64)) {
 		x.options.Overload.EachNeed(x.route, f)
 	})
 }
@@ -147,15 +147,15 @@
 	if x.parent == nil {
 		return 1
 	}
-	return x.parent.Granted
+	return x.parent.RetryGrant
 }
 
 // leaveWindow notes how a client's request ended that was let in. What one whose time ran out
 // waited for is not known: it counts as without room in time, whatever was short.
 func (x *request) leaveWindow() {
-	x.options.Overload.End(admission.Ended{
-		Route: x.route, Limit: x.limit(), Took: x.options.Now() - x.started, Needs: x.needs,
-		Lacked: x.lacked || x.status == http.StatusGatewayTimeout, Left: x.request.Context().Err() != nil,
+	x.options.Overload.End(admission.Completion{
+		Route: x.route, LatencyBudget: x.limit(), Latency: x.options.Now() - x.started, Needs: x.needs,
+		NoCapacity: x.lacked || x.status == http.StatusGatewayTimeout, Abandoned: x.request.Context().Err() != nil,
 	})
 }
 
@@ -185,9 +185,9 @@
 	}
 	x.needs = needs
 	if x.parent != nil {
-		x.parent.Add(needs)
+		x.parent.AddNeeds(needs)
 	}
-	x.options.Overload.Learn(x.route, needs, answer.Outcome == outcome.Answered && answer.Status < http.StatusBadRequest)
+	x.options.Overload.RecordNeeds(x.route, needs, answer.Outcome == outcome.Answered && answer.Status < http.StatusBadRequest)
 }
 
 // findParent looks for the request at the target for which this one is made, and settles the
@@ -204,5 +204,5 @@
 	}
 	x.parent = parent
 	x.importance = importance.OfCall(parent.Importance)
-	x.repeat = parent.Repeat
+	x.repeat = parent.IsRetry
 }
--- a/internal/sidecar/entry/log.go
+++ b/internal/sidecar/entry/log.go
@@ -28,8 +28,8 @@
 	}
 	event := eventlog.Request{
 		Request: x.id, Tenant: x.tenant, Service: x.service, Version: x.options.Configuration.Version(), Importance: x.importance, Status: status, Reason: string(reason),
-		TookMS: eventlog.Milliseconds(took), HoldMS: eventlog.Milliseconds(x.holdFor), Share: x.decision.Share, Decisive: x.decision.Decisive, Occupancy: x.decision.Occupancy,
-		RetryAfterMS: eventlog.Milliseconds(retryAfter), Sends: x.sends, InFlight: x.decision.InFlight, Fits: x.decision.Fits,
+		TookMS: eventlog.Milliseconds(took), HoldMS: eventlog.Milliseconds(x.holdFor), Share: x.decision.Probability, Decisive: x.decision.Bottleneck, Occupancy: x.decision.Occupancy,
+		RetryAfterMS: eventlog.Milliseconds(retryAfter), Sends: x.sends, InFlight: x.decision.InFlight, Fits: x.decision.WindowSize,
 	}
 	if x.route != nil {
 		event.Route = x.route.Name
--- a/internal/sidecar/entry/options.go
+++ b/internal/sidecar/entry/options.go
@@ -33,8 +33,8 @@
 
 // Arrivals are the requests at the target beside the node.
 type Arrivals interface {
-	// Runs reports whether an id is that of a call of a request at the target.
-	Runs(id string) bool
+	// IsCall reports whether an id is that of a call of a request at the target.
+	IsCall(id string) bool
 	// Parent is the request at the target whose call has an id; nil: there is none.
 	Parent(id string) *arrival.Running
 	// Serve sends a request to the target.
--- a/internal/sidecar/entry/send.go
+++ b/internal/sidecar/entry/send.go
@@ -38,11 +38,11 @@
 		x.noteSend(choice, last, x.options.Now()-began)
 		choice.Done(x.options.Now(), last)
 		if last.Reason == outcome.ReasonUnreachable && last.Incarnation == "" && choice.Node != x.options.Node {
-			x.options.Liveness.Revive(choice.Node, choice.Address)
+			x.options.Liveness.StartRecovery(choice.Node, choice.Address)
 		}
 		x.informIfLost(choice, last)
 		x.learn(last)
-		tried.Add(choice.Node, last.End())
+		tried.Add(choice.Node, last.ResendEnd())
 		if last.Arrived {
 			x.arrivals++
 		}
@@ -63,7 +63,7 @@
 // again reports whether another sending is made after one that brought no answer; one that
 // costs a part of the budgets for repeats takes it.
 func (x *request) again(last *reply.Reply, tried *resend.Tried) bool {
-	switch tried.Decide(last.End(), x.resendRules()) {
+	switch tried.Decide(last.ResendEnd(), x.resendRules()) {
 	case resend.Again:
 		return true
 	case resend.FromBudget:
@@ -75,7 +75,7 @@
 // takeRepeat takes a repeat of the request out of the budgets. declined means that the target
 // declined the sending before.
 func (x *request) takeRepeat(declined bool) bool {
-	if !x.options.Services.Repeat(x.service, x.options.Overload.Needs(x.route), x.rank(), declined) {
+	if !x.options.Services.TakeRetry(x.service, x.options.Overload.Needs(x.route), x.rank(), declined) {
 		x.options.Metrics.Denied.WithLabelValues(x.service).Inc()
 		return false
 	}
@@ -153,10 +153,10 @@
 // sign of life.
 func (x *request) sendRepeatable(ctx context.Context, choice *services.Choice, call *wire.SidecarCall) *reply.Reply {
 	ctx, abandon := context.WithCancelCause(ctx)
-	watched := x.options.Liveness.Begin(choice.Node, choice.Address, abandon)
+	watched := x.options.Liveness.Watch(choice.Node, choice.Address, abandon)
 	answer := x.options.Peers.Call(ctx, choice.Address, call, x.header, x.body)
 	watched.End(answer.Incarnation != "")
-	if answer.Outcome == outcome.Unknown && errors.Is(context.Cause(ctx), peer.ErrSilent) {
+	if answer.Outcome == outcome.Unknown && errors.Is(context.Cause(ctx), peer.ErrUnresponsive) {
 		answer.Reason = outcome.ReasonSilent
 	}
 	if answer.Stream == nil {
@@ -170,7 +170,7 @@
 func (x *request) sendOnce(ctx context.Context, choice *services.Choice, call *wire.SidecarCall) *reply.Reply {
 	call.Key = strconv.FormatUint(rand.Uint64(), 36)
 	call.Incarnation = x.options.Members.Incarnation(choice.Node)
-	watched := x.options.Liveness.Begin(choice.Node, choice.Address, nil)
+	watched := x.options.Liveness.Watch(choice.Node, choice.Address, nil)
 	defer func() { watched.End(false) }()
 	answer := x.options.Peers.Call(ctx, choice.Address, call, x.header, x.body)
 	for range settleTries {
--- a/internal/sidecar/entry/steps.go
+++ b/internal/sidecar/entry/steps.go
@@ -122,7 +122,7 @@
 	x.body = body
 	x.header = headers.EndToEnd(x.request.Header)
 	if len(x.intent.Tenants) > 0 {
-		x.options.Headers.HideIdentity(x.header)
+		x.options.Headers.RemoveIdentity(x.header)
 	}
 	return true
 }
@@ -160,7 +160,7 @@
 	x.service = x.splitter.choose(x.route)
 	x.granted = x.countRequest()
 	if x.parent != nil {
-		x.decision.Share = 1
+		x.decision.Probability = 1
 		return true
 	}
 	var admitted bool
--- a/internal/sidecar/entry/tenant.go
+++ b/internal/sidecar/entry/tenant.go
@@ -25,7 +25,7 @@
 	if len(x.intent.Tenants) == 0 {
 		return true
 	}
-	key := x.options.Headers.KeyOf(x.request.Header)
+	key := x.options.Headers.ClientKey(x.request.Header)
 	if key == "" {
 		return x.identifyWithoutKey()
 	}
--- a/internal/sidecar/headers/headers.go
+++ b/internal/sidecar/headers/headers.go
@@ -69,22 +69,22 @@
 	return named
 }
 
-// Shorten takes out of a request between two nodes what its SidecarCall tells too.
-func (h Names) Shorten(header http.Header) {
+// RemoveCallHeaders takes out of a request between two nodes what its SidecarCall tells too.
+func (h Names) RemoveCallHeaders(header http.Header) {
 	delete(header, h.RequestID)
 	delete(header, h.Deadline)
 }
 
-// Restore gives an answer the id of its request, which the node that asked knows. A node
+// RestoreRequestID gives an answer the id of its request, which the node that asked knows. A node
 // of the release before sends it.
-func (h Names) Restore(answer *reply.Reply, call *wire.SidecarCall) {
+func (h Names) RestoreRequestID(answer *reply.Reply, call *wire.SidecarCall) {
 	if h.RequestID != "" && answer.Outcome == outcome.Answered && answer.Header.Get(h.RequestID) == "" {
 		answer.Header.Set(h.RequestID, call.RequestID)
 	}
 }
 
-// KeyOf gives the key that a request carries; empty: none.
-func (h Names) KeyOf(header http.Header) string {
+// ClientKey gives the key that a request carries; empty: none.
+func (h Names) ClientKey(header http.Header) string {
 	scheme, key, found := strings.Cut(header.Get(h.Key), " ")
 	if !found || !strings.EqualFold(scheme, h.KeyScheme) {
 		return ""
@@ -92,9 +92,9 @@
 	return strings.TrimSpace(key)
 }
 
-// HideIdentity takes out of a request what only nodes may tell of its tenant, in every
+// RemoveIdentity takes out of a request what only nodes may tell of its tenant, in every
 // spelling that a target might read as such, and its key.
-func (h Names) HideIdentity(header http.Header) {
+func (h Names) RemoveIdentity(header http.Header) {
 	for name := range header {
 		if sameField(name, h.Tenant) || sameField(name, h.Key) {
 			delete(header, name)
--- a/internal/sidecar/headers/headers_test.go
+++ b/internal/sidecar/headers/headers_test.go
@@ -17,7 +17,7 @@
 func TestWhatTheHeadTellsIsNotToldTwice(t *testing.T) {
 	g := NewWithT(t)
 	sent := http.Header{"X-Id": {"a.1"}, "X-Left": {"700"}, "Accept": {"*/*"}}
-	testNames.Shorten(sent)
+	testNames.RemoveCallHeaders(sent)
 	g.Expect(sent).To(Equal(http.Header{"Accept": {"*/*"}}))
 }
 
@@ -33,7 +33,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
-			testNames.Restore(tc.answer, &wire.SidecarCall{RequestID: "a.1"})
+			testNames.RestoreRequestID(tc.answer, &wire.SidecarCall{RequestID: "a.1"})
 			g.Expect(tc.answer.Header["X-Id"]).To(Equal(tc.want))
 		})
 	}
@@ -43,7 +43,7 @@
 func TestReplyWithoutAHeaderLeavesTheKeptOneAsItIs(t *testing.T) {
 	g := NewWithT(t)
 	kept := &reply.Reply{Outcome: outcome.Answered, Header: http.Header{"X-Id": {"a"}, "X-Other": {"b"}}}
-	g.Expect(kept.Without("X-Id").Header).To(Equal(http.Header{"X-Other": {"b"}}))
+	g.Expect(kept.WithoutHeader("X-Id").Header).To(Equal(http.Header{"X-Other": {"b"}}))
 	g.Expect(kept.Header).To(HaveKey("X-Id"))
-	g.Expect(kept.Without("X-None")).To(BeIdenticalTo(kept))
+	g.Expect(kept.WithoutHeader("X-None")).To(BeIdenticalTo(kept))
 }
--- a/internal/sidecar/headers/identity_test.go
+++ b/internal/sidecar/headers/identity_test.go
@@ -24,7 +24,7 @@
 			if tc.value != "" {
 				header.Set("Authorization", tc.value)
 			}
-			g.Expect(identityHeaders.KeyOf(header)).To(Equal(tc.want))
+			g.Expect(identityHeaders.ClientKey(header)).To(Equal(tc.want))
 		})
 	}
 }
@@ -36,13 +36,13 @@
 		"X-Tenant": {"a"}, "x-tenant": {"a"}, "X_Tenant": {"a"}, "x_TENANT": {"a"}, "Authorization": {"Bearer k"}, "authorization": {"Bearer k"},
 		"X-Tenants": {"kept"}, "X-Request-Id": {"kept"},
 	}
-	identityHeaders.HideIdentity(header)
+	identityHeaders.RemoveIdentity(header)
 	g.Expect(header).To(Equal(http.Header{"X-Tenants": {"kept"}, "X-Request-Id": {"kept"}}))
 }
 
 func BenchmarkHideIdentity(b *testing.B) {
 	header := http.Header{"X-Request-Id": {"1"}, "X-Deadline-Ms": {"1"}, "User-Agent": {"1"}, "Accept": {"1"}, "Content-Type": {"1"}, "X-Caller-Service": {"1"}}
 	for b.Loop() {
-		identityHeaders.HideIdentity(header)
+		identityHeaders.RemoveIdentity(header)
 	}
 }
--- a/internal/sidecar/peer/client.go
+++ b/internal/sidecar/peer/client.go
@@ -90,7 +90,7 @@
 		Header: header.Clone(), ProtoMajor: 1, ProtoMinor: 1,
 	})
 	hideKeys(request.Header)
-	p.names.Shorten(request.Header)
+	p.names.RemoveCallHeaders(request.Header)
 	if err := call.SetHeaders(request.Header); err != nil {
 		return reply.NotRun(outcome.ReasonBadMessage)
 	}
@@ -110,7 +110,7 @@
 		return unanswered(ctx, connected.Load())
 	}
 	answer := readReply(ctx, response)
-	p.names.Restore(answer, call)
+	p.names.RestoreRequestID(answer, call)
 	return answer
 }
 
@@ -157,12 +157,12 @@
 	response, err := p.Transport.RoundTrip(request.WithContext(ctx))
 	if err != nil {
 		if ctx.Err() != nil {
-			return reply.Unknown(reply.EndOf(ctx))
+			return reply.Unknown(reply.CancelReason(ctx))
 		}
 		return reply.Unknown(outcome.ReasonLost)
 	}
 	answer := readReply(ctx, response)
-	p.names.Restore(answer, call)
+	p.names.RestoreRequestID(answer, call)
 	return answer
 }
 
@@ -170,11 +170,11 @@
 func unanswered(ctx context.Context, connected bool) *reply.Reply {
 	switch {
 	case !connected && ctx.Err() != nil:
-		return reply.NotRun(reply.EndOf(ctx))
+		return reply.NotRun(reply.CancelReason(ctx))
 	case !connected:
 		return reply.NotRun(outcome.ReasonUnreachable)
 	case ctx.Err() != nil:
-		return reply.Unknown(reply.EndOf(ctx))
+		return reply.Unknown(reply.CancelReason(ctx))
 	default:
 		return reply.Unknown(outcome.ReasonLost)
 	}
@@ -187,14 +187,14 @@
 		_ = response.Body.Close()
 		return reply.Unknown(outcome.ReasonBadMessage)
 	}
-	answer := reply.Of(result)
-	answer.TakeWaits(response.Header.Get(wire.HeaderSidecarWaits))
-	data, rest, err := reply.ReadWhole(response.Body, response.ContentLength)
+	answer := reply.FromResult(result)
+	answer.SetWaits(response.Header.Get(wire.HeaderSidecarWaits))
+	data, rest, err := reply.ReadBuffered(response.Body, response.ContentLength)
 	if err != nil {
 		_ = response.Body.Close()
 		lost := reply.Unknown(outcome.ReasonLost)
 		if ctx.Err() != nil {
-			lost.Reason = reply.EndOf(ctx)
+			lost.Reason = reply.CancelReason(ctx)
 		}
 		return lost
 	}
--- a/internal/sidecar/peer/liveness.go
+++ b/internal/sidecar/peer/liveness.go
@@ -21,8 +21,8 @@
 // PingPath answers as soon as the node there runs.
 const PingPath = "/ping"
 
-// ErrSilent ends the sendings to a node that gives no sign of life.
-const ErrSilent = errors.ConstError("node gives no sign of life")
+// ErrUnresponsive ends the sendings to a node that gives no sign of life.
+const ErrUnresponsive = errors.ConstError("node gives no sign of life")
 
 // Liveness watches the nodes that requests are at. A request that stays without
 // an answer is no sign of death, since it may take long; a ping without an answer is.
@@ -70,12 +70,12 @@
 // Pings of a node that is taken for dead. They come often enough that it stays
 // suspect between two, and end after some time: then requests find out.
 const (
-	ReviveEvery = 250 * time.Millisecond
-	reviveTries = 100
+	RecoveryPingInterval = 250 * time.Millisecond
+	reviveTries          = 100
 )
 
-// Revive pings a node that is taken for dead until it answers.
-func (l *Liveness) Revive(node, address string) {
+// StartRecovery pings a node that is taken for dead until it answers.
+func (l *Liveness) StartRecovery(node, address string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if peer := l.peer(node); !peer.reviving {
@@ -85,12 +85,12 @@
 }
 
 func (l *Liveness) pingUntilBack(node, address string) {
-	var err error = ErrSilent
+	var err error = ErrUnresponsive
 	for tries := 0; err != nil && tries < reviveTries; tries++ {
 		select {
 		case <-l.ended:
 			return
-		case <-time.After(ReviveEvery):
+		case <-time.After(RecoveryPingInterval):
 		}
 		if err = l.pingOnce(address); err != nil {
 			l.events.Still(node)
@@ -114,9 +114,9 @@
 	return l.ping(ctx, address)
 }
 
-// Begin watches a request; end must follow. abandon is called when the node is
+// Watch watches a request; end must follow. abandon is called when the node is
 // taken for dead; nil for a request that cannot be sent elsewhere.
-func (l *Liveness) Begin(node, address string, abandon context.CancelCauseFunc) *sending {
+func (l *Liveness) Watch(node, address string, abandon context.CancelCauseFunc) *sending {
 	one := &sending{liveness: l, node: node, address: address, abandon: abandon}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -195,10 +195,10 @@
 	}
 	l.mutex.Unlock()
 	l.events.Lost(node)
-	l.Revive(node, address)
+	l.StartRecovery(node, address)
 	for _, one := range abandoned {
 		if one.abandon != nil {
-			one.abandon(ErrSilent)
+			one.abandon(ErrUnresponsive)
 		}
 	}
 }
--- a/internal/sidecar/reply/end_test.go
+++ b/internal/sidecar/reply/end_test.go
@@ -34,7 +34,7 @@
 				ctx, cancel := context.WithTimeout(sender, whole)
 				defer cancel()
 				<-ctx.Done()
-				g.Expect(EndOf(ctx)).To(Equal(tc.want))
+				g.Expect(CancelReason(ctx)).To(Equal(tc.want))
 				time.Sleep(2 * whole)
 			})
 		})
--- a/internal/sidecar/reply/reply.go
+++ b/internal/sidecar/reply/reply.go
@@ -52,10 +52,10 @@
 	return int64(len(r.Body))
 }
 
-// Unwaited gives what is left of a sending's time without the waits for slots, its own and
+// ServiceTime gives what is left of a sending's time without the waits for slots, its own and
 // those of the calls below it. Calls side by side wait at the same time, so that a part
 // always remains.
-func (r *Reply) Unwaited(took time.Duration) time.Duration {
+func (r *Reply) ServiceTime(took time.Duration) time.Duration {
 	waited := r.Waited
 	for _, need := range r.Needs {
 		waited += time.Duration(need.Calls) * need.Wait
@@ -66,8 +66,8 @@
 // leastUnwaited is the part of a sending's time that is never taken for waiting.
 const leastUnwaited = 4
 
-// End is what the decision on another sending needs of the reply.
-func (r *Reply) End() resend.End {
+// ResendEnd is what the decision on another sending needs of the reply.
+func (r *Reply) ResendEnd() resend.End {
 	return resend.End{Outcome: r.Outcome, Reason: r.Reason, Arrived: r.Arrived}
 }
 
@@ -98,14 +98,14 @@
 // Replayable tells whether the body can be sent a second time.
 func (p *Payload) Replayable() bool { return p.Stream == nil }
 
-// KeepBytes is the longest body that is read whole before it is passed on, so
+// MaxBuffered is the longest body that is read whole before it is passed on, so
 // that one that breaks off can be asked for again.
-const KeepBytes = 64 << 10
+const MaxBuffered = 64 << 10
 
-// ReadWhole reads up to KeepBytes. When there is more, rest gives all of it and data what was
+// ReadBuffered reads up to KeepBytes. When there is more, rest gives all of it and data what was
 // read. length is what the sender said, -1 where it did not.
-func ReadWhole(source io.Reader, length int64) (data []byte, rest io.Reader, err error) {
-	if length >= 0 && length <= KeepBytes {
+func ReadBuffered(source io.Reader, length int64) (data []byte, rest io.Reader, err error) {
+	if length >= 0 && length <= MaxBuffered {
 		// One allocation of the right size; bodies are a good part of what a hop allocates.
 		data = make([]byte, length)
 		n, err := io.ReadFull(source, data)
@@ -119,8 +119,8 @@
 		_, err = io.Copy(io.Discard, source)
 		return data, nil, err
 	}
-	data, err = io.ReadAll(io.LimitReader(source, KeepBytes+1))
-	if err != nil || len(data) <= KeepBytes {
+	data, err = io.ReadAll(io.LimitReader(source, MaxBuffered+1))
+	if err != nil || len(data) <= MaxBuffered {
 		return data, nil, err
 	}
 	return data, io.MultiReader(bytes.NewReader(data), source), nil
@@ -139,8 +139,8 @@
 	}
 }
 
-// Of reads the head of a reply.
-func Of(result *wire.SidecarResult) *Reply {
+// FromResult reads the head of a reply.
+func FromResult(result *wire.SidecarResult) *Reply {
 	return &Reply{
 		Outcome: outcome.Outcome(result.Outcome), Reason: outcome.Reason(result.Reason), Arrived: result.Arrived, Status: result.Status,
 		Length: result.Length, Incarnation: result.Incarnation, Version: uint64(max(result.Version, 0)), Needs: result.Below,
@@ -148,10 +148,10 @@
 	}
 }
 
-// WaitsHeader writes the waits of a request and of its calls for the node that asked; empty
+// EncodeWaits writes the waits of a request and of its calls for the node that asked; empty
 // where nothing waited. Waits that cannot be written are left out, as by a node of an earlier
 // release: they sharpen what is learned of a chain, and the reply stands without them.
-func WaitsHeader(r *Reply) string {
+func EncodeWaits(r *Reply) string {
 	message := &wire.Waits{}
 	if r.Waited > 0 {
 		message.Services = append(message.Services, wire.ServiceWait{Wait: r.Waited.Microseconds()})
@@ -171,9 +171,9 @@
 	return head
 }
 
-// TakeWaits reads the waits of services; a node of an earlier release sends none. Waits that
+// SetWaits reads the waits of services; a node of an earlier release sends none. Waits that
 // cannot be read count as none for the same reason.
-func (r *Reply) TakeWaits(head string) {
+func (r *Reply) SetWaits(head string) {
 	if head == "" {
 		return
 	}
@@ -193,9 +193,9 @@
 	}
 }
 
-// Without gives the reply without a header. A reply that is kept for a sender that asks
+// WithoutHeader gives the reply without a header. A reply that is kept for a sender that asks
 // again stays as it is.
-func (r *Reply) Without(name string) *Reply {
+func (r *Reply) WithoutHeader(name string) *Reply {
 	if r.Header.Get(name) == "" {
 		return r
 	}
@@ -205,10 +205,10 @@
 	return &short
 }
 
-// EndOf tells the end of a request's time from the end of its sender's interest.
+// CancelReason tells the end of a request's time from the end of its sender's interest.
 // The sender counts the same time and may close its connection a little before the
 // time is up here.
-func EndOf(ctx context.Context) outcome.Reason {
+func CancelReason(ctx context.Context) outcome.Reason {
 	deadline, bounded := ctx.Deadline()
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) || bounded && time.Until(deadline) < closeMargin {
 		return outcome.ReasonTimeout
--- a/internal/sidecar/reply/reply_test.go
+++ b/internal/sidecar/reply/reply_test.go
@@ -14,7 +14,7 @@
 
 func TestBodiesAreReadWhole(t *testing.T) {
 	broken := errors.New("broken")
-	long := strings.Repeat("x", KeepBytes+10)
+	long := strings.Repeat("x", MaxBuffered+10)
 	for _, tc := range []struct {
 		name   string
 		source io.Reader
@@ -36,7 +36,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
-			data, rest, err := ReadWhole(tc.source, tc.length)
+			data, rest, err := ReadBuffered(tc.source, tc.length)
 			if tc.err != nil {
 				g.Expect(err).To(MatchError(tc.err))
 				g.Expect(string(data)).To(Equal(tc.data))
@@ -68,7 +68,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
-			g.Expect(tc.reply.Unwaited(400 * time.Millisecond)).To(Equal(tc.want))
+			g.Expect(tc.reply.ServiceTime(400 * time.Millisecond)).To(Equal(tc.want))
 		})
 	}
 }
--- a/internal/sidecar/services/budgets.go
+++ b/internal/sidecar/services/budgets.go
@@ -8,12 +8,12 @@
 	"github.com/landingmast/landingmast/internal/wire"
 )
 
-// CountRequest counts a request to a service and the calls that will be made for it: needs
+// RecordRequest counts a request to a service and the calls that will be made for it: needs
 // calls its function for each service that the request's chain reaches, with the mean number
 // of calls there. granted is the part of the request's budgets that the nodes above leave to
 // this one; the result is the part that this one leaves to those below. What is kept here
 // pays for repeats of the request with all its calls; the sum over all nodes is one request.
-func (s *Services) CountRequest(service string, granted float64, needs func(f func(name string, calls float64))) float64 {
+func (s *Services) RecordRequest(service string, granted float64, needs func(f func(name string, calls float64))) float64 {
 	now := s.now()
 	kept := s.kept(now)
 	s.Get(service).count(now, granted)
@@ -35,13 +35,13 @@
 	return s.keep.Of(now)
 }
 
-// Repeat takes a repeat of a request to a service out of the budgets of all services that
+// TakeRetry takes a repeat of a request to a service out of the budgets of all services that
 // it would reach: the calls of a run that is a repeat are repeats themselves. needs are the
 // mean calls to each; the map is changed. It reports false, and takes nothing, when one of
 // them has none left, or when repeats are short and go to chains of a lower rank. declined
 // means that the target declined the sending before: it took no work, so that the repeat is
 // only paced.
-func (s *Services) Repeat(service string, needs map[string]float64, rank float64, declined bool) bool {
+func (s *Services) TakeRetry(service string, needs map[string]float64, rank float64, declined bool) bool {
 	needs[service] = max(needs[service], 1)
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/sidecar/services/liveness_test.go
+++ b/internal/sidecar/services/liveness_test.go
@@ -47,7 +47,7 @@
 				}
 				l := peer.NewLiveness(now, ping, peer.Events{Lost: s.Suspect, Still: s.Suspect, Back: s.Trust})
 				defer l.Close()
-				l.Revive("silent", "silent:1")
+				l.StartRecovery("silent", "silent:1")
 				s.Suspect("silent")
 				for now() < tc.away {
 					time.Sleep(50 * time.Millisecond)
@@ -55,10 +55,10 @@
 						g.Expect(s.Get("s").Pick(now(), balancer.Requirement{}, nil).Node).To(Equal("well"), "at %s", now())
 					}
 				}
-				time.Sleep(peer.PingTimeout + peer.ReviveEvery + time.Millisecond)
+				time.Sleep(peer.PingTimeout + peer.RecoveryPingInterval + time.Millisecond)
 				picked := s.Get("s").Pick(now(), balancer.Requirement{}, nil)
 				g.Expect(picked.Node).To(Equal("silent"), "it is near and well again")
-				g.Expect(pings.Load()).To(BeNumerically("<=", tc.away/peer.ReviveEvery+1))
+				g.Expect(pings.Load()).To(BeNumerically("<=", tc.away/peer.RecoveryPingInterval+1))
 			})
 		})
 	}
--- a/internal/sidecar/services/services.go
+++ b/internal/sidecar/services/services.go
@@ -152,7 +152,7 @@
 	case answer.Reason.Declined():
 		s.balancer.Declined(now, c.endpoint)
 	case answer.Outcome == outcome.Answered:
-		s.balancer.Answered(now, c.endpoint, c.class, answer.Bytes(), answer.Unwaited(now-c.sent))
+		s.balancer.Answered(now, c.endpoint, c.class, answer.Bytes(), answer.ServiceTime(now-c.sent))
 	}
 	switch {
 	case answer.Reason.Silent():
--- a/internal/sidecar/services/services_test.go
+++ b/internal/sidecar/services/services_test.go
@@ -34,10 +34,10 @@
 func (c chain) learn(needs ...overload.Need) { c.needs.Learn(0, "read", needs, true) }
 
 func (c chain) countRequest() float64 {
-	return c.CountRequest("front", 1, func(f func(name string, calls float64)) { c.needs.EachNeed("read", f) })
+	return c.RecordRequest("front", 1, func(f func(name string, calls float64)) { c.needs.EachNeed("read", f) })
 }
 
-func (c chain) repeat() bool { return c.Repeat("front", c.needs.Needs("read"), 0, false) }
+func (c chain) repeat() bool { return c.TakeRetry("front", c.needs.Needs("read"), 0, false) }
 
 // A node where chains start sends nothing to the deep services itself; what its
 // requests cause there must count for it, more once it lacks repeats. Found by
