--- a/internal/sidecar/entry/entry.go
+++ b/internal/sidecar/entry/entry.go
@@ -20,63 +20,61 @@
 	"github.com/landingmast/landingmast/internal/wire"
 )
 
-// Egress serves the requests of the clients on the machine and of the target there.
+// Egress is the HTTP handler for requests of local clients and of the local target.
 type Egress struct {
 	options  Options
-	splitter *splitter
+	splitter *weightedSplitter
 }
 
-// New makes the egress of a node.
+// New returns the egress handler of a node.
 func New(options Options) *Egress {
-	return &Egress{options: options, splitter: &splitter{credit: map[string][]float64{}}}
+	return &Egress{options: options, splitter: &weightedSplitter{credit: map[string][]float64{}}}
 }
 
-// request is one request and what it takes to have it answered.
+// request is the state of one request while it is processed.
 type request struct {
-	options    *Options
-	splitter   *splitter
-	writer     *duplex.Writer
-	request    *http.Request
-	id         string
-	intent     *intent.Intent
-	route      *intent.Route
-	service    string
-	parent     *arrival.Running // request of the target that made this one; nil for a client's
-	fresh      bool             // the configuration was confirmed lately enough for keys, as of the arrival
-	holder     *intent.Tenant   // whose key a client's request carries; nil: none
-	tenant     string           // to which the request belongs; empty: none
-	importance int
-	repeat     bool
-	granted    float64 // part of the request's budgets for repeats that goes down the chain
-	header     http.Header
-	body       *reply.Payload
-	started    time.Duration
-	needs      []wire.Need     // what the last sending needed
-	lacked     bool            // there was no room for it in time
-	status     int             // that the sender got; 0: none
-	closing    bool            // the node stops and takes no new requests
-	ctx        context.Context // ends with the request's time, its sender's interest or its parent
-	cleanups   []func()        // run at the end of the request, the last first
-	arrivals   int             // sendings that reached a target
-	mayRun     bool            // one of them may have run
-	trial      bool            // targets ended with its content; only this one is sent now
-
-	// What its log line has besides.
-	holdFor  time.Duration
+	options       *Options
+	splitter      *weightedSplitter
+	writer        *duplex.Writer
+	incoming      *http.Request
+	id            string
+	intent        *intent.Intent
+	route         *intent.Route
+	service       string
+	parent        *arrival.Running // request at the local target that made this call; nil for client requests
+	configFresh   bool             // whether the configuration was fresh enough on arrival to trust client keys
+	keyTenant     *intent.Tenant   // tenant identified by the client's key; nil if none
+	tenant        string           // name of the tenant that owns the request; may be empty
+	importance    int
+	parentIsRetry bool
+	retryGrant    float64 // share of the request's retry budget passed to downstream nodes
+	header        http.Header
+	body          *reply.Payload
+	started       time.Duration
+	needs         []wire.Need     // downstream demand observed by the last attempt
+	noCapacity    bool            // whether the last attempt found no capacity in time
+	status        int             // status sent to the client; 0 if none was
+	draining      bool            // whether the node is shutting down and accepts no new requests
+	ctx           context.Context // ends on timeout, on client disconnect or with the parent request
+	cleanups      []func()        // run in reverse order when the request ends
+	delivered     int             // number of attempts that reached a target
+	mayHaveRun    bool            // whether any attempt may have been executed
+	trial         bool            // whether this is the only request admitted to test content that crashed targets
+
+	// Recorded in the request's log event.
+	timeout  time.Duration
 	decision admission.Decision
-	sends    []eventlog.Send
+	attempts []eventlog.Send
 }
 
-// Times of a request.
 const (
-	defaultDeadline = 10 * time.Second // of a sender that names none
-	// bodyGrace is how long after the request's time its body may still be read: the context ends
-	// first then, and the reason is that the time is up.
-	bodyGrace = 50 * time.Millisecond
+	defaultTimeout = 10 * time.Second // applies when the client sends no deadline
+	// bodyReadGrace delays the read deadline of the body past the request's timeout, so that the
+	// context expires first and the failure is reported as a timeout.
+	bodyReadGrace = 50 * time.Millisecond
 )
 
-// ServeHTTP takes a request: it goes through the steps of the entry in their order, and is
-// sent unless one of them refuses it.
+// ServeHTTP runs a request through the pipeline and sends it unless a step rejects it.
 func (e *Egress) ServeHTTP(writer http.ResponseWriter, received *http.Request) {
 	w, r, end, closing := e.options.Begin(writer, received)
 	defer end()
@@ -85,124 +83,124 @@
 	if !isCall {
 		defer e.options.CountClient()()
 	}
-	x := &request{options: &e.options, splitter: e.splitter, writer: w, request: r, id: id, started: e.options.Now(), closing: closing && !isCall}
-	defer x.finish()
-	for _, step := range entrySteps {
-		if !step(x) {
+	req := &request{options: &e.options, splitter: e.splitter, writer: w, incoming: r, id: id, started: e.options.Now(), draining: closing && !isCall}
+	defer req.finish()
+	for _, step := range pipeline {
+		if !step(req) {
 			return
 		}
 	}
-	x.send(x.ctx)
+	req.send(req.ctx)
 }
 
-// uriOf is path and query as they were sent.
-func uriOf(r *http.Request) string {
+// requestURI returns the path and query exactly as the client sent them.
+func requestURI(r *http.Request) string {
 	if strings.HasPrefix(r.RequestURI, "/") {
 		return r.RequestURI
 	}
 	return r.URL.RequestURI()
 }
 
-func pathOf(r *http.Request) string {
-	path, _, _ := strings.Cut(uriOf(r), "?")
+func requestPath(r *http.Request) string {
+	path, _, _ := strings.Cut(requestURI(r), "?")
 	return path
 }
 
-// senderTime is how long the sender will wait.
-func (x *request) senderTime() time.Duration {
-	if text := x.request.Header.Get(x.options.Headers.Deadline); text != "" {
+// clientTimeout returns how long the client waits for a response.
+func (r *request) clientTimeout() time.Duration {
+	if text := r.incoming.Header.Get(r.options.Headers.Deadline); text != "" {
 		if milliseconds, err := strconv.ParseFloat(text, 64); err == nil && milliseconds >= 0 {
 			return time.Duration(milliseconds * float64(time.Millisecond))
 		}
 	}
-	return defaultDeadline
+	return defaultTimeout
 }
 
-// longestHold is the longest time that the request may be held.
-func (x *request) longestHold() time.Duration {
-	hold := x.senderTime()
-	if x.route.Timeout > 0 {
-		hold = min(hold, x.route.Timeout)
+// effectiveTimeout returns the client's timeout capped by the timeout of the route.
+func (r *request) effectiveTimeout() time.Duration {
+	timeout := r.clientTimeout()
+	if r.route.Timeout > 0 {
+		timeout = min(timeout, r.route.Timeout)
 	}
-	return hold
+	return timeout
 }
 
-// heldBack asks whether the request may be sent though targets ended with it.
-func (x *request) heldBack() heldback.Verdict {
-	call := &wire.SidecarCall{Method: x.request.Method, URI: uriOf(x.request), Host: x.request.Host, Caller: x.options.Caller(), Tenant: x.tenant}
-	return x.options.HeldBack.AtStart(&heldback.Request{Call: call, Body: x.body})
+// crashVerdict checks the request against the contents that are known to crash targets.
+func (r *request) crashVerdict() heldback.Verdict {
+	call := &wire.SidecarCall{Method: r.incoming.Method, URI: requestURI(r.incoming), Host: r.incoming.Host, Caller: r.options.Caller(), Tenant: r.tenant}
+	return r.options.HeldBack.AtStart(&heldback.Request{Call: call, Body: r.body})
 }
 
-// countRequest counts the request and the calls that will be made for it. The result is the
-// part of its budgets for repeats that is left to the nodes below.
-func (x *request) countRequest() float64 {
-	return x.options.Services.RecordRequest(x.service, x.grantedAbove(), func(f func(name string, calls float64)) {
-		x.options.Overload.EachNeed(x.route, f)
+// countRequest credits the retry budgets for the request and its expected downstream calls. It
+// returns the share of the budgets that is left to downstream nodes.
+func (r *request) countRequest() float64 {
+	return r.options.Services.RecordRequest(r.service, r.inheritedRetryGrant(), func(f func(name string, calls float64)) {
+		r.options.Overload.EachNeed(r.route, f)
 	})
 }
 
-// grantedAbove is the part of the budgets for repeats that the nodes above leave to
-// this one.
-func (x *request) grantedAbove() float64 {
-	if x.parent == nil {
+// inheritedRetryGrant returns the share of the retry budgets that upstream nodes left to this one.
+func (r *request) inheritedRetryGrant() float64 {
+	if r.parent == nil {
 		return 1
 	}
-	return x.parent.RetryGrant
+	return r.parent.RetryGrant
 }
 
-// leaveWindow notes how a client's request ended that was let in. What one whose time ran out
-// waited for is not known: it counts as without room in time, whatever was short.
-func (x *request) leaveWindow() {
-	x.options.Overload.End(admission.Completion{
-		Route: x.route, LatencyBudget: x.limit(), Latency: x.options.Now() - x.started, Needs: x.needs,
-		NoCapacity: x.lacked || x.status == http.StatusGatewayTimeout, Abandoned: x.request.Context().Err() != nil,
+// releaseWindow reports the end of an admitted client request to the overload controller. A
+// timeout counts as missing capacity, since it is unknown which service the request waited for.
+func (r *request) releaseWindow() {
+	r.options.Overload.End(admission.Completion{
+		Route: r.route, LatencyBudget: r.latencyBudget(), Latency: r.options.Now() - r.started, Needs: r.needs,
+		NoCapacity: r.noCapacity || r.status == http.StatusGatewayTimeout, Abandoned: r.incoming.Context().Err() != nil,
 	})
 }
 
-// left is how much of its time the request has left. The timer of ctx stands still while the
-// machine is suspended.
-func (x *request) left(ctx context.Context) time.Duration {
-	left := x.holdFor - (x.options.Now() - x.started)
+// remaining returns the time left until the request times out. It checks the node's clock as well
+// as the context, because context timers stop while the host is suspended.
+func (r *request) remaining(ctx context.Context) time.Duration {
+	left := r.timeout - (r.options.Now() - r.started)
 	if deadline, bounded := ctx.Deadline(); bounded {
 		left = min(left, time.Until(deadline))
 	}
 	return left
 }
 
-// limit is the time from its arrival inside which the request's answer is wanted.
-func (x *request) limit() time.Duration {
-	if objective := x.route.Objective; objective > 0 {
-		return min(objective, x.holdFor)
+// latencyBudget returns the time after arrival within which a response is wanted: the latency
+// objective of the route, capped by the timeout.
+func (r *request) latencyBudget() time.Duration {
+	if objective := r.route.Objective; objective > 0 {
+		return min(objective, r.timeout)
 	}
-	return x.holdFor
+	return r.timeout
 }
 
-// learn notes what a sending needed of the services down the chain.
-func (x *request) learn(answer *reply.Reply) {
-	needs := answer.Needs
-	if pressure, known := x.options.Services.Get(x.service).Pressure(x.options.Now()); known && answer.Load.Slots > 0 {
-		needs = append(needs, wire.Need{Service: x.service, Calls: 1, Occupancy: int(pressure.Occupancy * wire.OccupancyScale), Wait: answer.Waited})
+// recordNeeds records the downstream demand reported by an attempt.
+func (r *request) recordNeeds(response *reply.Reply) {
+	needs := response.Needs
+	if pressure, known := r.options.Services.Get(r.service).Pressure(r.options.Now()); known && response.Load.Slots > 0 {
+		needs = append(needs, wire.Need{Service: r.service, Calls: 1, Occupancy: int(pressure.Occupancy * wire.OccupancyScale), Wait: response.Waited})
 	}
-	x.needs = needs
-	if x.parent != nil {
-		x.parent.AddNeeds(needs)
+	r.needs = needs
+	if r.parent != nil {
+		r.parent.AddNeeds(needs)
 	}
-	x.options.Overload.RecordNeeds(x.route, needs, answer.Outcome == outcome.Answered && answer.Status < http.StatusBadRequest)
+	r.options.Overload.RecordNeeds(r.route, needs, response.Outcome == outcome.Answered && response.Status < http.StatusBadRequest)
 }
 
-// findParent looks for the request at the target for which this one is made, and settles the
-// importance by it.
-func (x *request) findParent() {
-	limit := x.limit()
-	if !x.options.PolicyOn(settings.Urgency) {
+// resolveParent looks up the request at the local target that made this call and derives the
+// importance from it.
+func (r *request) resolveParent() {
+	limit := r.latencyBudget()
+	if !r.options.PolicyOn(settings.Urgency) {
 		limit = 0
 	}
-	x.importance = importance.Of(x.route, nil, limit)
-	parent := x.options.Arrivals.Parent(x.id)
+	r.importance = importance.Of(r.route, nil, limit)
+	parent := r.options.Arrivals.Parent(r.id)
 	if parent == nil {
 		return
 	}
-	x.parent = parent
-	x.importance = importance.OfCall(parent.Importance)
-	x.repeat = parent.IsRetry
+	r.parent = parent
+	r.importance = importance.OfCall(parent.Importance)
+	r.parentIsRetry = parent.IsRetry
 }
--- a/internal/sidecar/entry/limits.go
+++ b/internal/sidecar/entry/limits.go
@@ -7,14 +7,13 @@
 	"github.com/landingmast/landingmast/internal/core/outcome"
 )
 
-// headerSlack is allowed beyond the limit of a request's head, since senders
-// count the request line and the separators differently.
+// headerSlack is tolerated above the limit of a request's head, since clients count the request
+// line and the separators differently.
 const headerSlack = 4 << 10
 
-// refusedBySize gives the status with which a request is refused that is larger
-// than the operators allow; 0 when it is not. A body that does not tell its length
-// is bounded while it is read.
-func refusedBySize(r *http.Request, limits intent.Limits) (status int, reason outcome.Reason) {
+// checkLimits returns the status and reason for rejecting a request that exceeds the configured
+// limits, or 0. Bodies of unknown length are limited while they are read.
+func checkLimits(r *http.Request, limits intent.Limits) (status int, reason outcome.Reason) {
 	switch {
 	case limits.MaxBodyBytes > 0 && r.ContentLength > limits.MaxBodyBytes:
 		return http.StatusRequestEntityTooLarge, outcome.ReasonBodyTooLarge
@@ -24,7 +23,7 @@
 	return 0, outcome.ReasonNone
 }
 
-// headSize is the size of a request's line and header fields, in bytes.
+// headSize returns the size in bytes of the request line and the header fields.
 func headSize(r *http.Request) int {
 	const separators = len(": \r\n")
 	size := len(r.Method) + len(r.RequestURI) + len(r.Host)
--- a/internal/sidecar/entry/limits_test.go
+++ b/internal/sidecar/entry/limits_test.go
@@ -9,7 +9,7 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestRequestsBeyondTheOperatorsLimits(t *testing.T) {
+func TestCheckLimits(t *testing.T) {
 	limits := intent.Limits{MaxHeaderBytes: 16 << 10, MaxBodyBytes: 1 << 20}
 	for _, tc := range []struct {
 		name   string
@@ -18,16 +18,16 @@
 		header int
 		status int
 	}{
-		{"within", limits, 1 << 20, 15 << 10, 0},
+		{"within the limits", limits, 1 << 20, 15 << 10, 0},
 		{"body too large", limits, 1<<20 + 1, 0, 413},
 		{"header too large", limits, 0, 21 << 10, 431},
-		{"no limits known", intent.Limits{}, 2 << 20, 32 << 10, 0},
+		{"no limits configured", intent.Limits{}, 2 << 20, 32 << 10, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
 			r := httptest.NewRequest("POST", "/x", strings.NewReader(strings.Repeat("b", tc.body)))
 			r.Header.Set("X-Large", strings.Repeat("h", tc.header))
-			status, _ := refusedBySize(r, tc.limits)
+			status, _ := checkLimits(r, tc.limits)
 			g.Expect(status).To(Equal(tc.status))
 		})
 	}
--- a/internal/sidecar/entry/log.go
+++ b/internal/sidecar/entry/log.go
@@ -8,40 +8,40 @@
 	"github.com/landingmast/landingmast/internal/sidecar/eventlog"
 )
 
-// ended notes the end of a request that began here.
-func (x *request) ended(status int, reason outcome.Reason, retryAfter time.Duration) {
-	x.status = status
-	took := x.options.Now() - x.started
-	outcome := outcomeOf(status, reason)
-	service := x.service
+// recordCompletion updates the metrics and writes the log event of a finished request.
+func (r *request) recordCompletion(status int, reason outcome.Reason, retryAfter time.Duration) {
+	r.status = status
+	elapsed := r.options.Now() - r.started
+	label := outcomeLabel(status, reason)
+	service := r.service
 	if service == "" {
 		service = "none"
 	}
-	x.options.Metrics.Requests.WithLabelValues(service, outcome, string(reason)).Inc()
-	x.options.Metrics.Took.WithLabelValues(service).Observe(took.Seconds())
+	r.options.Metrics.Requests.WithLabelValues(service, label, string(reason)).Inc()
+	r.options.Metrics.Took.WithLabelValues(service).Observe(elapsed.Seconds())
 	weight := eventlog.Success
-	if outcome != "ok" || len(x.sends) > 1 || (x.route != nil && x.route.Objective > 0 && took > x.route.Objective) {
+	if label != "ok" || len(r.attempts) > 1 || (r.route != nil && r.route.Objective > 0 && elapsed > r.route.Objective) {
 		weight = eventlog.Failure
 	}
-	if !x.options.Events.Wants(eventlog.Request{}.Kind(), weight) {
+	if !r.options.Events.Wants(eventlog.Request{}.Kind(), weight) {
 		return
 	}
 	event := eventlog.Request{
-		Request: x.id, Tenant: x.tenant, Service: x.service, Version: x.options.Configuration.Version(), Importance: x.importance, Status: status, Reason: string(reason),
-		TookMS: eventlog.Milliseconds(took), HoldMS: eventlog.Milliseconds(x.holdFor), Share: x.decision.Probability, Decisive: x.decision.Bottleneck, Occupancy: x.decision.Occupancy,
-		RetryAfterMS: eventlog.Milliseconds(retryAfter), Sends: x.sends, InFlight: x.decision.InFlight, Fits: x.decision.WindowSize,
+		Request: r.id, Tenant: r.tenant, Service: r.service, Version: r.options.Configuration.Version(), Importance: r.importance, Status: status, Reason: string(reason),
+		TookMS: eventlog.Milliseconds(elapsed), HoldMS: eventlog.Milliseconds(r.timeout), Share: r.decision.Probability, Decisive: r.decision.Bottleneck, Occupancy: r.decision.Occupancy,
+		RetryAfterMS: eventlog.Milliseconds(retryAfter), Sends: r.attempts, InFlight: r.decision.InFlight, Fits: r.decision.WindowSize,
 	}
-	if x.route != nil {
-		event.Route = x.route.Name
-		event.ObjectiveMS = eventlog.Milliseconds(x.route.Objective)
+	if r.route != nil {
+		event.Route = r.route.Name
+		event.ObjectiveMS = eventlog.Milliseconds(r.route.Objective)
 	}
-	if x.parent != nil {
-		event.Parent = x.parent.ID
+	if r.parent != nil {
+		event.Parent = r.parent.ID
 	}
-	x.options.Events.Add(event, weight)
+	r.options.Events.Add(event, weight)
 }
 
-func outcomeOf(status int, reason outcome.Reason) string {
+func outcomeLabel(status int, reason outcome.Reason) string {
 	switch {
 	case status == 0:
 		return "left"
--- a/internal/sidecar/entry/options.go
+++ b/internal/sidecar/entry/options.go
@@ -1,14 +1,13 @@
-// Package entry takes the requests of the clients on the machine and of the target there, and
-// has each answered: it goes through the steps of steps.go, and is then sent to targets until
-// one answers or nothing more can be tried.
+// Package entry implements the egress proxy of a node. It accepts requests from local clients and
+// from the local target, runs each through the pipeline in steps.go, and sends it to targets until
+// one responds or no further attempt is allowed.
 //
-// It owns a request from its arrival to its answer, and the shares of a route's parts. All else
-// belongs to others: whether a request is let in to admission, core/overload and quotas, which
-// target it goes to to services and core/balancer, whether it is sent again to core/resend, when
-// a refused sender comes back to core/retryafter, in which order gates take requests to
-// core/importance. It relies on package arrival for the requests that are at the target, since
-// a call of the target belongs to one of them, and on package peer for the other nodes. All of
-// it is safe for concurrent use.
+// The package owns a request from its arrival to its response, and the weighted split of a route
+// across services. Policy lives in other packages: load shedding in admission and core/overload,
+// rate limits in quotas, target selection in services and core/balancer, retries in core/resend,
+// Retry-After values in core/retryafter and priorities in core/importance. Package arrival maps a
+// call of the local target to the request that made it; package peer connects to other nodes. All
+// exported types are safe for concurrent use.
 package entry
 
 import (
@@ -31,48 +30,48 @@
 	"github.com/landingmast/landingmast/internal/wire"
 )
 
-// Arrivals are the requests at the target beside the node.
+// Arrivals gives access to the requests in progress at the local target.
 type Arrivals interface {
-	// IsCall reports whether an id is that of a call of a request at the target.
+	// IsCall reports whether id belongs to a call made by a request in progress at the target.
 	IsCall(id string) bool
-	// Parent is the request at the target whose call has an id; nil: there is none.
+	// Parent returns the request at the target that made the call with this id, or nil.
 	Parent(id string) *arrival.Running
-	// Serve sends a request to the target.
+	// Serve sends a request to the local target.
 	Serve(ctx context.Context, call *wire.SidecarCall, header http.Header, body *reply.Payload) *reply.Reply
 }
 
-// HeldBack decides on requests that targets ended with.
+// HeldBack decides whether a request that crashed targets before may be sent again.
 type HeldBack interface {
 	AtStart(r *heldback.Request) heldback.Verdict
 }
 
-// Quotas keep tenants within their limits.
+// Quotas enforces the rate limits of tenants.
 type Quotas interface {
 	Admit(ctx context.Context, tenant *intent.Tenant, wait time.Duration) bool
 	Refusal(tenant *intent.Tenant, most time.Duration) (limitReached bool, retryAfter time.Duration)
 	GiveBack(tenant *intent.Tenant)
 }
 
-// Members are the records of the other nodes.
+// Members tracks the process incarnations of the other nodes.
 type Members interface {
 	Incarnation(node string) string
 	Restarted(node, incarnation string)
 }
 
-// Configuration is the operators' configuration in force.
+// Configuration is the routing configuration in force.
 type Configuration interface {
-	Load() *intent.Intent // nil: none is known
+	Load() *intent.Intent // nil until a configuration is known
 	Version() uint64
 }
 
-// Options are what an egress needs of the other parts of its node.
+// Options holds the dependencies of an Egress.
 type Options struct {
-	Node          string               // the node's name
-	Now           func() time.Duration // the clock that counts suspensions
+	Node          string               // name of this node
+	Now           func() time.Duration // monotonic clock that includes time spent suspended
 	Headers       headers.Names
-	Caller        func() string // service of the machine
+	Caller        func() string // service name of the local target
 	Configuration Configuration
-	Fresh         func() bool // the configuration was confirmed lately enough for keys
+	Fresh         func() bool // whether the configuration was revalidated recently enough to trust client keys
 	Arrivals      Arrivals
 	HeldBack      HeldBack
 	Quotas        Quotas
@@ -81,13 +80,13 @@
 	Liveness      *peer.Liveness
 	Peers         *peer.Client
 	Members       Members
-	Exchange      func(address string)            // with a node that knows nothing
-	PolicyOn      func(m settings.Mechanism) bool // a mechanism is in use
+	Exchange      func(address string)            // synchronizes with a node that has no configuration
+	PolicyOn      func(m settings.Mechanism) bool // whether a mechanism is enabled
 	Metrics       *metrics.Metrics
 	Events        *eventlog.Log
-	// Begin counts a request as in flight until end is called; closing: the node takes no new
-	// ones.
-	Begin func(w http.ResponseWriter, r *http.Request) (answer *duplex.Writer, request *http.Request, end func(), closing bool)
-	// CountClient counts a client's request until the function that it returns is called.
+	// Begin counts a request as in flight until end is called. closing reports that the node is
+	// shutting down and accepts no new requests.
+	Begin func(w http.ResponseWriter, r *http.Request) (writer *duplex.Writer, request *http.Request, end func(), closing bool)
+	// CountClient counts a client request until end is called.
 	CountClient func() (end func())
 }
--- a/internal/sidecar/entry/send.go
+++ b/internal/sidecar/entry/send.go
@@ -22,170 +22,169 @@
 	"github.com/landingmast/landingmast/internal/wire"
 )
 
-// send tries targets until one answers or nothing more can be tried.
-func (x *request) send(ctx context.Context) {
-	target := x.options.Services.Get(x.service)
-	tried := resend.New(!x.options.PolicyOn(settings.Declined))
+// send tries targets until one responds or no further attempt is allowed.
+func (r *request) send(ctx context.Context) {
+	service := r.options.Services.Get(r.service)
+	attempts := resend.New(!r.options.PolicyOn(settings.Declined))
 	last := reply.NotRun(outcome.ReasonNoTarget)
-	for ctx.Err() == nil && x.left(ctx) > 0 && tried.MayGoOn() {
-		choice := target.Pick(x.options.Now(), x.requirement(ctx, tried), tried.Excluded())
+	for ctx.Err() == nil && r.remaining(ctx) > 0 && attempts.MayGoOn() {
+		choice := service.Pick(r.options.Now(), r.requirement(ctx, attempts), attempts.Excluded())
 		if choice == nil {
 			break
 		}
 		last.Close()
-		began := x.options.Now()
-		last = x.attempt(ctx, choice, tried.Ended())
-		x.noteSend(choice, last, x.options.Now()-began)
-		choice.Done(x.options.Now(), last)
-		if last.Reason == outcome.ReasonUnreachable && last.Incarnation == "" && choice.Node != x.options.Node {
-			x.options.Liveness.StartRecovery(choice.Node, choice.Address)
+		started := r.options.Now()
+		last = r.attempt(ctx, choice, attempts.Ended())
+		r.recordAttempt(choice, last, r.options.Now()-started)
+		choice.Done(r.options.Now(), last)
+		if last.Reason == outcome.ReasonUnreachable && last.Incarnation == "" && choice.Node != r.options.Node {
+			r.options.Liveness.StartRecovery(choice.Node, choice.Address)
 		}
-		x.informIfLost(choice, last)
-		x.learn(last)
-		tried.Add(choice.Node, last.ResendEnd())
+		r.syncIfUnconfigured(choice, last)
+		r.recordNeeds(last)
+		attempts.Add(choice.Node, last.ResendEnd())
 		if last.Arrived {
-			x.arrivals++
+			r.delivered++
 		}
 		if last.Outcome == outcome.Unknown {
-			x.mayRun = true
+			r.mayHaveRun = true
 		}
 		if last.Outcome == outcome.Answered {
-			x.answer(last)
+			r.writeReply(last)
 			return
 		}
-		if !x.again(last, tried) {
+		if !r.shouldRetry(last, attempts) {
 			break
 		}
 	}
-	x.giveUp(ctx, last)
+	r.writeFailure(ctx, last)
 }
 
-// again reports whether another sending is made after one that brought no answer; one that
-// costs a part of the budgets for repeats takes it.
-func (x *request) again(last *reply.Reply, tried *resend.Tried) bool {
-	switch tried.Decide(last.ResendEnd(), x.resendRules()) {
+// shouldRetry reports whether a failed attempt is followed by another. It deducts the next attempt
+// from the retry budgets if the rules charge it to them.
+func (r *request) shouldRetry(last *reply.Reply, attempts *resend.Tried) bool {
+	switch attempts.Decide(last.ResendEnd(), r.retryRules()) {
 	case resend.Again:
 		return true
 	case resend.FromBudget:
-		return x.takeRepeat(last.Reason.Declined())
+		return r.takeRetry(last.Reason.Declined())
 	}
 	return false
 }
 
-// takeRepeat takes a repeat of the request out of the budgets. declined means that the target
-// declined the sending before.
-func (x *request) takeRepeat(declined bool) bool {
-	if !x.options.Services.TakeRetry(x.service, x.options.Overload.Needs(x.route), x.rank(), declined) {
-		x.options.Metrics.Denied.WithLabelValues(x.service).Inc()
+// takeRetry deducts a retry from the budgets. declined means that the target declined the previous
+// attempt.
+func (r *request) takeRetry(declined bool) bool {
+	if !r.options.Services.TakeRetry(r.service, r.options.Overload.Needs(r.route), r.retryRank(), declined) {
+		r.options.Metrics.Denied.WithLabelValues(r.service).Inc()
 		return false
 	}
-	x.options.Metrics.Repeats.WithLabelValues(x.service).Inc()
+	r.options.Metrics.Repeats.WithLabelValues(r.service).Inc()
 	return true
 }
 
-// resendRules is what the decision on another sending depends on besides the sendings.
-func (x *request) resendRules() resend.Request {
+// retryRules returns the properties of the request that decide whether it may be retried.
+func (r *request) retryRules() resend.Request {
 	return resend.Request{
-		Replayable: x.body.Replayable(), Repeatable: x.route.Kind.Repeatable(), Repeat: x.repeat, Trial: x.trial, MostTargets: x.mostTargets(),
-		NoHoldBack: !x.options.PolicyOn(settings.HoldBack), NoRepeats: !x.options.PolicyOn(settings.Repeats),
+		Replayable: r.body.Replayable(), Repeatable: r.route.Kind.Repeatable(), Repeat: r.parentIsRetry, Trial: r.trial, MostTargets: r.maxTargets(),
+		NoHoldBack: !r.options.PolicyOn(settings.HoldBack), NoRepeats: !r.options.PolicyOn(settings.Repeats),
 	}
 }
 
-// mostTargets is how many targets the request may reach.
-func (x *request) mostTargets() int { return max(x.route.MaxAttempts, 1) }
+// maxTargets returns how many targets the request may be delivered to.
+func (r *request) maxTargets() int { return max(r.route.MaxAttempts, 1) }
 
-// rank is the rank of the request's chain where repeats are short. It is the same at all nodes
-// at which calls of the chain begin.
-func (x *request) rank() float64 {
+// retryRank ranks the request's call chain when retries are scarce. All nodes compute the same rank
+// for the calls of one chain.
+func (r *request) retryRank() float64 {
 	priorities := 1
-	if current := x.options.Configuration.Load(); current != nil {
+	if current := r.options.Configuration.Load(); current != nil {
 		priorities = current.LeastPriority() + 1
 	}
-	start, _, _ := strings.Cut(x.id, wire.CallSeparator)
-	return repeats.Rank(x.importance/importance.Step, priorities, xxhash.Sum64String(start))
+	root, _, _ := strings.Cut(r.id, wire.CallSeparator)
+	return repeats.Rank(r.importance/importance.Step, priorities, xxhash.Sum64String(root))
 }
 
-// requirement is what the request needs of a target: an answer within its route's objective,
-// and before its time is up.
-func (x *request) requirement(ctx context.Context, tried *resend.Tried) balancer.Requirement {
-	need := balancer.Requirement{Class: x.route.Name, Limit: x.left(ctx), Only: tried.Only(x.mostTargets())}
-	if left := x.route.Objective - (x.options.Now() - x.started); left > 0 {
-		need.Limit = min(need.Limit, left)
+// requirement returns what the balancer must satisfy: a response within the objective of the route
+// and before the timeout.
+func (r *request) requirement(ctx context.Context, attempts *resend.Tried) balancer.Requirement {
+	requirement := balancer.Requirement{Class: r.route.Name, Limit: r.remaining(ctx), Only: attempts.Only(r.maxTargets())}
+	if left := r.route.Objective - (r.options.Now() - r.started); left > 0 {
+		requirement.Limit = min(requirement.Limit, left)
 	}
-	return need
+	return requirement
 }
 
 // attempt sends the request to one target.
-func (x *request) attempt(ctx context.Context, choice *services.Choice, suspect bool) *reply.Reply {
-	repeatable := x.route.Kind.Repeatable()
+func (r *request) attempt(ctx context.Context, choice *services.Choice, suspect bool) *reply.Reply {
+	repeatable := r.route.Kind.Repeatable()
 	call := &wire.SidecarCall{
-		RequestID: x.id, Method: x.request.Method, URI: uriOf(x.request), Host: x.request.Host, Service: x.service, Route: x.route.Name,
-		Caller: x.options.Caller(), From: x.options.Node, Importance: x.importance, Repeatable: repeatable,
-		Repeat: x.repeat || x.arrivals > 0, Attempt: x.arrivals, Remaining: x.left(ctx).Microseconds(),
-		Version: int64(x.intent.Version), Granted: x.granted, Tenant: x.tenant, Suspect: suspect, Trial: x.trial,
+		RequestID: r.id, Method: r.incoming.Method, URI: requestURI(r.incoming), Host: r.incoming.Host, Service: r.service, Route: r.route.Name,
+		Caller: r.options.Caller(), From: r.options.Node, Importance: r.importance, Repeatable: repeatable,
+		Repeat: r.parentIsRetry || r.delivered > 0, Attempt: r.delivered, Remaining: r.remaining(ctx).Microseconds(),
+		Version: int64(r.intent.Version), Granted: r.retryGrant, Tenant: r.tenant, Suspect: suspect, Trial: r.trial,
 	}
-	if choice.Node == x.options.Node {
-		return x.options.Arrivals.Serve(ctx, call, x.header.Clone(), x.body)
+	if choice.Node == r.options.Node {
+		return r.options.Arrivals.Serve(ctx, call, r.header.Clone(), r.body)
 	}
 	if repeatable {
-		return x.sendRepeatable(ctx, choice, call)
+		return r.sendRepeatable(ctx, choice, call)
 	}
-	return x.sendOnce(ctx, choice, call)
+	return r.sendAtMostOnce(ctx, choice, call)
 }
 
-// noteSend counts a sending and keeps it for the log line.
-func (x *request) noteSend(choice *services.Choice, answer *reply.Reply, took time.Duration) {
-	x.options.Metrics.Sends.WithLabelValues(x.service, string(answer.Outcome), string(answer.Reason)).Inc()
-	x.sends = append(x.sends, eventlog.Send{
-		Node: choice.Node, Outcome: string(answer.Outcome), Reason: string(answer.Reason), Arrived: answer.Arrived, Status: answer.Status,
-		TookMS: eventlog.Milliseconds(took), Occupancy: answer.Load.Occupancy(),
+// recordAttempt counts an attempt and keeps it for the log event.
+func (r *request) recordAttempt(choice *services.Choice, response *reply.Reply, elapsed time.Duration) {
+	r.options.Metrics.Sends.WithLabelValues(r.service, string(response.Outcome), string(response.Reason)).Inc()
+	r.attempts = append(r.attempts, eventlog.Send{
+		Node: choice.Node, Outcome: string(response.Outcome), Reason: string(response.Reason), Arrived: response.Arrived, Status: response.Status,
+		TookMS: eventlog.Milliseconds(elapsed), Occupancy: response.Load.Occupancy(),
 	})
 }
 
-// informIfLost exchanges with a node that replied without knowing any configuration.
-func (x *request) informIfLost(choice *services.Choice, answer *reply.Reply) {
-	if answer.Incarnation != "" && answer.Version == 0 && choice.Node != x.options.Node {
-		x.options.Exchange(choice.Address)
+// syncIfUnconfigured synchronizes with a node that replied without having a configuration.
+func (r *request) syncIfUnconfigured(choice *services.Choice, response *reply.Reply) {
+	if response.Incarnation != "" && response.Version == 0 && choice.Node != r.options.Node {
+		r.options.Exchange(choice.Address)
 	}
 }
 
-// sendRepeatable sends to another node, and gives up when that node shows no
-// sign of life.
-func (x *request) sendRepeatable(ctx context.Context, choice *services.Choice, call *wire.SidecarCall) *reply.Reply {
+// sendRepeatable sends a repeatable request to another node and abandons it when the node becomes
+// unresponsive.
+func (r *request) sendRepeatable(ctx context.Context, choice *services.Choice, call *wire.SidecarCall) *reply.Reply {
 	ctx, abandon := context.WithCancelCause(ctx)
-	watched := x.options.Liveness.Watch(choice.Node, choice.Address, abandon)
-	answer := x.options.Peers.Call(ctx, choice.Address, call, x.header, x.body)
-	watched.End(answer.Incarnation != "")
-	if answer.Outcome == outcome.Unknown && errors.Is(context.Cause(ctx), peer.ErrUnresponsive) {
-		answer.Reason = outcome.ReasonSilent
+	watch := r.options.Liveness.Watch(choice.Node, choice.Address, abandon)
+	response := r.options.Peers.Call(ctx, choice.Address, call, r.header, r.body)
+	watch.End(response.Incarnation != "")
+	if response.Outcome == outcome.Unknown && errors.Is(context.Cause(ctx), peer.ErrUnresponsive) {
+		response.Reason = outcome.ReasonSilent
 	}
-	if answer.Stream == nil {
+	if response.Stream == nil {
 		abandon(nil)
 	}
-	return answer
+	return response
 }
 
-// sendOnce sends a request that may run at most once. When the connection to the
-// node breaks, the node is asked what became of the request.
-func (x *request) sendOnce(ctx context.Context, choice *services.Choice, call *wire.SidecarCall) *reply.Reply {
+// sendAtMostOnce sends a request that must not be executed twice. If the connection breaks, it
+// queries the node for the outcome.
+func (r *request) sendAtMostOnce(ctx context.Context, choice *services.Choice, call *wire.SidecarCall) *reply.Reply {
 	call.Key = strconv.FormatUint(rand.Uint64(), 36)
-	call.Incarnation = x.options.Members.Incarnation(choice.Node)
-	watched := x.options.Liveness.Watch(choice.Node, choice.Address, nil)
-	defer func() { watched.End(false) }()
-	answer := x.options.Peers.Call(ctx, choice.Address, call, x.header, x.body)
-	for range settleTries {
-		if answer.Outcome != outcome.Unknown || answer.Reason != outcome.ReasonLost || call.Incarnation == "" || ctx.Err() != nil {
+	call.Incarnation = r.options.Members.Incarnation(choice.Node)
+	watch := r.options.Liveness.Watch(choice.Node, choice.Address, nil)
+	defer func() { watch.End(false) }()
+	response := r.options.Peers.Call(ctx, choice.Address, call, r.header, r.body)
+	for range maxSettleQueries {
+		if response.Outcome != outcome.Unknown || response.Reason != outcome.ReasonLost || call.Incarnation == "" || ctx.Err() != nil {
 			break
 		}
-		call.Remaining = x.left(ctx).Microseconds()
-		answer = x.options.Peers.Settle(ctx, choice.Address, call)
+		call.Remaining = r.remaining(ctx).Microseconds()
+		response = r.options.Peers.Settle(ctx, choice.Address, call)
 	}
-	if answer.Reason == outcome.ReasonIncarnation {
-		x.options.Members.Restarted(choice.Node, answer.Incarnation)
+	if response.Reason == outcome.ReasonIncarnation {
+		r.options.Members.Restarted(choice.Node, response.Incarnation)
 	}
-	return answer
+	return response
 }
 
-// settleTries is how often a node is asked what became of a request whose connection broke; no
-// measurement set it.
-const settleTries = 3
+// maxSettleQueries limits the queries for the outcome of a request whose connection broke.
+const maxSettleQueries = 3
--- a/internal/sidecar/entry/splitter.go
+++ b/internal/sidecar/entry/splitter.go
@@ -7,15 +7,15 @@
 	"github.com/landingmast/landingmast/internal/core/intent"
 )
 
-// splitter keeps the shares of a route's parts close to their weights.
-type splitter struct {
+// weightedSplitter distributes the requests of a route over its services by weight.
+type weightedSplitter struct {
 	mutex  sync.Mutex
-	credit map[string][]float64 // by route
+	credit map[string][]float64 // keyed by route name
 }
 
-// choose gives the service that a request of the route goes to: each part gains
-// its weight's share of credit with each request, the richest is taken.
-func (s *splitter) choose(route *intent.Route) string {
+// choose returns the service for the next request. Each request credits every service with its
+// share of the total weight; the one with the most credit is chosen and pays for the request.
+func (s *weightedSplitter) choose(route *intent.Route) string {
 	if len(route.Parts) == 1 {
 		return route.Parts[0].Service
 	}
--- a/internal/sidecar/entry/splitter_test.go
+++ b/internal/sidecar/entry/splitter_test.go
@@ -7,9 +7,9 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestSplitKeepsToItsWeights(t *testing.T) {
+func TestSplitterFollowsWeights(t *testing.T) {
 	g := NewWithT(t)
-	s := &splitter{credit: map[string][]float64{}}
+	s := &weightedSplitter{credit: map[string][]float64{}}
 	route := &intent.Route{Name: "split", Parts: []intent.Part{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}, {Service: "c", Weight: 0}}}
 	counts := map[string]int{}
 	for range 1000 {
--- a/internal/sidecar/entry/steps.go
+++ b/internal/sidecar/entry/steps.go
@@ -12,164 +12,160 @@
 	"github.com/landingmast/landingmast/internal/sidecar/headers"
 )
 
-// entrySteps are what a request goes through between its listener and its first sending, in
-// this order. A step either lets the request go on or refuses it, and then writes the answer
-// itself. What is cheap and needs no body comes first; what takes something (a token of the
-// quota, a place in the window) comes last, so that nothing is taken for a request that
-// another step would refuse.
+// pipeline lists the steps between accepting a request and its first attempt, in order. A step
+// either passes the request on or writes the rejection itself and returns false. Cheap steps that
+// need no body run first. Steps that acquire something (a quota token, a place in the admission
+// window) run last, so that nothing is acquired for a request that another step would reject.
 //
-//	step         refuses                                      with
-//	isReady      while the node stops or knows no routes      503 stopping, no_configuration
-//	hasID        a request without an id                      400 bad_message
-//	hasRoute     what no route matches                        404 no_route
-//	identify     a key that nobody holds or that cannot be    401 unknown_key, 503
-//	             believed, a call whose parent is gone        stale_configuration, parent_gone
-//	hasSize      heads and bodies over the operators' limits  413 body_too_large, 431 head_too_large
-//	hasBody      bodies that do not come in time              408 cancelled, 413 body_too_large
-//	isHarmless   what several targets ended with              503 ends_targets
-//	withinQuota  what is beyond its tenant's limit            429 over_quota, 503 no_allowance
-//	isAdmitted   a share of fresh requests under overload     503 overload
-var entrySteps = [...]func(x *request) bool{
-	(*request).isReady,
-	(*request).hasID,
-	(*request).hasRoute,
-	(*request).identify,
-	(*request).hasSize,
-	(*request).hasBody,
-	(*request).isHarmless,
-	(*request).withinQuota,
-	(*request).isAdmitted,
+//	step            rejects                                    with
+//	checkReady      while stopping or without configuration    503 stopping, no_configuration
+//	checkID         a request without an id                    400 bad_message
+//	matchRoute      a request that matches no route            404 no_route
+//	identifyTenant  an unknown key, a key that cannot be       401 unknown_key, 503
+//	                verified, a call whose parent is gone      stale_configuration, parent_gone
+//	checkSize       a head or body over the configured limits  413 body_too_large, 431 head_too_large
+//	readBody        a body that does not arrive in time        408 cancelled, 413 body_too_large
+//	checkCrashes    content that crashed several targets       503 ends_targets
+//	checkQuota      a request over its tenant's limit          429 over_quota, 503 no_allowance
+//	admit           a share of new requests during overload    503 overload
+var pipeline = [...]func(r *request) bool{
+	(*request).checkReady,
+	(*request).checkID,
+	(*request).matchRoute,
+	(*request).identifyTenant,
+	(*request).checkSize,
+	(*request).readBody,
+	(*request).checkCrashes,
+	(*request).checkQuota,
+	(*request).admit,
 }
 
-// atEnd has f called when the request has ended.
-func (x *request) atEnd(f func()) { x.cleanups = append(x.cleanups, f) }
+// onFinish registers f to be called when the request ends.
+func (r *request) onFinish(f func()) { r.cleanups = append(r.cleanups, f) }
 
-// finish calls what the steps have left for the end of the request, the last first.
-func (x *request) finish() {
-	for index := len(x.cleanups) - 1; index >= 0; index-- {
-		x.cleanups[index]()
+// finish runs the registered cleanups in reverse order.
+func (r *request) finish() {
+	for index := len(r.cleanups) - 1; index >= 0; index-- {
+		r.cleanups[index]()
 	}
 }
 
-// isReady takes the configuration that decides on the request. Freshness is looked at before:
-// a configuration that comes in between is newer than what was confirmed; the other way round
-// it might be older.
-func (x *request) isReady() bool {
-	x.fresh = x.options.Fresh()
-	x.intent = x.options.Configuration.Load()
+// checkReady loads the configuration that applies to the request. Freshness is read first: a
+// configuration loaded afterwards is at least as new as the one that was revalidated.
+func (r *request) checkReady() bool {
+	r.configFresh = r.options.Fresh()
+	r.intent = r.options.Configuration.Load()
 	switch {
-	case x.closing:
-		x.refuse(http.StatusServiceUnavailable, outcome.ReasonStopping, retryafter.Unready())
+	case r.draining:
+		r.reject(http.StatusServiceUnavailable, outcome.ReasonStopping, retryafter.Unready())
 		return false
-	case x.intent == nil:
-		x.refuse(http.StatusServiceUnavailable, outcome.ReasonNoIntent, retryafter.Unready())
+	case r.intent == nil:
+		r.reject(http.StatusServiceUnavailable, outcome.ReasonNoIntent, retryafter.Unready())
 		return false
 	}
 	return true
 }
 
-// hasID refuses a request without an id: its answer could not be told from another's.
-func (x *request) hasID() bool {
-	if x.id == "" {
-		x.refuse(http.StatusBadRequest, outcome.ReasonBadMessage, notInvited)
+// checkID rejects a request without an id, since its response could not be correlated.
+func (r *request) checkID() bool {
+	if r.id == "" {
+		r.reject(http.StatusBadRequest, outcome.ReasonBadMessage, noRetryAfter)
 		return false
 	}
 	return true
 }
 
-// hasRoute finds the route, how long the request may be held, and its importance.
-func (x *request) hasRoute() bool {
-	x.route = x.intent.Match(x.request.Host, pathOf(x.request))
-	if x.route == nil {
-		x.refuse(http.StatusNotFound, outcome.ReasonNoRoute, notInvited)
+// matchRoute determines the route, the timeout and the importance.
+func (r *request) matchRoute() bool {
+	r.route = r.intent.Match(r.incoming.Host, requestPath(r.incoming))
+	if r.route == nil {
+		r.reject(http.StatusNotFound, outcome.ReasonNoRoute, noRetryAfter)
 		return false
 	}
-	x.holdFor = x.longestHold()
-	x.findParent()
+	r.timeout = r.effectiveTimeout()
+	r.resolveParent()
 	return true
 }
 
-// hasSize refuses a request that is larger than the operators allow. The body of one that
-// does not say its length is bounded while it is read.
-func (x *request) hasSize() bool {
-	if status, reason := refusedBySize(x.request, x.intent.Limits); status != 0 {
-		x.writer.Header().Set("Connection", "close")
-		x.refuse(status, reason, notInvited)
+// checkSize rejects a request that exceeds the configured limits, and limits a body of unknown
+// length while it is read.
+func (r *request) checkSize() bool {
+	if status, reason := checkLimits(r.incoming, r.intent.Limits); status != 0 {
+		r.writer.Header().Set("Connection", "close")
+		r.reject(status, reason, noRetryAfter)
 		return false
 	}
-	if most := x.intent.Limits.MaxBodyBytes; x.request.ContentLength < 0 && most > 0 {
-		x.request.Body = http.MaxBytesReader(x.writer, x.request.Body, most)
+	if maxBytes := r.intent.Limits.MaxBodyBytes; r.incoming.ContentLength < 0 && maxBytes > 0 {
+		r.incoming.Body = http.MaxBytesReader(r.writer, r.incoming.Body, maxBytes)
 	}
 	return true
 }
 
-// hasBody starts the request's time and reads its body, whole unless it is long.
-func (x *request) hasBody() bool {
-	x.startTime()
-	if x.request.ContentLength != 0 {
-		_ = http.NewResponseController(x.writer).SetReadDeadline(time.Now().Add(x.holdFor + bodyGrace))
+// readBody starts the request's timeout and reads its body, buffering all of it unless it is long.
+func (r *request) readBody() bool {
+	r.startTimeout()
+	if r.incoming.ContentLength != 0 {
+		_ = http.NewResponseController(r.writer).SetReadDeadline(time.Now().Add(r.timeout + bodyReadGrace))
 	}
-	body, err := arrival.ReadBody(x.request)
+	body, err := arrival.ReadBody(r.incoming)
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
-		x.refuse(http.StatusRequestEntityTooLarge, outcome.ReasonBodyTooLarge, notInvited)
+		r.reject(http.StatusRequestEntityTooLarge, outcome.ReasonBodyTooLarge, noRetryAfter)
 		return false
 	case err != nil:
-		x.refuse(http.StatusRequestTimeout, outcome.ReasonCancelled, notInvited)
+		r.reject(http.StatusRequestTimeout, outcome.ReasonCancelled, noRetryAfter)
 		return false
 	}
-	x.body = body
-	x.header = headers.EndToEnd(x.request.Header)
-	if len(x.intent.Tenants) > 0 {
-		x.options.Headers.RemoveIdentity(x.header)
+	r.body = body
+	r.header = headers.EndToEnd(r.incoming.Header)
+	if len(r.intent.Tenants) > 0 {
+		r.options.Headers.RemoveIdentity(r.header)
 	}
 	return true
 }
 
-// startTime starts the time for which the request may be held. A call ends with the request
-// that made it.
-func (x *request) startTime() {
-	ctx, cancel := context.WithTimeout(x.request.Context(), x.holdFor)
-	x.ctx = ctx
-	x.atEnd(cancel)
-	if x.parent != nil {
-		stop := context.AfterFunc(x.parent.Context, cancel)
-		x.atEnd(func() { stop() })
+// startTimeout creates the request's context. A call is cancelled together with its parent.
+func (r *request) startTimeout() {
+	ctx, cancel := context.WithTimeout(r.incoming.Context(), r.timeout)
+	r.ctx = ctx
+	r.onFinish(cancel)
+	if r.parent != nil {
+		stop := context.AfterFunc(r.parent.Context, cancel)
+		r.onFinish(func() { stop() })
 	}
 }
 
-// isHarmless refuses a request that several targets ended with. Its sender is not invited to
-// come back: it would be refused again.
-func (x *request) isHarmless() bool {
-	verdict := x.heldBack()
+// checkCrashes rejects content that crashed several targets. No Retry-After is sent, since the same
+// request would be rejected again.
+func (r *request) checkCrashes() bool {
+	verdict := r.crashVerdict()
 	if verdict.Refused {
-		x.refuse(http.StatusServiceUnavailable, outcome.ReasonEndsTargets, notInvited)
+		r.reject(http.StatusServiceUnavailable, outcome.ReasonEndsTargets, noRetryAfter)
 		return false
 	}
-	if x.trial = verdict.EndTrial != nil; x.trial {
-		x.atEnd(verdict.EndTrial)
+	if r.trial = verdict.EndTrial != nil; r.trial {
+		r.onFinish(verdict.EndTrial)
 	}
 	return true
 }
 
-// isAdmitted chooses the service and lets the request in or, under overload, refuses it where
-// its chain begins. Calls of requests that are running are always let in: work has gone into
-// them.
-func (x *request) isAdmitted() bool {
-	x.service = x.splitter.choose(x.route)
-	x.granted = x.countRequest()
-	if x.parent != nil {
-		x.decision.Probability = 1
+// admit chooses the service and, during overload, sheds a share of the client requests. Calls of
+// requests in progress are always admitted, because work was already spent on them.
+func (r *request) admit() bool {
+	r.service = r.splitter.choose(r.route)
+	r.retryGrant = r.countRequest()
+	if r.parent != nil {
+		r.decision.Probability = 1
 		return true
 	}
 	var admitted bool
-	admitted, x.decision = x.options.Overload.Admit(x.route)
+	admitted, r.decision = r.options.Overload.Admit(r.route)
 	if !admitted {
-		x.options.Quotas.GiveBack(x.holder)
-		x.refuse(http.StatusServiceUnavailable, outcome.ReasonSheds, retryafter.Shed(x.senderTime()))
+		r.options.Quotas.GiveBack(r.keyTenant)
+		r.reject(http.StatusServiceUnavailable, outcome.ReasonSheds, retryafter.Shed(r.clientTimeout()))
 		return false
 	}
-	x.atEnd(x.leaveWindow)
+	r.onFinish(r.releaseWindow)
 	return true
 }
--- a/internal/sidecar/entry/tenant.go
+++ b/internal/sidecar/entry/tenant.go
@@ -11,68 +11,66 @@
 	"github.com/landingmast/landingmast/internal/wire"
 )
 
-// Who a request belongs to is settled once, at the node where it began: a client's
-// request belongs to the tenant that holds its key, a call of a target to the tenant of
-// the request that made it. The key stays at that node; other nodes and targets get the
-// tenant's name.
-
-// identify settles the tenant of the request. false: it was refused.
-func (x *request) identify() bool {
-	if x.parent != nil {
-		x.tenant = x.parent.Tenant
+// identifyTenant determines the tenant of the request; it returns false if the request was
+// rejected. A client request belongs to the tenant of its key, a call of a target to the tenant of
+// the parent request. The key never leaves this node; other nodes and targets see the tenant's
+// name.
+func (r *request) identifyTenant() bool {
+	if r.parent != nil {
+		r.tenant = r.parent.Tenant
 		return true
 	}
-	if len(x.intent.Tenants) == 0 {
+	if len(r.intent.Tenants) == 0 {
 		return true
 	}
-	key := x.options.Headers.ClientKey(x.request.Header)
+	key := r.options.Headers.ClientKey(r.incoming.Header)
 	if key == "" {
-		return x.identifyWithoutKey()
+		return r.handleMissingKey()
 	}
-	if !x.fresh {
-		x.refuse(http.StatusServiceUnavailable, outcome.ReasonStale, retryafter.Unready())
+	if !r.configFresh {
+		r.reject(http.StatusServiceUnavailable, outcome.ReasonStale, retryafter.Unready())
 		return false
 	}
-	x.holder = x.intent.Holder(key)
-	if x.holder != nil {
-		x.tenant = x.holder.Name
-		x.rankByTenant()
+	r.keyTenant = r.intent.Holder(key)
+	if r.keyTenant != nil {
+		r.tenant = r.keyTenant.Name
+		r.applyTenantPriority()
 		return true
 	}
-	if x.intent.NeedsKey(x.route) {
-		x.refuseKey()
+	if r.intent.NeedsKey(r.route) {
+		r.rejectKey()
 		return false
 	}
 	return true
 }
 
-// rankByTenant takes the tenant's priority into the request's importance.
-func (x *request) rankByTenant() {
-	if !x.options.PolicyOn(settings.TenantOrder) {
+// applyTenantPriority recomputes the importance with the tenant's priority.
+func (r *request) applyTenantPriority() {
+	if !r.options.PolicyOn(settings.TenantOrder) {
 		return
 	}
-	limit := x.limit()
-	if !x.options.PolicyOn(settings.Urgency) {
+	limit := r.latencyBudget()
+	if !r.options.PolicyOn(settings.Urgency) {
 		limit = 0
 	}
-	x.importance = importance.Of(x.route, x.holder, limit)
+	r.importance = importance.Of(r.route, r.keyTenant, limit)
 }
 
-// identifyWithoutKey lets requests of public routes in. A call whose parent is no longer
-// at the target is refused as not run: its parent's answer can reach nobody.
-func (x *request) identifyWithoutKey() bool {
+// handleMissingKey admits requests of public routes. A call whose parent has left the target is
+// rejected as not run, since the parent's response can no longer be delivered.
+func (r *request) handleMissingKey() bool {
 	switch {
-	case !x.intent.NeedsKey(x.route):
+	case !r.intent.NeedsKey(r.route):
 		return true
-	case strings.Contains(x.id, wire.CallSeparator):
-		x.refuse(http.StatusServiceUnavailable, outcome.ReasonOrphan, retryafter.Unready())
+	case strings.Contains(r.id, wire.CallSeparator):
+		r.reject(http.StatusServiceUnavailable, outcome.ReasonOrphan, retryafter.Unready())
 	default:
-		x.refuseKey()
+		r.rejectKey()
 	}
 	return false
 }
 
-func (x *request) refuseKey() {
-	x.writer.Header().Set("WWW-Authenticate", x.options.Headers.KeyScheme)
-	x.refuse(http.StatusUnauthorized, outcome.ReasonUnknownKey, notInvited)
+func (r *request) rejectKey() {
+	r.writer.Header().Set("WWW-Authenticate", r.options.Headers.KeyScheme)
+	r.reject(http.StatusUnauthorized, outcome.ReasonUnknownKey, noRetryAfter)
 }
