--- a/internal/sidecar/arrival/ingress.go
+++ b/internal/sidecar/arrival/ingress.go
@@ -19,26 +19,26 @@
 	"github.com/landingmast/landingmast/internal/wire"
 )
 
-// Ingress serves the requests for the target beside the node.
+// Ingress is the HTTP handler for requests to the local target.
 type Ingress struct {
 	options Options
 	Running runningTable
-	Once    *onceGate
+	Once    *onceHandler
 }
 
-// New makes the ingress of a node.
+// New returns the ingress handler of a node.
 func New(options Options) *Ingress {
 	i := &Ingress{options: options, Running: runningTable{requests: map[string]*Running{}}}
-	i.Once = newOnceGate(i)
+	i.Once = newOnceHandler(i)
 	return i
 }
 
-// IsCall reports whether an id is that of a call of a request at the target.
+// IsCall reports whether id belongs to a call made by a request in progress at the target.
 func (i *Ingress) IsCall(id string) bool { return i.Parent(id) != nil }
 
-// Parent returns the request at the target whose call has an id; nil: there is none. The id of
-// a call is the id of the request that made it, a separator and a part of its own; where ids
-// look otherwise a request stands for itself.
+// Parent returns the request at the target that made the call with this id, or nil. The id of a
+// call consists of the parent's id, a separator and a suffix; an id of any other form has no
+// parent.
 func (i *Ingress) Parent(id string) *Running {
 	at := strings.LastIndex(id, wire.CallSeparator)
 	if at <= 0 {
@@ -47,11 +47,11 @@
 	return i.Running.find(id[:at])
 }
 
-// ServeHTTP takes a request of another node.
+// ServeHTTP serves a request of another node.
 func (i *Ingress) ServeHTTP(writer http.ResponseWriter, received *http.Request) {
-	w, r, end, refused := i.options.Begin(writer, received)
+	w, r, end, draining := i.options.Begin(writer, received)
 	defer end()
-	if refused {
+	if draining {
 		w.ReadRest()
 		i.write(w, reply.NotRun(outcome.ReasonStopping))
 		return
@@ -70,14 +70,14 @@
 		i.write(w, reply.NotRun(outcome.ReasonCancelled))
 		return
 	}
-	answer := i.Serve(ctx, call, headers.EndToEnd(r.Header), body)
+	response := i.Serve(ctx, call, headers.EndToEnd(r.Header), body)
 	if r.Header.Get(i.options.Headers.RequestID) == "" {
-		answer = answer.WithoutHeader(i.options.Headers.RequestID)
+		response = response.WithoutHeader(i.options.Headers.RequestID)
 	}
-	i.write(w, answer)
+	i.write(w, response)
 }
 
-// ReadBody reads the body of a request, whole unless it is long.
+// ReadBody reads the body of a request, buffering all of it unless it is long.
 func ReadBody(r *http.Request) (*reply.Payload, error) {
 	if r.ContentLength == 0 {
 		return &reply.Payload{}, nil
@@ -92,34 +92,34 @@
 	return &reply.Payload{Data: data}, nil
 }
 
-// write sends a reply to the node that asked. An answer that breaks off cuts the
-// connection, so that it never passes for a whole one.
-func (i *Ingress) write(w http.ResponseWriter, answer *reply.Reply) {
-	defer answer.Close()
-	answer.Incarnation = i.options.Incarnation
-	answer.Version = i.options.Version()
-	head, err := wire.SidecarResultCodec.EncodeHeader(answer.Result())
+// write sends a reply to the requesting node. If the response breaks off, the connection is
+// aborted so that a truncated response is never taken for a complete one.
+func (i *Ingress) write(w http.ResponseWriter, response *reply.Reply) {
+	defer response.Close()
+	response.Incarnation = i.options.Incarnation
+	response.Version = i.options.Version()
+	head, err := wire.SidecarResultCodec.EncodeHeader(response.Result())
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
 	header := w.Header()
-	for name, values := range answer.Header {
+	for name, values := range response.Header {
 		header[name] = values
 	}
 	header.Set(wire.HeaderSidecarResult, head)
-	if waits := reply.EncodeWaits(answer); waits != "" {
+	if waits := reply.EncodeWaits(response); waits != "" {
 		header.Set(wire.HeaderSidecarWaits, waits)
 	}
 	SuppressDefaultHeaders(header)
-	if answer.Stream == nil {
-		header.Set("Content-Length", strconv.Itoa(len(answer.Body)))
-		_, _ = w.Write(answer.Body)
+	if response.Stream == nil {
+		header.Set("Content-Length", strconv.Itoa(len(response.Body)))
+		_, _ = w.Write(response.Body)
 		return
 	}
-	if answer.Length >= 0 {
-		header.Set("Content-Length", strconv.FormatInt(answer.Length, 10))
+	if response.Length >= 0 {
+		header.Set("Content-Length", strconv.FormatInt(response.Length, 10))
 	}
-	if _, err := io.Copy(w, answer.Stream); err != nil {
+	if _, err := io.Copy(w, response.Stream); err != nil {
 		panic(http.ErrAbortHandler)
 	}
 }
@@ -134,7 +134,7 @@
 	}
 }
 
-// Serve sends a request to the target, once at most where it may not be repeated.
+// Serve sends a request to the target, at most once unless it is repeatable.
 func (i *Ingress) Serve(ctx context.Context, call *wire.SidecarCall, header http.Header, body *reply.Payload) *reply.Reply {
 	switch {
 	case call.Incarnation != "" && call.Incarnation != i.options.Incarnation:
@@ -146,155 +146,156 @@
 	}
 }
 
-// admit waits for a slot and sends the request to the target. maySend is asked right before it
-// is sent; nil: it may.
-func (i *Ingress) admit(ctx context.Context, call *wire.SidecarCall, header http.Header, body *reply.Payload, maySend func() bool) *reply.Reply {
-	one := &request{Request: heldback.Request{Call: call, Body: body}, at: i.options.Now()}
-	answer := i.gated(ctx, one, header, maySend)
-	i.noteRun(one, answer)
-	return answer
+// admit waits for a slot and sends the request to the target. claimSend, if not nil, is called
+// right before sending and can deny it.
+func (i *Ingress) admit(ctx context.Context, call *wire.SidecarCall, header http.Header, body *reply.Payload, claimSend func() bool) *reply.Reply {
+	req := &request{Request: heldback.Request{Call: call, Body: body}, arrivedAt: i.options.Now()}
+	response := i.passGate(ctx, req, header, claimSend)
+	i.recordRun(req, response)
+	return response
 }
 
-// request is a request at the gate, with what its log line has.
+// request is a request at the gate, with the fields of its log event.
 type request struct {
 	heldback.Request
-	at       time.Duration
-	instance string
-	waited   time.Duration
-	alone    bool // no other suspected request is at the target
+	arrivedAt time.Duration
+	instance  string
+	waited    time.Duration
+	exclusive bool // whether the request is the only suspected one at the target
 }
 
-// left is how much of its time the request has left. The timer of ctx stands still while the
-// machine is suspended.
-func (a *request) left(ctx context.Context, now time.Duration) time.Duration {
-	left := time.Duration(a.Call.Remaining)*time.Microsecond - (now - a.at)
+// remaining returns the time left until the request times out. It checks the node's clock as well
+// as the context, because context timers stop while the host is suspended.
+func (r *request) remaining(ctx context.Context, now time.Duration) time.Duration {
+	left := time.Duration(r.Call.Remaining)*time.Microsecond - (now - r.arrivedAt)
 	if deadline, bounded := ctx.Deadline(); bounded {
 		left = min(left, time.Until(deadline))
 	}
 	return left
 }
 
-func (i *Ingress) gated(ctx context.Context, one *request, header http.Header, maySend func() bool) *reply.Reply {
-	gate, call := i.options.Target.Current(), one.Call
+func (i *Ingress) passGate(ctx context.Context, req *request, header http.Header, claimSend func() bool) *reply.Reply {
+	gate, call := i.options.Target.Current(), req.Call
 	switch {
 	case gate == nil:
 		return reply.NotRun(outcome.ReasonNoTarget)
 	case gate.Service != call.Service:
 		return reply.NotRun(outcome.ReasonWrongService)
 	}
-	one.instance = gate.Instance
-	held := i.options.HeldBack
+	req.instance = gate.Instance
+	heldBack := i.options.HeldBack
 	switch {
-	case !held.MaySend(&one.Request):
+	case !heldBack.MaySend(&req.Request):
 		return reply.NotRun(outcome.ReasonEndsTargets)
-	case held.Suspected(&one.Request):
+	case heldBack.Suspected(&req.Request):
 		if !gate.Unanswered.AcquireSingle(ctx) {
 			return reply.NotRun(outcome.ReasonSuspectWaits)
 		}
-		if one.alone = held.Suspected(&one.Request); one.alone {
+		if req.exclusive = heldBack.Suspected(&req.Request); req.exclusive {
 			defer gate.Unanswered.ReleaseSingle()
 		} else {
-			gate.Unanswered.ReleaseSingle() // it was cleared while it waited
+			gate.Unanswered.ReleaseSingle() // cleared of suspicion while waiting
 		}
 	}
 	now := i.options.Now()
-	id, decision := gate.Enter(ctx, slots.Request{Importance: call.Importance, Deadline: now + one.left(ctx, now), Class: call.Route})
-	one.waited = decision.Waited
-	var answer *reply.Reply
+	id, decision := gate.Enter(ctx, slots.Request{Importance: call.Importance, Deadline: now + req.remaining(ctx, now), Class: call.Route})
+	req.waited = decision.Waited
+	var response *reply.Reply
 	switch {
 	case !decision.Send && ctx.Err() != nil:
-		answer = reply.NotRun(reply.CancelReason(ctx))
+		response = reply.NotRun(reply.CancelReason(ctx))
 	case !decision.Send:
-		answer = reply.NotRun(outcome.Reason(decision.Reason))
-	case maySend != nil && !maySend():
+		response = reply.NotRun(outcome.Reason(decision.Reason))
+	case claimSend != nil && !claimSend():
 		gate.Leave(id, false)
-		answer = reply.NotRun(outcome.ReasonFenced)
-	case !held.MaySend(&one.Request): // by what was heard while it waited
+		response = reply.NotRun(outcome.ReasonFenced)
+	case !heldBack.MaySend(&req.Request): // evidence may have arrived while waiting
 		gate.Leave(id, false)
-		answer = reply.NotRun(outcome.ReasonEndsTargets)
+		response = reply.NotRun(outcome.ReasonEndsTargets)
 	default:
-		answer = i.run(ctx, gate, id, one, header)
+		response = i.run(ctx, gate, id, req, header)
 	}
-	answer.Load, _ = gate.Load()
-	answer.Waited = decision.Waited
-	return answer
+	response.Load, _ = gate.Load()
+	response.Waited = decision.Waited
+	return response
 }
 
-// run sends the request to the target and reads its answer.
-func (i *Ingress) run(ctx context.Context, gate *target.Gate, id uint64, one *request, header http.Header) *reply.Reply {
-	call := one.Call
-	request := &Running{ID: call.RequestID, Context: ctx, Importance: call.Importance, IsRetry: call.Repeat, Tenant: call.Tenant, RetryGrant: call.Granted, needs: map[string]wire.Need{}}
-	i.Running.add(call.RequestID, request)
-	answer := i.sendToTarget(ctx, gate, one, header)
-	i.Running.remove(call.RequestID, request)
-	learn := answer.Outcome == outcome.Answered
-	if answer.Stream == nil {
-		gate.Leave(id, learn)
-		if answer.Outcome == outcome.Answered {
-			i.options.HeldBack.EndedWell(&one.Request)
+// run sends the request to the target and reads its response.
+func (i *Ingress) run(ctx context.Context, gate *target.Gate, id uint64, req *request, header http.Header) *reply.Reply {
+	call := req.Call
+	running := &Running{ID: call.RequestID, Context: ctx, Importance: call.Importance, IsRetry: call.Repeat, Tenant: call.Tenant, RetryGrant: call.Granted, needs: map[string]wire.Need{}}
+	i.Running.add(call.RequestID, running)
+	response := i.sendToTarget(ctx, gate, req, header)
+	i.Running.remove(call.RequestID, running)
+	answered := response.Outcome == outcome.Answered
+	if response.Stream == nil {
+		gate.Leave(id, answered)
+		if response.Outcome == outcome.Answered {
+			i.options.HeldBack.EndedWell(&req.Request)
 		}
 	} else {
-		answer.Stream = &slotReader{ReadCloser: answer.Stream, leave: func(err error) {
-			gate.Leave(id, learn)
-			i.streamed(ctx, gate, one, err)
+		response.Stream = &slotReader{ReadCloser: response.Stream, release: func(err error) {
+			gate.Leave(id, answered)
+			i.recordStreamEnd(ctx, gate, req, err)
 		}}
 	}
-	answer.Needs = request.below()
-	return answer
+	response.Needs = running.collectNeeds()
+	return response
 }
 
-// slotReader gives the slot back when a long answer was read.
+// slotReader releases the slot when a streamed response is closed.
 type slotReader struct {
 	io.ReadCloser
-	err   error // with which the reading ended; io.EOF: the answer is whole
-	once  sync.Once
-	leave func(err error)
+	err     error // first read error; io.EOF if the response is complete
+	once    sync.Once
+	release func(err error)
 }
 
 // Read implements io.Reader.
-func (l *slotReader) Read(piece []byte) (int, error) {
-	count, err := l.ReadCloser.Read(piece)
+func (s *slotReader) Read(piece []byte) (int, error) {
+	count, err := s.ReadCloser.Read(piece)
 	if err != nil {
-		l.err = err
+		s.err = err
 	}
 	return count, err
 }
 
 // Close implements io.Closer.
-func (l *slotReader) Close() error {
-	defer l.once.Do(func() { l.leave(l.err) })
-	return l.ReadCloser.Close()
+func (s *slotReader) Close() error {
+	defer s.once.Do(func() { s.release(s.err) })
+	return s.ReadCloser.Close()
 }
 
-// streamed notes how the reading of a long answer ended; nil: its reader went away.
-func (i *Ingress) streamed(ctx context.Context, gate *target.Gate, one *request, err error) {
+// recordStreamEnd records how reading a streamed response ended; a nil err means that the reader
+// disconnected.
+func (i *Ingress) recordStreamEnd(ctx context.Context, gate *target.Gate, req *request, err error) {
 	switch {
 	case err == io.EOF:
-		i.options.HeldBack.EndedWell(&one.Request)
+		i.options.HeldBack.EndedWell(&req.Request)
 	case err == nil || ctx.Err() != nil:
-		i.senderLeft(gate, one)
+		i.recordCancelled(gate, req)
 	default:
-		i.lost(gate, one)
+		i.recordLost(gate, req)
 	}
 }
 
-// noteRun notes the end of a request at the gate of the target.
-func (i *Ingress) noteRun(one *request, answer *reply.Reply) {
-	waited, took := one.waited, i.options.Now()-one.at
-	if answer.Arrived {
+// recordRun updates the metrics and writes the log event of a request handled at the gate.
+func (i *Ingress) recordRun(req *request, response *reply.Reply) {
+	waited, elapsed := req.waited, i.options.Now()-req.arrivedAt
+	if response.Arrived {
 		i.options.Metrics.Waited.Observe(waited.Seconds())
-		i.options.Metrics.Held.Observe((took - waited).Seconds())
+		i.options.Metrics.Held.Observe((elapsed - waited).Seconds())
 	}
 	weight := eventlog.Success
-	if answer.Outcome != outcome.Answered || answer.Status >= http.StatusInternalServerError {
+	if response.Outcome != outcome.Answered || response.Status >= http.StatusInternalServerError {
 		weight = eventlog.Failure
 	}
 	if !i.options.Events.Wants(eventlog.Run{}.Kind(), weight) {
 		return
 	}
 	i.options.Events.Add(eventlog.Run{
-		Request: one.Call.RequestID, From: one.Call.From, Service: one.Call.Service, Instance: one.instance, Outcome: string(answer.Outcome),
-		Reason: string(answer.Reason), Status: answer.Status, Importance: one.Call.Importance, WaitMS: eventlog.Milliseconds(waited), TookMS: eventlog.Milliseconds(took),
-		LeftMS: float64(one.Call.Remaining) / 1000, Running: answer.Load.Running, Waiting: answer.Load.Waiting, Slots: answer.Load.Slots, Repeat: one.Call.Repeat,
+		Request: req.Call.RequestID, From: req.Call.From, Service: req.Call.Service, Instance: req.instance, Outcome: string(response.Outcome),
+		Reason: string(response.Reason), Status: response.Status, Importance: req.Call.Importance, WaitMS: eventlog.Milliseconds(waited), TookMS: eventlog.Milliseconds(elapsed),
+		LeftMS: float64(req.Call.Remaining) / 1000, Running: response.Load.Running, Waiting: response.Load.Waiting, Slots: response.Load.Slots, Repeat: req.Call.Repeat,
 	}, weight)
 }
--- a/internal/sidecar/arrival/once.go
+++ b/internal/sidecar/arrival/once.go
@@ -13,49 +13,49 @@
 	"github.com/landingmast/landingmast/internal/wire"
 )
 
-// Times of requests that run at most once.
 const (
-	// fenceKeep is how long a gate remembers them; longer than bytes can be under way.
-	fenceKeep = 2 * time.Minute
-	// orphanGrace is how long one runs on after the connection of its sender
-	// broke, for the sender to ask for it.
+	// fenceTTL is how long the ledger remembers a request; it exceeds the time that data can be
+	// delayed in the network.
+	fenceTTL = 2 * time.Minute
+	// orphanGrace is how long a request keeps running after its sender's connection broke, so that
+	// the sender can claim the reply.
 	orphanGrace = 500 * time.Millisecond
-	// replyKeep is how long its reply is kept for a sender that asks.
-	replyKeep = 5 * time.Second
+	// replyTTL is how long a reply is cached for a sender that claims it.
+	replyTTL = 5 * time.Second
 )
 
-// onceGate serves the requests that may run at most once. A request that was
-// sent to the target goes on when the connection of its sender breaks, and its
-// reply is handed over when the sender asks for it on another connection.
-type onceGate struct {
-	Ingress *Ingress
+// onceHandler serves requests that must not be executed twice. A request that was sent to the
+// target keeps running when its sender's connection breaks, and the sender can claim the reply on
+// another connection.
+type onceHandler struct {
+	ingress *Ingress
 	mutex   sync.Mutex
 	ledger  *fence.Ledger
-	runs    map[string]*onceRun // by key
+	runs    map[string]*onceRun // keyed by the idempotency key of the call
 }
 
-// onceRun is one such request between its arrival and the end of replyKeep.
+// onceRun is an at-most-once request between its arrival and the expiry of its cached reply.
 type onceRun struct {
-	done   chan struct{} // closed when reply is there
-	reply  *reply.Reply
-	cancel context.CancelFunc
-	asked  chan struct{} // a sender waits for the reply on another connection
-	once   sync.Once
+	done      chan struct{} // closed once reply is set
+	reply     *reply.Reply
+	cancel    context.CancelFunc
+	claimed   chan struct{} // closed when a sender claims the reply on another connection
+	claimOnce sync.Once
 }
 
-func newOnceGate(ingress *Ingress) *onceGate {
-	return &onceGate{Ingress: ingress, ledger: fence.New(fenceKeep), runs: map[string]*onceRun{}}
+func newOnceHandler(ingress *Ingress) *onceHandler {
+	return &onceHandler{ingress: ingress, ledger: fence.New(fenceTTL), runs: map[string]*onceRun{}}
 }
 
-// serve runs a request on behalf of a sender whose interest ends with ctx.
-func (o *onceGate) serve(ctx context.Context, call *wire.SidecarCall, header http.Header, body *reply.Payload) *reply.Reply {
+// serve executes a request for a sender that waits until ctx ends.
+func (o *onceHandler) serve(ctx context.Context, call *wire.SidecarCall, header http.Header, body *reply.Payload) *reply.Reply {
 	if !body.Replayable() {
 		return o.serveStream(ctx, call, header, body)
 	}
 	deadline, _ := ctx.Deadline()
 	detached, cancel := context.WithDeadline(context.WithoutCancel(ctx), deadline)
-	run := &onceRun{done: make(chan struct{}), asked: make(chan struct{}), cancel: cancel}
-	if !o.arrive(call.Key, run) {
+	run := &onceRun{done: make(chan struct{}), claimed: make(chan struct{}), cancel: cancel}
+	if !o.register(call.Key, run) {
 		cancel()
 		return reply.NotRun(outcome.ReasonFenced)
 	}
@@ -65,22 +65,23 @@
 		return run.reply
 	case <-ctx.Done():
 	}
-	o.orphaned(call.Key, run)
+	o.handleDisconnect(call.Key, run)
 	return reply.Unknown(reply.CancelReason(ctx))
 }
 
-// serveStream runs a request whose body cannot be kept: its end is the sender's.
-func (o *onceGate) serveStream(ctx context.Context, call *wire.SidecarCall, header http.Header, body *reply.Payload) *reply.Reply {
-	if !o.arrive(call.Key, nil) {
+// serveStream executes a request whose body cannot be buffered; it ends with the sender's
+// connection.
+func (o *onceHandler) serveStream(ctx context.Context, call *wire.SidecarCall, header http.Header, body *reply.Payload) *reply.Reply {
+	if !o.register(call.Key, nil) {
 		return reply.NotRun(outcome.ReasonFenced)
 	}
-	return o.Ingress.admit(ctx, call, header, body, func() bool { return o.send(call.Key) })
+	return o.ingress.admit(ctx, call, header, body, func() bool { return o.claimSend(call.Key) })
 }
 
-func (o *onceGate) arrive(key string, run *onceRun) bool {
+func (o *onceHandler) register(key string, run *onceRun) bool {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	if !o.ledger.Arrive(o.Ingress.options.Now(), key) {
+	if !o.ledger.Arrive(o.ingress.options.Now(), key) {
 		return false
 	}
 	if run != nil {
@@ -89,39 +90,40 @@
 	return true
 }
 
-// send asks for the right to send the request to the target.
-func (o *onceGate) send(key string) bool {
+// claimSend claims the right to send the request to the target.
+func (o *onceHandler) claimSend(key string) bool {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	return o.ledger.Send(o.Ingress.options.Now(), key)
+	return o.ledger.Send(o.ingress.options.Now(), key)
 }
 
-func (o *onceGate) run(ctx context.Context, call *wire.SidecarCall, header http.Header, body *reply.Payload, run *onceRun) {
+func (o *onceHandler) run(ctx context.Context, call *wire.SidecarCall, header http.Header, body *reply.Payload, run *onceRun) {
 	defer run.cancel()
-	answer := o.Ingress.admit(ctx, call, header, body, func() bool { return o.send(call.Key) })
+	response := o.ingress.admit(ctx, call, header, body, func() bool { return o.claimSend(call.Key) })
 	o.mutex.Lock()
-	now := o.Ingress.options.Now()
+	now := o.ingress.options.Now()
 	o.ledger.End(now, call.Key)
 	o.ledger.Withdraw(now, call.Key)
-	run.reply = answer
+	run.reply = response
 	close(run.done)
 	o.mutex.Unlock()
-	time.AfterFunc(replyKeep, func() { o.drop(call.Key) })
+	time.AfterFunc(replyTTL, func() { o.forget(call.Key) })
 }
 
-func (o *onceGate) drop(key string) {
+func (o *onceHandler) forget(key string) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	delete(o.runs, key)
 }
 
-// orphaned handles a request whose sender's connection is gone: while it waits
-// it is fenced; at the target it is broken off unless the sender asks for it soon.
-func (o *onceGate) orphaned(key string, run *onceRun) {
+// handleDisconnect handles a request whose sender's connection broke. A request that is still
+// waiting is fenced; one that is at the target is cancelled unless the sender claims it within
+// orphanGrace.
+func (o *onceHandler) handleDisconnect(key string, run *onceRun) {
 	o.mutex.Lock()
 	state := o.ledger.State(key)
 	if state == fence.Waiting {
-		state = o.ledger.Fence(o.Ingress.options.Now(), key)
+		state = o.ledger.Fence(o.ingress.options.Now(), key)
 	}
 	o.mutex.Unlock()
 	if state == fence.Fenced {
@@ -130,7 +132,7 @@
 	}
 	timer := time.AfterFunc(orphanGrace, func() {
 		select {
-		case <-run.asked:
+		case <-run.claimed:
 		default:
 			run.cancel()
 		}
@@ -141,10 +143,10 @@
 	}()
 }
 
-// settle says what became of a request whose sender lost its connection.
-func (o *onceGate) settle(ctx context.Context, key string) *reply.Reply {
+// settle reports the outcome of a request to a sender that lost its connection.
+func (o *onceHandler) settle(ctx context.Context, key string) *reply.Reply {
 	o.mutex.Lock()
-	state := o.ledger.Fence(o.Ingress.options.Now(), key)
+	state := o.ledger.Fence(o.ingress.options.Now(), key)
 	run := o.runs[key]
 	o.mutex.Unlock()
 	switch {
@@ -153,11 +155,11 @@
 	case run == nil:
 		return reply.Unknown(outcome.ReasonLost)
 	}
-	run.once.Do(func() { close(run.asked) })
+	run.claimOnce.Do(func() { close(run.claimed) })
 	select {
 	case <-run.done:
 		if run.reply.Stream != nil {
-			return reply.Unknown(outcome.ReasonLost) // it was read by the connection that broke
+			return reply.Unknown(outcome.ReasonLost) // the stream was consumed by the broken connection
 		}
 		return run.reply
 	case <-ctx.Done():
@@ -165,20 +167,20 @@
 	}
 }
 
-// ServeHTTP answers the question of another node about one request.
-func (o *onceGate) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+// ServeHTTP answers another node's query for the outcome of a request.
+func (o *onceHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	call, err := wire.CallFrom(r.Header)
 	if err != nil {
-		o.Ingress.write(w, reply.Unknown(outcome.ReasonBadMessage))
+		o.ingress.write(w, reply.Unknown(outcome.ReasonBadMessage))
 		return
 	}
-	if call.Incarnation != o.Ingress.options.Incarnation {
-		o.Ingress.write(w, reply.Unknown(outcome.ReasonIncarnation))
+	if call.Incarnation != o.ingress.options.Incarnation {
+		o.ingress.write(w, reply.Unknown(outcome.ReasonIncarnation))
 		return
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), time.Duration(call.Remaining)*time.Microsecond)
 	defer cancel()
-	answer := *o.settle(ctx, call.Key) // the kept reply stays as it is
-	o.Ingress.options.Events.Add(eventlog.Settle{Request: call.RequestID, From: call.From, Outcome: string(answer.Outcome), Reason: string(answer.Reason)}, eventlog.Failure)
-	o.Ingress.write(w, &answer)
+	response := *o.settle(ctx, call.Key) // copied because the cached reply must not change
+	o.ingress.options.Events.Add(eventlog.Settle{Request: call.RequestID, From: call.From, Outcome: string(response.Outcome), Reason: string(response.Reason)}, eventlog.Failure)
+	o.ingress.write(w, &response)
 }
--- a/internal/sidecar/arrival/options.go
+++ b/internal/sidecar/arrival/options.go
@@ -1,15 +1,15 @@
-// Package arrival takes the requests that other nodes, or the entry of this one, send for the
-// target beside the node, and has the target run them.
+// Package arrival implements the ingress of a node. It accepts requests for the local target from
+// other nodes and from the egress of this one, and has the target execute them.
 //
-// It owns the requests that are at the target now, which calls of the target find by their ids
-// (Running), and the ones that may run at most once with their kept replies. A request goes
-// through the gate of the target in a fixed order: the right instance and service, evidence
-// that it ends targets, a slot, the right to run once, the target. What a run that brings no
-// answer means for the target is decided here too: the target may have ended with it.
+// The package owns the table of requests in progress at the target (Running), by which calls of the
+// target find their parent, and the at-most-once requests with their cached replies. Each request
+// passes the gate of the target in a fixed order: check of instance and service, check against
+// contents that crash targets, slot, at-most-once claim, target. A run without a response is
+// classified here, because the target may have crashed.
 //
-// It relies on package target for the gate and the connections, on heldback for the evidence
-// and on core/fence for run-once; what an answer is worth is decided by core/outcome. All of
-// it is safe for concurrent use.
+// Package target provides the gate and its connections, heldback the crash evidence, core/fence the
+// at-most-once ledger, and core/outcome the classification of responses. All exported types are
+// safe for concurrent use.
 package arrival
 
 import (
@@ -24,15 +24,15 @@
 	"github.com/landingmast/landingmast/internal/sidecar/target"
 )
 
-// Target is the target beside the node.
+// Target is the local target.
 type Target interface {
-	// Current is its gate; nil: no target is known.
+	// Current returns the gate of the target, or nil if no target is known.
 	Current() *target.Gate
-	// Replaced notes that the target's address belongs to another instance.
+	// Replaced reports that another instance now serves the target's address.
 	Replaced(instance string)
 }
 
-// HeldBack decides on requests that targets ended with.
+// HeldBack decides whether requests that may crash the target are sent, and collects the evidence.
 type HeldBack interface {
 	MaySend(r *heldback.Request) bool
 	Suspected(r *heldback.Request) bool
@@ -40,17 +40,17 @@
 	TargetEnded(instance, service string, runs []heldback.Run)
 }
 
-// Options are what an ingress needs of the other parts of its node.
+// Options holds the dependencies of an Ingress.
 type Options struct {
-	Incarnation string               // of the node's process
-	Now         func() time.Duration // the clock that counts suspensions
+	Incarnation string               // id of this process of the node
+	Now         func() time.Duration // monotonic clock that includes time spent suspended
 	Headers     headers.Names
-	Version     func() uint64 // of the configuration in force; 0: none is known
+	Version     func() uint64 // version of the configuration in force; 0 if none is known
 	Target      Target
 	HeldBack    HeldBack
 	Metrics     *metrics.Metrics
 	Events      *eventlog.Log
-	// Begin counts a request of another node as in flight until end is called; refused: the
-	// node takes no more.
-	Begin func(w http.ResponseWriter, r *http.Request) (answer *duplex.Writer, request *http.Request, end func(), refused bool)
+	// Begin counts a request of another node as in flight until end is called. draining reports
+	// that the node accepts no more requests.
+	Begin func(w http.ResponseWriter, r *http.Request) (writer *duplex.Writer, request *http.Request, end func(), draining bool)
 }
--- a/internal/sidecar/arrival/running.go
+++ b/internal/sidecar/arrival/running.go
@@ -8,21 +8,21 @@
 	"github.com/landingmast/landingmast/internal/wire"
 )
 
-// Running is a request at the target. Calls that the target makes for it find it
+// Running is a request in progress at the target. Calls that the target makes on its behalf find it
 // by its id.
 type Running struct {
 	ID         string
 	Context    context.Context
 	Importance int
 	IsRetry    bool
-	Tenant     string  // to which it belongs; empty: none
-	RetryGrant float64 // part of the budgets for repeats that is left to its calls
+	Tenant     string  // name of the owning tenant; may be empty
+	RetryGrant float64 // share of the retry budgets left to its calls
 
 	mutex sync.Mutex
 	needs map[string]wire.Need
 }
 
-// AddNeeds notes what a call of the target needed below.
+// AddNeeds adds the downstream demand of a call made by the target.
 func (r *Running) AddNeeds(needs []wire.Need) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -34,13 +34,13 @@
 			sum.Calls = calls
 		}
 		if need.Occupancy >= 0 {
-			sum.Occupancy = need.Occupancy // the newest
+			sum.Occupancy = need.Occupancy // the latest value wins
 		}
 		r.needs[need.Service] = sum
 	}
 }
 
-func (r *Running) below() []wire.Need {
+func (r *Running) collectNeeds() []wire.Need {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	needs := make([]wire.Need, 0, len(r.needs)+1)
@@ -50,7 +50,7 @@
 	return needs
 }
 
-// runningTable holds the requests at the target by id.
+// runningTable holds the requests in progress at the target by id.
 type runningTable struct {
 	mutex    sync.Mutex
 	requests map[string]*Running
--- a/internal/sidecar/arrival/send.go
+++ b/internal/sidecar/arrival/send.go
@@ -14,10 +14,10 @@
 	"github.com/landingmast/landingmast/internal/sidecar/targetlink"
 )
 
-// sendToTarget sends a request to the target and reads its answer.
-func (i *Ingress) sendToTarget(ctx context.Context, gate *target.Gate, one *request, header http.Header) *reply.Reply {
-	names, call, body := i.options.Headers, one.Call, one.Body
-	remaining := one.left(ctx, i.options.Now()).Milliseconds()
+// sendToTarget sends a request to the target and reads its response.
+func (i *Ingress) sendToTarget(ctx context.Context, gate *target.Gate, req *request, header http.Header) *reply.Reply {
+	names, call, body := i.options.Headers, req.Call, req.Body
+	remaining := req.remaining(ctx, i.options.Now()).Milliseconds()
 	if remaining < 1 {
 		return reply.NotRun(outcome.ReasonTimeout)
 	}
@@ -33,36 +33,36 @@
 		Body: body.Data, Stream: body.Stream, Length: body.Length,
 	})
 	if err != nil {
-		return i.failed(ctx, gate, one, err)
+		return i.classifyError(ctx, gate, req, err)
 	}
-	return i.readAnswer(ctx, gate, one, answer)
+	return i.readAnswer(ctx, gate, req, answer)
 }
 
-func (i *Ingress) failed(ctx context.Context, gate *target.Gate, one *request, err error) *reply.Reply {
+func (i *Ingress) classifyError(ctx context.Context, gate *target.Gate, req *request, err error) *reply.Reply {
 	switch {
 	case errors.Is(err, targetlink.ErrNotSent):
-		i.unreachable(gate, err)
+		i.handleUnreachable(gate, err)
 		return reply.NotRun(outcome.ReasonUnreachable)
 	case ctx.Err() != nil:
-		i.senderLeft(gate, one)
+		i.recordCancelled(gate, req)
 		return reply.Unknown(reply.CancelReason(ctx))
 	case errors.Is(err, targetlink.ErrSpoiled):
 		return reply.Unknown(outcome.ReasonSpoiled)
 	default:
-		return reply.Unknown(i.lost(gate, one))
+		return reply.Unknown(i.recordLost(gate, req))
 	}
 }
 
-// readAnswer judges the target's answer and reads its body if it is one.
-func (i *Ingress) readAnswer(ctx context.Context, gate *target.Gate, one *request, answer *targetlink.Answer) *reply.Reply {
+// readAnswer classifies the target's response and reads its body if it is a valid one.
+func (i *Ingress) readAnswer(ctx context.Context, gate *target.Gate, req *request, answer *targetlink.Answer) *reply.Reply {
 	names := i.options.Headers
-	end, reason := outcome.TargetAnswer{
+	result, reason := outcome.TargetAnswer{
 		Status: answer.Status, NotRun: answer.Header.Get(names.NotRun) != "", Signed: answer.Header.Get(names.Signature) != "",
 		Encoded: answer.Header.Get("Content-Encoding") != "",
 	}.Judge()
-	switch end {
+	switch result {
 	case outcome.NotRun:
-		return i.declined(gate, answer, reason)
+		return i.handleDeclined(gate, answer, reason)
 	case outcome.Unknown:
 		_ = answer.Body.Close()
 		return reply.Unknown(reason)
@@ -73,25 +73,25 @@
 		if ctx.Err() != nil {
 			return reply.Unknown(reply.CancelReason(ctx))
 		}
-		return reply.Unknown(i.lost(gate, one))
+		return reply.Unknown(i.recordLost(gate, req))
 	}
-	given := &reply.Reply{Outcome: outcome.Answered, Reason: outcome.ReasonNone, Arrived: true, Status: answer.Status, Header: headers.EndToEnd(answer.Header), Body: data, Length: answer.Length}
+	response := &reply.Reply{Outcome: outcome.Answered, Reason: outcome.ReasonNone, Arrived: true, Status: answer.Status, Header: headers.EndToEnd(answer.Header), Body: data, Length: answer.Length}
 	if rest == nil {
 		_ = answer.Body.Close()
-		return given
+		return response
 	}
-	given.Body = nil
-	given.Stream = struct {
+	response.Body = nil
+	response.Stream = struct {
 		io.Reader
 		io.Closer
 	}{rest, answer.Body}
-	return given
+	return response
 }
 
-// declined is the reply to a request that the target did not run. Its body is read, so that
-// the connection can be used again. An answer of another instance at the target's address
-// means that the one before is gone.
-func (i *Ingress) declined(gate *target.Gate, answer *targetlink.Answer, reason outcome.Reason) *reply.Reply {
+// handleDeclined returns the reply to a request that the target declined. The body is drained so
+// that the connection can be reused. A response from another instance at the target's address means
+// that the previous instance is gone.
+func (i *Ingress) handleDeclined(gate *target.Gate, answer *targetlink.Answer, reason outcome.Reason) *reply.Reply {
 	_, _ = io.Copy(io.Discard, io.LimitReader(answer.Body, reply.MaxBuffered))
 	_ = answer.Body.Close()
 	if reason == outcome.ReasonMisdirected {
