--- a/internal/sidecar/admission/admission.go
+++ b/internal/sidecar/admission/admission.go
@@ -1,8 +1,7 @@
-// Package admission decides at a node whether a client's request is let in. It drives the
-// controller of core/overload, which holds the rule, and owns its state: a window for each
-// route, what the route's requests need of other services, and how full those are. It relies
-// on its callers to note the end of each request that was let in, and what each sending told
-// of the services down the chain. It is safe for concurrent use.
+// Package admission decides whether a client request is admitted. It drives the controller of
+// core/overload and owns its state: the admission window of each route, the demand of a route's
+// requests on other services, and the occupancy of those services. Callers must report the end of
+// each admitted request and the demand observed by each attempt.
 package admission
 
 import (
@@ -15,129 +14,129 @@
 	"github.com/landingmast/landingmast/internal/wire"
 )
 
-// Control decides for one node. It is safe for concurrent use.
+// Control is the admission control of one node. It is safe for concurrent use.
 type Control struct {
-	now           func() time.Duration
-	configuration Configuration
-	noWindow      bool
+	now            func() time.Duration
+	configuration  Configuration
+	windowDisabled bool
 
 	mutex sync.Mutex
 	core  *overload.Controller
 }
 
-// Configuration is the operators' configuration in force.
+// Configuration is the routing configuration in force.
 type Configuration interface {
-	Load() *intent.Intent // nil: none is known
+	Load() *intent.Intent // nil until a configuration is known
 }
 
-// New makes the control of a node that has let nothing in yet. noWindow lets
-// everything in: the mechanism "window" is switched off.
-func New(now func() time.Duration, configuration Configuration, noWindow bool) *Control {
-	return &Control{now: now, configuration: configuration, noWindow: noWindow, core: overload.New(overload.DefaultConfig())}
+// New returns a Control without requests in flight. If windowDisabled is set, every request is
+// admitted.
+func New(now func() time.Duration, configuration Configuration, windowDisabled bool) *Control {
+	return &Control{now: now, configuration: configuration, windowDisabled: windowDisabled, core: overload.New(overload.DefaultConfig())}
 }
 
-// Decision is what decided whether a client's request was let in.
+// Decision explains why a client request was admitted or rejected.
 type Decision struct {
-	Probability float64 // chance with which it was
-	Bottleneck  string  // service for whose slots its chain waits most; empty: none is known to
-	Occupancy   float64 // of that service
-	InFlight    int     // of a refused one: requests of its route that were
-	WindowSize  float64 // and how many its window held
+	Probability float64 // probability with which the request was admitted
+	Bottleneck  string  // service with the longest wait for slots in the call chain; empty if unknown
+	Occupancy   float64 // occupancy of Bottleneck
+	InFlight    int     // requests of the route in flight; set on rejection
+	WindowSize  float64 // size of the route's admission window; set on rejection
 }
 
-// Admit decides whether a client's request on the route is let in. End must follow when it is.
-func (o *Control) Admit(route *intent.Route) (admitted bool, view Decision) {
-	o.mutex.Lock()
-	defer o.mutex.Unlock()
-	now := o.now()
-	view.Probability = 1
-	if !o.noWindow {
-		view.Probability, view.Bottleneck = o.core.Share(now, route.Name)
+// Admit decides whether a client request on the route is admitted. If it is, End must be called.
+func (c *Control) Admit(route *intent.Route) (admitted bool, decision Decision) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	now := c.now()
+	decision.Probability = 1
+	if !c.windowDisabled {
+		decision.Probability, decision.Bottleneck = c.core.Share(now, route.Name)
 	}
-	if view.Bottleneck != "" {
-		view.Occupancy = o.core.Occupancy(view.Bottleneck)
+	if decision.Bottleneck != "" {
+		decision.Occupancy = c.core.Occupancy(decision.Bottleneck)
 	}
-	if view.Probability >= 1 || rand.Float64() < view.Probability {
-		o.core.Begin(now, route.Name)
-		return true, view
+	if decision.Probability >= 1 || rand.Float64() < decision.Probability {
+		c.core.Begin(now, route.Name)
+		return true, decision
 	}
-	view.InFlight, view.WindowSize = o.core.Window(now, route.Name)
-	return false, view
+	decision.InFlight, decision.WindowSize = c.core.Window(now, route.Name)
+	return false, decision
 }
 
-// Window returns how many requests of a route are in flight and how many its window holds.
-func (o *Control) Window(route *intent.Route) (inFlight int, fits float64) {
-	o.mutex.Lock()
-	defer o.mutex.Unlock()
-	return o.core.Window(o.now(), route.Name)
+// Window returns the number of requests of a route in flight and the size of its admission window.
+func (c *Control) Window(route *intent.Route) (inFlight int, size float64) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	return c.core.Window(c.now(), route.Name)
 }
 
-// Completion is how a client's request ended that was let in.
+// Completion describes the end of an admitted client request.
 type Completion struct {
 	Route         *intent.Route
-	LatencyBudget time.Duration // inside which its answer was wanted
+	LatencyBudget time.Duration // time within which a response was wanted
 	Latency       time.Duration
-	Needs         []wire.Need // what its last sending needed
-	NoCapacity    bool        // there was no room for it in time
-	Abandoned     bool        // its client left, or nothing was learned of its chain
+	Needs         []wire.Need // demand observed by the last attempt
+	NoCapacity    bool        // whether no capacity was available in time
+	Abandoned     bool        // whether the client disconnected or nothing was learned about the call chain
 }
 
-// End notes the end of a client's request.
-func (o *Control) End(one Completion) {
-	steps := o.stepsAboveLeast(one.Route)
-	o.mutex.Lock()
-	defer o.mutex.Unlock()
-	now := o.now()
-	if one.Abandoned {
-		o.core.Leave(now, one.Route.Name)
+// End records the end of an admitted client request.
+func (c *Control) End(done Completion) {
+	steps := c.priorityAboveLowest(done.Route)
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	now := c.now()
+	if done.Abandoned {
+		c.core.Leave(now, done.Route.Name)
 		return
 	}
-	o.core.End(now, one.Route.Name, overload.Ended{Needs: needsOf(one.Needs), Steps: steps, Limit: one.LatencyBudget, Took: one.Latency, Lacked: one.NoCapacity})
+	c.core.End(now, done.Route.Name, overload.Ended{Needs: decodeNeeds(done.Needs), Steps: steps, Limit: done.LatencyBudget, Took: done.Latency, Lacked: done.NoCapacity})
 }
 
-// stepsAboveLeast is how many priorities the route stands above the least
-// important one that the configuration has.
-func (o *Control) stepsAboveLeast(route *intent.Route) int {
-	current := o.configuration.Load()
+// priorityAboveLowest returns the number of priority levels between the route and the lowest
+// configured priority.
+func (c *Control) priorityAboveLowest(route *intent.Route) int {
+	current := c.configuration.Load()
 	if current == nil {
 		return 0
 	}
 	return current.LeastPriority() - route.Priority
 }
 
-// Needs returns the mean number of calls of a route's request to each service.
-func (o *Control) Needs(route *intent.Route) map[string]float64 {
-	o.mutex.Lock()
-	defer o.mutex.Unlock()
-	return o.core.Needs(route.Name)
+// Needs returns the mean number of calls to each service per request of the route.
+func (c *Control) Needs(route *intent.Route) map[string]float64 {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	return c.core.Needs(route.Name)
 }
 
-// EachNeed calls f for each service that the route's requests need. f must not ask the
-// controller.
-func (o *Control) EachNeed(route *intent.Route, f func(service string, calls float64)) {
-	o.mutex.Lock()
-	defer o.mutex.Unlock()
-	o.core.EachNeed(route.Name, f)
+// EachNeed calls f for each service that the route's requests call. f must not call methods of
+// Control, which is locked meanwhile.
+func (c *Control) EachNeed(route *intent.Route, f func(service string, calls float64)) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.core.EachNeed(route.Name, f)
 }
 
-// RecordNeeds notes what a sending needed of the services down the chain; served: the request was
-// served, so that its needs are whole.
-func (o *Control) RecordNeeds(route *intent.Route, needs []wire.Need, served bool) {
-	now := o.now()
-	read := needsOf(needs)
-	o.mutex.Lock()
-	defer o.mutex.Unlock()
-	for _, need := range read {
-		o.core.Observe(now, need.Service, need.Occupancy)
+// RecordNeeds records the demand of an attempt on downstream services. served reports that the
+// request was served, which means that its needs are complete.
+func (c *Control) RecordNeeds(route *intent.Route, needs []wire.Need, served bool) {
+	now := c.now()
+	decoded := decodeNeeds(needs)
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	for _, need := range decoded {
+		c.core.Observe(now, need.Service, need.Occupancy)
 	}
-	o.core.Learn(now, route.Name, read, served)
+	c.core.Learn(now, route.Name, decoded, served)
 }
 
-// needsOf decodes the needs of a message.
-func needsOf(needs []wire.Need) []overload.Need {
-	read := make([]overload.Need, 0, len(needs))
+// decodeNeeds converts needs from their wire representation.
+func decodeNeeds(needs []wire.Need) []overload.Need {
+	decoded := make([]overload.Need, 0, len(needs))
 	for _, need := range needs {
-		read = append(read, overload.Need{Service: need.Service, Calls: need.Calls, Occupancy: float64(need.Occupancy) / wire.OccupancyScale, Wait: need.Wait})
+		decoded = append(decoded, overload.Need{Service: need.Service, Calls: need.Calls, Occupancy: float64(need.Occupancy) / wire.OccupancyScale, Wait: need.Wait})
 	}
-	return read
+	return decoded
 }
