--- a/internal/sidecar/reply/reply.go
+++ b/internal/sidecar/reply/reply.go
@@ -1,8 +1,7 @@
-// Package reply holds what becomes of one sending of a request, and the bodies of
-// requests and answers. A body of up to KeepBytes is read whole before it is passed on;
-// a longer one is a stream that is read once and must be closed. The package owns no
-// state. It relies on package wire for the form in which nodes send each other the head
-// of a reply.
+// Package reply holds the result of one attempt to send a request, and the bodies of requests and
+// responses. Bodies of up to MaxBuffered bytes are buffered; a longer one is a stream that can be
+// read once and must be closed. The package is stateless. Package wire defines how nodes encode the
+// head of a reply.
 package reply
 
 import (
@@ -19,32 +18,32 @@
 	"github.com/landingmast/landingmast/internal/wire"
 )
 
-// Reply is what became of one sending of a request.
+// Reply is the result of one attempt to send a request.
 type Reply struct {
 	Outcome     outcome.Outcome
 	Reason      outcome.Reason
-	Arrived     bool // the request reached the target
+	Arrived     bool // whether the request reached the target
 	Status      int
 	Header      http.Header
-	Body        []byte        // the whole body, when Stream is nil
-	Stream      io.ReadCloser // a long body; it must be closed
-	Length      int64         // of the stream; -1: unknown
+	Body        []byte        // complete body if Stream is nil
+	Stream      io.ReadCloser // long body; must be closed
+	Length      int64         // length of Stream; -1 if unknown
 	Load        slots.Load
 	Incarnation string
-	Version     uint64        // of the configuration at the node that replied
-	Needs       []wire.Need   // of services further down
-	Waited      time.Duration // for a slot of the target
+	Version     uint64        // configuration version of the replying node
+	Needs       []wire.Need   // demand on downstream services
+	Waited      time.Duration // time spent waiting for a slot of the target
 }
 
-// NotRun gives the reply to a request that was not run and never will be.
+// NotRun returns the reply to a request that was not and will not be executed.
 func NotRun(reason outcome.Reason) *Reply { return &Reply{Outcome: outcome.NotRun, Reason: reason} }
 
-// Unknown gives the reply to a request that reached its target and may have run.
+// Unknown returns the reply to a request that reached its target and may have been executed.
 func Unknown(reason outcome.Reason) *Reply {
 	return &Reply{Outcome: outcome.Unknown, Reason: reason, Arrived: true}
 }
 
-// Bytes is the size of the answer's body; -1: unknown.
+// Bytes returns the size of the response body, or -1 if unknown.
 func (r *Reply) Bytes() int64 {
 	if r.Stream != nil {
 		return r.Length
@@ -52,26 +51,26 @@
 	return int64(len(r.Body))
 }
 
-// ServiceTime gives what is left of a sending's time without the waits for slots, its own and
-// those of the calls below it. Calls side by side wait at the same time, so that a part
-// always remains.
-func (r *Reply) ServiceTime(took time.Duration) time.Duration {
+// ServiceTime subtracts the waits for slots, its own and those of its downstream calls, from the
+// elapsed time of an attempt. Parallel calls wait at the same time, so their sum may exceed the
+// real wait; a minimum share of the elapsed time is therefore kept.
+func (r *Reply) ServiceTime(elapsed time.Duration) time.Duration {
 	waited := r.Waited
 	for _, need := range r.Needs {
 		waited += time.Duration(need.Calls) * need.Wait
 	}
-	return max(took-waited, took/leastUnwaited)
+	return max(elapsed-waited, elapsed/serviceTimeDivisor)
 }
 
-// leastUnwaited is the part of a sending's time that is never taken for waiting.
-const leastUnwaited = 4
+// serviceTimeDivisor sets the minimum share of the elapsed time that counts as service time.
+const serviceTimeDivisor = 4
 
-// ResendEnd is what the decision on another sending needs of the reply.
+// ResendEnd returns the properties of the reply that decide whether the request may be resent.
 func (r *Reply) ResendEnd() resend.End {
 	return resend.End{Outcome: r.Outcome, Reason: r.Reason, Arrived: r.Arrived}
 }
 
-// Close ends the reading of a long body; it may be called more than once.
+// Close closes a streamed body. It may be called more than once.
 func (r *Reply) Close() {
 	if r.Stream != nil {
 		_ = r.Stream.Close()
@@ -79,15 +78,15 @@
 	}
 }
 
-// Payload is the body of a request: whole, or a stream that can be sent once.
+// Payload is the body of a request: either buffered, or a stream that can be sent once.
 type Payload struct {
 	Data   []byte
 	Stream io.Reader
-	Head   []byte // what was read of the stream; sent with it
+	Head   []byte // bytes already read from Stream, which returns them again
 	Length int64
 }
 
-// Begin gives the body as far as it was read, and its length; -1: unknown.
+// Begin returns the buffered prefix of the body and the length of the body, or -1 if unknown.
 func (p *Payload) Begin() ([]byte, int64) {
 	if p.Stream != nil {
 		return p.Head, p.Length
@@ -95,27 +94,27 @@
 	return p.Data, int64(len(p.Data))
 }
 
-// Replayable tells whether the body can be sent a second time.
+// Replayable reports whether the body can be sent more than once.
 func (p *Payload) Replayable() bool { return p.Stream == nil }
 
-// MaxBuffered is the longest body that is read whole before it is passed on, so
-// that one that breaks off can be asked for again.
+// MaxBuffered is the size up to which a body is buffered before it is passed on. A buffered
+// response that breaks off can be requested again.
 const MaxBuffered = 64 << 10
 
-// ReadBuffered reads up to KeepBytes. When there is more, rest gives all of it and data what was
-// read. length is what the sender said, -1 where it did not.
+// ReadBuffered reads up to MaxBuffered bytes. If the source is longer, rest yields the whole body
+// and data is its prefix. length is the announced length, or -1.
 func ReadBuffered(source io.Reader, length int64) (data []byte, rest io.Reader, err error) {
 	if length >= 0 && length <= MaxBuffered {
-		// One allocation of the right size; bodies are a good part of what a hop allocates.
+		// A single allocation of the exact size.
 		data = make([]byte, length)
 		n, err := io.ReadFull(source, data)
 		if n == 0 && err == io.EOF {
-			return nil, nil, nil // an answer to HEAD tells the length of a body that it has not
+			return nil, nil, nil // a response to HEAD announces a length without sending a body
 		}
 		if err != nil {
 			return data[:n], nil, err
 		}
-		// The end of the body is read too, so that its connection can be used again.
+		// Read up to EOF so that the connection can be reused.
 		_, err = io.Copy(io.Discard, source)
 		return data, nil, err
 	}
@@ -126,7 +125,7 @@
 	return data, io.MultiReader(bytes.NewReader(data), source), nil
 }
 
-// Result writes the head of the reply for the node that asked.
+// Result encodes the head of the reply.
 func (r *Reply) Result() *wire.SidecarResult {
 	length := int64(len(r.Body))
 	if r.Stream != nil {
@@ -139,7 +138,7 @@
 	}
 }
 
-// FromResult reads the head of a reply.
+// FromResult decodes the head of a reply.
 func FromResult(result *wire.SidecarResult) *Reply {
 	return &Reply{
 		Outcome: outcome.Outcome(result.Outcome), Reason: outcome.Reason(result.Reason), Arrived: result.Arrived, Status: result.Status,
@@ -148,9 +147,9 @@
 	}
 }
 
-// EncodeWaits writes the waits of a request and of its calls for the node that asked; empty
-// where nothing waited. Waits that cannot be written are left out, as by a node of an earlier
-// release: they sharpen what is learned of a chain, and the reply stands without them.
+// EncodeWaits encodes the slot waits of a request and of its calls; it returns an empty string if
+// nothing waited. Encoding errors are ignored: the reply is valid without waits, and nodes of
+// earlier releases send none.
 func EncodeWaits(r *Reply) string {
 	message := &wire.Waits{}
 	if r.Waited > 0 {
@@ -171,8 +170,8 @@
 	return head
 }
 
-// SetWaits reads the waits of services; a node of an earlier release sends none. Waits that
-// cannot be read count as none for the same reason.
+// SetWaits decodes the slot waits of services into the reply. It ignores waits that cannot be
+// decoded.
 func (r *Reply) SetWaits(head string) {
 	if head == "" {
 		return
@@ -181,41 +180,39 @@
 	if err != nil {
 		return
 	}
-	for _, one := range message.Services {
-		if one.Service == "" {
-			r.Waited = time.Duration(one.Wait) * time.Microsecond
+	for _, service := range message.Services {
+		if service.Service == "" {
+			r.Waited = time.Duration(service.Wait) * time.Microsecond
 		}
 		for index := range r.Needs {
-			if r.Needs[index].Service == one.Service {
-				r.Needs[index].Wait = time.Duration(one.Wait) * time.Microsecond
+			if r.Needs[index].Service == service.Service {
+				r.Needs[index].Wait = time.Duration(service.Wait) * time.Microsecond
 			}
 		}
 	}
 }
 
-// WithoutHeader gives the reply without a header. A reply that is kept for a sender that asks
-// again stays as it is.
+// WithoutHeader returns the reply without a header. It copies the reply instead of modifying it,
+// since the reply may be cached.
 func (r *Reply) WithoutHeader(name string) *Reply {
 	if r.Header.Get(name) == "" {
 		return r
 	}
-	short := *r
-	short.Header = r.Header.Clone()
-	short.Header.Del(name)
-	return &short
+	stripped := *r
+	stripped.Header = r.Header.Clone()
+	stripped.Header.Del(name)
+	return &stripped
 }
 
-// CancelReason tells the end of a request's time from the end of its sender's interest.
-// The sender counts the same time and may close its connection a little before the
-// time is up here.
+// CancelReason tells whether a request timed out or was cancelled by its sender. The sender applies
+// the same timeout and may close its connection slightly earlier than it expires here.
 func CancelReason(ctx context.Context) outcome.Reason {
 	deadline, bounded := ctx.Deadline()
-	if errors.Is(ctx.Err(), context.DeadlineExceeded) || bounded && time.Until(deadline) < closeMargin {
+	if errors.Is(ctx.Err(), context.DeadlineExceeded) || bounded && time.Until(deadline) < deadlineMargin {
 		return outcome.ReasonTimeout
 	}
 	return outcome.ReasonCancelled
 }
 
-// closeMargin is how long before the end of a request's time a close of its
-// connection counts as that end.
-const closeMargin = 25 * time.Millisecond
+// deadlineMargin is how long before the deadline a closed connection counts as a timeout.
+const deadlineMargin = 25 * time.Millisecond
--- a/internal/sidecar/reply/reply_test.go
+++ b/internal/sidecar/reply/reply_test.go
@@ -12,7 +12,7 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestBodiesAreReadWhole(t *testing.T) {
+func TestReadBuffered(t *testing.T) {
 	broken := errors.New("broken")
 	long := strings.Repeat("x", MaxBuffered+10)
 	for _, tc := range []struct {
@@ -23,16 +23,16 @@
 		rest   string
 		err    error
 	}{
-		{"length told", strings.NewReader("whole"), 5, "whole", "", nil},
-		{"length not told", strings.NewReader("whole"), -1, "whole", "", nil},
+		{"known length", strings.NewReader("whole"), 5, "whole", "", nil},
+		{"unknown length", strings.NewReader("whole"), -1, "whole", "", nil},
 		{"empty", strings.NewReader(""), 0, "", "", nil},
-		{"length of a body that is not sent", strings.NewReader(""), 5, "", "", nil},
-		{"broken off", io.MultiReader(strings.NewReader("wh"), iotest.ErrReader(broken)), 5, "wh", "", broken},
-		{"broken off at once", iotest.ErrReader(broken), 5, "", "", broken},
-		{"ends early", strings.NewReader("wh"), 5, "wh", "", io.ErrUnexpectedEOF},
-		{"breaks after its last byte", io.MultiReader(strings.NewReader("whole"), iotest.ErrReader(broken)), 5, "whole", "", broken},
+		{"length without a body", strings.NewReader(""), 5, "", "", nil},
+		{"read error", io.MultiReader(strings.NewReader("wh"), iotest.ErrReader(broken)), 5, "wh", "", broken},
+		{"read error on the first byte", iotest.ErrReader(broken), 5, "", "", broken},
+		{"truncated", strings.NewReader("wh"), 5, "wh", "", io.ErrUnexpectedEOF},
+		{"read error after the last byte", io.MultiReader(strings.NewReader("whole"), iotest.ErrReader(broken)), 5, "whole", "", broken},
 		{"long", strings.NewReader(long), int64(len(long)), "", long, nil},
-		{"long, length not told", strings.NewReader(long), -1, "", long, nil},
+		{"long, unknown length", strings.NewReader(long), -1, "", long, nil},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
@@ -55,16 +55,16 @@
 	}
 }
 
-func TestTimeWithoutTheWaitsOfAChain(t *testing.T) {
+func TestServiceTimeExcludesWaits(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
 		reply Reply
 		want  time.Duration
 	}{
 		{"no wait", Reply{}, 400 * time.Millisecond},
-		{"its own", Reply{Waited: 100 * time.Millisecond}, 300 * time.Millisecond},
-		{"of its calls", Reply{Needs: []wire.Need{{Calls: 4, Wait: 50 * time.Millisecond}}}, 200 * time.Millisecond},
-		{"of calls side by side", Reply{Needs: []wire.Need{{Calls: 8, Wait: 50 * time.Millisecond}}}, 100 * time.Millisecond},
+		{"own wait", Reply{Waited: 100 * time.Millisecond}, 300 * time.Millisecond},
+		{"waits of calls", Reply{Needs: []wire.Need{{Calls: 4, Wait: 50 * time.Millisecond}}}, 200 * time.Millisecond},
+		{"waits of parallel calls", Reply{Needs: []wire.Need{{Calls: 8, Wait: 50 * time.Millisecond}}}, 100 * time.Millisecond},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
