--- a/internal/sidecar/services/budgets.go
+++ b/internal/sidecar/services/budgets.go
@@ -8,55 +8,55 @@
 	"github.com/landingmast/landingmast/internal/wire"
 )
 
-// RecordRequest counts a request to a service and the calls that will be made for it: needs
-// calls its function for each service that the request's chain reaches, with the mean number
-// of calls there. granted is the part of the request's budgets that the nodes above leave to
-// this one; the result is the part that this one leaves to those below. What is kept here
-// pays for repeats of the request with all its calls; the sum over all nodes is one request.
+// RecordRequest credits the retry budgets of a service and of its downstream services for a
+// request. needs calls its function for each service in the call chain with the mean number of
+// calls to it. granted is the share of the request's retry budget that upstream nodes left to this
+// one; the result is the share left to downstream nodes. The retained share pays for retries of the
+// request with all its calls. The shares of all nodes add up to one request.
 func (s *Services) RecordRequest(service string, granted float64, needs func(f func(name string, calls float64))) float64 {
 	now := s.now()
-	kept := s.kept(now)
-	s.Get(service).count(now, granted)
+	retained := s.retainedShare(now)
+	s.Get(service).recordRequests(now, granted)
 	needs(func(name string, calls float64) {
 		if name != service {
-			s.Get(name).count(now, granted*kept*calls)
+			s.Get(name).recordRequests(now, granted*retained*calls)
 		}
 	})
-	return granted * (1 - kept)
+	return granted * (1 - retained)
 }
 
-// kept gives the part of the budgets down the chain that stays at this node.
-func (s *Services) kept(now time.Duration) float64 {
+// retainedShare returns the share of the retry budgets of downstream services that this node
+// retains.
+func (s *Services) retainedShare(now time.Duration) float64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if !s.policy.On(settings.Grants) {
 		return wire.GrantUnsaid
 	}
-	return s.keep.Of(now)
+	return s.retention.Of(now)
 }
 
-// TakeRetry takes a repeat of a request to a service out of the budgets of all services that
-// it would reach: the calls of a run that is a repeat are repeats themselves. needs are the
-// mean calls to each; the map is changed. It reports false, and takes nothing, when one of
-// them has none left, or when repeats are short and go to chains of a lower rank. declined
-// means that the target declined the sending before: it took no work, so that the repeat is
-// only paced.
+// TakeRetry deducts a retry of a request from the budgets of all services it would reach, since the
+// calls of a retried run are retries as well. needs holds the mean number of calls to each service
+// and is modified. It returns false and deducts nothing if any budget is exhausted, or if retries
+// are scarce and reserved for chains of a higher rank. declined means that the target declined the
+// previous attempt: it did no work, so the retry is only paced.
 func (s *Services) TakeRetry(service string, needs map[string]float64, rank float64, declined bool) bool {
 	needs[service] = max(needs[service], 1)
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	now := s.now()
-	called := s.getLocked(service)
-	if s.policy.On(settings.Ration) && !called.ration.Allows(now, rank) {
+	target := s.getLocked(service)
+	if s.policy.On(settings.Ration) && !target.ration.Allows(now, rank) {
 		return false
 	}
-	part := s.share.Of(now, s.config.Allowance)
+	allowance := s.allowance.Of(now, s.config.Allowance)
 	for name, calls := range needs {
-		if !s.getLocked(name).allows(now, calls, s.config.Ratio, part, declined && name == service) {
+		if !s.getLocked(name).allows(now, calls, s.config.Ratio, allowance, declined && name == service) {
 			if name != service {
-				s.keep.Short(now)
+				s.retention.Short(now)
 			}
-			called.ration.Denied(now)
+			target.ration.Denied(now)
 			return false
 		}
 	}
@@ -66,12 +66,12 @@
 	return true
 }
 
-// allows tells whether so many repeats fit into the ratio and the node's part of
-// the allowance; paced, whether they fit into what may go now.
-func (s *Service) allows(now time.Duration, calls, ratio, part float64, paced bool) bool {
+// allows reports whether the given number of retries fits the ratio and the node's allowance, or,
+// if paced, the current pacing limit.
+func (s *Service) allows(now time.Duration, calls, ratio, allowance float64, paced bool) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.budget.SetBounds(ratio, part)
+	s.budget.SetBounds(ratio, allowance)
 	if paced {
 		return s.budget.AllowsPaced(now, calls)
 	}
@@ -84,7 +84,7 @@
 	s.budget.Spend(now, calls)
 }
 
-// SetBudget changes the bounds of repeats.
+// SetBudget changes the limits of retries.
 func (s *Services) SetBudget(config repeats.Config) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/sidecar/services/liveness_test.go
+++ b/internal/sidecar/services/liveness_test.go
@@ -14,18 +14,16 @@
 	. "github.com/onsi/gomega"
 )
 
-// Requests were the probes of a silent node: each sender lost one a second there,
-// half a second of its time or the whole request. Found in the logs of nsm-mast
-// scale-1: reservations that began 3 s into a freeze of 4 s went to the frozen node.
-func TestSilentNodeGetsNoRequestsUntilItAnswersAPing(t *testing.T) {
+// Guards against using client requests to probe an unresponsive node, which delays or fails them.
+func TestUnresponsiveNodeIsSkippedUntilPingSucceeds(t *testing.T) {
 	for _, tc := range []struct {
-		name string
-		away time.Duration
-		ping time.Duration // until a ping to the silent node fails
+		name      string
+		outage    time.Duration
+		pingDelay time.Duration // until a ping to the unresponsive node fails
 	}{
 		{"frozen", 4 * time.Second, peer.PingTimeout},
 		{"killed", 1500 * time.Millisecond, time.Millisecond},
-		{"away for long", 40 * time.Second, peer.PingTimeout},
+		{"long outage", 40 * time.Second, peer.PingTimeout},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -38,9 +36,9 @@
 				}})
 				var pings atomic.Int32
 				ping := func(ctx context.Context, address string) error {
-					if address == "silent:1" && now() < tc.away {
+					if address == "silent:1" && now() < tc.outage {
 						pings.Add(1)
-						time.Sleep(tc.ping)
+						time.Sleep(tc.pingDelay)
 						return errors.New("no answer")
 					}
 					return nil
@@ -49,16 +47,16 @@
 				defer l.Close()
 				l.StartRecovery("silent", "silent:1")
 				s.Suspect("silent")
-				for now() < tc.away {
+				for now() < tc.outage {
 					time.Sleep(50 * time.Millisecond)
-					if now() < tc.away {
+					if now() < tc.outage {
 						g.Expect(s.Get("s").Pick(now(), balancer.Requirement{}, nil).Node).To(Equal("well"), "at %s", now())
 					}
 				}
 				time.Sleep(peer.PingTimeout + peer.RecoveryPingInterval + time.Millisecond)
 				picked := s.Get("s").Pick(now(), balancer.Requirement{}, nil)
-				g.Expect(picked.Node).To(Equal("silent"), "it is near and well again")
-				g.Expect(pings.Load()).To(BeNumerically("<=", tc.away/peer.RecoveryPingInterval+1))
+				g.Expect(picked.Node).To(Equal("silent"), "recovered target in the same zone")
+				g.Expect(pings.Load()).To(BeNumerically("<=", tc.outage/peer.RecoveryPingInterval+1))
 			})
 		})
 	}
--- a/internal/sidecar/services/services.go
+++ b/internal/sidecar/services/services.go
@@ -1,12 +1,10 @@
-// Package services holds what a node knows of each service: the targets that its requests may
-// go to, and the budgets for repeats.
+// Package services holds the node's view of each service: its targets and its retry budget.
 //
-// It owns a balancer and a budget for each service, the node's part of the allowance for
-// repeats, and what the node keeps of the budgets of the requests that begin at it. The rules
-// are those of packages core/balancer and core/repeats; what a sending's end means is decided
-// by core/outcome. It relies on its callers for the records of targets (Update), for the
-// number of nodes (Count) and for what a route's requests need of other services. All of it
-// is safe for concurrent use.
+// The package owns a balancer and a retry budget for each service, the node's share of the global
+// retry allowance, and the share of the retry budgets that the node retains for its own requests.
+// The algorithms are in core/balancer and core/repeats; core/outcome classifies the result of an
+// attempt. Callers supply the targets (Update), the number of nodes (Count) and the downstream
+// demand of routes. All exported types are safe for concurrent use.
 package services
 
 import (
@@ -21,27 +19,26 @@
 	"github.com/landingmast/landingmast/internal/sidecar/settings"
 )
 
-// Services holds what the node knows of each service: its targets and the budget
-// for repeats. It is safe for concurrent use.
+// Services holds the node's view of all services. It is safe for concurrent use.
 type Services struct {
 	node   string
 	zone   string
 	now    func() time.Duration
 	config repeats.Config
 
-	mutex  sync.Mutex
-	byName map[string]*Service
-	share  *repeats.Share // the node's part of the allowance for repeats
-	keep   repeats.Keep   // what it keeps of the budgets of its requests
-	policy settings.Policy
+	mutex     sync.Mutex
+	byName    map[string]*Service
+	allowance *repeats.Share // the node's share of the global retry allowance
+	retention repeats.Keep   // the share of retry budgets that the node retains
+	policy    settings.Policy
 }
 
-// Service is one service as this node sees it.
+// Service is the node's view of one service.
 type Service struct {
 	mutex    sync.Mutex
 	balancer *balancer.Balancer
 	budget   *repeats.Budget
-	ration   repeats.Ration // which chains may repeat; guarded by the mutex of Services
+	ration   repeats.Ration // decides which chains may retry; guarded by Services.mutex
 }
 
 // globalRandom implements balancer.Random.
@@ -49,24 +46,24 @@
 
 func (globalRandom) Float64() float64 { return rand.Float64() }
 
-// Options are what services are made of.
+// Options configures Services.
 type Options struct {
 	Node, Zone string
 	Now        func() time.Duration
 	Budget     repeats.Config
-	FirstStart bool // no process of the node ran before
+	FirstStart bool // whether this is the first process of the node
 	Policy     settings.Policy
 }
 
-// New makes the services of a process that starts now.
+// New returns Services without targets.
 func New(o Options) *Services {
 	return &Services{
 		node: o.Node, zone: o.Zone, now: o.Now, config: o.Budget, policy: o.Policy,
-		byName: map[string]*Service{}, share: repeats.NewShare(o.Budget.Window, o.FirstStart),
+		byName: map[string]*Service{}, allowance: repeats.NewShare(o.Budget.Window, o.FirstStart),
 	}
 }
 
-// Get returns a service, also one without targets.
+// Get returns a service, creating it if it is unknown.
 func (s *Services) Get(name string) *Service {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -77,7 +74,7 @@
 	known := s.byName[name]
 	if known == nil {
 		known = &Service{
-			balancer: balancer.New(s.balancing(), s.node, s.zone, globalRandom{}),
+			balancer: balancer.New(s.balancerConfig(), s.node, s.zone, globalRandom{}),
 			budget:   repeats.New(s.config),
 		}
 		s.byName[name] = known
@@ -85,8 +82,8 @@
 	return known
 }
 
-// balancing sets the balancers as the policy says.
-func (s *Services) balancing() balancer.Config {
+// balancerConfig returns the balancer configuration under the current policy.
+func (s *Services) balancerConfig() balancer.Config {
 	config := balancer.DefaultConfig()
 	config.NoSamples = !s.policy.On(settings.Samples)
 	config.NoZones = !s.policy.On(settings.Zones)
@@ -94,7 +91,7 @@
 	return config
 }
 
-// Update sets the targets of every service.
+// Update replaces the targets of all services.
 func (s *Services) Update(targets map[string][]balancer.Target) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -108,75 +105,75 @@
 	}
 }
 
-// Count sets the number of nodes, this one among them.
+// Count sets the number of nodes, including this one.
 func (s *Services) Count(members int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.share.Count(s.now(), members)
+	s.allowance.Count(s.now(), members)
 }
 
-// Choice is the target that a sending goes to.
+// Choice is the target chosen for an attempt.
 type Choice struct {
 	Service  *Service
 	class    string
-	sent     time.Duration
+	sentAt   time.Duration
 	endpoint *balancer.Endpoint
 	Node     string
 	Address  string
 }
 
-// Pick chooses a target; nil when there is none.
-func (s *Service) Pick(now time.Duration, wish balancer.Requirement, excluded map[string]bool) *Choice {
+// Pick chooses a target and counts an attempt to it as in flight. It returns nil if there is none.
+func (s *Service) Pick(now time.Duration, requirement balancer.Requirement, excluded map[string]bool) *Choice {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	endpoint := s.balancer.Pick(now, wish, excluded, true)
+	endpoint := s.balancer.Pick(now, requirement, excluded, true)
 	if endpoint == nil {
 		return nil
 	}
 	s.balancer.Sent(endpoint)
-	return &Choice{Service: s, class: wish.Class, sent: now, endpoint: endpoint, Node: endpoint.Node, Address: endpoint.Address}
+	return &Choice{Service: s, class: requirement.Class, sentAt: now, endpoint: endpoint, Node: endpoint.Node, Address: endpoint.Address}
 }
 
-// Done notes what the sending came to.
-func (c *Choice) Done(now time.Duration, answer *reply.Reply) {
+// Done records the result of the attempt.
+func (c *Choice) Done(now time.Duration, response *reply.Reply) {
 	s := c.Service
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.balancer.Done(c.endpoint)
-	if answer.Load.Slots > 0 {
-		s.balancer.Report(now, c.endpoint, answer.Load)
+	if response.Load.Slots > 0 {
+		s.balancer.Report(now, c.endpoint, response.Load)
 	}
 	switch {
-	case outcome.Wasted(answer.Outcome, answer.Reason):
+	case outcome.Wasted(response.Outcome, response.Reason):
 		s.balancer.Lost(now, c.endpoint)
-	case answer.Reason.Declined():
+	case response.Reason.Declined():
 		s.balancer.Declined(now, c.endpoint)
-	case answer.Outcome == outcome.Answered:
-		s.balancer.Answered(now, c.endpoint, c.class, answer.Bytes(), answer.ServiceTime(now-c.sent))
+	case response.Outcome == outcome.Answered:
+		s.balancer.Answered(now, c.endpoint, c.class, response.Bytes(), response.ServiceTime(now-c.sentAt))
 	}
 	switch {
-	case answer.Reason.Silent():
+	case response.Reason.Silent():
 		s.balancer.Suspect(now, c.endpoint)
-	case answer.Reason.TakesNoWork():
+	case response.Reason.TakesNoWork():
 		s.balancer.Refused(now, c.endpoint)
 	}
 }
 
-// Suspect leaves the target beside a node alone: the node gives no sign of life.
+// Suspect stops sending to the target beside an unresponsive node.
 func (s *Services) Suspect(node string) {
 	if !s.policy.On(settings.Suspicion) {
 		return
 	}
-	s.each(node, func(b *balancer.Balancer, e *balancer.Endpoint) { b.Suspect(s.now(), e) })
+	s.forEachEndpoint(node, func(b *balancer.Balancer, e *balancer.Endpoint) { b.Suspect(s.now(), e) })
 }
 
-// Trust ends the suspicion of the target beside a node.
+// Trust resumes sending to the target beside a node.
 func (s *Services) Trust(node string) {
-	s.each(node, func(b *balancer.Balancer, e *balancer.Endpoint) { b.Trust(e) })
+	s.forEachEndpoint(node, func(b *balancer.Balancer, e *balancer.Endpoint) { b.Trust(e) })
 }
 
-// each calls f for the target beside a node in every service that has it.
-func (s *Services) each(node string, f func(b *balancer.Balancer, e *balancer.Endpoint)) {
+// forEachEndpoint calls f for the target beside a node in every service that includes it.
+func (s *Services) forEachEndpoint(node string, f func(b *balancer.Balancer, e *balancer.Endpoint)) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for _, known := range s.byName {
@@ -188,14 +185,14 @@
 	}
 }
 
-// Pressure returns how full the service is; false when it is not known.
+// Pressure returns the load of the service, or false if it is unknown.
 func (s *Service) Pressure(now time.Duration) (balancer.Pressure, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.balancer.Pressure(now)
 }
 
-func (s *Service) count(now time.Duration, requests float64) {
+func (s *Service) recordRequests(now time.Duration, requests float64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.budget.Request(now, requests)
--- a/internal/sidecar/services/services_test.go
+++ b/internal/sidecar/services/services_test.go
@@ -13,7 +13,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// chain is what a node knows of a route whose requests reach services further down.
+// chain is a node's view of a route whose requests reach downstream services.
 type chain struct {
 	*Services
 	needs *overload.Controller
@@ -31,50 +31,48 @@
 	return c
 }
 
-func (c chain) learn(needs ...overload.Need) { c.needs.Learn(0, "read", needs, true) }
+func (c chain) recordNeeds(needs ...overload.Need) { c.needs.Learn(0, "read", needs, true) }
 
-func (c chain) countRequest() float64 {
+func (c chain) recordRequest() float64 {
 	return c.RecordRequest("front", 1, func(f func(name string, calls float64)) { c.needs.EachNeed("read", f) })
 }
 
-func (c chain) repeat() bool { return c.TakeRetry("front", c.needs.Needs("read"), 0, false) }
+func (c chain) takeRetry() bool { return c.TakeRetry("front", c.needs.Needs("read"), 0, false) }
 
-// A node where chains start sends nothing to the deep services itself; what its
-// requests cause there must count for it, more once it lacks repeats. Found by
-// incident inc-3fd7: 72 log reads whose answer was lost were not repeated.
-func TestStartOfAChainHasABudgetForTheServicesBelow(t *testing.T) {
+// Guards against denied retries at the node where a call chain starts: it calls the downstream
+// services only indirectly, and must still earn retry budget there.
+func TestEntryNodeBudgetsDownstreamRetries(t *testing.T) {
 	g := NewWithT(t)
 	c := newChain(1, true, 1)
-	c.learn(overload.Need{Service: "front", Calls: 1}, overload.Need{Service: "deep", Calls: 4})
+	c.recordNeeds(overload.Need{Service: "front", Calls: 1}, overload.Need{Service: "deep", Calls: 4})
 	count := func() (left float64) {
 		for range 100 {
-			left = c.countRequest()
+			left = c.recordRequest()
 		}
 		return left
 	}
-	repeated := func() (count int) {
-		for c.repeat() {
+	retries := func() (count int) {
+		for c.takeRetry() {
 			count++
 		}
 		return count
 	}
 	g.Expect(count()).To(BeNumerically("~", 0.9, 1e-9))
-	g.Expect(repeated()).To(Equal(2)) // (0.2 * 100 * 4 * 0.1 + 1) / 4
-	g.Expect(count()).To(BeNumerically("~", 0.5, 1e-9), "a repeat was not made")
-	g.Expect(repeated()).To(Equal(10)) // (0.2 * 100 * 4 * 0.5 + 1) / 4, with what was left
+	g.Expect(retries()).To(Equal(2)) // (0.2 * 100 * 4 * 0.1 + 1) / 4
+	g.Expect(count()).To(BeNumerically("~", 0.5, 1e-9), "after a denied retry")
+	g.Expect(retries()).To(Equal(10)) // (0.2 * 100 * 4 * 0.5 + 1) / 4, including the remainder
 }
 
-func TestRepeatTakesNothingWhenOneServiceHasNoBudget(t *testing.T) {
+func TestRetryTakesNothingWhenOneBudgetIsExhausted(t *testing.T) {
 	g := NewWithT(t)
 	c := newChain(2, true, 1)
-	c.learn(overload.Need{Service: "front", Calls: 1}, overload.Need{Service: "deep", Calls: 4})
-	g.Expect(c.repeat()).To(BeFalse())
+	c.recordNeeds(overload.Need{Service: "front", Calls: 1}, overload.Need{Service: "deep", Calls: 4})
+	g.Expect(c.takeRetry()).To(BeFalse())
 	g.Expect(c.Get("front").allows(0, 2, 0.2, 2, false)).To(BeTrue())
 }
 
-// Found by reading: a process that came back, or knew no other node yet, took the
-// whole allowance of the deployment for itself.
-func TestRestartedNodeHasNoAllowanceYet(t *testing.T) {
+// Guards against a restarted or isolated node claiming the whole retry allowance of the deployment.
+func TestRestartedNodeHasNoRetryAllowance(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
 		first   bool
@@ -82,30 +80,29 @@
 		want    bool
 	}{
 		{"first start", true, 4, true},
-		{"first start, others unknown", true, 0, false},
+		{"first start, no other node known", true, 0, false},
 		{"restart", false, 4, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
-			g.Expect(newChain(8, tc.first, tc.members).repeat()).To(Equal(tc.want))
+			g.Expect(newChain(8, tc.first, tc.members).takeRetry()).To(Equal(tc.want))
 		})
 	}
 }
 
-// Time-outs are no losses: counting them was tried for incident inc-d364 and given up;
-// scale days were lower with it, within their spread.
-func TestOnlyLostAnswersCountAgainstATarget(t *testing.T) {
+// Only lost responses count against a target; timeouts do not.
+func TestOnlyLostResponsesPenalizeTarget(t *testing.T) {
 	load := slots.Load{Slots: 40, Running: 20, Hold: 700 * time.Millisecond}
 	for _, tc := range []struct {
-		name string
-		ends *reply.Reply // of a sending to the bad target
-		left bool
+		name      string
+		reply     *reply.Reply // result of an attempt at the bad target
+		penalized bool
 	}{
-		{"no answer in time", &reply.Reply{Outcome: outcome.Unknown, Reason: outcome.ReasonTimeout, Arrived: true, Load: load}, false},
-		{"its own word that the time was up", &reply.Reply{Outcome: outcome.Answered, Reason: outcome.ReasonNone, Arrived: true, Status: 504, Load: load}, false},
-		{"answer lost", &reply.Reply{Outcome: outcome.Unknown, Reason: outcome.ReasonLost, Arrived: true, Load: load}, true},
-		{"client left", &reply.Reply{Outcome: outcome.Unknown, Reason: outcome.ReasonCancelled, Arrived: true, Load: load}, false},
-		{"whole answer", &reply.Reply{Outcome: outcome.Answered, Reason: outcome.ReasonNone, Arrived: true, Status: 200, Load: load}, false},
+		{"timed out", &reply.Reply{Outcome: outcome.Unknown, Reason: outcome.ReasonTimeout, Arrived: true, Load: load}, false},
+		{"504 from the target", &reply.Reply{Outcome: outcome.Answered, Reason: outcome.ReasonNone, Arrived: true, Status: 504, Load: load}, false},
+		{"response lost", &reply.Reply{Outcome: outcome.Unknown, Reason: outcome.ReasonLost, Arrived: true, Load: load}, true},
+		{"client disconnected", &reply.Reply{Outcome: outcome.Unknown, Reason: outcome.ReasonCancelled, Arrived: true, Load: load}, false},
+		{"complete response", &reply.Reply{Outcome: outcome.Answered, Reason: outcome.ReasonNone, Arrived: true, Status: 200, Load: load}, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
@@ -120,16 +117,16 @@
 				picked := s.Get("s").Pick(now, balancer.Requirement{}, nil)
 				if picked.Node == "bad" {
 					toBad++
-					picked.Done(now+load.Hold, tc.ends)
+					picked.Done(now+load.Hold, tc.reply)
 					continue
 				}
 				const hold = 800 * time.Millisecond
 				picked.Done(now+hold, &reply.Reply{Outcome: outcome.Answered, Reason: outcome.ReasonNone, Arrived: true, Status: 200, Load: slots.Load{Slots: 40, Running: 20, Hold: hold}})
 			}
-			if tc.left {
+			if tc.penalized {
 				g.Expect(toBad).To(BeNumerically("<", 40))
 			} else {
-				g.Expect(toBad).To(BeNumerically(">", 200), "it is the faster one")
+				g.Expect(toBad).To(BeNumerically(">", 200), "the faster target should be preferred")
 			}
 		})
 	}
