--- a/internal/sidecar/peer/client.go
+++ b/internal/sidecar/peer/client.go
@@ -1,10 +1,10 @@
-// Package peer holds the connections from one node to others: calls and their settling,
-// messages of control, and the signs of life by which a node is taken for dead or back.
+// Package peer connects a node to other nodes: it sends requests, outcome queries and control
+// messages, and detects unresponsive nodes.
 //
-// It owns the connections that rest, and for each node that has requests when it was last
-// heard of. It relies on package wire for the form of a call and on package reply for that
-// of its answer; who the other nodes are, and what is done about one that is silent, is
-// told by its callers. All of it is safe for concurrent use.
+// The package owns the pool of idle connections and, for each node with requests in flight, the
+// time of its last sign of life. Package wire defines the encoding of calls and package reply that
+// of responses. Callers supply the addresses of nodes and handle liveness changes. All exported
+// types are safe for concurrent use.
 package peer
 
 import (
@@ -26,25 +26,24 @@
 	"github.com/landingmast/landingmast/internal/wire"
 )
 
-// Bounds of the connections between nodes; no measurement set them. A request whose connection
-// is not there after peerDialTimeout goes elsewhere.
+// Limits of the connections between nodes. A request that cannot connect within dialTimeout is
+// sent to another node.
 const (
-	peerDialTimeout = 500 * time.Millisecond
-	peerIdle        = 30 * time.Second
-	peerConnections = 256
-	peerBuffer      = 4 << 10
+	dialTimeout    = 500 * time.Millisecond
+	idleTimeout    = 30 * time.Second
+	maxIdlePerPeer = 256
+	bufferSize     = 4 << 10
 )
 
-// Paths between nodes.
+// URL paths served to other nodes.
 const (
 	CallPath   = "/call"
 	SettlePath = "/settle"
 )
 
-// Dialer opens a connection.
 type Dialer func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Client sends requests to other nodes.
+// Client sends requests, outcome queries and control messages to other nodes.
 type Client struct {
 	Transport *http.Transport
 	names     headers.Names
@@ -53,27 +52,26 @@
 func NewClient(dial Dialer, names headers.Names) *Client {
 	return &Client{names: names, Transport: &http.Transport{
 		DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
-			ctx, cancel := context.WithTimeout(ctx, peerDialTimeout)
+			ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 			defer cancel()
 			return dial(ctx, network, address)
 		},
-		MaxIdleConnsPerHost: peerConnections, IdleConnTimeout: peerIdle, DisableCompression: true,
-		ReadBufferSize: peerBuffer, WriteBufferSize: peerBuffer,
+		MaxIdleConnsPerHost: maxIdlePerPeer, IdleConnTimeout: idleTimeout, DisableCompression: true,
+		ReadBufferSize: bufferSize, WriteBufferSize: bufferSize,
 	}}
 }
 
-// CloseIdle closes the connections that rest.
-func (p *Client) CloseIdle() { p.Transport.CloseIdleConnections() }
+func (c *Client) CloseIdle() { c.Transport.CloseIdleConnections() }
 
-// opaqueBody hides from net/http what a body is, so that it never sends a
-// request a second time of its own accord.
+// opaqueBody hides the type of a request body from net/http, so that the transport never resends a
+// request on its own.
 type opaqueBody struct{ io.Reader }
 
 func (opaqueBody) Close() error { return nil }
 
-// hideKeys renames the headers by which net/http takes a request for repeatable
-// to lower case; names are case-insensitive to the receiver.
-func hideKeys(header http.Header) {
+// hideIdempotencyKeys lower-cases the headers that make net/http treat a request as idempotent. The
+// receiver ignores the case of header names.
+func hideIdempotencyKeys(header http.Header) {
 	for _, name := range []string{"Idempotency-Key", "X-Idempotency-Key"} {
 		if values, present := header[name]; present {
 			delete(header, name)
@@ -82,15 +80,14 @@
 	}
 }
 
-// Call sends one request to the node at an address. The reply's stream, if it has
-// one, must be closed.
-func (p *Client) Call(ctx context.Context, address string, call *wire.SidecarCall, header http.Header, body *reply.Payload) *reply.Reply {
+// Call sends one request to the node at an address. The caller must close the reply.
+func (c *Client) Call(ctx context.Context, address string, call *wire.SidecarCall, header http.Header, body *reply.Payload) *reply.Reply {
 	request := (&http.Request{
 		Method: http.MethodPost, URL: &url.URL{Scheme: "http", Host: address, Path: CallPath}, Host: address,
 		Header: header.Clone(), ProtoMajor: 1, ProtoMinor: 1,
 	})
-	hideKeys(request.Header)
-	p.names.RemoveCallHeaders(request.Header)
+	hideIdempotencyKeys(request.Header)
+	c.names.RemoveCallHeaders(request.Header)
 	if err := call.SetHeaders(request.Header); err != nil {
 		return reply.NotRun(outcome.ReasonBadMessage)
 	}
@@ -105,17 +102,17 @@
 	}
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
-	response, err := p.Transport.RoundTrip(request.WithContext(httptrace.WithClientTrace(ctx, trace)))
+	response, err := c.Transport.RoundTrip(request.WithContext(httptrace.WithClientTrace(ctx, trace)))
 	if err != nil {
-		return unanswered(ctx, connected.Load())
+		return classifyError(ctx, connected.Load())
 	}
 	answer := readReply(ctx, response)
-	p.names.RestoreRequestID(answer, call)
+	c.names.RestoreRequestID(answer, call)
 	return answer
 }
 
-// Post sends a control message to the node at an address and gives the answer's body.
-func (p *Client) Post(ctx context.Context, address, path string, data []byte) ([]byte, error) {
+// Post sends a control message to the node at an address and returns the body of the response.
+func (c *Client) Post(ctx context.Context, address, path string, data []byte) ([]byte, error) {
 	request := &http.Request{
 		Method: http.MethodPost, URL: &url.URL{Scheme: "http", Host: address, Path: path}, Host: address,
 		Header: http.Header{"User-Agent": {""}},
@@ -123,29 +120,29 @@
 	if len(data) > 0 {
 		request.Body, request.ContentLength = io.NopCloser(bytes.NewReader(data)), int64(len(data))
 	}
-	response, err := p.Transport.RoundTrip(request.WithContext(ctx))
+	response, err := c.Transport.RoundTrip(request.WithContext(ctx))
 	if err != nil {
-		return nil, failure.Wrap(err, failure.Unavailable, "none; another node is asked", "%s at %s", path, address)
+		return nil, failure.Wrap(err, failure.Unavailable, "none; another node is tried", "POST %s to %s", path, address)
 	}
 	defer response.Body.Close()
 	read, err := io.ReadAll(io.LimitReader(response.Body, wire.MaxMessage))
 	if err != nil {
-		return nil, failure.Wrap(err, failure.Unavailable, "none; another node is asked", "%s at %s", path, address)
+		return nil, failure.Wrap(err, failure.Unavailable, "none; another node is tried", "reading the response to POST %s from %s", path, address)
 	}
 	if response.StatusCode != http.StatusOK {
-		return nil, failure.New(failure.Unavailable, "none; another node is asked", "%s at %s: status %d", path, address, response.StatusCode)
+		return nil, failure.New(failure.Unavailable, "none; another node is tried", "POST %s to %s: status %d", path, address, response.StatusCode)
 	}
 	return read, nil
 }
 
-// BareAnswer has an answer carry no header that net/http adds of its own.
+// BareAnswer keeps net/http from adding default headers to a response.
 func BareAnswer(w http.ResponseWriter) {
 	w.Header()["Date"] = nil
 	w.Header()["Content-Type"] = nil
 }
 
-// Settle asks a node what became of a request that was sent to it.
-func (p *Client) Settle(ctx context.Context, address string, call *wire.SidecarCall) *reply.Reply {
+// Settle queries a node for the outcome of a request that was sent to it.
+func (c *Client) Settle(ctx context.Context, address string, call *wire.SidecarCall) *reply.Reply {
 	head, err := wire.SidecarCallCodec.EncodeHeader(call)
 	if err != nil {
 		return reply.Unknown(outcome.ReasonBadMessage)
@@ -154,7 +151,7 @@
 		Method: http.MethodPost, URL: &url.URL{Scheme: "http", Host: address, Path: SettlePath}, Host: address,
 		Header: http.Header{"User-Agent": {""}, wire.HeaderSidecarCall: {head}},
 	}
-	response, err := p.Transport.RoundTrip(request.WithContext(ctx))
+	response, err := c.Transport.RoundTrip(request.WithContext(ctx))
 	if err != nil {
 		if ctx.Err() != nil {
 			return reply.Unknown(reply.CancelReason(ctx))
@@ -162,12 +159,12 @@
 		return reply.Unknown(outcome.ReasonLost)
 	}
 	answer := readReply(ctx, response)
-	p.names.RestoreRequestID(answer, call)
+	c.names.RestoreRequestID(answer, call)
 	return answer
 }
 
-// unanswered sorts a failed round trip: without a connection nothing was sent.
-func unanswered(ctx context.Context, connected bool) *reply.Reply {
+// classifyError returns the reply to a failed round trip. Nothing was sent without a connection.
+func classifyError(ctx context.Context, connected bool) *reply.Reply {
 	switch {
 	case !connected && ctx.Err() != nil:
 		return reply.NotRun(reply.CancelReason(ctx))
@@ -180,7 +177,7 @@
 	}
 }
 
-// readReply reads the head of a reply and its body, whole unless it is long.
+// readReply reads the head of a reply and its body, buffering all of it unless it is long.
 func readReply(ctx context.Context, response *http.Response) *reply.Reply {
 	result, err := wire.SidecarResultCodec.DecodeHeader(response.Header.Get(wire.HeaderSidecarResult))
 	if err != nil {
--- a/internal/sidecar/peer/liveness.go
+++ b/internal/sidecar/peer/liveness.go
@@ -11,84 +11,85 @@
 	"github.com/landingmast/landingmast/internal/wire"
 )
 
-// Times after which a node is taken for dead that has requests and says nothing.
+// A node with requests in flight is pinged after silenceThreshold without a sign of life, and
+// counts as unresponsive if no ping is answered within PingTimeout.
 const (
-	silenceBeforePing = 150 * time.Millisecond
-	PingTimeout       = 350 * time.Millisecond
-	secondPingAfter   = 120 * time.Millisecond
+	silenceThreshold = 150 * time.Millisecond
+	PingTimeout      = 350 * time.Millisecond
+	secondPingDelay  = 120 * time.Millisecond
 )
 
-// PingPath answers as soon as the node there runs.
+// PingPath is answered as soon as the node's process is running.
 const PingPath = "/ping"
 
-// ErrUnresponsive ends the sendings to a node that gives no sign of life.
-const ErrUnresponsive = errors.ConstError("node gives no sign of life")
+// ErrUnresponsive is the cancellation cause of attempts at a node that stopped responding.
+const ErrUnresponsive = errors.ConstError("node is unresponsive")
 
-// Liveness watches the nodes that requests are at. A request that stays without
-// an answer is no sign of death, since it may take long; a ping without an answer is.
-// A node that is taken for dead is pinged until it answers, so that requests need
-// not find out.
+// Liveness detects unresponsive nodes among those with requests in flight. A request without a
+// response proves nothing, since it may take long, so the node is pinged; a failed ping marks it as
+// unresponsive. An unresponsive node is pinged until it answers, so that no client request has to
+// probe it.
 type Liveness struct {
 	now    func() time.Duration
 	ping   func(ctx context.Context, address string) error
 	events Events
-	ended  chan struct{} // closed by close
+	closed chan struct{} // closed by Close
 	mutex  sync.Mutex
-	peers  map[string]*peerState // by node
+	peers  map[string]*peerState // keyed by node
 }
 
-// Events are called without locks.
+// Events holds the callbacks of Liveness. They are called without holding locks.
 type Events struct {
-	Lost  func(node string) // a node is taken for dead
-	Still func(node string) // it still does not answer
-	Back  func(node string) // it answers again
+	Lost  func(node string) // a node became unresponsive
+	Still func(node string) // another ping to an unresponsive node failed
+	Back  func(node string) // a node responds again
 }
 
 type peerState struct {
-	heard    time.Duration // last sign of life
-	pinging  bool
-	reviving bool
-	waiting  map[*sending]bool
+	lastHeard  time.Duration
+	probing    bool
+	recovering bool
+	watches    map[*watch]bool
 }
 
-// sending is one request at another node.
-type sending struct {
+// watch observes one request in flight to another node.
+type watch struct {
 	liveness *Liveness
 	node     string
 	address  string
-	abandon  context.CancelCauseFunc // nil: it is not abandoned
+	cancel   context.CancelCauseFunc // nil if the request must not be abandoned
 	timer    *time.Timer
 }
 
 func NewLiveness(now func() time.Duration, ping func(ctx context.Context, address string) error, events Events) *Liveness {
-	return &Liveness{now: now, ping: ping, events: events, ended: make(chan struct{}), peers: map[string]*peerState{}}
+	return &Liveness{now: now, ping: ping, events: events, closed: make(chan struct{}), peers: map[string]*peerState{}}
 }
 
-// Close ends the pings of nodes that are taken for dead.
-func (l *Liveness) Close() { close(l.ended) }
+// Close stops pinging unresponsive nodes.
+func (l *Liveness) Close() { close(l.closed) }
 
-// Pings of a node that is taken for dead. They come often enough that it stays
-// suspect between two, and end after some time: then requests find out.
+// An unresponsive node is pinged often enough to remain suspected between two pings. After
+// maxRecoveryPings the pings stop, and client requests probe the node.
 const (
 	RecoveryPingInterval = 250 * time.Millisecond
-	reviveTries          = 100
+	maxRecoveryPings     = 100
 )
 
-// StartRecovery pings a node that is taken for dead until it answers.
+// StartRecovery pings an unresponsive node until it answers.
 func (l *Liveness) StartRecovery(node, address string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if peer := l.peer(node); !peer.reviving {
-		peer.reviving = true
-		go l.pingUntilBack(node, address)
+	if peer := l.peer(node); !peer.recovering {
+		peer.recovering = true
+		go l.pingUntilRecovered(node, address)
 	}
 }
 
-func (l *Liveness) pingUntilBack(node, address string) {
+func (l *Liveness) pingUntilRecovered(node, address string) {
 	var err error = ErrUnresponsive
-	for tries := 0; err != nil && tries < reviveTries; tries++ {
+	for tries := 0; err != nil && tries < maxRecoveryPings; tries++ {
 		select {
-		case <-l.ended:
+		case <-l.closed:
 			return
 		case <-time.After(RecoveryPingInterval):
 		}
@@ -98,9 +99,9 @@
 	}
 	l.mutex.Lock()
 	peer := l.peer(node)
-	peer.reviving = false
+	peer.recovering = false
 	if err == nil {
-		peer.heard = l.now()
+		peer.lastHeard = l.now()
 	}
 	l.mutex.Unlock()
 	if err == nil {
@@ -114,106 +115,106 @@
 	return l.ping(ctx, address)
 }
 
-// Watch watches a request; end must follow. abandon is called when the node is
-// taken for dead; nil for a request that cannot be sent elsewhere.
-func (l *Liveness) Watch(node, address string, abandon context.CancelCauseFunc) *sending {
-	one := &sending{liveness: l, node: node, address: address, abandon: abandon}
+// Watch starts observing a request; End must be called when it finishes. cancel is called if the
+// node becomes unresponsive; it is nil for a request that cannot be sent elsewhere.
+func (l *Liveness) Watch(node, address string, cancel context.CancelCauseFunc) *watch {
+	w := &watch{liveness: l, node: node, address: address, cancel: cancel}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.peer(node).waiting[one] = true
-	one.timer = time.AfterFunc(silenceBeforePing, one.check)
-	return one
+	l.peer(node).watches[w] = true
+	w.timer = time.AfterFunc(silenceThreshold, w.checkSilence)
+	return w
 }
 
 func (l *Liveness) peer(node string) *peerState {
 	peer := l.peers[node]
 	if peer == nil {
-		peer = &peerState{heard: -time.Hour, waiting: map[*sending]bool{}}
+		peer = &peerState{lastHeard: -time.Hour, watches: map[*watch]bool{}}
 		l.peers[node] = peer
 	}
 	return peer
 }
 
-// End stops watching; heard tells that the node gave a sign of life.
-func (s *sending) End(heard bool) {
-	s.timer.Stop()
-	l := s.liveness
+// End stops observing the request. responded reports that the node sent a reply.
+func (w *watch) End(responded bool) {
+	w.timer.Stop()
+	l := w.liveness
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	peer := l.peer(s.node)
-	delete(peer.waiting, s)
-	if heard {
-		peer.heard = l.now()
+	peer := l.peer(w.node)
+	delete(peer.watches, w)
+	if responded {
+		peer.lastHeard = l.now()
 	}
 }
 
-// check pings the node unless it was heard of lately.
-func (s *sending) check() {
-	l := s.liveness
+// checkSilence starts a probe unless the node was heard from recently.
+func (w *watch) checkSilence() {
+	l := w.liveness
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	peer := l.peer(s.node)
-	if !peer.waiting[s] {
+	peer := l.peer(w.node)
+	if !peer.watches[w] {
 		return
 	}
-	since := l.now() - peer.heard
-	if since < silenceBeforePing {
-		s.timer.Reset(silenceBeforePing - since + time.Millisecond)
+	silence := l.now() - peer.lastHeard
+	if silence < silenceThreshold {
+		w.timer.Reset(silenceThreshold - silence + time.Millisecond)
 		return
 	}
-	s.timer.Reset(silenceBeforePing + PingTimeout)
-	if !peer.pinging {
-		peer.pinging = true
-		go l.probe(s.node, s.address)
+	w.timer.Reset(silenceThreshold + PingTimeout)
+	if !peer.probing {
+		peer.probing = true
+		go l.probe(w.node, w.address)
 	}
 }
 
-// probe sends two pings, so that one lost packet is not taken for a death.
+// probe sends two pings, so that a single lost packet does not mark the node as unresponsive.
 func (l *Liveness) probe(node, address string) {
 	ctx, cancel := context.WithTimeout(context.Background(), PingTimeout)
 	defer cancel()
-	answers := make(chan error, 2)
-	ask := func() { answers <- l.ping(ctx, address) }
-	go ask()
-	second := time.AfterFunc(secondPingAfter, ask)
+	results := make(chan error, 2)
+	ping := func() { results <- l.ping(ctx, address) }
+	go ping()
+	second := time.AfterFunc(secondPingDelay, ping)
 	defer second.Stop()
-	err := <-answers
+	err := <-results
 	if err != nil && ctx.Err() == nil {
-		err = <-answers
+		err = <-results
 	}
 	l.mutex.Lock()
 	peer := l.peer(node)
-	peer.pinging = false
+	peer.probing = false
 	if err == nil {
-		peer.heard = l.now()
+		peer.lastHeard = l.now()
 		l.mutex.Unlock()
 		return
 	}
-	abandoned := make([]*sending, 0, len(peer.waiting))
-	for one := range peer.waiting {
-		abandoned = append(abandoned, one)
+	watches := make([]*watch, 0, len(peer.watches))
+	for w := range peer.watches {
+		watches = append(watches, w)
 	}
 	l.mutex.Unlock()
 	l.events.Lost(node)
 	l.StartRecovery(node, address)
-	for _, one := range abandoned {
-		if one.abandon != nil {
-			one.abandon(ErrUnresponsive)
+	for _, w := range watches {
+		if w.cancel != nil {
+			w.cancel(ErrUnresponsive)
 		}
 	}
 }
 
-// Silent tells whether a node is taken for dead.
+// Silent reports whether a node is considered unresponsive.
 func (l *Liveness) Silent(node string) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	peer := l.peers[node]
-	return peer != nil && peer.reviving
+	return peer != nil && peer.recovering
 }
 
-// Ask asks a node who it is and whether the store serves it.
-func (p *Client) Ask(ctx context.Context, address string) (*wire.Pong, error) {
-	response, err := p.ping(ctx, address)
+// Ask requests a node's identity and whether it is connected to the store.
+func (c *Client) Ask(ctx context.Context, address string) (*wire.Pong, error) {
+	response, err := c.ping(ctx, address)
 	if err != nil {
 		return nil, err
 	}
@@ -221,16 +222,16 @@
 	return wire.PongCodec.DecodeHeader(response.Header.Get(wire.HeaderSidecarPong))
 }
 
-// PingPeer asks a node for a sign of life.
-func (p *Client) PingPeer(ctx context.Context, address string) error {
-	response, err := p.ping(ctx, address)
+// PingPeer checks that a node responds.
+func (c *Client) PingPeer(ctx context.Context, address string) error {
+	response, err := c.ping(ctx, address)
 	if err != nil {
 		return err
 	}
 	return response.Body.Close()
 }
 
-func (p *Client) ping(ctx context.Context, address string) (*http.Response, error) {
+func (c *Client) ping(ctx context.Context, address string) (*http.Response, error) {
 	request := &http.Request{Method: http.MethodGet, URL: &url.URL{Scheme: "http", Host: address, Path: PingPath}, Host: address, Header: http.Header{}}
-	return p.Transport.RoundTrip(request.WithContext(ctx))
+	return c.Transport.RoundTrip(request.WithContext(ctx))
 }
--- a/internal/sidecar/peer/message.go
+++ b/internal/sidecar/peer/message.go
@@ -10,12 +10,12 @@
 	"github.com/landingmast/landingmast/internal/wire"
 )
 
-// ReadMessage reads a message of control that another node has sent. It gives false when
-// the sender went away or sent something else; the answer is then written.
+// ReadMessage reads a control message sent by another node. It returns false if the message cannot
+// be read or decoded; a decoding error has then been sent as the response.
 func ReadMessage[M any](w http.ResponseWriter, r *http.Request, messages *codec.Codec[M]) (*M, bool) {
 	data, err := io.ReadAll(io.LimitReader(r.Body, wire.MaxMessage))
 	if err != nil {
-		return nil, false // the sender has gone
+		return nil, false // the sender disconnected
 	}
 	message, err := messages.Decode(data)
 	if err != nil {
@@ -25,19 +25,19 @@
 	return message, true
 }
 
-// WriteMessage writes the answer to a message of control.
-func WriteMessage[M any](w http.ResponseWriter, messages *codec.Codec[M], answer *M) {
-	encoded, err := messages.Encode(answer)
+// WriteMessage sends the response to a control message.
+func WriteMessage[M any](w http.ResponseWriter, messages *codec.Codec[M], response *M) {
+	encoded, err := messages.Encode(response)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
 	BareAnswer(w)
 	w.Header().Set("Content-Length", strconv.Itoa(len(encoded)))
-	_, _ = w.Write(encoded) // a sender that has gone asks again
+	_, _ = w.Write(encoded) // a disconnected sender retries
 }
 
-// Ask sends a message of control to the node at an address and reads its answer.
+// Ask sends a control message to a node and decodes its response.
 func Ask[Q, A any](ctx context.Context, client *Client, address, path string, questions *codec.Codec[Q], question *Q, answers *codec.Codec[A]) (*A, error) {
 	data, err := questions.Encode(question)
 	if err != nil {
--- a/internal/sidecar/peer/socket.go
+++ b/internal/sidecar/peer/socket.go
@@ -7,31 +7,30 @@
 	"time"
 )
 
-// silenceLimit is how long sent bytes may stay unacknowledged before the
-// connection counts as dead, in milliseconds.
-const silenceLimit = 3000
+// userTimeoutMillis is how long sent data may stay unacknowledged before the connection is aborted.
+const userTimeoutMillis = 3000
 
-// tcpUserTimeout is TCP_USER_TIMEOUT of Linux.
+// tcpUserTimeout is TCP_USER_TIMEOUT on Linux; package syscall lacks it on amd64.
 const tcpUserTimeout = 0x12
 
-// BoundSilence has a connection to a machine that says nothing fail by itself.
+// BoundSilence sets TCP_USER_TIMEOUT, so that connections to an unresponsive host fail.
 func BoundSilence(_, _ string, raw syscall.RawConn) error {
 	return raw.Control(func(descriptor uintptr) {
-		_ = syscall.SetsockoptInt(int(descriptor), syscall.IPPROTO_TCP, tcpUserTimeout, silenceLimit)
+		_ = syscall.SetsockoptInt(int(descriptor), syscall.IPPROTO_TCP, tcpUserTimeout, userTimeoutMillis)
 	})
 }
 
-// DialAlive opens a connection on which the silence of the other side is noticed
-// also while nothing is sent: for calls that wait long for their answers.
+// DialAlive opens a connection with keep-alive probes, which detect an unresponsive peer even while
+// nothing is sent. It is meant for calls that wait long for their responses.
 func DialAlive(ctx context.Context, network, address string) (net.Conn, error) {
 	dialer := &net.Dialer{
-		Timeout: aliveDialTimeout, Control: BoundSilence,
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: aliveProbe, Interval: aliveProbe, Count: 2},
+		Timeout: keepAliveDialTimeout, Control: BoundSilence,
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveInterval, Interval: keepAliveInterval, Count: 2},
 	}
 	return dialer.DialContext(ctx, network, address)
 }
 
 const (
-	aliveDialTimeout = time.Second
-	aliveProbe       = time.Second
+	keepAliveDialTimeout = time.Second
+	keepAliveInterval    = time.Second
 )
