--- a/internal/sidecar/headers/headers.go
+++ b/internal/sidecar/headers/headers.go
@@ -1,7 +1,6 @@
-// Package headers holds what a node does to the headers of requests and answers: which
-// of them travel on, which only nodes may set, where a client's key stands. The names of
-// the platform's headers come in as Names; this package knows none of them. It owns no
-// state.
+// Package headers filters and rewrites the headers of requests and responses: it removes hop-by-hop
+// and reserved fields and extracts client keys. The names of platform headers are supplied as
+// Names. The package is stateless.
 package headers
 
 import (
@@ -13,37 +12,36 @@
 	"github.com/landingmast/landingmast/internal/wire"
 )
 
-// Names are the names of the headers that clients, nodes and targets use.
+// Names holds the names of the headers used by clients, nodes and targets.
 type Names struct {
 	RequestID      string // id of one client attempt; echoed by targets
-	Deadline       string // milliseconds that the sender will wait
-	Signature      string // the target's mark on its answer
-	ExpectInstance string // instance that alone may run the request
-	Instance       string // instance that answered
+	Deadline       string // milliseconds until the sender times out
+	Signature      string // marks a response as written by the target
+	ExpectInstance string // the only instance allowed to execute the request
+	Instance       string // the instance that responded
 	Load           string // running, waiting, slots
-	NotRun         string // the target did not run the request
-	Caller         string // service on the machine where the request began
-	Tenant         string // whose key the client's request carried; set by nodes alone
-	Key            string // carries a client's key
-	KeyScheme      string // word before the key
+	NotRun         string // set if the target did not execute the request
+	Caller         string // service that sent the request
+	Tenant         string // tenant of the client's key; set only by nodes
+	Key            string // the client's key
+	KeyScheme      string // authentication scheme that precedes the key
 }
 
-// hopByHop are the headers that belong to one connection (RFC 9110, 7.6.1).
+// hopByHop lists the connection-specific headers (RFC 9110, section 7.6.1).
 var hopByHop = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Content-Length",
 }
 
-// reservedPrefix begins the headers that only nodes set.
+// reservedPrefix starts the names of headers that only nodes may set.
 const reservedPrefix = "Landingmast-"
 
-// EndToEnd copies the headers that travel on: not those of one connection, and
-// none that only nodes set.
+// EndToEnd copies the end-to-end headers, leaving out hop-by-hop headers and reserved ones.
 func EndToEnd(from http.Header) http.Header {
 	to := make(http.Header, len(from)+4)
-	named := connectionOptions(from)
+	options := connectionOptions(from)
 	for name, values := range from {
-		if named[name] || strings.HasPrefix(name, reservedPrefix) {
+		if options[name] || strings.HasPrefix(name, reservedPrefix) {
 			continue
 		}
 		to[name] = values
@@ -54,56 +52,56 @@
 	return to
 }
 
-// connectionOptions gives the headers that Connection names.
+// connectionOptions returns the names listed in the Connection header.
 func connectionOptions(from http.Header) map[string]bool {
 	values := from["Connection"]
 	if len(values) == 0 {
 		return nil
 	}
-	named := map[string]bool{}
+	options := map[string]bool{}
 	for _, value := range values {
 		for _, name := range strings.Split(value, ",") {
-			named[http.CanonicalHeaderKey(strings.TrimSpace(name))] = true
+			options[http.CanonicalHeaderKey(strings.TrimSpace(name))] = true
 		}
 	}
-	return named
+	return options
 }
 
-// RemoveCallHeaders takes out of a request between two nodes what its SidecarCall tells too.
-func (h Names) RemoveCallHeaders(header http.Header) {
-	delete(header, h.RequestID)
-	delete(header, h.Deadline)
+// RemoveCallHeaders removes the headers that are also carried by the SidecarCall.
+func (n Names) RemoveCallHeaders(header http.Header) {
+	delete(header, n.RequestID)
+	delete(header, n.Deadline)
 }
 
-// RestoreRequestID gives an answer the id of its request, which the node that asked knows. A node
-// of the release before sends it.
-func (h Names) RestoreRequestID(answer *reply.Reply, call *wire.SidecarCall) {
-	if h.RequestID != "" && answer.Outcome == outcome.Answered && answer.Header.Get(h.RequestID) == "" {
-		answer.Header.Set(h.RequestID, call.RequestID)
+// RestoreRequestID adds the request id to a response that lacks it. Nodes of the previous release
+// still send it.
+func (n Names) RestoreRequestID(response *reply.Reply, call *wire.SidecarCall) {
+	if n.RequestID != "" && response.Outcome == outcome.Answered && response.Header.Get(n.RequestID) == "" {
+		response.Header.Set(n.RequestID, call.RequestID)
 	}
 }
 
-// ClientKey gives the key that a request carries; empty: none.
-func (h Names) ClientKey(header http.Header) string {
-	scheme, key, found := strings.Cut(header.Get(h.Key), " ")
-	if !found || !strings.EqualFold(scheme, h.KeyScheme) {
+// ClientKey returns the key of a request, or an empty string.
+func (n Names) ClientKey(header http.Header) string {
+	scheme, key, found := strings.Cut(header.Get(n.Key), " ")
+	if !found || !strings.EqualFold(scheme, n.KeyScheme) {
 		return ""
 	}
 	return strings.TrimSpace(key)
 }
 
-// RemoveIdentity takes out of a request what only nodes may tell of its tenant, in every
-// spelling that a target might read as such, and its key.
-func (h Names) RemoveIdentity(header http.Header) {
+// RemoveIdentity removes the client's key and any tenant header set by the client, in every
+// spelling that a target might accept.
+func (n Names) RemoveIdentity(header http.Header) {
 	for name := range header {
-		if sameField(name, h.Tenant) || sameField(name, h.Key) {
+		if equalFieldName(name, n.Tenant) || equalFieldName(name, n.Key) {
 			delete(header, name)
 		}
 	}
 }
 
-// sameField tells whether two names of header fields are one to a reader that takes
-// underscores for hyphens, as gateways to CGI-like programs do.
-func sameField(a, b string) bool {
+// equalFieldName reports whether two header names are equal ignoring case and treating underscores
+// as hyphens, as CGI gateways do.
+func equalFieldName(a, b string) bool {
 	return len(a) == len(b) && strings.EqualFold(strings.ReplaceAll(a, "_", "-"), b)
 }
--- a/internal/sidecar/headers/headers_test.go
+++ b/internal/sidecar/headers/headers_test.go
@@ -12,24 +12,22 @@
 
 var testNames = Names{RequestID: "X-Id", Deadline: "X-Left"}
 
-// What the head of a call tells is not told twice; the answer gets its request's id back
-// where the node beside the target left it out.
-func TestWhatTheHeadTellsIsNotToldTwice(t *testing.T) {
+func TestRemoveCallHeaders(t *testing.T) {
 	g := NewWithT(t)
 	sent := http.Header{"X-Id": {"a.1"}, "X-Left": {"700"}, "Accept": {"*/*"}}
 	testNames.RemoveCallHeaders(sent)
 	g.Expect(sent).To(Equal(http.Header{"Accept": {"*/*"}}))
 }
 
-func TestAnswerGetsItsIDBack(t *testing.T) {
+func TestRestoreRequestID(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		answer *reply.Reply
 		want   []string
 	}{
-		{"left out", &reply.Reply{Outcome: outcome.Answered, Header: http.Header{}}, []string{"a.1"}},
-		{"sent by the release before", &reply.Reply{Outcome: outcome.Answered, Header: http.Header{"X-Id": {"a.1"}}}, []string{"a.1"}},
-		{"no answer", &reply.Reply{Outcome: outcome.NotRun, Header: http.Header{}}, nil},
+		{"missing", &reply.Reply{Outcome: outcome.Answered, Header: http.Header{}}, []string{"a.1"}},
+		{"sent by the previous release", &reply.Reply{Outcome: outcome.Answered, Header: http.Header{"X-Id": {"a.1"}}}, []string{"a.1"}},
+		{"not run", &reply.Reply{Outcome: outcome.NotRun, Header: http.Header{}}, nil},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
@@ -39,11 +37,11 @@
 	}
 }
 
-// A reply that may run once is kept for a sender that asks again, with all its headers.
-func TestReplyWithoutAHeaderLeavesTheKeptOneAsItIs(t *testing.T) {
+// Guards against modifying a reply that is cached for at-most-once requests.
+func TestWithoutHeaderDoesNotModifyCachedReply(t *testing.T) {
 	g := NewWithT(t)
-	kept := &reply.Reply{Outcome: outcome.Answered, Header: http.Header{"X-Id": {"a"}, "X-Other": {"b"}}}
-	g.Expect(kept.WithoutHeader("X-Id").Header).To(Equal(http.Header{"X-Other": {"b"}}))
-	g.Expect(kept.Header).To(HaveKey("X-Id"))
-	g.Expect(kept.WithoutHeader("X-None")).To(BeIdenticalTo(kept))
+	cached := &reply.Reply{Outcome: outcome.Answered, Header: http.Header{"X-Id": {"a"}, "X-Other": {"b"}}}
+	g.Expect(cached.WithoutHeader("X-Id").Header).To(Equal(http.Header{"X-Other": {"b"}}))
+	g.Expect(cached.Header).To(HaveKey("X-Id"))
+	g.Expect(cached.WithoutHeader("X-None")).To(BeIdenticalTo(cached))
 }
--- a/internal/sidecar/headers/identity_test.go
+++ b/internal/sidecar/headers/identity_test.go
@@ -9,14 +9,14 @@
 
 var identityHeaders = Names{Tenant: "X-Tenant", Key: "Authorization", KeyScheme: "Bearer"}
 
-func TestKeyOfARequest(t *testing.T) {
+func TestClientKey(t *testing.T) {
 	for _, tc := range []struct{ name, value, want string }{
-		{"a key", "Bearer k1", "k1"},
-		{"another spelling of the scheme", "bearer k1", "k1"},
-		{"blanks around it", "Bearer  k1 ", "k1"},
+		{"valid key", "Bearer k1", "k1"},
+		{"scheme in lower case", "bearer k1", "k1"},
+		{"surrounding blanks", "Bearer  k1 ", "k1"},
 		{"another scheme", "Basic k1", ""},
 		{"no scheme", "k1", ""},
-		{"none", "", ""},
+		{"no header", "", ""},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
@@ -29,8 +29,8 @@
 	}
 }
 
-// What a client says of its tenant reaches no target, however it is spelled, nor its key.
-func TestIdentityOfAClientIsHidden(t *testing.T) {
+// Guards against a client forging its tenant, or leaking its key to a target.
+func TestRemoveIdentity(t *testing.T) {
 	g := NewWithT(t)
 	header := http.Header{
 		"X-Tenant": {"a"}, "x-tenant": {"a"}, "X_Tenant": {"a"}, "x_TENANT": {"a"}, "Authorization": {"Bearer k"}, "authorization": {"Bearer k"},
@@ -40,7 +40,7 @@
 	g.Expect(header).To(Equal(http.Header{"X-Tenants": {"kept"}, "X-Request-Id": {"kept"}}))
 }
 
-func BenchmarkHideIdentity(b *testing.B) {
+func BenchmarkRemoveIdentity(b *testing.B) {
 	header := http.Header{"X-Request-Id": {"1"}, "X-Deadline-Ms": {"1"}, "User-Agent": {"1"}, "Accept": {"1"}, "Content-Type": {"1"}, "X-Caller-Service": {"1"}}
 	for b.Loop() {
 		identityHeaders.RemoveIdentity(header)
