--- a/internal/sidecar/wait/wait.go
+++ b/internal/sidecar/wait/wait.go
@@ -1,5 +1,5 @@
-// Package wait holds the ways in which the goroutines of a node wait: for a span, and for a
-// signal that may come from several sides. It owns no state.
+// Package wait provides interruptible sleeps and coalescing signals between goroutines. It is
+// stateless.
 package wait
 
 import (
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// For waits for a span, or until ctx ends.
+// For sleeps for the given duration or until ctx is cancelled.
 func For(ctx context.Context, span time.Duration) {
 	timer := time.NewTimer(span)
 	defer timer.Stop()
@@ -17,7 +17,7 @@
 	}
 }
 
-// Signal leaves a signal where none waits.
+// Signal sends a signal without blocking; it has no effect if one is already pending.
 func Signal(signal chan struct{}) {
 	select {
 	case signal <- struct{}{}:
