--- a/internal/sidecar/peer/client.go
+++ b/internal/sidecar/peer/client.go
@@ -125,14 +125,14 @@
 		return nil, failure.Wrap(err, failure.Unavailable, "none; another node is tried", "POST %s to %s", path, address)
 	}
 	defer response.Body.Close()
-	read, err := io.ReadAll(io.LimitReader(response.Body, wire.MaxMessage))
+	content, err := io.ReadAll(io.LimitReader(response.Body, wire.MaxMessage))
 	if err != nil {
 		return nil, failure.Wrap(err, failure.Unavailable, "none; another node is tried", "reading the response to POST %s from %s", path, address)
 	}
 	if response.StatusCode != http.StatusOK {
 		return nil, failure.New(failure.Unavailable, "none; another node is tried", "POST %s to %s: status %d", path, address, response.StatusCode)
 	}
-	return read, nil
+	return content, nil
 }
 
 // BareAnswer keeps net/http from adding default headers to a response.
--- a/internal/sidecar/peer/message.go
+++ b/internal/sidecar/peer/message.go
@@ -43,9 +43,9 @@
 	if err != nil {
 		return nil, err
 	}
-	read, err := client.Post(ctx, address, path, data)
+	content, err := client.Post(ctx, address, path, data)
 	if err != nil {
 		return nil, err
 	}
-	return answers.Decode(read)
+	return answers.Decode(content)
 }
--- a/internal/sidecar/services/services.go
+++ b/internal/sidecar/services/services.go
@@ -71,15 +71,15 @@
 }
 
 func (s *Services) getLocked(name string) *Service {
-	known := s.byName[name]
-	if known == nil {
-		known = &Service{
+	service := s.byName[name]
+	if service == nil {
+		service = &Service{
 			balancer: balancer.New(s.balancerConfig(), s.node, s.zone, globalRandom{}),
 			budget:   repeats.New(s.config),
 		}
-		s.byName[name] = known
+		s.byName[name] = service
 	}
-	return known
+	return service
 }
 
 // balancerConfig returns the balancer configuration under the current policy.
@@ -98,10 +98,10 @@
 	for name := range targets {
 		s.getLocked(name)
 	}
-	for name, known := range s.byName {
-		known.mutex.Lock()
-		known.balancer.Update(targets[name])
-		known.mutex.Unlock()
+	for name, service := range s.byName {
+		service.mutex.Lock()
+		service.balancer.Update(targets[name])
+		service.mutex.Unlock()
 	}
 }
 
@@ -159,7 +159,7 @@
 	}
 }
 
-// Suspect stops sending to the target beside an unresponsive node.
+// Suspect stops sending to the target of an unresponsive node.
 func (s *Services) Suspect(node string) {
 	if !s.policy.On(settings.Suspicion) {
 		return
@@ -167,21 +167,21 @@
 	s.forEachEndpoint(node, func(b *balancer.Balancer, e *balancer.Endpoint) { b.Suspect(s.now(), e) })
 }
 
-// Trust resumes sending to the target beside a node.
+// Trust resumes sending to the target of a node.
 func (s *Services) Trust(node string) {
 	s.forEachEndpoint(node, func(b *balancer.Balancer, e *balancer.Endpoint) { b.Trust(e) })
 }
 
-// forEachEndpoint calls f for the target beside a node in every service that includes it.
+// forEachEndpoint calls f for the target of a node in every service that includes it.
 func (s *Services) forEachEndpoint(node string, f func(b *balancer.Balancer, e *balancer.Endpoint)) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	for _, known := range s.byName {
-		known.mutex.Lock()
-		if endpoint := known.balancer.Endpoint(node); endpoint != nil {
-			f(known.balancer, endpoint)
+	for _, service := range s.byName {
+		service.mutex.Lock()
+		if endpoint := service.balancer.Endpoint(node); endpoint != nil {
+			f(service.balancer, endpoint)
 		}
-		known.mutex.Unlock()
+		service.mutex.Unlock()
 	}
 }
 
--- a/internal/sidecar/wait/wait.go
+++ b/internal/sidecar/wait/wait.go
@@ -8,8 +8,8 @@
 )
 
 // For sleeps for the given duration or until ctx is cancelled.
-func For(ctx context.Context, span time.Duration) {
-	timer := time.NewTimer(span)
+func For(ctx context.Context, d time.Duration) {
+	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
