--- a/internal/core/overload/overload.go
+++ b/internal/core/overload/overload.go
@@ -1,12 +1,10 @@
-// Package overload decides where a chain of calls starts whether a request is let in.
-// Every answer tells how long the request and its calls waited for slots, service by
-// service, down the whole chain. A window for each route bounds the requests in flight
-// from this node so that those waits stay bearable; the least important routes bear
-// least, so that they are refused first. It is a state machine without locks, clocks or
-// randomness of its own.
+// Package overload implements admission control at the node where a call chain starts.
+// Responses report how long a request and its downstream calls queued for slots at each
+// service. Each route has a window that bounds its requests in flight from this node so that
+// the total queueing time stays within a budget. Less important routes have smaller budgets
+// and are refused first. The controller does no locking and uses no clock or randomness.
 //
-// Refusing at the start, not in the middle, and only what needs the scarce service, is
-// what docs/design/sidecar.md measures against queues alone.
+// docs/design/sidecar.md compares refusal at the start of the chain with queues alone.
 package overload
 
 import (
@@ -14,97 +12,98 @@
 	"time"
 )
 
-// Config sets a controller.
+// Config configures a Controller.
 type Config struct {
-	// Bearable is the wait for slots along the whole chain, as a part of the time inside
-	// which its answer is wanted, that the least important requests are held to; Step
-	// is added for each priority above the least, up to BearableMost.
-	Bearable, Step, BearableMost float64
-	// Window sets the windows of the routes.
+	// WaitShare is the queueing time along the whole chain, as a fraction of the timeout, that
+	// requests of the least important priority may incur. Each priority above it adds
+	// WaitShareStep, up to MaxWaitShare.
+	WaitShare, WaitShareStep, MaxWaitShare float64
+	// Window configures the windows of all routes.
 	Window WindowConfig
-	// Smoothing is the time constant of the mean occupancy of a service.
+	// Smoothing is the time constant of the moving average of a service's occupancy.
 	Smoothing time.Duration
 }
 
-// DefaultConfig gives the values that docs/design/rounds-of-policy.md was measured with.
+// DefaultConfig returns the default configuration.
 func DefaultConfig() Config {
-	return Config{Bearable: 0.3, Step: 0.15, BearableMost: 0.6, Window: DefaultWindow(), Smoothing: 250 * time.Millisecond}
+	return Config{WaitShare: 0.3, WaitShareStep: 0.15, MaxWaitShare: 0.6, Window: DefaultWindow(), Smoothing: 250 * time.Millisecond}
 }
 
-// Need is what one request needs of a service: calls there, with all below it.
+// Need is what one request requires of a service, including all calls further downstream.
 type Need struct {
 	Service   string
 	Calls     int
-	Occupancy float64       // mean occupancy that was seen there; below 0: unknown
-	Wait      time.Duration // of one call for a slot there, mean over the calls
+	Occupancy float64       // mean occupancy of the service; negative: unknown
+	Wait      time.Duration // mean queueing time of one call
 }
 
-// Controller holds the state of one node. It is not safe for concurrent use.
+// Controller holds the admission state of one node. It is not safe for concurrent use.
 type Controller struct {
 	config   Config
-	services map[string]*pressure
+	services map[string]*serviceOccupancy
 	routes   map[string]*route
 }
 
-type pressure struct {
-	occupancy float64
-	seen      time.Duration
+// serviceOccupancy is the moving average of a service's occupancy.
+type serviceOccupancy struct {
+	mean      float64
+	updatedAt time.Duration
 }
 
-// route is what is known of the requests of one route.
+// route holds the state of one route.
 type route struct {
-	needs   map[string]float64 // mean calls by service
-	window  *Window
-	slowest string // service where the last one waited longest
+	meanCalls  map[string]float64 // by service
+	window     *Window
+	bottleneck string // service with the longest queueing time of the last completed request
 }
 
-// New makes a controller that admits everything.
+// New returns a Controller without samples.
 func New(config Config) *Controller {
-	return &Controller{config: config, services: map[string]*pressure{}, routes: map[string]*route{}}
+	return &Controller{config: config, services: map[string]*serviceOccupancy{}, routes: map[string]*route{}}
 }
 
 func (c *Controller) route(now time.Duration, name string) *route {
-	one := c.routes[name]
-	if one == nil {
-		one = &route{needs: map[string]float64{}, window: NewWindow(c.config.Window, now)}
-		c.routes[name] = one
+	r := c.routes[name]
+	if r == nil {
+		r = &route{meanCalls: map[string]float64{}, window: NewWindow(c.config.Window, now)}
+		c.routes[name] = r
 	}
-	return one
+	return r
 }
 
-// needWeight is the weight of one answer in a route's mean needs; needLeast is
-// the mean below which a service does not count.
+// callsWeight is the weight of one response in the mean calls of a route. Services with fewer
+// mean calls than minMeanCalls are ignored.
 const (
-	needWeight = 0.05
-	needLeast  = 0.05
+	callsWeight  = 0.05
+	minMeanCalls = 0.05
 )
 
-// Observe takes in the occupancy of a service.
+// Observe records an occupancy sample of a service. Negative and NaN values are ignored.
 func (c *Controller) Observe(now time.Duration, service string, occupancy float64) {
 	if occupancy < 0 || math.IsNaN(occupancy) {
 		return
 	}
 	p := c.services[service]
 	if p == nil {
-		c.services[service] = &pressure{occupancy: occupancy, seen: now}
+		c.services[service] = &serviceOccupancy{mean: occupancy, updatedAt: now}
 		return
 	}
-	p.occupancy += weightOf(now-p.seen, c.config.Smoothing) * (occupancy - p.occupancy)
-	p.seen = now
+	p.mean += sampleWeightAfter(now-p.updatedAt, c.config.Smoothing) * (occupancy - p.mean)
+	p.updatedAt = now
 }
 
-// weightOf is the weight of an observation some time after the one before.
-func weightOf(elapsed, constant time.Duration) float64 {
-	return max(1-math.Exp(-float64(elapsed)/float64(constant)), sampleWeight)
+// sampleWeightAfter returns the weight of a sample taken a time after the previous one.
+func sampleWeightAfter(elapsed, timeConstant time.Duration) float64 {
+	return max(1-math.Exp(-float64(elapsed)/float64(timeConstant)), minSampleWeight)
 }
 
-// sampleWeight is the least weight of one observation.
-const sampleWeight = 0.02
+// minSampleWeight is the minimum weight of a sample, for samples in quick succession.
+const minSampleWeight = 0.02
 
-// Learn takes in what a request of a route needed. One that was not served has
-// made a part of its calls only: it can raise what is known, not lower it.
+// Learn records the calls made for a request of a route. A request that was not served may
+// have made only some of its calls, so it can raise the means but not lower them.
 func (c *Controller) Learn(now time.Duration, route string, needs []Need, served bool) {
-	means := c.route(now, route).needs
+	means := c.route(now, route).meanCalls
 	if len(means) == 0 || !served {
 		for _, need := range needs {
 			means[need.Service] = max(means[need.Service], float64(need.Calls))
@@ -112,92 +111,92 @@
 		return
 	}
 	for service := range means {
-		means[service] *= 1 - needWeight
+		means[service] *= 1 - callsWeight
 	}
 	for _, need := range needs {
-		means[need.Service] += needWeight * float64(need.Calls)
+		means[need.Service] += callsWeight * float64(need.Calls)
 	}
 }
 
-// Needs gives the mean number of calls that a request of the route makes to each
-// service, itself included. The map is the caller's own.
+// Needs returns a new map with the mean number of calls to each service that a request of the
+// route causes, the request itself included.
 func (c *Controller) Needs(route string) map[string]float64 {
 	needs := map[string]float64{}
 	c.EachNeed(route, func(service string, calls float64) { needs[service] = calls })
 	return needs
 }
 
-// EachNeed calls f with the mean number of calls that a request of the route makes to
-// each service, itself included.
+// EachNeed calls f for each service with the mean number of calls that a request of the route
+// causes there, the request itself included.
 func (c *Controller) EachNeed(route string, f func(service string, calls float64)) {
-	one := c.routes[route]
-	if one == nil {
+	r := c.routes[route]
+	if r == nil {
 		return
 	}
-	for service, calls := range one.needs {
-		if calls >= needLeast {
+	for service, calls := range r.meanCalls {
+		if calls >= minMeanCalls {
 			f(service, calls)
 		}
 	}
 }
 
-// Share gives the share of a route's requests that is let in now, and the service that
-// decides it.
+// Share returns the probability of admitting the next request of a route and, if it is below
+// 1, the service that limits it.
 func (c *Controller) Share(now time.Duration, route string) (float64, string) {
-	one := c.route(now, route)
-	share := one.window.Share(now)
+	r := c.route(now, route)
+	share := r.window.AdmitProbability(now)
 	if share >= 1 {
 		return 1, ""
 	}
-	return share, one.slowest
+	return share, r.bottleneck
 }
 
-// Window gives how many requests of the route are in flight and how many fit.
+// Window returns the route's requests in flight and its current limit.
 func (c *Controller) Window(now time.Duration, route string) (inFlight int, fits float64) {
 	w := c.route(now, route).window
 	return w.InFlight(), w.Limit()
 }
 
-// Begin notes that a request of the route was let in.
+// Begin records that a request of the route was admitted.
 func (c *Controller) Begin(now time.Duration, route string) { c.route(now, route).window.Begin(now) }
 
-// Leave notes that a request that was let in ended and says nothing of the chain.
-func (c *Controller) Leave(now time.Duration, route string) { c.route(now, route).window.Leave() }
+// Leave records the end of an admitted request whose timing is not a valid sample.
+func (c *Controller) Leave(now time.Duration, route string) { c.route(now, route).window.Discard() }
 
-// Ended is the end of a request that was let in.
+// Ended describes the completion of an admitted request.
 type Ended struct {
-	Needs  []Need        // what it needed, with the waits
-	Steps  int           // priorities that its route stands above the least important one
-	Limit  time.Duration // time inside which its answer was wanted; 0: none
+	Needs  []Need        // calls made, with their queueing times
+	Steps  int           // priorities between the least important one and the route's
+	Limit  time.Duration // timeout of the request; 0: none
 	Took   time.Duration
-	Lacked bool // there was no room for it in time
+	Lacked bool // refused for lack of capacity, or timed out
 }
 
-// End notes that a request of the route ended that was let in.
+// End records the completion of an admitted request of the route.
 func (c *Controller) End(now time.Duration, name string, ended Ended) {
-	one := c.route(now, name)
-	trip := Trip{Took: ended.Took, Lacked: ended.Lacked, Bearable: c.bearable(ended)}
+	r := c.route(now, name)
+	sample := Sample{Latency: ended.Took, Overloaded: ended.Lacked, WaitBudget: c.waitBudget(ended)}
 	longest := time.Duration(0)
 	for _, need := range ended.Needs {
 		wait := time.Duration(need.Calls) * need.Wait
-		trip.Waited += wait
+		sample.QueueWait += wait
 		if wait > longest {
-			longest, one.slowest = wait, need.Service
+			longest, r.bottleneck = wait, need.Service
 		}
 	}
-	one.window.End(now, trip)
+	r.window.End(now, sample)
 }
 
-// bearable is the wait along its chain that a request is held to.
-func (c *Controller) bearable(ended Ended) time.Duration {
-	share := min(c.config.Bearable+c.config.Step*float64(max(ended.Steps, 0)), c.config.BearableMost)
+// waitBudget returns the queueing time that the request was allowed along its chain.
+func (c *Controller) waitBudget(ended Ended) time.Duration {
+	share := min(c.config.WaitShare+c.config.WaitShareStep*float64(max(ended.Steps, 0)), c.config.MaxWaitShare)
 	return time.Duration(share * float64(ended.Limit))
 }
 
-// Occupancy gives the mean occupancy of a service; 0 when nothing is known.
+// Occupancy returns the mean occupancy of a service, or 0 if it is unknown.
 func (c *Controller) Occupancy(service string) float64 {
 	if p := c.services[service]; p != nil {
-		return p.occupancy
+		return p.mean
 	}
 	return 0
 }
--- a/internal/core/overload/overload_test.go
+++ b/internal/core/overload/overload_test.go
@@ -9,48 +9,48 @@
 
 const step = 10 * time.Millisecond
 
-const limit = time.Second // inside which answers are wanted
+const timeout = time.Second
 
-// chain is what a request that makes some calls in a row needs, each of which waits.
-func chain(calls int, wait time.Duration) []Need {
+// callChain returns the needs of a request that makes sequential calls, each queueing for wait.
+func callChain(calls int, wait time.Duration) []Need {
 	return []Need{{Service: "front", Calls: 1}, {Service: "deep", Calls: calls, Occupancy: 1.2, Wait: wait}}
 }
 
-func waits(needs []Need) (total time.Duration) {
+func totalWait(needs []Need) (total time.Duration) {
 	for _, need := range needs {
 		total += time.Duration(need.Calls) * need.Wait
 	}
 	return total
 }
 
-// settle has eight requests of a route in flight, each of which ends after so long a
-// wait, until the window has settled; it gives the time then.
-func settle(c *Controller, from time.Duration, route string, steps int, needs []Need) time.Duration {
+// runToSteadyState keeps up to eight requests of a route in flight for three seconds. It
+// returns the time at the end.
+func runToSteadyState(c *Controller, from time.Duration, route string, steps int, needs []Need) time.Duration {
 	for end := from + 3*time.Second; from < end; from += step {
 		share, _ := c.Share(from, route)
 		if share > 0 && c.routes[route].window.InFlight() < 8 {
 			c.Begin(from, route)
 		}
 		if c.routes[route].window.InFlight() > 0 {
-			c.End(from, route, Ended{Needs: needs, Steps: steps, Limit: limit, Took: 200*time.Millisecond + waits(needs)})
+			c.End(from, route, Ended{Needs: needs, Steps: steps, Limit: timeout, Took: 200*time.Millisecond + totalWait(needs)})
 		}
 	}
 	return from
 }
 
-func TestShortWaitsRefuseNothing(t *testing.T) {
+func TestShortWaitsAdmitEverything(t *testing.T) {
 	g := NewWithT(t)
 	c := New(DefaultConfig())
-	now := settle(c, 0, "list", 0, chain(10, 12*time.Millisecond))
+	now := runToSteadyState(c, 0, "list", 0, callChain(10, 12*time.Millisecond))
 	share, _ := c.Share(now, "list")
 	g.Expect(share).To(Equal(1.0))
 }
 
-func TestOnlyRoutesThatNeedTheScarceServiceAreRefused(t *testing.T) {
+func TestOnlyRoutesThatCallTheOverloadedServiceAreLimited(t *testing.T) {
 	g := NewWithT(t)
 	c := New(DefaultConfig())
-	now := settle(c, 0, "list", 0, chain(10, 60*time.Millisecond))
-	now = settle(c, now-3*time.Second, "download", 0, []Need{{Service: "files", Calls: 1}})
+	now := runToSteadyState(c, 0, "list", 0, callChain(10, 60*time.Millisecond))
+	now = runToSteadyState(c, now-3*time.Second, "download", 0, []Need{{Service: "files", Calls: 1}})
 	c.Begin(now, "list")
 	share, service := c.Share(now, "list")
 	g.Expect(share).To(BeNumerically("<", 0.5))
@@ -60,11 +60,11 @@
 	g.Expect(share).To(Equal(1.0))
 }
 
-func TestLeastImportantGoesFirst(t *testing.T) {
+func TestLeastImportantRouteIsLimitedFirst(t *testing.T) {
 	g := NewWithT(t)
 	c := New(DefaultConfig())
-	now := settle(c, 0, "list", 0, chain(10, 60*time.Millisecond))
-	now = settle(c, now-3*time.Second, "approve", 2, chain(5, 60*time.Millisecond))
+	now := runToSteadyState(c, 0, "list", 0, callChain(10, 60*time.Millisecond))
+	now = runToSteadyState(c, now-3*time.Second, "approve", 2, callChain(5, 60*time.Millisecond))
 	c.Begin(now, "list")
 	list, _ := c.Share(now, "list")
 	c.Begin(now, "approve")
@@ -73,21 +73,20 @@
 	g.Expect(approve).To(Equal(1.0))
 }
 
-func TestOneLongWaitIsNoShortage(t *testing.T) {
+func TestSingleLongWaitDoesNotLimit(t *testing.T) {
 	g := NewWithT(t)
 	c := New(DefaultConfig())
-	now := settle(c, 0, "list", 0, chain(10, time.Millisecond))
+	now := runToSteadyState(c, 0, "list", 0, callChain(10, time.Millisecond))
 	for range 8 {
 		c.Begin(now, "list")
 	}
-	c.End(now, "list", Ended{Needs: chain(10, 300*time.Millisecond), Limit: limit, Took: 3200 * time.Millisecond})
+	c.End(now, "list", Ended{Needs: callChain(10, 300*time.Millisecond), Limit: timeout, Took: 3200 * time.Millisecond})
 	share, _ := c.Share(now, "list")
 	g.Expect(share).To(Equal(1.0))
 }
 
-// After a restart under a shortage nothing is served, and what chains need must
-// be learned from those that fail; else none is ever refused and the collapse
-// stays. Found by hunt fa903fc0 on cphx-claims, trouble-1 --seed 28057288405.
+// Guards against an overload that persists after a restart because no request is served and
+// the calls of the chains stay unknown.
 func TestNeedsAreLearnedFromFailedRequests(t *testing.T) {
 	g := NewWithT(t)
 	c := New(DefaultConfig())
@@ -96,14 +95,14 @@
 	now := time.Duration(0)
 	for ; now < time.Second; now += step {
 		c.Begin(now, "list")
-		c.End(now, "list", Ended{Limit: limit, Took: limit, Lacked: true})
+		c.End(now, "list", Ended{Limit: timeout, Took: timeout, Lacked: true})
 	}
 	c.Begin(now, "list")
 	share, _ := c.Share(now, "list")
 	g.Expect(share).To(BeZero())
 }
 
-func TestFailedRequestsDoNotLowerWhatIsKnown(t *testing.T) {
+func TestFailedRequestsDoNotLowerMeanCalls(t *testing.T) {
 	g := NewWithT(t)
 	c := New(DefaultConfig())
 	c.Learn(0, "list", []Need{{Service: "deep", Calls: 10}}, true)
@@ -113,10 +112,10 @@
 	g.Expect(c.Needs("list")["deep"]).To(Equal(10.0))
 }
 
-func TestOldNewsFades(t *testing.T) {
+func TestLimitIsLiftedWithoutNewSamples(t *testing.T) {
 	g := NewWithT(t)
 	c := New(DefaultConfig())
-	now := settle(c, 0, "list", 0, chain(10, 100*time.Millisecond))
+	now := runToSteadyState(c, 0, "list", 0, callChain(10, 100*time.Millisecond))
 	c.Begin(now, "list")
 	share, _ := c.Share(now, "list")
 	g.Expect(share).To(BeZero())
@@ -124,10 +123,8 @@
 	g.Expect(share).To(Equal(1.0))
 }
 
-// A chain that calls one service many times in a row waits there each time: with a
-// queue of half its slots at each of three services it misses its objective, and
-// what it has done is done for nothing. Found on cphx-claims-large scale-1, where
-// nine in ten claim lists were let in and failed.
+// A chain of sequential calls queues at each of them. It must be refused before it starts if
+// the total wait would exceed its timeout.
 func TestChainThatWouldBeLateIsRefusedBeforeItBegins(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
@@ -139,14 +136,14 @@
 		{"one call, short wait", 1, 120 * time.Millisecond, 0, false},
 		{"ten calls, no wait", 10, 0, 0, false},
 		{"ten calls, short waits", 10, 12 * time.Millisecond, 0, false},
-		{"ten calls that wait", 10, 60 * time.Millisecond, 0, true},
-		{"ten calls that wait long", 10, 200 * time.Millisecond, 0, true},
-		{"the same, more important", 10, 60 * time.Millisecond, 2, false},
+		{"ten calls, medium waits", 10, 60 * time.Millisecond, 0, true},
+		{"ten calls, long waits", 10, 200 * time.Millisecond, 0, true},
+		{"ten calls, medium waits, more important route", 10, 60 * time.Millisecond, 2, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
 			c := New(DefaultConfig())
-			now := settle(c, 0, "list", tc.steps, chain(tc.calls, tc.wait))
+			now := runToSteadyState(c, 0, "list", tc.steps, callChain(tc.calls, tc.wait))
 			c.Begin(now, "list")
 			share, _ := c.Share(now, "list")
 			g.Expect(share < 0.5).To(Equal(tc.refused))
--- a/internal/core/overload/window.go
+++ b/internal/core/overload/window.go
@@ -5,159 +5,157 @@
 	"time"
 )
 
-// WindowConfig sets a window.
+// WindowConfig configures a Window.
 type WindowConfig struct {
-	// First is the number of requests in flight that a window begins with: nothing is
-	// known then, and after a fault of all nodes all clients come at once.
-	First float64
-	// Least is what a window shrinks to, so that news of the chain keeps coming.
-	Least float64
-	// Room and RoomFactor bound the window by the most that was in flight lately: a
-	// window that was never full says nothing of what fits.
-	Room, RoomFactor float64
-	// PeakLife is the time constant with which that number fades.
-	PeakLife time.Duration
-	// Pressed is the part of the bearable wait from which on the window is in force,
-	// PressedFor how long it is after one request has waited so.
-	Pressed    float64
-	PressedFor time.Duration
-	// Grow and Shrink are the parts of the step to the window at which the waits would
-	// be the bearable ones that are taken in the time of one chain. News are as old as
-	// a chain is long: with the whole step the window would swing.
-	Grow, Shrink float64
-	// GrowLeast is the least growth in that time while nothing waits.
-	GrowLeast float64
+	// Initial is the limit before any sample. It applies when all clients reconnect at once
+	// after an outage.
+	Initial float64
+	// Min is the lower bound of the limit. It is above zero so that samples keep arriving.
+	Min float64
+	// Headroom and HeadroomFactor bound the limit by the recent peak of requests in flight: a
+	// window that was never full carries no information about capacity.
+	Headroom, HeadroomFactor float64
+	// PeakDecay is the time constant with which that peak decays.
+	PeakDecay time.Duration
+	// EnforceAt is the fraction of the wait budget that activates the limit. EnforceFor is how
+	// long the limit stays active after the last request that reached it.
+	EnforceAt  float64
+	EnforceFor time.Duration
+	// GrowthGain and ShrinkGain scale the correction of the limit per chain duration. They are
+	// below 1 because samples are one chain duration old and a full correction oscillates.
+	GrowthGain, ShrinkGain float64
+	// MinGrowth is the minimum growth per completed request while requests hardly queue.
+	MinGrowth float64
 }
 
-// DefaultWindow gives the values that docs/design/rounds-of-policy.md was measured with.
+// DefaultWindow returns the default window configuration.
 func DefaultWindow() WindowConfig {
-	return WindowConfig{First: 8, Least: 0.3, Room: 2, RoomFactor: 1.5, PeakLife: 5 * time.Second, Pressed: 0.5, PressedFor: 2 * time.Second, Grow: 0.5, Shrink: 0.5, GrowLeast: 0.25}
+	return WindowConfig{Initial: 8, Min: 0.3, Headroom: 2, HeadroomFactor: 1.5, PeakDecay: 5 * time.Second, EnforceAt: 0.5, EnforceFor: 2 * time.Second, GrowthGain: 0.5, ShrinkGain: 0.5, MinGrowth: 0.25}
 }
 
-// Window bounds the requests of one route that are in flight from one node while the
-// chain below is short of something. A bound on requests in flight admits as chains end,
-// so that news of a queue may come as late as the chain is long; a share of the requests
-// that follows such news swings between all and nothing (docs/design/rounds-of-policy.md, the door).
-// It is not safe for concurrent use.
+// Window limits the requests of one route in flight from one node while services downstream
+// are overloaded. It limits concurrency rather than an admission rate because samples arrive
+// only when a chain completes, and a rate driven by such late samples oscillates. See
+// docs/design/rounds-of-policy.md. It is not safe for concurrent use.
 type Window struct {
-	config   WindowConfig
-	limit    float64
-	inFlight int
-	peak     float64
-	peakAt   time.Duration
-	alone    float64       // ns: mean time of a request without its waits; 0: none has ended
-	gap      float64       // ns: mean time between two ends
-	endedAt  time.Duration // the last end
-	pressed  time.Duration // in force until then
+	config             WindowConfig
+	limit              float64
+	inFlight           int
+	peak               float64
+	peakAt             time.Duration
+	baseLatency        float64 // ns; mean latency without queueing; 0: no request has completed
+	completionInterval float64 // ns; mean time between two completions
+	lastCompletion     time.Duration
+	enforcedUntil      time.Duration // the limit is not enforced from then on
 }
 
-// NewWindow makes the window of a route whose first request comes now. Whether its chain
-// is short of anything is not known: the window is in force until one request after the
-// other has not waited.
+// NewWindow returns the window of a route whose first request arrives now. The limit is
+// enforced at first, until EnforceFor has passed without queueing.
 func NewWindow(config WindowConfig, now time.Duration) *Window {
-	return &Window{config: config, limit: config.First, pressed: now + config.PressedFor, peakAt: now}
+	return &Window{config: config, limit: config.Initial, enforcedUntil: now + config.EnforceFor, peakAt: now}
 }
 
-// Share gives the chance with which the next request is let in.
-func (w *Window) Share(now time.Duration) float64 {
-	if now >= w.pressed {
+// AdmitProbability returns the probability with which to admit the next request.
+func (w *Window) AdmitProbability(now time.Duration) float64 {
+	if now >= w.enforcedUntil {
 		return 1
 	}
 	return min(max(w.limit-float64(w.inFlight), 0), 1)
 }
 
-// Limit is the number of requests that fit.
+// Limit returns the current limit on requests in flight.
 func (w *Window) Limit() float64 { return w.limit }
 
-// InFlight is the number of requests that were let in and have not ended.
+// InFlight returns the number of admitted requests that have not ended.
 func (w *Window) InFlight() int { return w.inFlight }
 
-// Begin notes that a request was let in.
+// Begin records an admitted request.
 func (w *Window) Begin(now time.Duration) {
 	w.inFlight++
-	w.peak = max(w.fadedPeak(now), float64(w.inFlight))
+	w.peak = max(w.decayedPeak(now), float64(w.inFlight))
 	w.peakAt = now
 }
 
-func (w *Window) fadedPeak(now time.Duration) float64 {
-	return w.peak * math.Exp(-float64(now-w.peakAt)/float64(w.config.PeakLife))
+func (w *Window) decayedPeak(now time.Duration) float64 {
+	return w.peak * math.Exp(-float64(now-w.peakAt)/float64(w.config.PeakDecay))
 }
 
-// Leave notes that a request ended that says nothing of the chain: its client left.
-func (w *Window) Leave() { w.inFlight-- }
+// Discard records the end of a request that yields no sample, such as a cancelled one.
+func (w *Window) Discard() { w.inFlight-- }
 
-// Trip is how long a request that has ended was under way.
-type Trip struct {
-	Took     time.Duration // in all
-	Waited   time.Duration // of it for slots, all along the chain
-	Bearable time.Duration // wait that is bearable for its route; 0: any
-	Lacked   bool          // there was no room for it in time
+// Sample is the timing of a completed request.
+type Sample struct {
+	Latency    time.Duration // total
+	QueueWait  time.Duration // time queued for slots along the chain
+	WaitBudget time.Duration // queueing time allowed for the route; 0: unlimited
+	Overloaded bool          // refused for lack of capacity, or timed out
 }
 
-// pressing tells whether the wait comes near to what is bearable.
-func (t Trip) pressing(share float64) bool {
-	return t.Lacked || t.Bearable > 0 && t.Waited >= time.Duration(share*float64(t.Bearable))
+// waitReaches reports whether the queueing time reaches a fraction of the budget.
+func (s Sample) waitReaches(fraction float64) bool {
+	return s.Overloaded || s.WaitBudget > 0 && s.QueueWait >= time.Duration(fraction*float64(s.WaitBudget))
 }
 
-// fits gives the window, as a multiple of the present one, at which the wait would be
-// the bearable one: chains end as fast as before, and each takes as long as it takes
-// without waits and the bearable wait besides.
-func (t Trip) fits() float64 {
-	if t.Lacked {
+// limitRatio returns the factor on the current limit at which the queueing time would equal
+// the budget at an unchanged completion rate.
+func (s Sample) limitRatio() float64 {
+	if s.Overloaded {
 		return 0
 	}
-	if t.Bearable <= 0 {
+	if s.WaitBudget <= 0 {
 		return 1
 	}
-	return float64(t.alone()+t.Bearable) / float64(t.alone()+t.Waited)
+	return float64(s.baseLatency()+s.WaitBudget) / float64(s.baseLatency()+s.QueueWait)
 }
 
-// alone is the time that the request would have taken without waits. Calls side by side
-// wait at the same time; a quarter of the time is not waiting.
-func (t Trip) alone() time.Duration { return max(t.Took-t.Waited, t.Took/4, time.Millisecond) }
+// baseLatency returns the latency without queueing. At least a quarter of the latency counts,
+// since the queueing times of parallel calls overlap.
+func (s Sample) baseLatency() time.Duration {
+	return max(s.Latency-s.QueueWait, s.Latency/4, time.Millisecond)
+}
 
-// tripWeight is the weight of one request in what is known of all.
-const tripWeight = 0.1
+// latencyWeight is the weight of one sample in the mean latency and completion interval.
+const latencyWeight = 0.1
 
-// note learns how long requests take without waits, and how often one ends.
-func (w *Window) note(now time.Duration, trip Trip) {
-	if w.alone == 0 {
-		w.alone, w.gap, w.endedAt = float64(trip.alone()), float64(trip.Took)/max(w.peak, 1), now
+// observe updates the mean latency and the mean completion interval.
+func (w *Window) observe(now time.Duration, sample Sample) {
+	if w.baseLatency == 0 {
+		w.baseLatency, w.completionInterval, w.lastCompletion = float64(sample.baseLatency()), float64(sample.Latency)/max(w.peak, 1), now
 	}
-	w.alone += tripWeight * (float64(trip.alone()) - w.alone)
-	w.gap += tripWeight * (float64(now-w.endedAt) - w.gap)
-	w.endedAt = now
+	w.baseLatency += latencyWeight * (float64(sample.baseLatency()) - w.baseLatency)
+	w.completionInterval += latencyWeight * (float64(now-w.lastCompletion) - w.completionInterval)
+	w.lastCompletion = now
 }
 
-// ending is the number of requests in flight at which as many end as do now, after the
-// bearable wait (Little's law).
-func (w *Window) ending(bearable time.Duration) float64 {
-	return (w.alone + float64(bearable)) / max(w.gap, float64(time.Millisecond))
+// concurrencyAt returns the concurrency that sustains the current completion rate at a given
+// queueing time, by Little's law.
+func (w *Window) concurrencyAt(wait time.Duration) float64 {
+	return (w.baseLatency + float64(wait)) / max(w.completionInterval, float64(time.Millisecond))
 }
 
-// End notes that a request ended. As many end in the time of one chain as are in flight,
-// so that a step of one for each changes the window by its own size in that time.
-func (w *Window) End(now time.Duration, trip Trip) {
+// End records a completed request. About as many requests complete during one chain duration
+// as are in flight, so that per-request steps of ratio-1 add up to the full correction.
+func (w *Window) End(now time.Duration, sample Sample) {
 	w.inFlight--
-	w.note(now, trip)
-	most := max(w.config.Room+w.config.RoomFactor*w.fadedPeak(now), w.config.First)
-	if trip.pressing(w.config.Pressed) {
-		if now >= w.pressed {
-			w.limit = w.ending(trip.Bearable)
+	w.observe(now, sample)
+	upper := max(w.config.Headroom+w.config.HeadroomFactor*w.decayedPeak(now), w.config.Initial)
+	if sample.waitReaches(w.config.EnforceAt) {
+		if now >= w.enforcedUntil {
+			w.limit = w.concurrencyAt(sample.WaitBudget)
 		}
-		w.pressed = now + w.config.PressedFor
+		w.enforcedUntil = now + w.config.EnforceFor
 	}
-	fits := trip.fits()
-	if fits < 1 {
-		w.limit += w.config.Shrink * (fits - 1)
+	ratio := sample.limitRatio()
+	if ratio < 1 {
+		w.limit += w.config.ShrinkGain * (ratio - 1)
 	} else {
-		w.limit += w.config.Grow * min(fits-1, 1)
+		w.limit += w.config.GrowthGain * min(ratio-1, 1)
 	}
-	if !trip.pressing(growBelow) {
-		w.limit += w.config.GrowLeast
+	if !sample.waitReaches(minGrowthBelow) {
+		w.limit += w.config.MinGrowth
 	}
-	w.limit = max(min(w.limit, most), w.config.Least)
+	w.limit = max(min(w.limit, upper), w.config.Min)
 }
 
-// growBelow is the part of the bearable wait below which nothing is said to wait.
-const growBelow = 0.25
+// minGrowthBelow is the fraction of the wait budget below which MinGrowth applies.
+const minGrowthBelow = 0.25
--- a/internal/core/overload/window_test.go
+++ b/internal/core/overload/window_test.go
@@ -11,84 +11,84 @@
 
 func TestWindowAtAStart(t *testing.T) {
 	for _, tc := range []struct {
-		name   string
-		ends   int // requests that have ended
-		waited time.Duration
-		after  time.Duration // the first request
-		flight int
-		full   bool
+		name     string
+		ends     int // completed requests
+		waited   time.Duration
+		after    time.Duration // time since the first request
+		inFlight int
+		refused  bool
 	}{
-		{"nothing is known, few", 0, 0, 0, 7, false},
-		{"nothing is known, many", 0, 0, 0, 8, true},
-		{"some did not wait", 8, 0, 0, 11, false},
-		{"none has waited for some time", 8, 0, 2 * time.Second, 100, false},
-		{"the first waited", 1, 300 * time.Millisecond, 0, 8, true},
-		{"they wait on", 8, 300 * time.Millisecond, 0, 7, true},
+		{"no sample, below the initial limit", 0, 0, 0, 7, false},
+		{"no sample, initial limit reached", 0, 0, 0, 8, true},
+		{"completed without queueing", 8, 0, 0, 11, false},
+		{"no queueing until enforcement expires", 8, 0, 2 * time.Second, 100, false},
+		{"first sample exceeds the budget", 1, 300 * time.Millisecond, 0, 8, true},
+		{"all samples exceed the budget", 8, 300 * time.Millisecond, 0, 7, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
 			w := NewWindow(DefaultWindow(), 0)
-			for range tc.flight + tc.ends {
+			for range tc.inFlight + tc.ends {
 				w.Begin(0)
 			}
 			for range tc.ends {
-				w.End(0, Trip{Took: 200*time.Millisecond + tc.waited, Waited: tc.waited, Bearable: 100 * time.Millisecond})
+				w.End(0, Sample{Latency: 200*time.Millisecond + tc.waited, QueueWait: tc.waited, WaitBudget: 100 * time.Millisecond})
 			}
-			g.Expect(w.Share(tc.after) == 0).To(Equal(tc.full))
+			g.Expect(w.AdmitProbability(tc.after) == 0).To(Equal(tc.refused))
 		})
 	}
 }
 
-func TestRequestOfAClientThatLeftChangesNothing(t *testing.T) {
+func TestDiscardLeavesTheLimitUnchanged(t *testing.T) {
 	g := NewWithT(t)
 	w := NewWindow(DefaultWindow(), 0)
 	w.Begin(0)
 	before := w.Limit()
-	w.Leave()
+	w.Discard()
 	g.Expect(w.Limit()).To(Equal(before))
 	g.Expect(w.InFlight()).To(BeZero())
 }
 
-// event is something that happens in the model of a shortage.
+// event is a scheduled callback of the simulation.
 type event struct {
 	at time.Duration
 	do func(now time.Duration)
 }
 
-type events []event
+type eventQueue []event
 
-func (e events) Len() int           { return len(e) }
-func (e events) Less(a, b int) bool { return e[a].at < e[b].at }
-func (e events) Swap(a, b int)      { e[a], e[b] = e[b], e[a] }
-func (e *events) Push(x any)        { *e = append(*e, x.(event)) }
-func (e *events) Pop() any {
+func (e eventQueue) Len() int           { return len(e) }
+func (e eventQueue) Less(a, b int) bool { return e[a].at < e[b].at }
+func (e eventQueue) Swap(a, b int)      { e[a], e[b] = e[b], e[a] }
+func (e *eventQueue) Push(x any)        { *e = append(*e, x.(event)) }
+func (e *eventQueue) Pop() any {
 	old := *e
 	last := old[len(old)-1]
 	*e = old[:len(old)-1]
 	return last
 }
 
-// shortage is a model of chains of calls in a row to one service with some slots, first
-// come first served, begun at several nodes that know nothing of each other.
-type shortage struct {
+// simulation models chains of sequential calls to one service with a fixed number of slots and
+// a FIFO queue. The chains start at several independent nodes.
+type simulation struct {
 	nodes, slots, calls int
-	takes, between      time.Duration // of a call; between two calls of a chain
+	takes, between      time.Duration // service time of a call; pause between two calls
 	limit               time.Duration
-	perSecond           func(now time.Duration) float64 // chains that clients begin
+	perSecond           func(now time.Duration) float64 // arrival rate of chains
 
 	random  *rand.Rand
-	queue   events
+	queue   eventQueue
 	free    int
 	waiting []func(now time.Duration)
-	// Results by second.
+	// Counts by second.
 	served, refused, late []int
 }
 
-func (s *shortage) after(now, span time.Duration, do func(time.Duration)) {
+func (s *simulation) after(now, span time.Duration, do func(time.Duration)) {
 	heap.Push(&s.queue, event{at: now + span, do: do})
 }
 
-func (s *shortage) call(now time.Duration, done func(now, waited time.Duration)) {
+func (s *simulation) call(now time.Duration, done func(now, waited time.Duration)) {
 	run := func(at time.Duration) {
 		s.after(at, time.Duration(float64(s.takes)*(0.5+s.random.Float64())), func(end time.Duration) {
 			s.free++
@@ -109,8 +109,8 @@
 	s.waiting = append(s.waiting, run)
 }
 
-func (s *shortage) play(length time.Duration) {
-	s.random = rand.New(rand.NewPCG(1, 2)) // the same day each time
+func (s *simulation) run(length time.Duration) {
+	s.random = rand.New(rand.NewPCG(1, 2)) // fixed seed
 	s.free = s.slots
 	seconds := int(length / time.Second)
 	s.served, s.refused, s.late = make([]int, seconds), make([]int, seconds), make([]int, seconds)
@@ -147,13 +147,13 @@
 	}
 }
 
-func (s *shortage) chain(began, now time.Duration, left int, waited time.Duration, done func(end, waited time.Duration)) {
+func (s *simulation) chain(started, now time.Duration, left int, waited time.Duration, done func(end, waited time.Duration)) {
 	if left == 0 {
 		done(now, waited)
 		return
 	}
 	s.call(now, func(end, more time.Duration) {
-		s.after(end, s.between, func(next time.Duration) { s.chain(began, next, left-1, waited+more, done) })
+		s.after(end, s.between, func(next time.Duration) { s.chain(started, next, left-1, waited+more, done) })
 	})
 }
 
@@ -164,10 +164,9 @@
 	return total
 }
 
-// Chains of four calls, of which two thirds fit: what fits is served and comes in time;
-// what does not is refused; when the shortage ends nothing more is. A share that
-// followed the waits swung between all and nothing here: they are told when a chain
-// ends, and by then the queue is another one.
+// Simulates an arrival rate of 1.5 times the capacity for ten seconds. Admission must keep
+// throughput near capacity with few late requests, and stop refusing when the load drops. An
+// oscillating controller fails here.
 func TestShortageSettles(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
@@ -175,22 +174,22 @@
 	}{{"few nodes", 5}, {"fifteen nodes", 15}, {"many nodes", 60}} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
-			const fits = 250 // chains a second: 20 slots, 20 ms a call, four calls
-			s := &shortage{
+			const capacity = 250 // chains per second: 20 slots, 20 ms a call, four calls
+			s := &simulation{
 				nodes: tc.nodes, slots: 20, calls: 4, takes: 20 * time.Millisecond, between: 20 * time.Millisecond, limit: 1200 * time.Millisecond,
 				perSecond: func(now time.Duration) float64 {
 					if now > 2*time.Second && now < 12*time.Second {
-						return 1.5 * fits
+						return 1.5 * capacity
 					}
-					return 0.6 * fits
+					return 0.6 * capacity
 				},
 			}
-			s.play(16 * time.Second)
+			s.run(16 * time.Second)
 			t.Logf("served %v refused %v late %v", s.served, s.refused, s.late)
-			g.Expect(sum(s.refused[:2])).To(BeNumerically("<=", 2), "before")
-			g.Expect(sum(s.served[4:12])).To(BeNumerically(">=", 0.93*fits*8), "what fits is served")
-			g.Expect(sum(s.late[4:12])).To(BeNumerically("<=", 0.02*fits*8), "and comes in time")
-			g.Expect(sum(s.refused[14:])).To(BeNumerically("<=", 2), "after")
+			g.Expect(sum(s.refused[:2])).To(BeNumerically("<=", 2), "refused before the overload")
+			g.Expect(sum(s.served[4:12])).To(BeNumerically(">=", 0.93*capacity*8), "served during the overload")
+			g.Expect(sum(s.late[4:12])).To(BeNumerically("<=", 0.02*capacity*8), "late during the overload")
+			g.Expect(sum(s.refused[14:])).To(BeNumerically("<=", 2), "refused after the overload")
 		})
 	}
 }
