--- a/internal/core/balancer/balancer.go
+++ b/internal/core/balancer/balancer.go
@@ -1,6 +1,6 @@
-// Package balancer picks the target of a request by what the gates in front of
-// the targets tell of their occupancy, nearer targets first while that costs
-// nothing. It is a state machine without locks, clocks or sockets of its own.
+// Package balancer picks the target of each request from the load that the targets' gates
+// report. It prefers targets in its own zone at equal cost. It does no locking and uses no
+// clock or sockets.
 package balancer
 
 import (
@@ -9,63 +9,63 @@
 	"github.com/landingmast/landingmast/internal/core/slots"
 )
 
-// Random gives numbers in [0, 1); the driver supplies it.
+// Random supplies pseudo-random numbers in [0, 1).
 type Random interface {
 	Float64() float64
 }
 
-// Target is one target as the membership names it.
+// Target is a target as listed in the membership.
 type Target struct {
-	Node     string // node beside the target
-	Address  string // of that node, IP:port
+	Node     string // node in front of the target
+	Address  string // of the node, IP:port
 	Zone     string
-	Instance string // incarnation of the target
+	Instance string // identifies one start of the target
 	Slots    int
-	Cold     time.Duration // on the driver's clock: until then the target is slow
+	Cold     time.Duration // end of the warm-up period, on the caller's clock
 }
 
-// Config sets the balancer.
+// Config configures a Balancer.
 type Config struct {
-	// Noise is the relative spread put on the expected time, so that senders with the
-	// same knowledge do not all choose the same target.
+	// Noise is the relative random spread of the expected latency. It keeps senders with the
+	// same information from all picking the same target.
 	Noise float64
-	// ReportLife is the age from which a gate's report no longer counts.
-	ReportLife time.Duration
-	// OccupancyLife is the age from which it no longer proves a queue where the
-	// occupancy of the service is asked for: a peak that has passed must not be told on.
-	OccupancyLife time.Duration
-	// SuspectFor is how long a target that gave no sign is left alone.
+	// ReportTTL is the age at which a load report is discarded.
+	ReportTTL time.Duration
+	// OccupancyTTL is the age at which a report is too old to prove a queue in Pressure, so
+	// that a past peak is not propagated.
+	OccupancyTTL time.Duration
+	// SuspectFor is how long an unresponsive target is avoided.
 	SuspectFor time.Duration
-	// RefusedFor is how long a target is left alone that said it is leaving.
+	// RefusedFor is how long a target that announced its shutdown is avoided.
 	RefusedFor time.Duration
-	// NoSamples, NoZones and NoLosses leave a mechanism out: own samples of how long
-	// requests take, the cost of other zones, that of lost answers and declined requests.
+	// NoSamples, NoZones and NoLosses disable a mechanism: latency samples per class, the
+	// cross-zone cost, and the cost of lost responses and declined requests.
 	NoSamples, NoZones, NoLosses bool
 }
 
-// DefaultConfig gives the values that docs/design/rounds-of-policy.md was measured with.
+// DefaultConfig returns the default configuration.
 func DefaultConfig() Config {
 	return Config{
-		Noise: 0.1, ReportLife: 2 * time.Second, OccupancyLife: 300 * time.Millisecond,
+		Noise: 0.1, ReportTTL: 2 * time.Second, OccupancyTTL: 300 * time.Millisecond,
 		SuspectFor: time.Second, RefusedFor: 500 * time.Millisecond,
 	}
 }
 
-// Endpoint is a target with what is known of its load.
+// Endpoint is a target together with its known load.
 type Endpoint struct {
 	Target
-	report     slots.Load
-	reportedAt time.Duration
-	sentSince  int // sent since the report
-	inFlight   int
-	avoidUntil time.Duration
-	suspected  bool
-	lossShare  float64 // moving share of the sendings that the target lost or declined
-	lossAt     time.Duration
-	seen       map[string]*seen // by class
-}
-
-// Balancer holds the targets of one service. It is not safe for concurrent use.
+	report          slots.Load
+	reportedAt      time.Duration
+	sentSinceReport int
+	inFlight        int // requests from this node
+	avoidUntil      time.Duration
+	suspected       bool
+	lossRate        float64 // moving average of the requests that the target lost or declined
+	lossUpdatedAt   time.Duration
+	latencies       map[string]*classLatency // by class
+}
+
+// Balancer balances over the targets of one service. It is not safe for concurrent use.
 type Balancer struct {
 	config    Config
 	node      string
@@ -73,15 +73,15 @@
 	random    Random
 	endpoints map[string]*Endpoint // by node
 	order     []*Endpoint
-	classes   map[string]*class
+	classes   map[string]*classStats
 }
 
-// New makes an empty balancer for the node that sends.
+// New returns a Balancer without targets for the given sending node.
 func New(config Config, node, zone string, random Random) *Balancer {
-	return &Balancer{config: config, node: node, zone: zone, random: random, endpoints: map[string]*Endpoint{}, classes: map[string]*class{}}
+	return &Balancer{config: config, node: node, zone: zone, random: random, endpoints: map[string]*Endpoint{}, classes: map[string]*classStats{}}
 }
 
-// Update sets the targets. What is known of the load of those that stay is kept.
+// Update replaces the list of targets. The load state of targets that remain is kept.
 func (b *Balancer) Update(targets []Target) {
 	previous := b.endpoints
 	b.endpoints = make(map[string]*Endpoint, len(targets))
@@ -100,27 +100,27 @@
 	}
 }
 
-// Pick chooses the target where least is lost, of those that are not excluded, nil when
-// there is none. Targets to avoid are chosen only when no other is left and desperate
-// is true.
-func (b *Balancer) Pick(now time.Duration, need Requirement, excluded map[string]bool, desperate bool) (best *Endpoint) {
+// Pick returns the cheapest target that is not excluded, or nil if there is none. An avoided
+// target is returned only if allowAvoided is set and no other target is left.
+func (b *Balancer) Pick(now time.Duration, need Requirement, excluded map[string]bool, allowAvoided bool) (best *Endpoint) {
 	var cost float64
-	expected := b.expect(need)
+	profile := b.profile(need)
 	for _, endpoint := range b.order {
 		if excluded[endpoint.Node] || now < endpoint.avoidUntil || need.Only != nil && !need.Only[endpoint.Node] {
 			continue
 		}
-		if estimate := b.cost(now, endpoint, expected); best == nil || estimate < cost {
+		if estimate := b.cost(now, endpoint, profile); best == nil || estimate < cost {
 			best, cost = endpoint, estimate
 		}
 	}
-	if best == nil && desperate && need.Only == nil {
-		best = b.leastAvoided(excluded)
+	if best == nil && allowAvoided && need.Only == nil {
+		best = b.soonestAvailable(excluded)
 	}
 	return best
 }
 
-func (b *Balancer) leastAvoided(excluded map[string]bool) (best *Endpoint) {
+// soonestAvailable returns the target whose avoidance period ends first.
+func (b *Balancer) soonestAvailable(excluded map[string]bool) (best *Endpoint) {
 	for _, endpoint := range b.order {
 		if !excluded[endpoint.Node] && (best == nil || endpoint.avoidUntil < best.avoidUntil) {
 			best = endpoint
@@ -129,33 +129,33 @@
 	return best
 }
 
-// Sent notes that a request goes to the endpoint.
+// Sent records that a request is sent to the endpoint.
 func (b *Balancer) Sent(e *Endpoint) {
 	e.inFlight++
-	e.sentSince++
+	e.sentSinceReport++
 }
 
-// Done notes that a request to the endpoint has ended.
+// Done records that a request to the endpoint has ended.
 func (b *Balancer) Done(e *Endpoint) {
 	e.inFlight--
-	if e.sentSince > 0 {
-		e.sentSince--
+	if e.sentSinceReport > 0 {
+		e.sentSinceReport--
 	}
 }
 
-// Report takes in what the gate of an endpoint told.
+// Report records a load report of the endpoint's gate.
 func (b *Balancer) Report(now time.Duration, e *Endpoint, load slots.Load) {
 	if load.Hold == 0 {
 		load.Hold = e.report.Hold
 	}
-	e.report, e.reportedAt, e.sentSince = load, now, 0
+	e.report, e.reportedAt, e.sentSinceReport = load, now, 0
 	if load.Slots > 0 {
 		e.Slots = load.Slots
 	}
 	b.Trust(e)
 }
 
-// Trust ends the suspicion of an endpoint that gave a sign of life.
+// Trust clears the suspicion of an endpoint that responded.
 func (b *Balancer) Trust(e *Endpoint) {
 	if e.suspected {
 		e.suspected = false
@@ -163,16 +163,16 @@
 	}
 }
 
-// Suspect leaves an endpoint alone that gave no sign of life.
+// Suspect marks an endpoint as unresponsive; it is avoided for SuspectFor.
 func (b *Balancer) Suspect(now time.Duration, e *Endpoint) {
 	e.suspected = true
 	e.avoidUntil = now + b.config.SuspectFor
 }
 
-// Refused leaves an endpoint alone that cannot take work now.
+// Refused avoids an endpoint that accepts no requests at present, for RefusedFor.
 func (b *Balancer) Refused(now time.Duration, e *Endpoint) {
 	e.avoidUntil = now + b.config.RefusedFor
 }
 
-// Endpoint gives the endpoint beside a node, or nil.
+// Endpoint returns the endpoint of a node, or nil.
 func (b *Balancer) Endpoint(node string) *Endpoint { return b.endpoints[node] }
--- a/internal/core/balancer/cost.go
+++ b/internal/core/balancer/cost.go
@@ -5,85 +5,82 @@
 	"time"
 )
 
-// Requirement is what a request needs of the target that is chosen.
+// Requirement constrains the choice of a target for a request.
 type Requirement struct {
-	// Class tells requests that take alike long; empty: none.
+	// Class groups requests with similar latency; empty: none.
 	Class string
-	// Limit is the time inside which the answer is wanted; 0: not known.
+	// Limit is the time left for the request; 0: unknown.
 	Limit time.Duration
-	// Only holds the nodes that may be chosen; nil: any.
+	// Only restricts the choice to these nodes; nil: any.
 	Only map[string]bool
 }
 
-// The cost of a target is what is expected to be lost there, as a part of the worth of
-// one answer: the chance that it comes too late, that it is lost, that work elsewhere
-// has to wait behind it, and what its bytes cost between zones.
+// The cost of a target estimates the loss of value from sending a request there, where 1 is the
+// value of one response. It adds up the probability of a late or lost response, the delay that
+// the request causes to others, and the cost of cross-zone traffic.
 const (
-	// farCost is the cost of another zone for a small answer, farCostOfKB is added for
-	// each kilobyte, up to farCostMost: where traffic between zones is paid for, a kilobyte
-	// was put at 0.025 of the worth of an answer, and the heads of a call have 0.8 KB.
-	farCost     = 0.02
-	farCostOfKB = 0.02
-	farCostMost = 0.3
-	// farDelay is added to the time that a request takes in another zone.
-	farDelay = 2 * time.Millisecond
-	// ownGain is taken off for the target beside the node: one hop less.
-	ownGain = 0.005
-	// busyFrom is the share of its slots from which a target costs more, up to
-	// busyCost when all are in use.
-	busyFrom = 0.5
-	busyCost = 0.03
-	// queueCost is the cost of a queue: while it stands, free slots elsewhere go to
-	// waste. queueSlot is that of each request in it, over the slots: with queues
-	// everywhere the difference between them is worth little more than the wait.
-	queueCost = 0.1
-	queueSlot = 0.05
-	// coldFactor is the factor on the time at a target that has just started.
+	// crossZoneCost is the cost of another zone for a small response. crossZoneCostPerKB is
+	// added per kilobyte, up to maxCrossZoneCost.
+	crossZoneCost      = 0.02
+	crossZoneCostPerKB = 0.02
+	maxCrossZoneCost   = 0.3
+	// crossZoneLatency is added to the expected latency in another zone.
+	crossZoneLatency = 2 * time.Millisecond
+	// localBonus is subtracted for the target of the own node, which saves a hop.
+	localBonus = 0.005
+	// busyThreshold is the utilization above which the cost rises, by up to busyCost at
+	// full utilization.
+	busyThreshold = 0.5
+	busyCost      = 0.03
+	// queueCost is the cost of sending to a target with a queue while others may have free
+	// slots. queueCostPerSlot is added per queued request and slot.
+	queueCost        = 0.1
+	queueCostPerSlot = 0.05
+	// coldFactor scales the expected latency of a target that is warming up.
 	coldFactor = 2.0
-	// busyFactor is that at a target whose slots are all in use, less the wait.
-	busyFactor = 1.3
-	// lossCost is the cost of an answer that is lost and of a request that is declined: most are
-	// sent again, out of budgets that are short.
+	// saturationFactor scales the expected latency, without queueing, of a fully utilized target.
+	saturationFactor = 1.3
+	// lossCost is the cost of a lost response or declined request, most of which are retried
+	// from a limited budget.
 	lossCost = 0.3
 )
 
-// limitUnsaid times the expected time stands for the limit of a request that has none.
-const limitUnsaid = 4
+// defaultTimeoutFactor times the expected latency is the timeout of a request without one.
+const defaultTimeoutFactor = 4
 
-// assumedHold stands for the hold time while no target's is known.
-const assumedHold = 20 * time.Millisecond
+// defaultServiceTime is assumed while the service time of no target is known.
+const defaultServiceTime = 20 * time.Millisecond
 
-// expectation is what is known of a request before a target is chosen for it.
-type expectation struct {
-	class   string
-	typical time.Duration // mean hold time of the service's targets
-	takes   float64       // ns at a target with that hold time
-	limit   float64       // ns
-	far     float64       // cost of another zone
+// requestProfile is the information about a request that is the same for all targets.
+type requestProfile struct {
+	class           string
+	meanServiceTime time.Duration // over the targets of the service
+	latency         float64       // ns, at a target with the mean service time
+	timeout         float64       // ns
+	crossZoneCost   float64
 }
 
-func (b *Balancer) expect(need Requirement) expectation {
-	x := expectation{class: need.Class, typical: b.typicalHold(), limit: float64(need.Limit), far: farCost}
-	x.takes = float64(x.typical)
+func (b *Balancer) profile(need Requirement) requestProfile {
+	p := requestProfile{class: need.Class, meanServiceTime: b.meanServiceTime(), timeout: float64(need.Limit), crossZoneCost: crossZoneCost}
+	p.latency = float64(p.meanServiceTime)
 	if known := b.classes[need.Class]; known != nil {
-		if known.takes > 0 {
-			x.takes = known.takes
+		if known.latency > 0 {
+			p.latency = known.latency
 		}
-		x.far = min(farCost+farCostOfKB*known.bytes/1000, farCostMost)
+		p.crossZoneCost = min(crossZoneCost+crossZoneCostPerKB*known.responseBytes/1000, maxCrossZoneCost)
 	}
-	if x.limit <= 0 {
-		x.limit = limitUnsaid * x.takes
+	if p.timeout <= 0 {
+		p.timeout = defaultTimeoutFactor * p.latency
 	}
 	if b.config.NoZones {
-		x.far = 0
+		p.crossZoneCost = 0
 	}
-	return x
+	return p
 }
 
-// typicalHold is the mean hold time of the targets whose hold time is known. It
-// stands for that of the others: one that were taken for fast would get the work of
-// all senders at once.
-func (b *Balancer) typicalHold() time.Duration {
+// meanServiceTime returns the mean of the known service times. Targets with unknown service
+// time are assumed to have it; if they were assumed to be fast, all senders would pick them.
+func (b *Balancer) meanServiceTime() time.Duration {
 	sum, known := time.Duration(0), time.Duration(0)
 	for _, e := range b.order {
 		if e.report.Hold > 0 {
@@ -92,171 +89,167 @@
 		}
 	}
 	if known == 0 {
-		return assumedHold
+		return defaultServiceTime
 	}
 	return sum / known
 }
 
-// cost estimates what is lost when a request is sent to the target now.
-func (b *Balancer) cost(now time.Duration, e *Endpoint, x expectation) float64 {
-	busy := b.occupied(now, e)
-	takes := e.takes(now, x) * (1 + (busyFactor-1)*min(busy, 1)) * (1 + b.config.Noise*b.random.Float64())
+// cost estimates the cost of sending a request to the target now.
+func (b *Balancer) cost(now time.Duration, e *Endpoint, p requestProfile) float64 {
+	utilization := b.utilization(now, e)
+	latency := e.expectedLatency(now, p) * (1 + (saturationFactor-1)*min(utilization, 1)) * (1 + b.config.Noise*b.random.Float64())
 	if now < e.Cold {
-		takes *= coldFactor
+		latency *= coldFactor
 	}
-	if busy > 1 {
-		takes *= busy
+	if utilization > 1 {
+		latency *= utilization
 	}
-	cost := busyCost * min(max(busy-busyFrom, 0)/(1-busyFrom), 1)
+	cost := busyCost * min(max(utilization-busyThreshold, 0)/(1-busyThreshold), 1)
 	if !b.config.NoLosses {
-		cost += lossCost * e.losses(now)
+		cost += lossCost * e.decayedLossRate(now)
 	}
-	if busy > 1 {
-		cost += queueCost + queueSlot*(busy-1)
+	if utilization > 1 {
+		cost += queueCost + queueCostPerSlot*(utilization-1)
 	}
 	switch {
 	case e.Node == b.node:
-		cost -= ownGain
+		cost -= localBonus
 	case e.Zone != b.zone:
-		takes += float64(farDelay)
-		cost += x.far
+		latency += float64(crossZoneLatency)
+		cost += p.crossZoneCost
 	}
-	return cost + late(takes/x.limit)
+	return cost + latenessCost(latency/p.timeout)
 }
 
-// occupied is the share of the target's slots that is in use or waited for, with the
-// request that is about to be sent.
-func (b *Balancer) occupied(now time.Duration, e *Endpoint) float64 {
+// utilization returns the target's running and queued requests per slot, including the
+// request to be sent.
+func (b *Balancer) utilization(now time.Duration, e *Endpoint) float64 {
 	count := max(e.inFlight, 0)
-	if e.reportedAt > 0 && now-e.reportedAt < b.config.ReportLife {
-		count = max(count, e.report.Running+e.report.Waiting+e.sentSince)
+	if e.reportedAt > 0 && now-e.reportedAt < b.config.ReportTTL {
+		count = max(count, e.report.Running+e.report.Waiting+e.sentSinceReport)
 	}
 	return float64(count+1) / float64(max(e.Slots, 1))
 }
 
-// takes is the time, in ns, that the request is expected to take at the target: what
-// others of its class took there lately, else what they take at the other targets, by
-// half of the difference in hold times. The other half stands for the calls that
-// requests make: those take as long from any target.
-func (e *Endpoint) takes(now time.Duration, x expectation) float64 {
-	if seen := e.seen[x.class]; seen != nil && now-seen.at < seenLife {
-		return seen.takes
+// expectedLatency returns the expected latency in ns at the target: the recent latency of the
+// request's class there or, without samples, the mean latency of the class scaled by half of
+// the relative service time. The other half accounts for downstream calls, which take as long
+// from any target.
+func (e *Endpoint) expectedLatency(now time.Duration, p requestProfile) float64 {
+	if known := e.latencies[p.class]; known != nil && now-known.at < latencyTTL {
+		return known.mean
 	}
-	return x.takes * (1 + e.slowness(x.typical)) / 2
+	return p.latency * (1 + e.relativeServiceTime(p.meanServiceTime)) / 2
 }
 
-// seen is what requests of one class took at one target.
-type seen struct {
-	takes float64 // ns
-	at    time.Duration
+// classLatency is the mean latency of one class at one target.
+type classLatency struct {
+	mean float64 // ns
+	at   time.Duration
 }
 
 const (
-	// seenLife is the age from which it counts no more: a target that was slow is tried
-	// again.
-	seenLife = 3 * time.Second
-	// seenWeight is the weight of one answer in it.
-	seenWeight = 0.2
+	// latencyTTL is the age at which a classLatency expires, so that a target that was slow is
+	// tried again.
+	latencyTTL = 3 * time.Second
+	// latencyWeight is the weight of one sample in a classLatency.
+	latencyWeight = 0.2
 )
 
-// noteTook takes in what one request took.
-func (e *Endpoint) noteTook(now time.Duration, class string, took time.Duration) {
-	one := e.seen[class]
-	if one == nil || now-one.at >= seenLife {
-		if len(e.seen) >= maxClasses {
-			clear(e.seen)
+// recordLatency adds a sample to the classLatency.
+func (e *Endpoint) recordLatency(now time.Duration, class string, latency time.Duration) {
+	known := e.latencies[class]
+	if known == nil || now-known.at >= latencyTTL {
+		if len(e.latencies) >= maxClasses {
+			clear(e.latencies)
 		}
-		if e.seen == nil {
-			e.seen = map[string]*seen{}
+		if e.latencies == nil {
+			e.latencies = map[string]*classLatency{}
 		}
-		e.seen[class] = &seen{takes: float64(took), at: now}
+		e.latencies[class] = &classLatency{mean: float64(latency), at: now}
 		return
 	}
-	one.takes += seenWeight * (float64(took) - one.takes)
-	one.at = now
+	known.mean += latencyWeight * (float64(latency) - known.mean)
+	known.at = now
 }
 
-// slowness is the target's hold time against the typical one.
-func (e *Endpoint) slowness(typical time.Duration) float64 {
-	if e.report.Hold <= 0 || typical <= 0 {
+// relativeServiceTime returns the target's service time relative to the mean.
+func (e *Endpoint) relativeServiceTime(mean time.Duration) float64 {
+	if e.report.Hold <= 0 || mean <= 0 {
 		return 1
 	}
-	return float64(e.report.Hold) / float64(typical)
+	return float64(e.report.Hold) / float64(mean)
 }
 
-// late estimates the chance that a request is late whose expected time is a share of
-// its limit. Times spread: of those that take half of the limit on the mean one in
-// sixteen is late. Beyond the limit it goes on rising, so that the faster target is
-// chosen also where both are too slow.
-func late(share float64) float64 {
+// latenessCost estimates the probability of exceeding the timeout, given the expected latency as
+// a share of it. It keeps rising above 1 so that the faster target wins when all are too slow.
+func latenessCost(share float64) float64 {
 	if share > 1 {
 		return 1 + 4*(share-1)
 	}
 	return share * share * share * share
 }
 
-// class is what is learned of the requests of one class.
-type class struct {
-	takes float64 // ns, mean over the targets; 0: not known
-	bytes float64 // mean size of an answer
+// classStats holds averages over the requests of one class.
+type classStats struct {
+	latency       float64 // ns, mean over all targets; 0: unknown
+	responseBytes float64 // mean
 }
 
-// classWeight is the weight of one answer in what is learned of its class.
+// classWeight is the weight of one response in the classStats.
 const classWeight = 0.05
 
-// maxClasses bounds the classes that are told apart.
+// maxClasses limits the number of tracked classes.
 const maxClasses = 256
 
-func (b *Balancer) class(name string) *class {
-	one := b.classes[name]
-	if one == nil && len(b.classes) < maxClasses {
-		one = &class{}
-		b.classes[name] = one
+func (b *Balancer) class(name string) *classStats {
+	stats := b.classes[name]
+	if stats == nil && len(b.classes) < maxClasses {
+		stats = &classStats{}
+		b.classes[name] = stats
 	}
-	return one
+	return stats
 }
 
-// Answered notes that the target gave a whole answer of so many bytes to a request of a
-// class; below 0: its size is not known. took is its time without the waits for slots,
-// there and further down: how long one waits now is told by the newest reports, and
-// further down it is the same from any target.
-func (b *Balancer) Answered(now time.Duration, e *Endpoint, name string, bytes int64, took time.Duration) {
-	e.note(now, 0)
-	one := b.class(name)
-	if one == nil {
+// Answered records a complete response to a request of a class. A negative size is unknown.
+// latency excludes queueing at the target and downstream: the current queueing time is known
+// from load reports, and downstream it does not depend on the target.
+func (b *Balancer) Answered(now time.Duration, e *Endpoint, class string, bytes int64, latency time.Duration) {
+	e.recordLoss(now, 0)
+	stats := b.class(class)
+	if stats == nil {
 		return
 	}
 	if bytes >= 0 {
-		one.bytes += classWeight * (float64(bytes) - one.bytes)
+		stats.responseBytes += classWeight * (float64(bytes) - stats.responseBytes)
 	}
 	if !b.config.NoSamples {
-		e.noteTook(now, name, took)
+		e.recordLatency(now, class, latency)
 	}
-	if one.takes == 0 {
-		one.takes = float64(took)
+	if stats.latency == 0 {
+		stats.latency = float64(latency)
 	}
-	one.takes += classWeight * (float64(took) - one.takes)
+	stats.latency += classWeight * (float64(latency) - stats.latency)
 }
 
-// The share of a target's sendings that it loses or declines fades without news, so that the
-// target is tried again.
 const (
+	// The loss rate decays without new requests, so that the target is tried again.
 	lossWeight = 0.1
-	lossFades  = 3 * time.Second
+	lossDecay  = 3 * time.Second
 )
 
-func (e *Endpoint) losses(now time.Duration) float64 {
-	return e.lossShare * math.Exp(-float64(now-e.lossAt)/float64(lossFades))
+func (e *Endpoint) decayedLossRate(now time.Duration) float64 {
+	return e.lossRate * math.Exp(-float64(now-e.lossUpdatedAt)/float64(lossDecay))
 }
 
-// Lost notes that the target took a request and broke off.
-func (b *Balancer) Lost(now time.Duration, e *Endpoint) { e.note(now, 1) }
+// Lost records that the target accepted a request and failed to respond.
+func (b *Balancer) Lost(now time.Duration, e *Endpoint) { e.recordLoss(now, 1) }
 
-// Declined notes that the target did not run a request that its gate let through. Its gate has
-// free slots by that and tells so: without this all senders would choose it.
-func (b *Balancer) Declined(now time.Duration, e *Endpoint) { e.note(now, 1) }
+// Declined records that the target did not run a request that its gate admitted. Such a target
+// reports free slots and would attract all senders if declines were not counted.
+func (b *Balancer) Declined(now time.Duration, e *Endpoint) { e.recordLoss(now, 1) }
 
-func (e *Endpoint) note(now time.Duration, loss float64) {
-	share := e.losses(now)
-	e.lossShare, e.lossAt = share+lossWeight*(loss-share), now
+func (e *Endpoint) recordLoss(now time.Duration, loss float64) {
+	share := e.decayedLossRate(now)
+	e.lossRate, e.lossUpdatedAt = share+lossWeight*(loss-share), now
 }
--- a/internal/core/balancer/cost_test.go
+++ b/internal/core/balancer/cost_test.go
@@ -8,60 +8,58 @@
 	. "github.com/onsi/gomega"
 )
 
-// free reports a target of ten slots with little work and a hold time.
-func free(b *Balancer, now time.Duration, node string, hold time.Duration) {
-	b.Report(now, b.Endpoint(node), slots.Load{Slots: 10, Running: 1, Hold: hold})
+// reportIdle reports a target with one of ten slots in use.
+func reportIdle(b *Balancer, now time.Duration, node string, serviceTime time.Duration) {
+	b.Report(now, b.Endpoint(node), slots.Load{Slots: 10, Running: 1, Hold: serviceTime})
 }
 
-// A slow target of the own zone is taken while the answer comes in time from it, and left
-// where it would not. The distances and speeds are those of masr-claims.
-func TestZoneGoesFirstWhileTheAnswerComesInTime(t *testing.T) {
+// A slower target in the own zone is preferred unless the response would be late.
+func TestOwnZoneIsPreferredWithinTheTimeout(t *testing.T) {
 	for _, tc := range []struct {
 		name      string
-		near, far time.Duration // that requests take there
-		limit     time.Duration
+		near, far time.Duration // latency there
+		timeout   time.Duration
 		bytes     int64
 		want      string
 	}{
-		{"deep call of a long chain", 31 * time.Millisecond, 14 * time.Millisecond, 300 * time.Millisecond, 600, "near"},
-		{"half of the limit", 150 * time.Millisecond, 50 * time.Millisecond, 300 * time.Millisecond, 6000, "near"},
-		{"most of the limit", 240 * time.Millisecond, 50 * time.Millisecond, 300 * time.Millisecond, 6000, "far"},
-		{"beyond it in both", 900 * time.Millisecond, 600 * time.Millisecond, 300 * time.Millisecond, 6000, "far"},
-		{"no limit", 31 * time.Millisecond, 14 * time.Millisecond, 0, 600, "near"},
+		{"small part of the timeout", 31 * time.Millisecond, 14 * time.Millisecond, 300 * time.Millisecond, 600, "near"},
+		{"half of the timeout", 150 * time.Millisecond, 50 * time.Millisecond, 300 * time.Millisecond, 6000, "near"},
+		{"most of the timeout", 240 * time.Millisecond, 50 * time.Millisecond, 300 * time.Millisecond, 6000, "far"},
+		{"above the timeout in both", 900 * time.Millisecond, 600 * time.Millisecond, 300 * time.Millisecond, 6000, "far"},
+		{"no timeout", 31 * time.Millisecond, 14 * time.Millisecond, 0, 600, "near"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
-			b := pair()
-			free(b, time.Second, "near", tc.near)
-			free(b, time.Second, "far", tc.far)
+			b := newTwoZoneBalancer()
+			reportIdle(b, time.Second, "near", tc.near)
+			reportIdle(b, time.Second, "far", tc.far)
 			for range 60 {
 				b.Answered(time.Second, b.Endpoint("near"), "c", tc.bytes, tc.near)
 				b.Answered(time.Second, b.Endpoint("far"), "c", tc.bytes, tc.far)
 			}
-			g.Expect(b.Pick(time.Second, Requirement{Class: "c", Limit: tc.limit}, nil, false).Node).To(Equal(tc.want))
+			g.Expect(b.Pick(time.Second, Requirement{Class: "c", Limit: tc.timeout}, nil, false).Node).To(Equal(tc.want))
 		})
 	}
 }
 
-// Requests of one class may take alike long at targets whose hold times differ, since
-// their time goes into calls further down. Found on masr-claims trouble-2: lookups went
-// to another zone for the speed of a target of which they need 15 ms.
-func TestOwnSamplesGoBeforeHoldTimes(t *testing.T) {
+// Requests of one class can take equally long at targets with different service times because
+// they wait for downstream calls. The measured latency must decide then.
+func TestLatencySamplesOverrideServiceTimes(t *testing.T) {
 	g := NewWithT(t)
-	b := pair()
-	free(b, time.Second, "near", 400*time.Millisecond)
-	free(b, time.Second, "far", 200*time.Millisecond)
+	b := newTwoZoneBalancer()
+	reportIdle(b, time.Second, "near", 400*time.Millisecond)
+	reportIdle(b, time.Second, "far", 200*time.Millisecond)
 	need := Requirement{Class: "lookup", Limit: 300 * time.Millisecond}
 	b.Answered(time.Second, b.Endpoint("far"), "lookup", 600, 150*time.Millisecond)
-	g.Expect(b.Pick(time.Second, need, nil, false).Node).To(Equal("far"), "as far as hold times tell")
+	g.Expect(b.Pick(time.Second, need, nil, false).Node).To(Equal("far"), "by service times alone")
 	b.Answered(time.Second, b.Endpoint("near"), "lookup", 600, 160*time.Millisecond)
 	g.Expect(b.Pick(time.Second, need, nil, false).Node).To(Equal("near"))
 }
 
-// A target that was slow is tried again, also where nothing else tells that it is well.
-func TestOldSamplesDoNotCount(t *testing.T) {
+// A target that was slow must be tried again without any new information about it.
+func TestLatencySamplesExpire(t *testing.T) {
 	g := NewWithT(t)
-	b := pair()
+	b := newTwoZoneBalancer()
 	b.Answered(time.Second, b.Endpoint("near"), "c", 600, time.Second)
 	b.Answered(time.Second, b.Endpoint("far"), "c", 600, 20*time.Millisecond)
 	need := Requirement{Class: "c", Limit: 300 * time.Millisecond}
@@ -72,18 +70,18 @@
 	g.Expect(b.Pick(10*time.Second, need, nil, false).Node).To(Equal("near"))
 }
 
-func TestOnlyNamedTargetsAreChosen(t *testing.T) {
+func TestOnlyAllowedTargetsArePicked(t *testing.T) {
 	g := NewWithT(t)
-	b := pair()
+	b := newTwoZoneBalancer()
 	g.Expect(b.Pick(0, Requirement{Only: map[string]bool{"far": true}}, nil, true).Node).To(Equal("far"))
 	g.Expect(b.Pick(0, Requirement{Only: map[string]bool{"far": true}}, map[string]bool{"far": true}, true)).To(BeNil())
 }
 
-func TestMechanismsCanBeLeftOut(t *testing.T) {
+func TestMechanismsCanBeDisabled(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
-		without func(c *Config)
-		with    string // chosen with it
+		disable func(c *Config)
+		enabled string // target picked with the mechanism enabled
 	}{
 		{"zones", func(c *Config) { c.NoZones = true }, "near"},
 		{"losses", func(c *Config) { c.NoLosses = true }, "far"},
@@ -92,12 +90,12 @@
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
 			pick := func(config Config) string {
-				b := New(config, "me", "a", noRandom{})
+				b := New(config, "me", "a", zeroRandom{})
 				b.Update([]Target{{Node: "near", Zone: "a", Slots: 10}, {Node: "far", Zone: "b", Slots: 10}})
 				switch tc.name {
 				case "zones":
-					free(b, time.Second, "near", 40*time.Millisecond)
-					free(b, time.Second, "far", 20*time.Millisecond)
+					reportIdle(b, time.Second, "near", 40*time.Millisecond)
+					reportIdle(b, time.Second, "far", 20*time.Millisecond)
 				case "losses":
 					for range 20 {
 						b.Lost(time.Second, b.Endpoint("near"))
@@ -111,10 +109,10 @@
 				return b.Pick(time.Second, Requirement{Class: "c", Limit: time.Second}, nil, false).Node
 			}
 			config := DefaultConfig()
-			with := pick(config)
-			tc.without(&config)
-			g.Expect(with).To(Equal(tc.with))
-			g.Expect(pick(config)).NotTo(Equal(tc.with))
+			enabled := pick(config)
+			tc.disable(&config)
+			g.Expect(enabled).To(Equal(tc.enabled))
+			g.Expect(pick(config)).NotTo(Equal(tc.enabled))
 		})
 	}
 }
--- a/internal/core/balancer/pressure.go
+++ b/internal/core/balancer/pressure.go
@@ -8,80 +8,79 @@
 	"github.com/landingmast/landingmast/internal/core/slots"
 )
 
-// Bounds of what one target adds to the pressure on its service.
+// Limits on the contribution of one target to the load of its service.
 const (
-	// fullestCounted bounds a report: one target with a long queue is no shortage of
-	// the service. It is more where the others have long queues too.
-	fullestCounted = 2.5
-	// outlier is how many times as full as the middle one a target may count.
-	outlier = 2.0
-	// leastCounted is the number of targets that a pressure is made from, as far as
-	// there are as many. Aged reports make it up; they prove no queue, since it may
-	// have gone.
-	leastCounted = 4
-	fullestAged  = 1.0
+	// maxReportOccupancy caps the occupancy in one report, since a long queue at one target is
+	// not an overload of the service. The cap is higher if the other targets have long queues.
+	maxReportOccupancy = 2.5
+	// outlierFactor is the cap on a report relative to the median occupancy.
+	outlierFactor = 2.0
+	// minReports is the number of reports to use. Stale reports make up for missing fresh ones,
+	// capped at maxStaleOccupancy because they do not prove a queue.
+	minReports        = 4
+	maxStaleOccupancy = 1.0
 )
 
-// Pressure is how full a service is.
+// Pressure is the load of a service.
 type Pressure struct {
-	Occupancy float64       // requests at the targets and waiting, over slots
-	Wait      time.Duration // for a slot, of one request
+	Occupancy float64       // running and queued requests, over slots
+	Wait      time.Duration // expected queueing time of one request
 }
 
-// Pressure gives that of all targets with fresh reports; false when there is none.
+// Pressure returns the load of the service, or false if there is no fresh report.
 func (b *Balancer) Pressure(now time.Duration) (Pressure, bool) {
-	fresh, aged := b.reports(now)
+	fresh, stale := b.reports(now)
 	if len(fresh) == 0 {
 		return Pressure{}, false
 	}
-	counted := sumOf(fresh, b.fullest(fresh))
-	if lacking := leastCounted - len(fresh); lacking > 0 && len(aged) > 0 {
-		counted.add(sumOf(aged, fullestAged), min(float64(lacking)/float64(len(aged)), 1))
+	total := sumReports(fresh, b.occupancyCap(fresh))
+	if missing := minReports - len(fresh); missing > 0 && len(stale) > 0 {
+		total.add(sumReports(stale, maxStaleOccupancy), min(float64(missing)/float64(len(stale)), 1))
 	}
-	return Pressure{Occupancy: counted.used / counted.slots, Wait: time.Duration(counted.waited / counted.slots)}, true
+	return Pressure{Occupancy: total.used / total.slots, Wait: time.Duration(total.waited / total.slots)}, true
 }
 
-// reports gives the reports that are fresh and those that are older and still count.
-func (b *Balancer) reports(now time.Duration) (fresh, aged []slots.Load) {
+// reports returns the fresh reports and those that are stale but not expired.
+func (b *Balancer) reports(now time.Duration) (fresh, stale []slots.Load) {
 	for _, e := range b.order {
 		age := now - e.reportedAt
 		switch {
-		case e.reportedAt == 0 || age >= b.config.ReportLife || e.report.Slots == 0:
-		case age < b.config.OccupancyLife:
+		case e.reportedAt == 0 || age >= b.config.ReportTTL || e.report.Slots == 0:
+		case age < b.config.OccupancyTTL:
 			fresh = append(fresh, e.report)
 		default:
-			aged = append(aged, e.report)
+			stale = append(stale, e.report)
 		}
 	}
-	return fresh, aged
+	return fresh, stale
 }
 
-// fullest is the occupancy that a report counts with at most. A target that is the
-// only one of its service is the service.
-func (b *Balancer) fullest(reports []slots.Load) float64 {
+// occupancyCap returns the maximum occupancy that a report may contribute. A single target is
+// not capped, since its load is that of the service.
+func (b *Balancer) occupancyCap(reports []slots.Load) float64 {
 	if len(b.order) == 1 {
 		return math.Inf(1)
 	}
 	if len(reports) == 1 {
-		return fullestCounted
+		return maxReportOccupancy
 	}
 	occupancies := make([]float64, len(reports))
 	for i := range reports {
 		occupancies[i] = reports[i].Occupancy()
 	}
 	slices.Sort(occupancies)
-	return max(fullestCounted, outlier*occupancies[(len(occupancies)-1)/2])
+	return max(maxReportOccupancy, outlierFactor*occupancies[(len(occupancies)-1)/2])
 }
 
-// sums adds up reports.
-type sums struct {
+// loadSum is the sum of several reports.
+type loadSum struct {
 	used, slots, waited float64
 }
 
-func sumOf(reports []slots.Load, fullest float64) (s sums) {
+func sumReports(reports []slots.Load, occupancyCap float64) (s loadSum) {
 	for i := range reports {
 		count := float64(reports[i].Slots)
-		occupancy := min(reports[i].Occupancy(), fullest)
+		occupancy := min(reports[i].Occupancy(), occupancyCap)
 		s.slots += count
 		s.used += occupancy * count
 		s.waited += max(occupancy-1, 0) * float64(reports[i].Hold) * count
@@ -89,9 +88,9 @@
 	return s
 }
 
-// add adds a part of others.
-func (s *sums) add(others sums, part float64) {
-	s.used += part * others.used
-	s.slots += part * others.slots
-	s.waited += part * others.waited
+// add adds another sum with a weight.
+func (s *loadSum) add(other loadSum, weight float64) {
+	s.used += weight * other.used
+	s.slots += weight * other.slots
+	s.waited += weight * other.waited
 }
