--- a/internal/core/resend/resend.go
+++ b/internal/core/resend/resend.go
@@ -1,82 +1,81 @@
-// Package resend decides whether a request is sent again after a sending that brought no
-// answer, and to which targets it may still go. It keeps what the sendings of one request
-// came to; it knows no sockets, clocks or budgets. A repeat that costs a part of the
-// budgets for repeats is told apart from one that is free, and the caller asks for it.
+// Package resend decides whether a request is retried after a failed attempt, and which targets
+// may be used. It tracks the attempts of one request and uses no sockets, clock or budgets. It
+// distinguishes transparent retries, which need no budget because no target saw the request,
+// from retries that the caller must charge to the retry budgets.
 package resend
 
 import "github.com/landingmast/landingmast/internal/core/outcome"
 
-// Bounds of the sendings of one request. They end a request that meets nothing but full,
-// stopping or declining targets before its time is up; no measurement set them.
+// Limits on the attempts of one request. They end a request that finds only busy, stopping or
+// declining targets before its timeout.
 const (
-	maxUnarrived = 8 // sendings that no target saw
-	maxFull      = 3 // of them those for which there was no room in time
-	maxDeclines  = 12
-	// mostEnded is how many targets may end with one request until it is no longer repeated:
-	// most of those that were there at an end are harmless, and the first repeat serves them.
-	mostEnded = 2
+	maxUnreached  = 8  // attempts that reached no target
+	maxNoCapacity = 3  // attempts that found no capacity in time
+	maxDeclines   = 12 // attempts declined by a target
+	// maxTargetCrashes is the number of target crashes after which a request is no longer
+	// retried. Most requests in flight at a crash did not cause it, so the first one is retried.
+	maxTargetCrashes = 2
 )
 
-// End is what one sending came to.
+// End is the result of one attempt.
 type End struct {
 	Outcome outcome.Outcome
 	Reason  outcome.Reason
 	Arrived bool // the request reached the target
 }
 
-// Request is what the decision depends on besides the sendings before.
+// Request holds the properties of a request that the decision depends on.
 type Request struct {
-	Replayable  bool // its body can be sent a second time
-	Repeatable  bool // it may run more than once
-	Repeat      bool // it, or one above it in its chain, is a repeat already
-	Trial       bool // targets ended with its content, and only this one is sent now
-	MostTargets int  // that it may reach, by its route
-	NoHoldBack  bool // the mechanism "hold_back" is switched off
-	NoRepeats   bool // the mechanism "repeats" is switched off
+	Replayable  bool // the body can be sent again
+	Repeatable  bool // the request may run more than once
+	Repeat      bool // the request, or one upstream in its chain, is already a retry
+	Trial       bool // sent in isolation because targets crashed while running this content
+	MostTargets int  // maximum number of targets that may receive it
+	NoHoldBack  bool // mechanism "hold_back" is disabled
+	NoRepeats   bool // mechanism "repeats" is disabled
 }
 
-// Verdict is what becomes of a request after a sending without an answer.
-type Verdict int
+// Decision is what to do after a failed attempt.
+type Decision int
 
-// The verdicts.
 const (
-	Stop       Verdict = iota // it is not sent again
-	Again                     // it is sent again; no target has seen it
-	FromBudget                // it is sent again if the budgets for repeats allow
+	GiveUp     Decision = iota // do not retry
+	Again                      // retry without budget; no target saw the request
+	FromBudget                 // retry if the retry budgets allow it
 )
 
-// Tried are the sendings of one request so far.
+// Tried records the attempts of one request.
 type Tried struct {
-	once      bool            // no target is chosen twice
-	excluded  map[string]bool // nodes that are not to be chosen again
-	declined  map[string]bool // nodes whose targets said each time that they did not run it
-	arrived   int             // targets that it reached
-	unarrived int             // sendings that no target saw
-	full      int             // of them those for which there was no room in time
-	declines  int             // sendings that a target declined
-	ended     int             // targets that ended while they ran it
+	noReuse        bool            // use each target at most once
+	excluded       map[string]bool // nodes that must not be picked again
+	declined       map[string]bool // nodes whose targets declined each attempt
+	reachedTargets int             // targets that received the request
+	unreached      int             // attempts that reached no target
+	noCapacity     int             // attempts that found no capacity in time
+	declines       int             // attempts declined by a target
+	targetCrashes  int             // targets that crashed while running the request
 }
 
-// New makes the record of a request that was not sent yet; once has no target chosen twice.
-func New(once bool) *Tried { return &Tried{once: once, excluded: map[string]bool{}} }
+// New returns the record of a request without attempts. With noReuse no target is used twice.
+func New(noReuse bool) *Tried { return &Tried{noReuse: noReuse, excluded: map[string]bool{}} }
 
-// Add takes in what the sending to a node came to.
+// Add records an attempt at a node.
 func (t *Tried) Add(node string, end End) {
 	if end.Reason.Full() {
-		t.full++
+		t.noCapacity++
 	}
 	if end.Reason == outcome.ReasonTargetEnded {
-		t.ended++
+		t.targetCrashes++
 	}
 	if !end.Arrived {
-		t.unarrived++
+		t.unreached++
 		t.excluded[node] = true
 		return
 	}
 	if !t.declined[node] {
-		t.arrived++
+		t.reachedTargets++
 	}
-	if t.once || end.Outcome != outcome.NotRun || !end.Reason.Declined() {
+	if t.noReuse || end.Outcome != outcome.NotRun || !end.Reason.Declined() {
 		t.excluded[node] = true
 		delete(t.declined, node)
 		return
@@ -88,50 +87,52 @@
 	t.declined[node] = true
 }
 
-// MayGoOn reports whether another sending keeps to the bounds.
+// MayGoOn reports whether the limits permit another attempt.
 func (t *Tried) MayGoOn() bool {
-	return t.unarrived < maxUnarrived && t.full < maxFull && t.declines < maxDeclines
+	return t.unreached < maxUnreached && t.noCapacity < maxNoCapacity && t.declines < maxDeclines
 }
 
-// Excluded are the nodes that are not to be chosen again. The map is the record's own.
+// Excluded returns the nodes that must not be picked again. The map must not be modified.
 func (t *Tried) Excluded() map[string]bool { return t.excluded }
 
-// Ended reports whether a target has ended while it ran the request.
-func (t *Tried) Ended() bool { return t.ended > 0 }
+// Ended reports whether a target crashed while running the request.
+func (t *Tried) Ended() bool { return t.targetCrashes > 0 }
 
-// Only are the targets left to a request that may reach no more than most: those that
-// declined it and may take it another time. nil: all.
-func (t *Tried) Only(most int) map[string]bool {
-	if t.arrived < most {
+// Only returns the nodes that may be picked once the request has reached maxTargets targets:
+// those that declined it. nil means any.
+func (t *Tried) Only(maxTargets int) map[string]bool {
+	if t.reachedTargets < maxTargets {
 		return nil
 	}
 	return t.declined
 }
 
-// Decide is the verdict after a sending that brought no answer and was added before. One
-// that no target saw is free: it cannot have run and adds no work to a target. A request
-// that may not run twice is not repeated unless the target said that it did not run it.
-func (t *Tried) Decide(last End, r Request) Verdict {
+// Decide returns the decision after a failed attempt that was recorded with Add. An attempt that
+// reached no target is retried without budget: the request did not run and added no load. A
+// request that may not run twice is retried only if the target reported that it did not run it.
+func (t *Tried) Decide(last End, r Request) Decision {
 	switch {
 	case !r.Replayable, last.Reason == outcome.ReasonEndsTargets:
-		return Stop
+		return GiveUp
 	case !last.Arrived:
 		return Again
 	case last.Outcome == outcome.Unknown && !r.Repeatable:
-		return Stop
-	case last.Reason == outcome.ReasonTargetEnded && t.endsTargets(r):
-		return Stop
-	case r.Repeat, r.NoRepeats, t.noneLeft(r.MostTargets):
-		return Stop
+		return GiveUp
+	case last.Reason == outcome.ReasonTargetEnded && t.isCrashSuspect(r):
+		return GiveUp
+	case r.Repeat, r.NoRepeats, t.targetsExhausted(r.MostTargets):
+		return GiveUp
 	}
 	return FromBudget
 }
 
-// endsTargets reports whether the request is taken for the cause of its targets' ends.
-func (t *Tried) endsTargets(r Request) bool {
-	return !r.NoHoldBack && (r.Trial || t.ended >= mostEnded)
+// isCrashSuspect reports whether the request is suspected of crashing its targets.
+func (t *Tried) isCrashSuspect(r Request) bool {
+	return !r.NoHoldBack && (r.Trial || t.targetCrashes >= maxTargetCrashes)
 }
 
-// noneLeft reports whether the request has reached all targets that it may reach, and none
-// of them may take it another time.
-func (t *Tried) noneLeft(most int) bool { return t.arrived >= most && len(t.declined) == 0 }
+// targetsExhausted reports whether the request reached its maximum number of targets and none
+// of them declined it.
+func (t *Tried) targetsExhausted(maxTargets int) bool {
+	return t.reachedTargets >= maxTargets && len(t.declined) == 0
+}
--- a/internal/core/resend/resend_test.go
+++ b/internal/core/resend/resend_test.go
@@ -7,49 +7,49 @@
 	. "github.com/onsi/gomega"
 )
 
-// A target that declined a request may be asked again; it counts once against the most
-// targets that the request may reach.
-func TestTriedTargets(t *testing.T) {
+// A target that declined a request may be used again. It counts once towards the maximum number
+// of targets.
+func TestTargetsLeftAfterAttempts(t *testing.T) {
 	declined := End{Outcome: outcome.NotRun, Reason: outcome.ReasonTargetShed, Arrived: true}
 	lost := End{Outcome: outcome.Unknown, Reason: outcome.ReasonLost, Arrived: true}
 	unreached := End{Outcome: outcome.NotRun, Reason: outcome.ReasonUnreachable}
-	full := End{Outcome: outcome.NotRun, Reason: "too_long"}
-	type sending struct {
-		node   string
-		answer End
+	noCapacity := End{Outcome: outcome.NotRun, Reason: "too_long"}
+	type attempt struct {
+		node string
+		end  End
 	}
 	for _, tc := range []struct {
-		name     string
-		once     bool
-		sendings []sending
-		excluded []string
-		only     []string // of two targets at most; nil: any
-		goesOn   bool
+		name        string
+		noReuse     bool
+		attempts    []attempt
+		excluded    []string
+		allowed     []string // with a maximum of two targets; nil: any
+		canContinue bool
 	}{
-		{"none yet", false, nil, nil, nil, true},
-		{"declined once", false, []sending{{"a", declined}}, nil, nil, true},
-		{"declined by two", false, []sending{{"a", declined}, {"b", declined}}, nil, []string{"a", "b"}, true},
-		{"declined twice by one", false, []sending{{"a", declined}, {"a", declined}}, nil, nil, true},
-		{"declined, then lost by another", false, []sending{{"a", declined}, {"b", lost}}, []string{"b"}, []string{"a"}, true},
-		{"declined, then lost by the same", false, []sending{{"a", declined}, {"a", lost}}, []string{"a"}, nil, true},
-		{"declined, mechanism off", true, []sending{{"a", declined}}, []string{"a"}, nil, true},
-		{"not reached", false, []sending{{"a", unreached}}, []string{"a"}, nil, true},
-		{"no room in three", false, []sending{{"a", full}, {"b", full}, {"c", full}}, []string{"a", "b", "c"}, nil, false},
+		{"no attempt", false, nil, nil, nil, true},
+		{"declined once", false, []attempt{{"a", declined}}, nil, nil, true},
+		{"declined by two", false, []attempt{{"a", declined}, {"b", declined}}, nil, []string{"a", "b"}, true},
+		{"declined twice by one", false, []attempt{{"a", declined}, {"a", declined}}, nil, nil, true},
+		{"declined, then lost by another", false, []attempt{{"a", declined}, {"b", lost}}, []string{"b"}, []string{"a"}, true},
+		{"declined, then lost by the same", false, []attempt{{"a", declined}, {"a", lost}}, []string{"a"}, nil, true},
+		{"declined, mechanism off", true, []attempt{{"a", declined}}, []string{"a"}, nil, true},
+		{"unreachable", false, []attempt{{"a", unreached}}, []string{"a"}, nil, true},
+		{"no capacity at three", false, []attempt{{"a", noCapacity}, {"b", noCapacity}, {"c", noCapacity}}, []string{"a", "b", "c"}, nil, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
-			tried := New(tc.once)
-			for _, one := range tc.sendings {
-				tried.Add(one.node, one.answer)
+			tried := New(tc.noReuse)
+			for _, one := range tc.attempts {
+				tried.Add(one.node, one.end)
 			}
 			g.Expect(keys(tried.Excluded())).To(ConsistOf(tc.excluded))
-			g.Expect(keys(tried.Only(2))).To(ConsistOf(tc.only))
-			g.Expect(tried.MayGoOn()).To(Equal(tc.goesOn))
+			g.Expect(keys(tried.Only(2))).To(ConsistOf(tc.allowed))
+			g.Expect(tried.MayGoOn()).To(Equal(tc.canContinue))
 		})
 	}
 }
 
-func TestDeclinesEnd(t *testing.T) {
+func TestDeclinedAttemptsAreBounded(t *testing.T) {
 	g := NewWithT(t)
 	tried := New(false)
 	for range maxDeclines {
@@ -66,16 +66,16 @@
 	return names
 }
 
-func TestWhetherARequestIsSentAgain(t *testing.T) {
-	whole := Request{Replayable: true, Repeatable: true, MostTargets: 3}
+func TestDecide(t *testing.T) {
+	idempotent := Request{Replayable: true, Repeatable: true, MostTargets: 3}
 	with := func(change func(r *Request)) Request {
-		r := whole
+		r := idempotent
 		change(&r)
 		return r
 	}
-	once := with(func(r *Request) { r.Repeatable = false })
+	nonIdempotent := with(func(r *Request) { r.Repeatable = false })
 	lost := End{Outcome: outcome.Unknown, Reason: outcome.ReasonLost, Arrived: true}
-	ended := End{Outcome: outcome.Unknown, Reason: outcome.ReasonTargetEnded, Arrived: true}
+	crashed := End{Outcome: outcome.Unknown, Reason: outcome.ReasonTargetEnded, Arrived: true}
 	declined := End{Outcome: outcome.NotRun, Reason: outcome.ReasonTargetShed, Arrived: true}
 	unreached := End{Outcome: outcome.NotRun, Reason: outcome.ReasonUnreachable}
 	for _, tc := range []struct {
@@ -83,24 +83,24 @@
 		request Request
 		before  []End
 		last    End
-		want    Verdict
+		want    Decision
 	}{
-		{"no target saw it", whole, nil, unreached, Again},
-		{"no target saw it, may not run twice", once, nil, unreached, Again},
-		{"its body is gone", with(func(r *Request) { r.Replayable = false }), nil, unreached, Stop},
-		{"held back", whole, nil, End{Outcome: outcome.NotRun, Reason: outcome.ReasonEndsTargets}, Stop},
-		{"answer lost", whole, nil, lost, FromBudget},
-		{"answer lost, may not run twice", once, nil, lost, Stop},
-		{"declined, may not run twice", once, nil, declined, FromBudget},
-		{"a repeat already", with(func(r *Request) { r.Repeat = true }), nil, lost, Stop},
-		{"repeats switched off", with(func(r *Request) { r.NoRepeats = true }), nil, lost, Stop},
-		{"all targets reached", whole, []End{lost, lost}, lost, Stop},
-		{"all targets reached, one declined", whole, []End{lost, lost}, declined, FromBudget},
-		{"its target ended", whole, nil, ended, FromBudget},
-		{"two targets ended", whole, []End{ended}, ended, Stop},
-		{"two targets ended, holding back switched off", with(func(r *Request) { r.NoHoldBack = true }), []End{ended}, ended, FromBudget},
-		{"its target ended at a trial", with(func(r *Request) { r.Trial = true }), nil, ended, Stop},
-		{"answer lost at a trial", with(func(r *Request) { r.Trial = true }), nil, lost, FromBudget},
+		{"no target reached", idempotent, nil, unreached, Again},
+		{"no target reached, not idempotent", nonIdempotent, nil, unreached, Again},
+		{"body not replayable", with(func(r *Request) { r.Replayable = false }), nil, unreached, GiveUp},
+		{"quarantined", idempotent, nil, End{Outcome: outcome.NotRun, Reason: outcome.ReasonEndsTargets}, GiveUp},
+		{"response lost", idempotent, nil, lost, FromBudget},
+		{"response lost, not idempotent", nonIdempotent, nil, lost, GiveUp},
+		{"declined, not idempotent", nonIdempotent, nil, declined, FromBudget},
+		{"already a retry", with(func(r *Request) { r.Repeat = true }), nil, lost, GiveUp},
+		{"retries disabled", with(func(r *Request) { r.NoRepeats = true }), nil, lost, GiveUp},
+		{"all targets reached", idempotent, []End{lost, lost}, lost, GiveUp},
+		{"all targets reached, one declined", idempotent, []End{lost, lost}, declined, FromBudget},
+		{"target crashed", idempotent, nil, crashed, FromBudget},
+		{"two targets crashed", idempotent, []End{crashed}, crashed, GiveUp},
+		{"two targets crashed, quarantine disabled", with(func(r *Request) { r.NoHoldBack = true }), []End{crashed}, crashed, FromBudget},
+		{"target crashed during a probe", with(func(r *Request) { r.Trial = true }), nil, crashed, GiveUp},
+		{"response lost during a probe", with(func(r *Request) { r.Trial = true }), nil, lost, FromBudget},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
