--- a/internal/core/repeats/keep.go
+++ b/internal/core/repeats/keep.go
@@ -2,30 +2,29 @@
 
 import "time"
 
-// Parts of the budget of a request's chain that a node keeps for repeats of its own;
-// the rest goes down the chain, to the nodes that make the calls. A repeat of one call
-// costs less than one of the chain above it, so that little is kept at rest.
+// Fractions of a chain's retry budget that a node reserves for its own retries. The rest is
+// passed downstream to the nodes that make the calls, since retrying one call costs less than
+// retrying the chain above it.
 const (
-	keepAtRest    = 0.1
-	keepWhenShort = 0.5
-	shortFor      = 2 * time.Second // after a repeat for which the budgets below had too little
+	baseReserve    = 0.1
+	raisedReserve  = 0.5
+	raisedDuration = 2 * time.Second // after a retry that failed because a downstream budget was exhausted
 )
 
-// Keep says which part of the budgets of the services down the chain a node keeps for
-// repeats of the requests that begin there. It follows what the node needs: a target
-// that loses answers has its requests repeated with all calls below them. It is not
-// safe for concurrent use.
+// Keep determines which fraction of the downstream retry budgets a node reserves for retries of
+// requests that start at it. The fraction is raised while those budgets are exhausted, because
+// retrying such a request repeats all its downstream calls. It is not safe for concurrent use.
 type Keep struct {
-	shortTill time.Duration
+	raisedUntil time.Duration
 }
 
-// Short notes that a repeat was not made since a budget further down had too little.
-func (k *Keep) Short(now time.Duration) { k.shortTill = now + shortFor }
+// Short records a retry that was not made because a downstream budget was exhausted.
+func (k *Keep) Short(now time.Duration) { k.raisedUntil = now + raisedDuration }
 
-// Of gives the part that is kept now.
+// Of returns the fraction reserved now.
 func (k *Keep) Of(now time.Duration) float64 {
-	if now < k.shortTill {
-		return keepWhenShort
+	if now < k.raisedUntil {
+		return raisedReserve
 	}
-	return keepAtRest
+	return baseReserve
 }
--- a/internal/core/repeats/keep_test.go
+++ b/internal/core/repeats/keep_test.go
@@ -8,18 +8,17 @@
 	"pgregory.net/rapid"
 )
 
-func TestMoreIsKeptWhereItIsNeeded(t *testing.T) {
+func TestReserveIsRaisedAfterExhaustion(t *testing.T) {
 	g := NewWithT(t)
 	k := &Keep{}
-	g.Expect(k.Of(time.Minute)).To(Equal(keepAtRest))
+	g.Expect(k.Of(time.Minute)).To(Equal(baseReserve))
 	k.Short(time.Minute)
-	g.Expect(k.Of(time.Minute + shortFor - 1)).To(Equal(keepWhenShort))
-	g.Expect(k.Of(time.Minute + shortFor)).To(Equal(keepAtRest))
+	g.Expect(k.Of(time.Minute + raisedDuration - 1)).To(Equal(raisedReserve))
+	g.Expect(k.Of(time.Minute + raisedDuration)).To(Equal(baseReserve))
 }
 
-// What the nodes of a chain count for its deepest service is one request in all,
-// whatever each of them keeps.
-func TestPartsOfAChainAreOneRequest(t *testing.T) {
+// Guards against a chain adding more or less than one request to the budget of its last service.
+func TestReservesOfAChainSumToOneRequest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		granted, counted := 1.0, 0.0
 		for range rapid.IntRange(0, 8).Draw(t, "depth") {
@@ -33,7 +32,7 @@
 		}
 		counted += granted // the node that makes the call
 		if counted > 1+1e-9 || counted < 1-1e-9 {
-			t.Fatalf("%g requests", counted)
+			t.Fatalf("chain was counted as %g requests, want 1", counted)
 		}
 	})
 }
--- a/internal/core/repeats/ration_test.go
+++ b/internal/core/repeats/ration_test.go
@@ -15,11 +15,11 @@
 		hash                 uint64
 		from, to             float64
 	}{
-		{"most important, first", 0, 3, 0, 0, 0},
-		{"most important, last", 0, 3, 1<<64 - 1, 0.33, 0.3334},
-		{"least important, first", 2, 3, 0, 0.66, 0.67},
-		{"least important, last", 2, 3, 1<<64 - 1, 0.99, 1},
-		{"priority that the configuration lacks", 7, 3, 0, 0.66, 0.67},
+		{"highest priority, lowest hash", 0, 3, 0, 0, 0},
+		{"highest priority, highest hash", 0, 3, 1<<64 - 1, 0.33, 0.3334},
+		{"lowest priority, lowest hash", 2, 3, 0, 0.66, 0.67},
+		{"lowest priority, highest hash", 2, 3, 1<<64 - 1, 0.99, 1},
+		{"unknown priority", 7, 3, 0, 0.66, 0.67},
 		{"no priorities", 0, 0, 1 << 63, 0.49, 0.51},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -30,11 +30,11 @@
 	}
 }
 
-func TestRationGrowsBack(t *testing.T) {
+func TestRationRecovers(t *testing.T) {
 	g := NewWithT(t)
 	r := &Ration{}
 	g.Expect(r.Allows(0, 0.999)).To(BeTrue())
-	for now := time.Duration(0); now < 2*time.Second; now += rationStep {
+	for now := time.Duration(0); now < 2*time.Second; now += minCutInterval {
 		r.Denied(now)
 	}
 	g.Expect(r.Allows(2*time.Second, 0.1)).To(BeFalse())
@@ -42,38 +42,38 @@
 	g.Expect(r.Allows(12*time.Second, 0.999)).To(BeTrue())
 }
 
-// A service turns 55 in 100 calls away; chains make eight in a row, and the budget has a
-// third of the repeats that all of them need. With the ration far more chains end.
+// Chains make eight sequential calls that are declined with a probability of 0.55, and the budget
+// covers a third of the retries needed. Rationing must let more chains complete.
 func TestRationEndsChains(t *testing.T) {
 	g := NewWithT(t)
-	play := func(rationed bool) (ended int) {
+	completedChains := func(rationed bool) (completed int) {
 		random := rand.New(rand.NewPCG(3, 4))
 		r, now := &Ration{}, time.Duration(0)
-		left := 0.0
-		for range 3000 { // a chain each 3 ms, which is begun and ended at once
+		tokens := 0.0
+		for range 3000 { // one chain every 3 ms
 			now += 3 * time.Millisecond
-			left = min(left+3, 300)
-			rank, whole := random.Float64(), true
-			for call := 0; call < 8 && whole; call++ {
-				for random.Float64() < 0.55 && whole {
+			tokens = min(tokens+3, 300)
+			rank, complete := random.Float64(), true
+			for call := 0; call < 8 && complete; call++ {
+				for random.Float64() < 0.55 && complete {
 					switch {
 					case rationed && !r.Allows(now, rank):
-						whole = false
-					case left < 1:
+						complete = false
+					case tokens < 1:
 						r.Denied(now)
-						whole = false
+						complete = false
 					default:
-						left--
+						tokens--
 					}
 				}
 			}
-			if whole {
-				ended++
+			if complete {
+				completed++
 			}
 		}
-		return ended
+		return completed
 	}
-	without, with := play(false), play(true)
-	t.Logf("%d chains end without, %d with the ration", without, with)
+	without, with := completedChains(false), completedChains(true)
+	t.Logf("%d chains complete without rationing, %d with it", without, with)
 	g.Expect(with).To(BeNumerically(">", without*3/2))
 }
--- a/internal/core/repeats/repeats.go
+++ b/internal/core/repeats/repeats.go
@@ -1,51 +1,48 @@
-// Package repeats bounds how many requests a node sends a second time. The sum
-// over all nodes must stay below a share of the requests plus an allowance in
-// every window; each node keeps to a part of its own, so that no agreement is
-// needed.
+// Package repeats implements retry budgets. In every window the retries of all nodes together
+// must not exceed a ratio of the requests plus an allowance. Each node enforces its own part of
+// that limit, so that no coordination is needed.
 package repeats
 
 import "time"
 
-// Config sets the budget of one node.
+// Config configures the budget of one node.
 type Config struct {
-	// Ratio is the share of the node's own requests that may be repeated in a window.
+	// Ratio is the number of retries per request of this node in a window.
 	Ratio float64
-	// Allowance is the node's part of what may be repeated besides.
+	// Allowance is this node's part of the retries allowed in addition.
 	Allowance float64
 	// Window is the length of the sliding window.
 	Window time.Duration
 }
 
-// Budget counts requests and repeats of one service over a sliding window made
-// of slices. It is not safe for concurrent use.
+// Budget counts the requests to and retries of one service over a sliding window of slices. It
+// is not safe for concurrent use.
 //
-// The bound on repeats holds in every window: they are counted there, and against them
-// the requests in whichever has most of that window, the one before it, and the one half
-// a window before. A repeat now lies in windows that end up to a whole window later, in
-// which no further request may come: the budget is what the bound leaves in the worst of
-// them.
+// The limit holds for every window. The retries in a window are compared with the highest
+// number of requests in that window, the window before it, and the window half its length
+// earlier. A retry also counts in windows that end up to one window length later, in which no
+// more requests may arrive, so the budget is what remains in the worst of them.
 type Budget struct {
 	config   Config
-	requests slices
-	spent    slices
+	requests sliceCounter
+	retries  sliceCounter
 }
 
-// A window has windowSlices slices; the history is that of three windows.
+// A window has windowSlices slices. The history covers three windows.
 const (
 	windowSlices  = 10
 	historySlices = 3 * windowSlices
 )
 
-type slices struct {
+type sliceCounter struct {
 	counts [historySlices + 1]float64
-	newest int64 // number of the newest slice
+	newest int64 // index of the newest slice
 }
 
-// New makes a budget.
+// New returns an empty budget.
 func New(config Config) *Budget { return &Budget{config: config} }
 
-// SetBounds changes the ratio and the node's part of the allowance, as members
-// come and go and settings change. The window stays.
+// SetBounds changes the ratio and the node's part of the allowance.
 func (b *Budget) SetBounds(ratio, allowance float64) {
 	b.config.Ratio, b.config.Allowance = ratio, allowance
 }
@@ -54,52 +51,53 @@
 	return int64(now / (b.config.Window / windowSlices))
 }
 
-// Request counts a request.
+// Request counts requests.
 func (b *Budget) Request(now time.Duration, count float64) { b.requests.add(b.slice(now), count) }
 
-// Allows tells whether so many repeats fit.
+// Allows reports whether the budget permits count more retries.
 func (b *Budget) Allows(now time.Duration, count float64) bool {
 	slice := b.slice(now)
-	b.spent.advance(slice)
+	b.retries.advance(slice)
 	b.requests.advance(slice)
-	// One slice more of repeats and one less of requests than a window has: where
-	// in their slices they came is not known.
-	spent := b.spent.between(slice-windowSlices, slice)
-	return spent+count <= b.config.Ratio*b.worst(slice)+b.config.Allowance
+	// The sum covers one slice more than a window and that of requests one less, because the
+	// position of events within their slices is unknown.
+	retries := b.retries.sum(slice-windowSlices, slice)
+	return retries+count <= b.config.Ratio*b.worstCaseRequests(slice)+b.config.Allowance
 }
 
-// AllowsPaced tells whether so many repeats fit that are wanted since targets decline
-// calls. That lasts: a part of what is left is kept for the seconds to come.
+// AllowsPaced reports whether the budget permits count more retries of declined requests.
+// Targets may decline for a long time, so part of the remaining budget is kept for later slices.
 func (b *Budget) AllowsPaced(now time.Duration, count float64) bool {
 	if !b.Allows(now, count) {
 		return false
 	}
 	slice := b.slice(now)
-	left := b.config.Ratio*b.worst(slice) + b.config.Allowance - b.spent.between(slice-windowSlices, slice)
-	return count <= b.atOnce(slice, left)
+	remaining := b.config.Ratio*b.worstCaseRequests(slice) + b.config.Allowance - b.retries.sum(slice-windowSlices, slice)
+	return count <= b.pacedRemaining(slice, remaining)
 }
 
-// spentAtOnce is the part of what is left at the beginning of a slice that may go in it.
-const spentAtOnce = 1.0 / 3
+// pacedFraction is the part of the budget remaining at the start of a slice that paced retries
+// may use in it.
+const pacedFraction = 1.0 / 3
 
-// leastAtOnce is what may go in a slice in any case.
-const leastAtOnce = 10
+// minPacedPerSlice is the number of paced retries permitted in a slice in any case.
+const minPacedPerSlice = 10
 
-// atOnce gives what may still go in the slice.
-func (b *Budget) atOnce(slice int64, left float64) float64 {
-	now := b.spent.between(slice, slice)
-	return max(spentAtOnce*(left+now), leastAtOnce) - now
+// pacedRemaining returns the number of paced retries still permitted in the slice.
+func (b *Budget) pacedRemaining(slice int64, remaining float64) float64 {
+	used := b.retries.sum(slice, slice)
+	return max(pacedFraction*(remaining+used), minPacedPerSlice) - used
 }
 
-// worst gives the requests that count in the window, of all that a repeat in the
-// slice lies in, in which fewest do.
-func (b *Budget) worst(slice int64) float64 {
+// worstCaseRequests returns the lowest number of requests that the retries are compared with, over
+// all windows that include the slice.
+func (b *Budget) worstCaseRequests(slice int64) float64 {
 	least := -1.0
 	for end := slice; end <= slice+windowSlices; end++ {
 		most := 0.0
 		for _, shift := range [...]int64{0, windowSlices / 2, windowSlices} {
 			last := end - shift
-			most = max(most, b.requests.between(last-windowSlices+2, min(last, slice)))
+			most = max(most, b.requests.sum(last-windowSlices+2, min(last, slice)))
 		}
 		if least < 0 || most < least {
 			least = most
@@ -108,10 +106,10 @@
 	return least
 }
 
-// Spend counts repeats.
-func (b *Budget) Spend(now time.Duration, count float64) { b.spent.add(b.slice(now), count) }
+// Spend counts retries.
+func (b *Budget) Spend(now time.Duration, count float64) { b.retries.add(b.slice(now), count) }
 
-func (s *slices) advance(slice int64) {
+func (s *sliceCounter) advance(slice int64) {
 	if slice-s.newest > historySlices {
 		s.counts = [historySlices + 1]float64{}
 		s.newest = slice
@@ -123,13 +121,13 @@
 	}
 }
 
-func (s *slices) add(slice int64, count float64) {
+func (s *sliceCounter) add(slice int64, count float64) {
 	s.advance(slice)
 	s.counts[slice%(historySlices+1)] += count
 }
 
-// between sums up the slices from first to last that are still held.
-func (s *slices) between(first, last int64) float64 {
+// sum returns the total of the slices from first to last that are still in the history.
+func (s *sliceCounter) sum(first, last int64) float64 {
 	total := 0.0
 	for slice := max(first, s.newest-historySlices, 0); slice <= min(last, s.newest); slice++ {
 		total += s.counts[slice%(historySlices+1)]
--- a/internal/core/repeats/repeats_test.go
+++ b/internal/core/repeats/repeats_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestAllowanceComesBackAfterTheWindow(t *testing.T) {
+func TestAllowanceIsRestoredAfterTheWindow(t *testing.T) {
 	g := NewWithT(t)
 	budget := New(Config{Ratio: 0.2, Allowance: 3, Window: 10 * time.Second})
 	for range 3 {
@@ -20,17 +20,13 @@
 	g.Expect(budget.Allows(12*time.Second, 1)).To(BeTrue())
 }
 
-// The users' rule over any course of events: in every window the repeats are at
-// most the ratio of the requests in whichever has most, that window, the one
-// before it or the one half a window before, and the allowance. (The first form
-// of this test compared with the window itself only, which the rule doesn't ask;
-// it was right to fail, though: the budget then looked at the last window alone,
-// and a burst of requests paid for repeats in windows that count none of it.)
+// Checks the limit for random sequences of events, in every window. Guards against a burst of
+// requests that permits retries in later windows without requests.
 func TestBudgetHoldsInEveryWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		config := Config{Ratio: 0.2, Allowance: float64(rapid.IntRange(0, 5).Draw(t, "allowance")), Window: 10 * time.Second}
 		budget := New(config)
-		var requests, repeats []time.Duration
+		var requests, retries []time.Duration
 		now := time.Duration(0)
 		for range 300 {
 			now += time.Duration(rapid.IntRange(0, 400).Draw(t, "pause")) * time.Millisecond
@@ -39,7 +35,7 @@
 				requests = append(requests, now)
 			} else if budget.Allows(now, 1) {
 				budget.Spend(now, 1)
-				repeats = append(repeats, now)
+				retries = append(retries, now)
 			}
 		}
 		within := func(events []time.Duration, end time.Duration) (count int) {
@@ -52,16 +48,15 @@
 		}
 		for end := time.Duration(0); end < now+2*config.Window; end += 250 * time.Millisecond {
 			most := max(within(requests, end), within(requests, end-config.Window/2), within(requests, end-config.Window))
-			if repeated := within(repeats, end); float64(repeated) > config.Ratio*float64(most)+config.Allowance+1e-9 {
-				t.Fatalf("%d repeats against %d requests in the window that ends at %s", repeated, most, end)
+			if count := within(retries, end); float64(count) > config.Ratio*float64(most)+config.Allowance+1e-9 {
+				t.Fatalf("%d retries against %d requests in the window that ends at %s", count, most, end)
 			}
 		}
 	})
 }
 
-// While targets decline calls a third of what is left may go in a second, so that there
-// are repeats in each second of a long trouble.
-func TestPacedRepeatsLeaveSomeForLater(t *testing.T) {
+// Paced retries use at most a third of the remaining budget per slice, so that the budget lasts.
+func TestPacedRetriesLastForSeveralSlices(t *testing.T) {
 	g := NewWithT(t)
 	budget := New(Config{Ratio: 0.2, Allowance: 300, Window: 10 * time.Second})
 	var spent []int
@@ -78,5 +73,5 @@
 	for i := 1; i < len(spent); i++ {
 		g.Expect(spent[i]).To(And(BeNumerically(">", 10), BeNumerically("<", spent[i-1])))
 	}
-	g.Expect(budget.Allows(5*time.Second, 20)).To(BeTrue(), "what is not paced still finds some")
+	g.Expect(budget.Allows(5*time.Second, 20)).To(BeTrue(), "retries that are not paced still find budget")
 }
--- a/internal/core/repeats/share_test.go
+++ b/internal/core/repeats/share_test.go
@@ -13,20 +13,20 @@
 	for _, tc := range []struct {
 		name    string
 		first   bool
-		counts  []int           // members, as they are learned
-		at      []time.Duration // when each count is learned
+		counts  []int           // numbers of members
+		at      []time.Duration // times of the counts
 		now     time.Duration
 		want    float64 // of an allowance of 60
 		because string
 	}{
-		{"nothing known", true, nil, nil, time.Second, 0, "a node that knows no other must not take the whole"},
-		{"first start", true, []int{6}, []time.Duration{0}, time.Second, 10, "no process of this node has spent anything before"},
-		{"restart", false, []int{6}, []time.Duration{0}, 9 * time.Second, 0, "the process before may have spent its part in this window"},
-		{"restart, a window later", false, []int{6}, []time.Duration{0}, 12 * time.Second, 10, "what the process before spent is out of every window"},
-		{"others join", true, []int{6, 12}, []time.Duration{0, time.Second}, time.Second, 5, "more members, less for each"},
-		{"others go", true, []int{6, 3}, []time.Duration{0, time.Second}, 12 * time.Second, 10, "those that went may have spent their parts"},
-		{"others are gone", true, []int{6, 3}, []time.Duration{0, time.Second}, 24 * time.Second, 20, "their parts are free after two windows"},
-		{"others come back", true, []int{6, 3, 6}, []time.Duration{0, time.Second, 5 * time.Second}, 24 * time.Second, 10, "they are there"},
+		{"no count", true, nil, nil, time.Second, 0, "a node without a member count must not use the whole allowance"},
+		{"first start", true, []int{6}, []time.Duration{0}, time.Second, 10, "no earlier process of this node used any allowance"},
+		{"restart", false, []int{6}, []time.Duration{0}, 9 * time.Second, 0, "the earlier process may have used its part in this window"},
+		{"restart, one window later", false, []int{6}, []time.Duration{0}, 12 * time.Second, 10, "the retries of the earlier process are outside the window"},
+		{"members join", true, []int{6, 12}, []time.Duration{0, time.Second}, time.Second, 5, "the allowance is divided by more members"},
+		{"members leave", true, []int{6, 3}, []time.Duration{0, time.Second}, 12 * time.Second, 10, "the departed members may have used their parts"},
+		{"members have left", true, []int{6, 3}, []time.Duration{0, time.Second}, 24 * time.Second, 20, "the parts are redistributed after two windows"},
+		{"members return", true, []int{6, 3, 6}, []time.Duration{0, time.Second, 5 * time.Second}, 24 * time.Second, 10, "all members are present again"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
@@ -39,8 +39,8 @@
 	}
 }
 
-// Nodes are killed and come back with nothing, at any moment and more than once:
-// the users' rule holds for all of them together in every window.
+// The limit must hold for all nodes together in every window, whenever nodes restart and lose
+// their counts.
 func TestBudgetHoldsOverRestarts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const nodes, allowance, window = 4, 8.0, 10 * time.Second
@@ -58,7 +58,7 @@
 		for i := range all {
 			all[i] = start(0, true)
 		}
-		var requests, spent []time.Duration
+		var requests, retries []time.Duration
 		now := time.Duration(0)
 		for range 400 {
 			now += time.Duration(rapid.IntRange(0, 200).Draw(t, "pause")) * time.Millisecond
@@ -74,7 +74,7 @@
 				n.b.SetBounds(0.2, n.share.Of(now-n.since, allowance))
 				if n.b.Allows(now-n.since, 1) {
 					n.b.Spend(now-n.since, 1)
-					spent = append(spent, now)
+					retries = append(retries, now)
 				}
 			}
 		}
@@ -88,8 +88,8 @@
 		}
 		for end := time.Duration(0); end < now+2*window; end += 250 * time.Millisecond {
 			most := max(count(requests, end), count(requests, end-window/2), count(requests, end-window))
-			if got := count(spent, end); float64(got) > 0.2*float64(most)+allowance+1e-9 {
-				t.Fatalf("%d repeats against %d requests in the window that ends at %s", got, most, end)
+			if got := count(retries, end); float64(got) > 0.2*float64(most)+allowance+1e-9 {
+				t.Fatalf("%d retries against %d requests in the window that ends at %s", got, most, end)
 			}
 		}
 	})
