--- a/internal/core/retryafter/retryafter.go
+++ b/internal/core/retryafter/retryafter.go
@@ -1,9 +1,8 @@
-// Package retryafter decides when the sender of a refused request is invited to come back.
-// Two things speak against each other: a sender that comes back before a shortage is over is
-// refused again, and one that comes back late has little of its own time left to be served
-// in. Senders that were refused at one moment are spread, so that they do not return at one.
+// Package retryafter chooses the Retry-After of refused requests. A sender that retries too early
+// is refused again; one that retries too late has little time left to be served. Jitter keeps
+// senders that were refused together from retrying together.
 //
-// The package knows no clock and draws nothing: a caller hands in a random number.
+// The package uses no clock or randomness; callers pass random numbers.
 package retryafter
 
 import (
@@ -12,56 +11,55 @@
 	"github.com/landingmast/landingmast/internal/core/outcome"
 )
 
-// Times after which a refused sender may come back. No measurement set them: a node that
-// cannot serve yet or no longer is replaced by another one, or knows its configuration,
-// within about a second; a gate without room at one attempt has a slot free soon after.
+// Delays before a refused sender may retry. A node that cannot serve is replaced or gets its
+// configuration within about a second, and a busy gate has a free slot soon after a refusal.
 const (
-	unready     = 500 * time.Millisecond
-	noRoom      = 400 * time.Millisecond
-	noAllowance = 300 * time.Millisecond
+	notReadyDelay         = 500 * time.Millisecond
+	noCapacityDelay       = 400 * time.Millisecond
+	quotaUnavailableDelay = 300 * time.Millisecond
 )
 
-// Parts of its own time after which a sender comes back at the latest: as late as senders
-// wait, when the shortage may be over, with most of their time left.
+// Divisors of the sender's attempt timeout that give the maximum delay: long enough for an
+// overload to end, short enough to leave most of the timeout.
 const (
-	partOfTime      = 3
-	partOfTimeQuota = 3
+	shedDivisor  = 3
+	quotaDivisor = 3
 )
 
-// Span is a Retry-After that is yet to be drawn: Least, and up to Spread more.
+// Span is a range of delays from Least to Least+Spread.
 type Span struct {
 	Least, Spread time.Duration
 }
 
-// At draws the Retry-After by a random number of 0 up to 1; 0: the sender is not invited.
+// At returns the delay for a random number in [0, 1]. A delay of 0 means no Retry-After.
 func (s Span) At(random float64) time.Duration {
 	return s.Least + time.Duration(random*float64(s.Spread))
 }
 
-// jittered is a span of once to twice a time.
-func jittered(least time.Duration) Span { return Span{Least: least, Spread: least} }
+// jittered returns a range from minDelay to twice minDelay.
+func jittered(minDelay time.Duration) Span { return Span{Least: minDelay, Spread: minDelay} }
 
-// Unready is for a node that cannot serve now: it stops, has no configuration or cannot
-// trust the one it has.
-func Unready() Span { return Span{Least: unready} }
+// Unready returns the delay for a node that cannot serve: it is stopping, or has no valid
+// configuration.
+func Unready() Span { return Span{Least: notReadyDelay} }
 
-// Shed is for a request that is refused where its chain begins; senderTime is how long its
-// sender waits for one attempt.
-func Shed(senderTime time.Duration) Span { return jittered(senderTime / (2 * partOfTime)) }
+// Shed returns the delay for a request refused by admission control at the start of its chain.
+// attemptTimeout is how long its sender waits for one attempt.
+func Shed(attemptTimeout time.Duration) Span { return jittered(attemptTimeout / (2 * shedDivisor)) }
 
-// NotRun is for a request that no target took for a reason. One that is held back since
-// targets ended with it is not to come again.
+// NotRun returns the delay for a request that no target ran. Quarantined requests must not be
+// retried.
 func NotRun(reason outcome.Reason) Span {
 	if reason == outcome.ReasonEndsTargets {
 		return Span{}
 	}
-	return jittered(noRoom)
+	return jittered(noCapacityDelay)
 }
 
-// NoAllowance is for a request of a tenant with a limit while no keeper of its quota can be
-// asked; one may be found by then.
-func NoAllowance() Span { return jittered(noAllowance) }
+// NoAllowance returns the delay for a request that is subject to a quota whose keeper is
+// unreachable.
+func NoAllowance() Span { return jittered(quotaUnavailableDelay) }
 
-// QuotaMost bounds the Retry-After of a request beyond its tenant's limit, whose keeper
-// knows when there is room again.
-func QuotaMost(senderTime time.Duration) time.Duration { return senderTime / partOfTimeQuota }
+// QuotaMost returns the maximum delay for a request over its tenant's quota. The keeper of the
+// quota determines the actual delay.
+func QuotaMost(attemptTimeout time.Duration) time.Duration { return attemptTimeout / quotaDivisor }
