--- a/internal/core/importance/importance.go
+++ b/internal/core/importance/importance.go
@@ -1,14 +1,11 @@
-// Package importance orders requests in the queues of all gates on their way. The order is
-// one number, lower first, settled where a chain of calls begins and handed down with each
-// call: by priority of the route, then by that of the tenant, then by how soon the answer is
-// wanted where the chain begins, then calls of running work before fresh work.
+// Package importance computes the queue priority of requests, used by all gates along a call
+// chain. It is a single number, lower first, computed where the chain starts and passed on with
+// each call. It orders by route priority, tenant priority, timeout at the start of the chain,
+// and calls of running requests before new requests.
 //
-// A tenant's priority put before the route's served kinds of requests less often than less
-// urgent ones of the same service (docs/design/shifted.md). What is wanted soon is let past
-// what can wait: a request with 250 ms behind calls of chains with more than a second is
-// late for nothing gained.
-//
-// It relies on package intent for routes and tenants and keeps no state.
+// The route's priority precedes the tenant's; otherwise urgent routes can be served less often
+// than less urgent routes of the same service (docs/design/shifted.md). Short timeouts go first
+// because requests with long timeouts can wait. The package keeps no state.
 package importance
 
 import (
@@ -18,37 +15,37 @@
 	"github.com/landingmast/landingmast/internal/core/intent"
 )
 
-// Steps of the number: what comes first in the order has the larger step.
+// Weights of the components of the number, highest first.
 const (
-	Step     = 8 * rankStep // between two priorities of routes
-	rankStep = 64           // between two tenants' priorities
-	tierStep = 2            // between two tiers of one priority
-	fresh    = 1
+	Step        = 8 * tenantStep // between route priorities
+	tenantStep  = 64             // between tenant priorities
+	urgencyStep = 2              // between tiers
+	newWork     = 1              // added for a client's request, not for a call
 )
 
-// Tiers of the time inside which an answer is wanted: two for each doubling.
+// Timeouts are grouped into logarithmic tiers, two per doubling.
 const (
-	tierFirst    = 25 * time.Millisecond // and less
-	tiersPerFold = 2
-	tierMost     = 30
+	shortestTimeout  = 25 * time.Millisecond // in tier 0, as all shorter ones
+	tiersPerDoubling = 2
+	maxTier          = 30
 )
 
-// ranksMost is the least important of the tenants' priorities that are told apart.
-const ranksMost = Step/rankStep - 1
+// maxTenantRank is the lowest tenant priority that is distinguished.
+const maxTenantRank = Step/tenantStep - 1
 
-// Of is the importance of a client's request on a route whose answer is wanted within a
-// limit; 0: how soon is not told apart. tenant is nil for a request of none.
-func Of(route *intent.Route, tenant *intent.Tenant, limit time.Duration) int {
+// Of returns the importance of a client's request on a route. A timeout of 0 counts as the
+// shortest one. tenant is nil for a request without a tenant.
+func Of(route *intent.Route, tenant *intent.Tenant, timeout time.Duration) int {
 	rank := 0
 	if tenant != nil && tenant.Ranked {
-		rank = min(max(tenant.Priority, 0), ranksMost)
+		rank = min(max(tenant.Priority, 0), maxTenantRank)
 	}
 	tier := 0
-	if limit > tierFirst {
-		tier = min(int(math.Round(tiersPerFold*math.Log2(float64(limit)/float64(tierFirst)))), tierMost)
+	if timeout > shortestTimeout {
+		tier = min(int(math.Round(tiersPerDoubling*math.Log2(float64(timeout)/float64(shortestTimeout)))), maxTier)
 	}
-	return route.Priority*Step + rank*rankStep + tier*tierStep + fresh
+	return route.Priority*Step + rank*tenantStep + tier*urgencyStep + newWork
 }
 
-// OfCall is the importance of a call that is made for a request.
-func OfCall(parent int) int { return parent &^ fresh }
+// OfCall returns the importance of a call made for a request.
+func OfCall(parent int) int { return parent &^ newWork }
--- a/internal/core/importance/importance_test.go
+++ b/internal/core/importance/importance_test.go
@@ -8,7 +8,6 @@
 	. "github.com/onsi/gomega"
 )
 
-// In the order in which a gate sends them.
 func TestImportanceOrdersByPriorityThenUrgencyThenWork(t *testing.T) {
 	g := NewWithT(t)
 	route := func(priority int) *intent.Route { return &intent.Route{Priority: priority} }
@@ -21,10 +20,10 @@
 	for i := 1; i < len(order); i++ {
 		g.Expect(order[i]).To(BeNumerically(">", order[i-1]), "place %d of %v", i, order)
 	}
-	g.Expect(OfCall(OfCall(status))).To(Equal(OfCall(status)), "a call's call")
+	g.Expect(OfCall(OfCall(status))).To(Equal(OfCall(status)), "nested call")
 }
 
-func TestTenantsOrderRequestsOfOnePriority(t *testing.T) {
+func TestTenantPriorityOrdersWithinARoutePriority(t *testing.T) {
 	g := NewWithT(t)
 	route := func(priority int) *intent.Route { return &intent.Route{Priority: priority} }
 	tenant := func(priority int) *intent.Tenant { return &intent.Tenant{Priority: priority, Ranked: true} }
