--- a/internal/core/outcome/outcome.go
+++ b/internal/core/outcome/outcome.go
@@ -1,54 +1,53 @@
-// Package outcome names how the sending of a request ended and why. The words are part
-// of logs, metrics and messages between nodes, and keep their spelling. The package also
-// decides what a target's answer is worth, what an end means for the choice of targets, and
-// how a request ends that nobody answered. Whether it is sent again is for package resend,
-// what it takes of the budgets for repeats for package repeats. It keeps no state.
+// Package outcome defines how attempts to send a request end, and why. The string values are
+// part of logs, metrics and messages between nodes and must not change. The package also
+// classifies the responses of targets and derives the final status of a request and what a
+// result implies for the choice of targets. Package resend decides on retries, package repeats
+// on their budgets. The package keeps no state.
 package outcome
 
-// Outcome is how the sending of a request ended, as far as it can be proved.
+// Outcome is the provable result of an attempt.
 type Outcome string
 
-// The outcomes.
 const (
-	// Answered means that the target gave its whole answer.
+	// Answered means that the target's complete response was received.
 	Answered Outcome = "answered"
-	// NotRun means that the target did not run the request and never will.
+	// NotRun means that the target did not run the request and will not run it later.
 	NotRun Outcome = "not_run"
 	// Unknown means that the request may have run.
 	Unknown Outcome = "unknown"
 )
 
-// Reason says why a sending ended as it did; a fixed word for logs and metrics.
+// Reason is the cause of an outcome, a fixed string for logs and metrics.
 type Reason string
 
-// The reasons besides those of package slots, which a gate gives for not beginning a run.
+// Reasons in addition to those of package slots, with which a gate refuses a request.
 const (
 	ReasonNone         Reason = "none"
-	ReasonNoIntent     Reason = "no_configuration"
+	ReasonNoIntent     Reason = "no_configuration" // no configuration is known
 	ReasonNoRoute      Reason = "no_route"
 	ReasonNoTarget     Reason = "no_target"
-	ReasonWrongService Reason = "wrong_service"  // another service's target stands there
-	ReasonIncarnation  Reason = "node_restarted" // the node there is another process
-	ReasonUnreachable  Reason = "unreachable"    // no connection
-	ReasonTargetShed   Reason = "target_shed"    // the target declined
-	ReasonMisdirected  Reason = "misdirected"    // another target has the address
-	ReasonEndsTargets  Reason = "ends_targets"   // held back: targets ended that ran it
-	ReasonSuspectWaits Reason = "suspect_waits"  // no target would take it alone in time
-	ReasonLost         Reason = "lost"           // connection broke, answer missing
-	ReasonTargetEnded  Reason = "target_ended"   // the target ended while it ran the request
-	ReasonSpoiled      Reason = "spoiled"        // bytes that are no answer
-	ReasonTimeout      Reason = "timeout"        // time of the request was up
-	ReasonCancelled    Reason = "cancelled"      // nobody waits any more
-	ReasonBadMessage   Reason = "bad_message"    // node protocol not understood
-	ReasonSilent       Reason = "silent"         // the node there gives no sign of life
-	ReasonSheds        Reason = "overload"       // refused where the chain starts
-	ReasonFenced       Reason = "fenced"         // never sent, on the word of the gate
-	ReasonStopping     Reason = "stopping"
-	ReasonBodyTooLarge Reason = "body_too_large" // for the operators' limits
-	ReasonHeadTooLarge Reason = "head_too_large"
-	ReasonUnknownKey   Reason = "unknown_key"         // no tenant holds the key, or none came
-	ReasonStale        Reason = "stale_configuration" // not confirmed lately enough to trust a key
-	ReasonOrphan       Reason = "parent_gone"         // a call whose request is not at the target
-	ReasonQuota        Reason = "over_quota"          // the tenant's limit over all nodes is reached
-	ReasonNoAllowance  Reason = "no_allowance"        // nobody could be asked for a part of the limit
+	ReasonWrongService Reason = "wrong_service"       // the target there belongs to another service
+	ReasonIncarnation  Reason = "node_restarted"      // the node was restarted since it was addressed
+	ReasonUnreachable  Reason = "unreachable"         // connection failed
+	ReasonTargetShed   Reason = "target_shed"         // the target declined the request
+	ReasonMisdirected  Reason = "misdirected"         // another target has the address
+	ReasonEndsTargets  Reason = "ends_targets"        // quarantined: targets terminated while running it
+	ReasonSuspectWaits Reason = "suspect_waits"       // no target could run it in isolation in time
+	ReasonLost         Reason = "lost"                // connection closed before the response was complete
+	ReasonTargetEnded  Reason = "target_ended"        // the target terminated while running the request
+	ReasonSpoiled      Reason = "spoiled"             // the response is not a valid one of the target
+	ReasonTimeout      Reason = "timeout"             // the request timed out
+	ReasonCancelled    Reason = "cancelled"           // the sender closed the request
+	ReasonBadMessage   Reason = "bad_message"         // invalid message of the node protocol
+	ReasonSilent       Reason = "silent"              // the node does not respond
+	ReasonSheds        Reason = "overload"            // refused by admission control at the start of the chain
+	ReasonFenced       Reason = "fenced"              // the gate confirmed that it was never sent
+	ReasonStopping     Reason = "stopping"            // the node is stopping
+	ReasonBodyTooLarge Reason = "body_too_large"      // exceeds the configured limit
+	ReasonHeadTooLarge Reason = "head_too_large"      // exceeds the configured limit
+	ReasonUnknownKey   Reason = "unknown_key"         // API key missing or not assigned to a tenant
+	ReasonStale        Reason = "stale_configuration" // configuration too old to validate an API key
+	ReasonOrphan       Reason = "parent_gone"         // call whose parent request is not running at the target
+	ReasonQuota        Reason = "over_quota"          // the tenant's quota over all nodes is exhausted
+	ReasonNoAllowance  Reason = "no_allowance"        // no keeper of the quota is reachable
 )
--- a/internal/core/outcome/outcome_test.go
+++ b/internal/core/outcome/outcome_test.go
@@ -7,56 +7,56 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestWhatATargetsAnswerIsWorth(t *testing.T) {
+func TestClassifyTargetResponse(t *testing.T) {
 	for _, tc := range []struct {
-		name    string
-		answer  TargetAnswer
-		outcome Outcome
-		reason  Reason
+		name     string
+		response TargetAnswer
+		outcome  Outcome
+		reason   Reason
 	}{
-		{"marked success", TargetAnswer{Status: 200, Signed: true}, Answered, ReasonNone},
-		{"marked error", TargetAnswer{Status: 500, Signed: true}, Answered, ReasonNone},
-		{"error without a mark", TargetAnswer{Status: 503}, Answered, ReasonNone},
-		{"success without a mark", TargetAnswer{Status: 200}, Unknown, ReasonSpoiled},
-		{"redirect without a mark", TargetAnswer{Status: 302}, Unknown, ReasonSpoiled},
+		{"signed success", TargetAnswer{Status: 200, Signed: true}, Answered, ReasonNone},
+		{"signed error", TargetAnswer{Status: 500, Signed: true}, Answered, ReasonNone},
+		{"unsigned error", TargetAnswer{Status: 503}, Answered, ReasonNone},
+		{"unsigned success", TargetAnswer{Status: 200}, Unknown, ReasonSpoiled},
+		{"unsigned redirect", TargetAnswer{Status: 302}, Unknown, ReasonSpoiled},
 		{"encoded body", TargetAnswer{Status: 200, Signed: true, Encoded: true}, Unknown, ReasonSpoiled},
 		{"encoded body of an error", TargetAnswer{Status: 500, Encoded: true}, Unknown, ReasonSpoiled},
 		{"declined", TargetAnswer{Status: 503, NotRun: true}, NotRun, ReasonTargetShed},
-		{"declined with a mark", TargetAnswer{Status: 200, NotRun: true, Signed: true}, NotRun, ReasonTargetShed},
-		{"another target's", TargetAnswer{Status: 421}, NotRun, ReasonMisdirected},
-		{"another target's, declined", TargetAnswer{Status: 421, NotRun: true}, NotRun, ReasonMisdirected},
+		{"signed and declined", TargetAnswer{Status: 200, NotRun: true, Signed: true}, NotRun, ReasonTargetShed},
+		{"misdirected", TargetAnswer{Status: 421}, NotRun, ReasonMisdirected},
+		{"misdirected and declined", TargetAnswer{Status: 421, NotRun: true}, NotRun, ReasonMisdirected},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
-			outcome, reason := tc.answer.Judge()
+			outcome, reason := tc.response.Judge()
 			g.Expect(outcome).To(Equal(tc.outcome))
 			g.Expect(reason).To(Equal(tc.reason))
 		})
 	}
 }
 
-func TestHowARequestEndsThatNoTargetAnswered(t *testing.T) {
+func TestFinalStatusOfUnansweredRequest(t *testing.T) {
 	for _, tc := range []struct {
-		name               string
-		mayHaveRun, timeUp bool
-		status             int
-		reason             Reason
+		name                 string
+		mayHaveRun, timedOut bool
+		status               int
+		reason               Reason
 	}{
 		{"not run", false, false, 503, ReasonLost},
-		{"not run, its time is up", false, true, 503, ReasonLost},
-		{"may have run, its time is up", true, true, 504, ReasonTimeout},
+		{"not run, timed out", false, true, 503, ReasonLost},
+		{"may have run, timed out", true, true, 504, ReasonTimeout},
 		{"may have run", true, false, 502, ReasonLost},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
-			status, reason := Final(tc.mayHaveRun, tc.timeUp, ReasonLost)
+			status, reason := Final(tc.mayHaveRun, tc.timedOut, ReasonLost)
 			g.Expect(status).To(Equal(tc.status))
 			g.Expect(reason).To(Equal(tc.reason))
 		})
 	}
 }
 
-func TestWhatAnEndMeansForTheTarget(t *testing.T) {
+func TestReasonPredicates(t *testing.T) {
 	draining := Reason(slots.ReasonDraining)
 	for _, tc := range []struct {
 		outcome                                     Outcome
