--- a/internal/core/overload/window_test.go
+++ b/internal/core/overload/window_test.go
@@ -72,9 +72,9 @@
 // a FIFO queue. The chains start at several independent nodes.
 type simulation struct {
 	nodes, slots, calls int
-	takes, between      time.Duration // service time of a call; pause between two calls
+	serviceTime, pause  time.Duration // of a call; between two calls
 	limit               time.Duration
-	perSecond           func(now time.Duration) float64 // arrival rate of chains
+	arrivalRate         func(now time.Duration) float64 // chains per second
 
 	random  *rand.Rand
 	queue   eventQueue
@@ -84,13 +84,13 @@
 	served, refused, late []int
 }
 
-func (s *simulation) after(now, span time.Duration, do func(time.Duration)) {
-	heap.Push(&s.queue, event{at: now + span, do: do})
+func (s *simulation) after(now, delay time.Duration, do func(time.Duration)) {
+	heap.Push(&s.queue, event{at: now + delay, do: do})
 }
 
 func (s *simulation) call(now time.Duration, done func(now, waited time.Duration)) {
 	run := func(at time.Duration) {
-		s.after(at, time.Duration(float64(s.takes)*(0.5+s.random.Float64())), func(end time.Duration) {
+		s.after(at, time.Duration(float64(s.serviceTime)*(0.5+s.random.Float64())), func(end time.Duration) {
 			s.free++
 			if len(s.waiting) > 0 {
 				next := s.waiting[0]
@@ -118,7 +118,7 @@
 		c := New(DefaultConfig())
 		var begin func(now time.Duration)
 		begin = func(now time.Duration) {
-			s.after(now, time.Duration(s.random.ExpFloat64()/s.perSecond(now)*float64(s.nodes)*float64(time.Second)), begin)
+			s.after(now, time.Duration(s.random.ExpFloat64()/s.arrivalRate(now)*float64(s.nodes)*float64(time.Second)), begin)
 			second := int(now / time.Second)
 			if share, _ := c.Share(now, "list"); share < 1 && s.random.Float64() >= share {
 				s.refused[second]++
@@ -153,7 +153,7 @@
 		return
 	}
 	s.call(now, func(end, more time.Duration) {
-		s.after(end, s.between, func(next time.Duration) { s.chain(started, next, left-1, waited+more, done) })
+		s.after(end, s.pause, func(next time.Duration) { s.chain(started, next, left-1, waited+more, done) })
 	})
 }
 
@@ -176,8 +176,8 @@
 			g := NewWithT(t)
 			const capacity = 250 // chains per second: 20 slots, 20 ms a call, four calls
 			s := &simulation{
-				nodes: tc.nodes, slots: 20, calls: 4, takes: 20 * time.Millisecond, between: 20 * time.Millisecond, limit: 1200 * time.Millisecond,
-				perSecond: func(now time.Duration) float64 {
+				nodes: tc.nodes, slots: 20, calls: 4, serviceTime: 20 * time.Millisecond, pause: 20 * time.Millisecond, limit: 1200 * time.Millisecond,
+				arrivalRate: func(now time.Duration) float64 {
 					if now > 2*time.Second && now < 12*time.Second {
 						return 1.5 * capacity
 					}
