--- a/internal/core/balancer/balancer_test.go
+++ b/internal/core/balancer/balancer_test.go
@@ -221,8 +221,8 @@
 		overloaded int           // targets with a queue of five times their slots
 		age        time.Duration // of the other targets' reports
 		load       int           // running and queued requests at the other targets of ten slots
-		max        float64
-		min        float64
+		highest    float64
+		lowest     float64
 	}{
 		{"one of ten overloaded, the others fresh", 1, 0, 5, 0.8, 0.4},
 		{"one of ten overloaded, the others stale", 1, time.Second, 5, 1, 0.4},
@@ -247,7 +247,7 @@
 			}
 			pressure, known := b.Pressure(now)
 			g.Expect(known).To(BeTrue())
-			g.Expect(pressure.Occupancy).To(And(BeNumerically("<=", tc.max), BeNumerically(">=", tc.min)))
+			g.Expect(pressure.Occupancy).To(And(BeNumerically("<=", tc.highest), BeNumerically(">=", tc.lowest)))
 		})
 	}
 }
--- a/internal/core/retryafter/retryafter_test.go
+++ b/internal/core/retryafter/retryafter_test.go
@@ -14,7 +14,7 @@
 	for _, tc := range []struct {
 		name     string
 		span     Span
-		min, max time.Duration
+		shortest, longest time.Duration
 	}{
 		{"node not ready", Unready(), 500 * time.Millisecond, 500 * time.Millisecond},
 		{"shed", Shed(attemptTimeout), attemptTimeout / 6, attemptTimeout / 3},
@@ -25,9 +25,9 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
-			g.Expect(tc.span.At(0)).To(Equal(tc.min))
-			g.Expect(tc.span.At(0.5)).To(Equal((tc.min + tc.max) / 2))
-			g.Expect(tc.span.At(1)).To(Equal(tc.max))
+			g.Expect(tc.span.At(0)).To(Equal(tc.shortest))
+			g.Expect(tc.span.At(0.5)).To(Equal((tc.shortest + tc.longest) / 2))
+			g.Expect(tc.span.At(1)).To(Equal(tc.longest))
 		})
 	}
 }
