--- a/internal/core/retryafter/retryafter_test.go
+++ b/internal/core/retryafter/retryafter_test.go
@@ -12,8 +12,8 @@
 func TestWhenARefusedSenderComesBack(t *testing.T) {
 	const attemptTimeout = 1200 * time.Millisecond
 	for _, tc := range []struct {
-		name     string
-		span     Span
+		name              string
+		span              Span
 		shortest, longest time.Duration
 	}{
 		{"node not ready", Unready(), 500 * time.Millisecond, 500 * time.Millisecond},
