--- a/internal/core/quota/account.go
+++ b/internal/core/quota/account.go
@@ -5,236 +5,239 @@
 	"time"
 )
 
-// account is what a keeper knows of one tenant.
-type account struct {
-	limit    Limit
-	pool     float64 // tokens that are in no share
-	at       time.Duration
-	holdings map[string]*holding // by process
-	// Sums over all holdings, so that an answer does not look at each. What ends between
-	// two sweeps still counts.
-	held    Share
-	flight  float64 // tokens under way to requests
-	demand  float64
-	lacking float64 // tokens that processes lacked at their last questions
-	swept   time.Duration
-}
-
-// sweepEvery is the time after which sums are counted anew.
-const sweepEvery = 100 * time.Millisecond
-
-// drawn are tokens for requests that wait, which may not have reached their node yet.
-type drawn struct {
-	number int64 // of the answer that they went with
-	tokens float64
-	until  time.Duration
-}
-
-// holding is what one process holds of a tenant, or may hold.
-type holding struct {
-	grants   []granted // by rising number
-	underWay []drawn
-	demand   float64
-	lacks    float64 // tokens that were not there at its last question
-	seen     time.Duration
-	counted  counted
-}
-
-// counted is what of a holding is in the sums of its account.
-type counted struct {
-	held   Share
-	flight float64
-	demand float64
-	lacks  float64
-}
-
-// granted is a share that a process may have.
-type granted struct {
-	number int64 // 0: of an earlier epoch
-	share  Share
-	until  time.Duration
-}
-
-// confirm takes in what the process says that it holds. Shares given before that one have
-// been replaced; shares given after it may be under way.
-func (h *holding) confirm(now time.Duration, epoch int64, report Report) {
-	h.demand, h.seen = report.Demand, now
+// tenantState is the keeper's accounting for one tenant.
+type tenantState struct {
+	limit      Limit
+	pool       float64 // unallocated tokens
+	refilledAt time.Duration
+	processes  map[string]*processState
+	// Totals over all processes, so that a response doesn't iterate over them. Entries that
+	// expire between two sweeps still count.
+	allocated Share
+	inFlight  float64 // tokens in flight to waiting requests
+	demand    float64
+	shortfall float64 // tokens missing in the last responses
+	sweptAt   time.Duration
+}
+
+// sweepInterval is the interval at which expired entries are removed and totals recomputed.
+const sweepInterval = 100 * time.Millisecond
+
+// inFlightTokens are tokens sent for waiting requests that the node may not have received yet.
+type inFlightTokens struct {
+	grant     int64 // number of the response that carried them
+	tokens    float64
+	expiresAt time.Duration
+}
+
+// processState is the keeper's view of one process's use of a tenant's limit.
+type processState struct {
+	leases     []lease // in ascending order of grant
+	inFlight   []inFlightTokens
+	demand     float64
+	shortfall  float64 // tokens missing in the last response
+	reportedAt time.Duration
+	counted    contribution // included in the tenant's totals
+}
+
+// contribution is the part of a tenant's totals that one process accounts for.
+type contribution struct {
+	allocated Share
+	inFlight  float64
+	demand    float64
+	shortfall float64
+}
+
+// lease is a share that a process may be using.
+type lease struct {
+	grant     int64 // 0 if granted in an earlier epoch
+	share     Share
+	expiresAt time.Duration
+}
+
+// applyReport records the share that a process confirms. Shares granted before it have been
+// replaced; those granted after it may still be in flight.
+func (p *processState) applyReport(now time.Duration, epoch int64, report Report) {
+	p.demand, p.reportedAt = report.Demand, now
 	if report.Left <= 0 {
 		return
 	}
 	if report.Grant.Epoch != epoch {
-		h.grants = append([]granted{{share: report.Held, until: now + report.Left}}, h.grants...)
+		p.leases = append([]lease{{share: report.Held, expiresAt: now + report.Left}}, p.leases...)
 		return
 	}
-	h.grants = slices.DeleteFunc(h.grants, func(one granted) bool { return one.number < report.Grant.Number })
-	h.underWay = slices.DeleteFunc(h.underWay, func(one drawn) bool { return one.number <= report.Grant.Number })
+	p.leases = slices.DeleteFunc(p.leases, func(l lease) bool { return l.grant < report.Grant.Number })
+	p.inFlight = slices.DeleteFunc(p.inFlight, func(f inFlightTokens) bool { return f.grant <= report.Grant.Number })
 }
 
-// grantsMost is the number of shares of one process that are told apart.
-const grantsMost = 8
+// maxLeases limits the leases tracked per process; the oldest ones are merged.
+const maxLeases = 8
 
-func (h *holding) offer(one granted) {
-	h.grants = append(h.grants, one)
-	if len(h.grants) <= grantsMost {
+func (p *processState) addLease(l lease) {
+	p.leases = append(p.leases, l)
+	if len(p.leases) <= maxLeases {
 		return
 	}
-	merged := h.grants[1]
-	merged.share, merged.until = merged.share.larger(h.grants[0].share), max(merged.until, h.grants[0].until)
-	h.grants = append([]granted{merged}, h.grants[2:]...)
+	merged := p.leases[1]
+	merged.share, merged.expiresAt = merged.share.larger(p.leases[0].share), max(merged.expiresAt, p.leases[0].expiresAt)
+	p.leases = append([]lease{merged}, p.leases[2:]...)
 }
 
-// held is the most that the process may hold.
-func (h *holding) held(now time.Duration) (most Share) {
-	for _, one := range h.grants {
-		if now < one.until {
-			most = most.larger(one.share)
+// maxShare returns the largest share that the process may be using.
+func (p *processState) maxShare(now time.Duration) (most Share) {
+	for _, l := range p.leases {
+		if now < l.expiresAt {
+			most = most.larger(l.share)
 		}
 	}
 	return most
 }
 
-func (h *holding) over(now time.Duration) bool {
-	return now-h.seen >= forgotten && !slices.ContainsFunc(h.grants, func(one granted) bool { return now < one.until })
+func (p *processState) expired(now time.Duration) bool {
+	return now-p.reportedAt >= reportTimeout && !slices.ContainsFunc(p.leases, func(l lease) bool { return now < l.expiresAt })
 }
 
-// count brings the sums in line with a holding that has changed.
-func (a *account) count(now time.Duration, one *holding) {
-	is := counted{held: one.held(now)}
-	for _, d := range one.underWay {
-		is.flight += d.tokens
+// updateTotals updates the tenant's totals after a change of p.
+func (t *tenantState) updateTotals(now time.Duration, p *processState) {
+	c := contribution{allocated: p.maxShare(now)}
+	for _, f := range p.inFlight {
+		c.inFlight += f.tokens
 	}
-	if now-one.seen < forgotten {
-		is.demand = one.demand
+	if now-p.reportedAt < reportTimeout {
+		c.demand = p.demand
 	}
-	if now-one.seen < lacksFor {
-		is.lacks = one.lacks
+	if now-p.reportedAt < shortfallTTL {
+		c.shortfall = p.shortfall
 	}
-	a.held.Rate += is.held.Rate - one.counted.held.Rate
-	a.held.Depth += is.held.Depth - one.counted.held.Depth
-	a.flight += is.flight - one.counted.flight
-	a.demand += is.demand - one.counted.demand
-	a.lacking += is.lacks - one.counted.lacks
-	one.counted = is
-}
-
-// sweep drops what has ended and counts the sums anew.
-func (a *account) sweep(now time.Duration) {
-	a.held, a.flight, a.demand, a.lacking, a.swept = Share{}, 0, 0, 0, now
-	for process, one := range a.holdings {
-		one.grants = slices.DeleteFunc(one.grants, func(g granted) bool { return now >= g.until })
-		one.underWay = slices.DeleteFunc(one.underWay, func(d drawn) bool { return now >= d.until })
-		if one.over(now) {
-			delete(a.holdings, process)
+	t.allocated.Rate += c.allocated.Rate - p.counted.allocated.Rate
+	t.allocated.Depth += c.allocated.Depth - p.counted.allocated.Depth
+	t.inFlight += c.inFlight - p.counted.inFlight
+	t.demand += c.demand - p.counted.demand
+	t.shortfall += c.shortfall - p.counted.shortfall
+	p.counted = c
+}
+
+// sweep removes expired entries and recomputes the totals.
+func (t *tenantState) sweep(now time.Duration) {
+	t.allocated, t.inFlight, t.demand, t.shortfall, t.sweptAt = Share{}, 0, 0, 0, now
+	for process, p := range t.processes {
+		p.leases = slices.DeleteFunc(p.leases, func(l lease) bool { return now >= l.expiresAt })
+		p.inFlight = slices.DeleteFunc(p.inFlight, func(f inFlightTokens) bool { return now >= f.expiresAt })
+		if p.expired(now) {
+			delete(t.processes, process)
 			continue
 		}
-		one.counted = counted{}
-		a.count(now, one)
+		p.counted = contribution{}
+		t.updateTotals(now, p)
 	}
 }
 
-// refill adds to the pool what came in since, at the rate that was in no share. Shares
-// only end between two answers, so that those of the last one are the most.
-func (a *account) refill(now time.Duration, config Config, withheld float64) {
-	a.pool += max(a.limit.Rate-a.shared(withheld), 0) * (now - a.at).Seconds()
-	a.at = now
-	if now-a.swept >= sweepEvery {
-		a.sweep(now)
+// refill adds the tokens accrued since the last call at the unallocated rate. Shares can only
+// expire between calls, so the current allocation is an upper bound for the interval.
+func (t *tenantState) refill(now time.Duration, config Config, withheld float64) {
+	t.pool += max(t.limit.Rate-t.allocatedRate(withheld), 0) * (now - t.refilledAt).Seconds()
+	t.refilledAt = now
+	if now-t.sweptAt >= sweepInterval {
+		t.sweep(now)
 	}
-	a.clip(config, withheld)
+	t.clampPool(config, withheld)
 }
 
-// clip keeps what lies ready within the depth of the limit.
-func (a *account) clip(config Config, withheld float64) {
-	a.pool = max(min(a.pool, a.room(config, withheld)), 0)
+// clampPool limits the pool to the depth that is not allocated.
+func (t *tenantState) clampPool(config Config, withheld float64) {
+	t.pool = max(min(t.pool, t.poolCapacity(config, withheld)), 0)
 }
 
-// room is how many tokens the pool may hold.
-func (a *account) room(config Config, withheld float64) float64 {
-	return max(config.depth(a.limit)*(1-withheld)-a.held.Depth-a.flight, 0)
+// poolCapacity returns the number of tokens that the pool may hold.
+func (t *tenantState) poolCapacity(config Config, withheld float64) float64 {
+	return max(config.depth(t.limit)*(1-withheld)-t.allocated.Depth-t.inFlight, 0)
 }
 
-// shared is the rate that is in shares or withheld.
-func (a *account) shared(withheld float64) float64 { return a.held.Rate + withheld*a.limit.Rate }
+// allocatedRate returns the rate that is leased or withheld.
+func (t *tenantState) allocatedRate(withheld float64) float64 {
+	return t.allocated.Rate + withheld*t.limit.Rate
+}
 
-func (a *account) holding(process string) *holding {
-	one := a.holdings[process]
-	if one == nil {
-		one = &holding{}
-		a.holdings[process] = one
+func (t *tenantState) process(process string) *processState {
+	p := t.processes[process]
+	if p == nil {
+		p = &processState{}
+		t.processes[process] = p
 	}
-	return one
+	return p
 }
 
-// Parts of a limit that are given as shares.
+// Sizing of shares.
 const (
-	// sharedRate is the most of its demand for which a node gets a rate, leastRate the least
-	// of the limit that all rates together have. What comes in while the stock is full is
-	// nobody's: with the clients of a tenant thinly spread over 71 nodes and rates for the
-	// whole demand, 0.56 of the requests of 12 s were refused.
-	// Half is used up nearly whole, and lasts while the keeper is away. wastedRate is what a
-	// rate is taken to lose, as a part of the demand (reckoned, not measured): where demand
-	// comes near to the limit there is less to lose.
-	sharedRate = 0.5
-	leastRate  = 0.1
-	wastedRate = 0.65
-	// sharedDepth leaves some of the stock to the pool.
-	sharedDepth = 0.6
-	// usefulDepth is the least that a stock needs for one request; a node gets no more
-	// than for some requests and for depthTime of its demand.
-	usefulDepth = 1
-	someDepth   = 2
-	depthTime   = 2 * time.Second
-	// ahead is the part of the pool that one answer gives for requests to come.
-	ahead = 0.25
-	// forgotten is the time without a report after which a demand no longer counts.
-	forgotten = 5 * time.Second
+	// A node is leased a rate of at most maxDemandFraction of its demand, since what refills a
+	// full bucket is lost to other nodes. Half of the demand is used almost completely and
+	// keeps the node running while the keeper is unavailable.
+	maxDemandFraction = 0.5
+	// minRateFraction of the limit may be leased in total even if demand is close to the limit.
+	minRateFraction = 0.1
+	// unusedRateFraction of a leased rate is assumed to go unused; leases are sized so that this
+	// loss fits into the headroom above the demand.
+	unusedRateFraction = 0.65
+	// maxDepthFraction of the depth may be leased; the rest stays in the pool.
+	maxDepthFraction = 0.6
+	// minShareDepth is the smallest useful bucket, one request. A bucket is no deeper than
+	// baseDepth plus depthDemandWindow of the node's demand.
+	minShareDepth     = 1
+	baseDepth         = 2
+	depthDemandWindow = 2 * time.Second
+	// maxPrefetchFraction limits the tokens sent in one response for future requests, as a
+	// fraction of the pool.
+	maxPrefetchFraction = 0.25
+	// reportTimeout is the age at which a process's last report is ignored.
+	reportTimeout = 5 * time.Second
 )
 
-// share gives a process its part by its part of the demand, as far as it is free.
-func (a *account) share(config Config, held *holding, part, withheld float64) Share {
-	if held.demand < demandLeast {
+// computeShare returns the share for a process: its proportion of the total demand, limited by
+// the capacity that is free.
+func (t *tenantState) computeShare(config Config, p *processState, part, withheld float64) Share {
+	if p.demand < minDemand {
 		return Share{}
 	}
-	whole, total := config.depth(a.limit), max(a.demand, held.demand)
-	freeDepth := (sharedDepth-withheld)*whole - a.held.Depth + held.counted.held.Depth
-	freeRate := a.limit.Rate - a.shared(withheld) + held.counted.held.Rate
-	given := Share{Depth: max(sharedDepth*whole*held.demand/total, usefulDepth)}
-	given.Depth = min(given.Depth, someDepth+held.demand*depthTime.Seconds(), freeDepth, part*whole)
-	if given.Depth < usefulDepth {
+	whole, total := config.depth(t.limit), max(t.demand, p.demand)
+	freeDepth := (maxDepthFraction-withheld)*whole - t.allocated.Depth + p.counted.allocated.Depth
+	freeRate := t.limit.Rate - t.allocatedRate(withheld) + p.counted.allocated.Rate
+	given := Share{Depth: max(maxDepthFraction*whole*p.demand/total, minShareDepth)}
+	given.Depth = min(given.Depth, baseDepth+p.demand*depthDemandWindow.Seconds(), freeDepth, part*whole)
+	if given.Depth < minShareDepth {
 		return Share{}
 	}
-	rate := max((a.limit.Rate-total)/wastedRate, leastRate*a.limit.Rate) * held.demand / total
-	given.Rate = max(min(sharedRate*held.demand, rate, freeRate, part*a.limit.Rate), 0)
+	rate := max((t.limit.Rate-total)/unusedRateFraction, minRateFraction*t.limit.Rate) * p.demand / total
+	given.Rate = max(min(maxDemandFraction*p.demand, rate, freeRate, part*t.limit.Rate), 0)
 	return given
 }
 
-// draw takes tokens out of the pool: for requests that wait, then for requests to come, as
-// far as the node's stock has room. Tokens that the pool has no room for since depth has
-// gone to the node go with it: else a tenant's first requests would find empty stocks.
-func (a *account) draw(now time.Duration, config Config, held *holding, report Report, given granted, withheld float64) int {
-	urgent := max(min(report.Need, int(a.pool)), 0)
+// drawTokens takes tokens from the pool for waiting requests, then for future requests up to
+// the free space in the node's bucket. Tokens that exceed the pool's capacity after the lease
+// of p go to p as well, so that a tenant's first requests find tokens.
+func (t *tenantState) drawTokens(now time.Duration, config Config, p *processState, report Report, given lease, withheld float64) int {
+	urgent := max(min(report.Need, int(t.pool)), 0)
 	if urgent > 0 {
-		a.pool -= float64(urgent)
-		held.underWay = append(held.underWay, drawn{number: given.number, tokens: float64(urgent), until: now + Travel})
-		a.count(now, held)
+		t.pool -= float64(urgent)
+		p.inFlight = append(p.inFlight, inFlightTokens{grant: given.grant, tokens: float64(urgent), expiresAt: now + MaxTransit})
+		t.updateTotals(now, p)
 	}
-	later := max(min(report.Want-report.Need, int(ahead*a.pool)), int(a.pool-a.room(config, withheld)))
-	later = max(min(later, int(given.share.Depth-report.Stock), int(a.pool)), 0)
-	a.pool -= float64(later)
+	later := max(min(report.Want-report.Need, int(maxPrefetchFraction*t.pool)), int(t.pool-t.poolCapacity(config, withheld)))
+	later = max(min(later, int(given.share.Depth-report.Stock), int(t.pool)), 0)
+	t.pool -= float64(later)
 	return urgent + later
 }
 
-// lacksFor is how long the tokens count that a process lacked.
-const lacksFor = time.Second
+// shortfallTTL is the age at which a process's shortfall is ignored.
+const shortfallTTL = time.Second
 
-// againMost bounds the time after which a node may ask again.
-const againMost = 2 * time.Second
+// maxRetryAfter limits the estimate of retryAfter.
+const maxRetryAfter = 2 * time.Second
 
-// again is when there may be tokens for what was lacking, as far as that can be told.
-func (a *account) again(withheld float64) time.Duration {
-	free := a.limit.Rate - a.shared(withheld)
+// retryAfter estimates when the pool will cover the shortfall.
+func (t *tenantState) retryAfter(withheld float64) time.Duration {
+	free := t.limit.Rate - t.allocatedRate(withheld)
 	if free <= 0 {
-		return againMost
+		return maxRetryAfter
 	}
-	return min(time.Duration(max(a.lacking-a.pool, 1)/free*float64(time.Second)), againMost)
+	return min(time.Duration(max(t.shortfall-t.pool, 1)/free*float64(time.Second)), maxRetryAfter)
 }
--- a/internal/core/quota/bound_test.go
+++ b/internal/core/quota/bound_test.go
@@ -9,22 +9,22 @@
 	"pgregory.net/rapid"
 )
 
-// fleet plays nodes, keepers and a store in which a key with a lease names the keeper.
-// Messages are late, lost and overtake each other; processes pause, end and come back.
-type fleet struct {
-	t      *rapid.T
-	random *rand.Rand
-	now    time.Duration
-	nodes  []*fleetNode
-	keeper *Keeper
-	at     int           // node of the keeper; -1: none
-	right  time.Duration // end of the keeper's right to give
-	lease  time.Duration // end of the lease in the store
-	epoch  int64
-	stored []string // names beside the key
-	part   float64
-	later  []event
-	runs   []time.Duration
+// simulation runs nodes, keepers and a store whose leased key names the keeper. Messages are
+// delayed, lost and reordered; processes pause and restart.
+type simulation struct {
+	t              *rapid.T
+	random         *rand.Rand
+	now            time.Duration
+	nodes          []*simulatedNode
+	keeper         *Keeper
+	keeperNode     int           // index into nodes; -1: no keeper
+	keeperLeaseEnd time.Duration // end of the lease as the keeper sees it
+	storeLeaseEnd  time.Duration // end of the lease in the store
+	epoch          int64
+	storedNodes    []string // node names persisted with the key
+	maxFraction    float64
+	events         []event
+	admitted       []time.Duration
 }
 
 type event struct {
@@ -32,170 +32,170 @@
 	do func()
 }
 
-type fleetNode struct {
-	name    string
-	process int
-	holder  *Holder
-	asking  int // number of the question under way; 0: none
-	asked   int
-	waiting int
-	paused  time.Duration
-	load    float64 // requests a step
+type simulatedNode struct {
+	name            string
+	process         int
+	holder          *Holder
+	outstanding     int // number of the outstanding request; 0: none
+	sent            int
+	waiting         int
+	pausedUntil     time.Duration
+	arrivalsPerStep float64
 }
 
 const (
-	fleetStep  = 10 * time.Millisecond
-	fleetLease = 2 * time.Second
-	fleetAsk   = 300 * time.Millisecond // between two questions
-	fleetGive  = 150 * time.Millisecond // after which a question is given up
+	stepDuration   = 10 * time.Millisecond
+	leaseDuration  = 2 * time.Second
+	reportInterval = 300 * time.Millisecond // mean time between two reports of a node
+	requestTimeout = 150 * time.Millisecond
 )
 
-func (f *fleet) after(span time.Duration, do func()) {
-	f.later = append(f.later, event{f.now + span, do})
+func (s *simulation) schedule(delay time.Duration, do func()) {
+	s.events = append(s.events, event{s.now + delay, do})
 }
 
-// delay of a message; long ones are longer than a question lasts.
-func (f *fleet) delay() time.Duration {
-	if f.random.IntN(10) == 0 {
-		return time.Duration(f.random.IntN(3000)) * time.Millisecond
+// delay returns a message delay, which may exceed requestTimeout.
+func (s *simulation) delay() time.Duration {
+	if s.random.IntN(10) == 0 {
+		return time.Duration(s.random.IntN(3000)) * time.Millisecond
 	}
-	return time.Duration(f.random.IntN(20)) * time.Millisecond
+	return time.Duration(s.random.IntN(20)) * time.Millisecond
 }
 
-func (f *fleet) lost() bool { return f.random.IntN(20) == 0 }
+func (s *simulation) lost() bool { return s.random.IntN(20) == 0 }
 
-func (f *fleet) run(span time.Duration) {
-	for end := f.now + span; f.now < end; f.now += fleetStep {
-		f.deliver()
-		f.store()
-		for index := range f.nodes {
-			f.act(index)
+func (s *simulation) run(duration time.Duration) {
+	for end := s.now + duration; s.now < end; s.now += stepDuration {
+		s.deliver()
+		s.updateLease()
+		for index := range s.nodes {
+			s.stepNode(index)
 		}
 	}
 }
 
-func (f *fleet) deliver() {
-	kept := f.later[:0]
+func (s *simulation) deliver() {
+	pending := s.events[:0]
 	var due []event
-	for _, one := range f.later {
-		if one.at <= f.now {
-			due = append(due, one)
+	for _, e := range s.events {
+		if e.at <= s.now {
+			due = append(due, e)
 			continue
 		}
-		kept = append(kept, one)
+		pending = append(pending, e)
 	}
-	f.later = kept
-	for _, one := range due {
-		one.do()
+	s.events = pending
+	for _, e := range due {
+		e.do()
 	}
 }
 
-// store renews the keeper's lease, or has another node take over: at once where the
-// keeper's node has come back, else when the lease is over.
-func (f *fleet) store() {
+// updateLease renews the keeper's lease, restarts the keeper if its node is back before the lease
+// ends, and otherwise lets another node take over.
+func (s *simulation) updateLease() {
 	switch {
-	case f.at >= 0 && f.keeper != nil && f.now < f.lease:
-		if f.random.IntN(50) == 0 && f.nodes[f.at].paused <= f.now {
-			// The right counts from the begin of the call, the lease from its arrival.
-			f.right = f.now + fleetLease
-			f.lease = f.now + time.Duration(f.random.IntN(100))*time.Millisecond + fleetLease
+	case s.keeperNode >= 0 && s.keeper != nil && s.now < s.storeLeaseEnd:
+		if s.random.IntN(50) == 0 && s.nodes[s.keeperNode].pausedUntil <= s.now {
+			// The keeper counts from the start of the call, the store from its arrival.
+			s.keeperLeaseEnd = s.now + leaseDuration
+			s.storeLeaseEnd = s.now + time.Duration(s.random.IntN(100))*time.Millisecond + leaseDuration
 		}
-	case f.at >= 0 && f.now < f.lease:
-		f.epoch++
-		f.keeper = NewKeeper(bounds, f.epoch, f.now, f.part, Before{Listed: f.stored, Part: f.part, Ends: f.now + fleetLease})
-		f.right, f.lease = f.now+fleetLease, f.now+fleetLease
-	case f.now >= f.lease && f.random.IntN(20) == 0:
-		f.epoch++
-		f.at, f.stored = f.random.IntN(len(f.nodes)), nil
-		f.part = PartOf(len(f.nodes))
-		f.keeper = NewKeeper(bounds, f.epoch, f.now, f.part, Before{})
-		f.right, f.lease = f.now+fleetLease, f.now+fleetLease
+	case s.keeperNode >= 0 && s.now < s.storeLeaseEnd:
+		s.epoch++
+		s.keeper = NewKeeper(testConfig, s.epoch, s.now, s.maxFraction, Before{Listed: s.storedNodes, Part: s.maxFraction, Ends: s.now + leaseDuration})
+		s.keeperLeaseEnd, s.storeLeaseEnd = s.now+leaseDuration, s.now+leaseDuration
+	case s.now >= s.storeLeaseEnd && s.random.IntN(20) == 0:
+		s.epoch++
+		s.keeperNode, s.storedNodes = s.random.IntN(len(s.nodes)), nil
+		s.maxFraction = PartOf(len(s.nodes))
+		s.keeper = NewKeeper(testConfig, s.epoch, s.now, s.maxFraction, Before{})
+		s.keeperLeaseEnd, s.storeLeaseEnd = s.now+leaseDuration, s.now+leaseDuration
 	}
 }
 
-func (f *fleet) act(index int) {
-	n := f.nodes[index]
-	switch f.random.IntN(1500) {
+func (s *simulation) stepNode(index int) {
+	n := s.nodes[index]
+	switch s.random.IntN(1500) {
 	case 0:
-		f.restart(index)
+		s.restart(index)
 	case 1:
-		n.paused = f.now + time.Duration(f.random.IntN(3000))*time.Millisecond
+		n.pausedUntil = s.now + time.Duration(s.random.IntN(3000))*time.Millisecond
 	case 2:
-		n.load = f.random.Float64() * 4
+		n.arrivalsPerStep = s.random.Float64() * 4
 	}
-	if f.now < n.paused {
+	if s.now < n.pausedUntil {
 		return
 	}
-	for range int(n.load + f.random.Float64()) {
-		if n.holder.Arrive(f.now) {
-			f.runs = append(f.runs, f.now)
+	for range int(n.arrivalsPerStep + s.random.Float64()) {
+		if n.holder.Arrive(s.now) {
+			s.admitted = append(s.admitted, s.now)
 		} else if n.waiting < 50 {
 			n.waiting++
 		}
 	}
-	if n.asking == 0 && (n.waiting > 0 && n.holder.MayAsk(f.now) || f.random.IntN(int(fleetAsk/fleetStep)) == 0) {
-		f.ask(n)
+	if n.outstanding == 0 && (n.waiting > 0 && n.holder.MayAsk(s.now) || s.random.IntN(int(reportInterval/stepDuration)) == 0) {
+		s.sendReport(n)
 	}
 }
 
-func (f *fleet) restart(index int) {
-	n := f.nodes[index]
+func (s *simulation) restart(index int) {
+	n := s.nodes[index]
 	n.process++
-	n.holder, n.asking, n.waiting = NewHolder(bounds, limit, f.now), 0, 0
-	if index == f.at {
-		f.keeper = nil
+	n.holder, n.outstanding, n.waiting = NewHolder(testConfig, testLimit, s.now), 0, 0
+	if index == s.keeperNode {
+		s.keeper = nil
 	}
 }
 
-func (f *fleet) ask(n *fleetNode) {
-	n.asked++
-	number, process, asked := n.asked, n.process, f.now
-	n.asking = number
-	report := n.holder.Report(f.now, "t", n.waiting)
-	f.after(fleetGive, func() {
-		if n.asking == number && n.process == process {
-			n.asking, n.waiting = 0, 0
+func (s *simulation) sendReport(n *simulatedNode) {
+	n.sent++
+	number, process, asked := n.sent, n.process, s.now
+	n.outstanding = number
+	report := n.holder.Report(s.now, "t", n.waiting)
+	s.schedule(requestTimeout, func() {
+		if n.outstanding == number && n.process == process {
+			n.outstanding, n.waiting = 0, 0
 		}
 	})
-	if f.lost() {
+	if s.lost() {
 		return
 	}
-	f.after(f.delay(), func() { f.answer(n, number, process, asked, report) })
+	s.schedule(s.delay(), func() { s.handleReport(n, number, process, asked, report) })
 }
 
-func (f *fleet) answer(n *fleetNode, number, process int, asked time.Duration, report Report) {
-	if f.keeper == nil || f.now >= f.right || f.nodes[f.at].paused > f.now {
+func (s *simulation) handleReport(n *simulatedNode, number, process int, asked time.Duration, report Report) {
+	if s.keeper == nil || s.now >= s.keeperLeaseEnd || s.nodes[s.keeperNode].pausedUntil > s.now {
 		return
 	}
-	if !f.keeper.Lists(n.name) {
-		f.stored = append(f.stored, n.name)
-		f.keeper.List(f.now, []string{n.name})
+	if !s.keeper.Lists(n.name) {
+		s.storedNodes = append(s.storedNodes, n.name)
+		s.keeper.List(s.now, []string{n.name})
 	}
-	given := f.keeper.Answer(f.now, n.name, fmt.Sprintf("%s/%d", n.name, process), limit, report, f.right-f.now)
-	f.keeper.Heard(f.now, n.name)
-	if f.lost() {
+	given := s.keeper.Answer(s.now, n.name, fmt.Sprintf("%s/%d", n.name, process), testLimit, report, s.keeperLeaseEnd-s.now)
+	s.keeper.Heard(s.now, n.name)
+	if s.lost() {
 		return
 	}
-	f.after(f.delay(), func() {
-		if n.asking != number || n.process != process || f.now < n.paused {
+	s.schedule(s.delay(), func() {
+		if n.outstanding != number || n.process != process || s.now < n.pausedUntil {
 			return
 		}
-		n.asking = 0
-		tokens := n.holder.Allot(f.now, asked, given)
+		n.outstanding = 0
+		tokens := n.holder.Allot(s.now, asked, given)
 		for ; tokens > 0 && n.waiting > 0; tokens-- {
 			n.waiting--
-			f.runs = append(f.runs, f.now)
+			s.admitted = append(s.admitted, s.now)
 		}
-		n.holder.Store(f.now, tokens)
+		n.holder.Store(s.now, tokens)
 		n.waiting = 0
 	})
 }
 
-// most is the highest number of requests in a window of the users' rule.
-func (f *fleet) most() int {
+// maxInWindow returns the largest number of requests admitted in any window.
+func (s *simulation) maxInWindow() int {
 	most, from := 0, 0
-	for to, at := range f.runs {
-		for at-f.runs[from] >= bounds.Window {
+	for to, at := range s.admitted {
+		for at-s.admitted[from] >= testConfig.Window {
 			from++
 		}
 		most = max(most, to-from+1)
@@ -203,22 +203,21 @@
 	return most
 }
 
-// The users' rule holds for every window, with messages that are late or lost, processes
-// that pause and restart, and keepers that lose their right, come back or are followed by
-// others.
-func TestNoWindowHasMoreThanTheBound(t *testing.T) {
+// No window admits more than the bound of Config under message loss and delay, process pauses
+// and restarts, and keeper changes.
+func TestAdmissionsNeverExceedBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := &fleet{t: t, random: rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1)), at: -1}
+		s := &simulation{t: t, random: rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1)), keeperNode: -1}
 		for index := range rapid.IntRange(2, 8).Draw(t, "nodes") {
-			f.nodes = append(f.nodes, &fleetNode{name: fmt.Sprint("n", index), holder: NewHolder(bounds, limit, 0), load: f.random.Float64() * 4})
+			s.nodes = append(s.nodes, &simulatedNode{name: fmt.Sprint("n", index), holder: NewHolder(testConfig, testLimit, 0), arrivalsPerStep: s.random.Float64() * 4})
 		}
-		f.run(40 * time.Second)
-		allowed := (limit.Rate*bounds.Window.Seconds()+limit.Burst)*(1+bounds.Overshoot) + bounds.Slack
-		if most := f.most(); float64(most) > allowed {
-			t.Fatalf("%d requests in a window; allowed are %.0f", most, allowed)
+		s.run(40 * time.Second)
+		allowed := (testLimit.Rate*testConfig.Window.Seconds()+testLimit.Burst)*(1+testConfig.Overshoot) + testConfig.Slack
+		if most := s.maxInWindow(); float64(most) > allowed {
+			t.Fatalf("%d requests admitted in a window; want at most %.0f", most, allowed)
 		}
-		if len(f.runs) < 1000 {
-			t.Fatalf("only %d requests were let in", len(f.runs))
+		if len(s.admitted) < 1000 {
+			t.Fatalf("only %d requests admitted", len(s.admitted))
 		}
 	})
 }
--- a/internal/core/quota/holder.go
+++ b/internal/core/quota/holder.go
@@ -5,37 +5,37 @@
 	"time"
 )
 
-// Holder is the stock of one tenant at one node. It is not safe for concurrent use.
+// Holder is the local token bucket of one tenant at one node. It is not safe for concurrent use.
 type Holder struct {
-	config    Config
-	limit     Limit
-	share     Share
-	grant     Grant
-	until     time.Duration // end of the share
-	stock     float64
-	at        time.Duration // of stock
-	demand    demand
-	denied    time.Duration // the keeper has no tokens before
-	unsettled bool          // since it did not know what was given before it
-	short     bool          // the last answer had fewer tokens than requests waited
-	comeBack  time.Duration // when there may be some again
-}
-
-// Times of a node whose tenant's tokens are used up.
+	config     Config
+	limit      Limit
+	share      Share
+	grant      Grant
+	expiresAt  time.Duration // end of the share
+	stock      float64
+	refilledAt time.Duration // time of the last refill
+	demand     rateEstimate
+	askAfter   time.Duration // earliest time of the next request to the keeper
+	unsettled  bool          // the last response was Unsettled
+	exhausted  bool          // the last response had fewer tokens than waiting requests
+	retryAt    time.Duration // estimated time at which tokens are available again
+}
+
+// Delays after a response with too few tokens.
 const (
-	// Soon is a time that requests wait for tokens rather than be refused.
-	Soon = 40 * time.Millisecond
-	// deniedMost is the longest time in which a node does not ask again.
-	deniedMost    = 250 * time.Millisecond
-	comeBackLeast = 100 * time.Millisecond
+	// MaxQueueWait is the longest wait for tokens for which requests queue instead of being rejected.
+	MaxQueueWait = 40 * time.Millisecond
+	// maxAskBackoff limits the pause between requests to the keeper after a denial.
+	maxAskBackoff = 250 * time.Millisecond
+	minRetryAfter = 100 * time.Millisecond
 )
 
-// NewHolder makes the empty stock of a tenant.
+// NewHolder returns an empty bucket.
 func NewHolder(config Config, limit Limit, now time.Duration) *Holder {
-	return &Holder{config: config, limit: limit, at: now, demand: demand{at: now}}
+	return &Holder{config: config, limit: limit, refilledAt: now, demand: rateEstimate{updatedAt: now}}
 }
 
-// SetLimit takes in the limit in force. What the node holds of a larger one is cut down.
+// SetLimit applies a new limit. If it is lower, the current share is scaled down in proportion.
 func (h *Holder) SetLimit(now time.Duration, limit Limit) {
 	if limit == h.limit {
 		return
@@ -51,23 +51,23 @@
 	h.limit = limit
 }
 
-// refill adds what has come in. A share that has ended leaves nothing.
+// refill adds the tokens accrued since the last call. An expired share leaves an empty bucket.
 func (h *Holder) refill(now time.Duration) {
-	if now >= h.until {
-		h.share, h.stock, h.at = Share{}, 0, now
+	if now >= h.expiresAt {
+		h.share, h.stock, h.refilledAt = Share{}, 0, now
 		return
 	}
-	h.stock = min(h.stock+h.share.Rate*(now-h.at).Seconds(), h.share.Depth)
-	h.at = now
+	h.stock = min(h.stock+h.share.Rate*(now-h.refilledAt).Seconds(), h.share.Depth)
+	h.refilledAt = now
 }
 
-// Arrive notes a request. It gives true when a token of the stock lets it in.
+// Arrive records a request and reports whether a local token admits it.
 func (h *Holder) Arrive(now time.Duration) bool {
-	h.demand.add(now)
+	h.demand.record(now)
 	return h.Take(now)
 }
 
-// Take takes a token out of the stock.
+// Take consumes a token and reports whether there was one.
 func (h *Holder) Take(now time.Duration) bool {
 	h.refill(now)
 	if h.stock < 1 {
@@ -77,102 +77,106 @@
 	return true
 }
 
-// GiveBack returns the token of a request that has not run.
+// GiveBack returns the token of a request that did not run.
 func (h *Holder) GiveBack(now time.Duration) {
 	h.refill(now)
 	h.stock = min(h.stock+1, h.share.Depth)
 }
 
-// MayAsk tells whether the keeper may have tokens by now.
-func (h *Holder) MayAsk(now time.Duration) bool { return now >= h.denied }
+// MayAsk reports whether the backoff after a denial is over.
+func (h *Holder) MayAsk(now time.Duration) bool { return now >= h.askAfter }
 
-// Idle tells that the tenant has sent nothing for long and holds nothing.
+// Idle reports that the share has expired and the tenant's demand is negligible.
 func (h *Holder) Idle(now time.Duration) bool {
-	return now >= h.until && h.demand.rate(now) < demandLeast
+	return now >= h.expiresAt && h.demand.rate(now) < minDemand
 }
 
-// wantAhead is the time for whose demand tokens are asked for.
-const wantAhead = 500 * time.Millisecond
+// prefetchWindow is how far ahead of the current demand tokens are requested.
+const prefetchWindow = 500 * time.Millisecond
 
-// Low tells that the stock has no token for the next request of a tenant that sends some.
+// Low reports that an active tenant's bucket is empty and the keeper may be asked for tokens.
 func (h *Holder) Low(now time.Duration) bool {
 	h.refill(now)
-	return h.stock < 1 && now >= h.denied && h.demand.rate(now) >= demandLeast
+	return h.stock < 1 && now >= h.askAfter && h.demand.rate(now) >= minDemand
 }
 
-// Report tells the keeper what the node needs. waiting is the number of requests that
-// wait for a token now. Tokens are asked for only when the stock is low, and then for some
-// time ahead, so that there are few questions; what lies in one stock another node lacks.
+// Report builds the request to the keeper; waiting is the number of requests waiting for a
+// token. Tokens are requested only when the bucket is empty or requests wait, and then for
+// prefetchWindow of demand: this saves messages without taking tokens that other nodes need.
 func (h *Holder) Report(now time.Duration, tenant string, waiting int) Report {
 	h.refill(now)
-	report := Report{Tenant: tenant, Demand: h.demand.rate(now), Stock: h.stock, Held: h.share, Grant: h.grant, Left: max(h.until-now, 0)}
-	if now < h.denied {
+	report := Report{Tenant: tenant, Demand: h.demand.rate(now), Stock: h.stock, Held: h.share, Grant: h.grant, Left: max(h.expiresAt-now, 0)}
+	if now < h.askAfter {
 		return report
 	}
 	report.Need, report.Want = waiting, waiting
 	if waiting > 0 || h.stock < 1 {
-		ahead := 1 + report.Demand*wantAhead.Seconds()
+		ahead := 1 + report.Demand*prefetchWindow.Seconds()
 		report.Want += int(max(min(ahead, h.share.Depth)-h.stock, 0))
 	}
 	return report
 }
 
-// Allot takes in the keeper's answer to a question that began at asked, and gives the
-// tokens that came with it. Those that were under way for too long are dropped.
+// Allot applies the keeper's response to a request started at asked and returns its tokens.
+// Tokens in flight for MaxTransit or longer are discarded, since the keeper no longer counts them.
 func (h *Holder) Allot(now, asked time.Duration, given Allotment) (tokens int) {
 	h.refill(now)
 	if end := asked + given.Life; end > now {
-		h.share, h.grant, h.until = given.Share, given.Grant, end
+		h.share, h.grant, h.expiresAt = given.Share, given.Grant, end
 		h.stock = min(h.stock, h.share.Depth)
 	}
 	h.unsettled = given.Unsettled
-	h.short = given.Again > 0
-	if h.short {
-		h.comeBack = now + given.Again
+	h.exhausted = given.Again > 0
+	if h.exhausted {
+		h.retryAt = now + given.Again
 	}
-	if given.Again > Soon {
-		h.denied = now + min(given.Again, deniedMost)
+	if given.Again > MaxQueueWait {
+		h.askAfter = now + min(given.Again, maxAskBackoff)
 	}
-	if now-asked >= Travel {
+	if now-asked >= MaxTransit {
 		return 0
 	}
 	return given.Tokens
 }
 
-// Spent tells that the keeper had too few tokens at the last answer: the limit is reached.
-func (h *Holder) Spent() bool { return h.short && !h.unsettled }
+// Spent reports that the limit is reached: the last response had fewer tokens than waiting
+// requests although the keeper knew all shares.
+func (h *Holder) Spent() bool { return h.exhausted && !h.unsettled }
 
-// Store puts tokens that nobody waits for into the stock, as far as there is room.
+// Store adds unused tokens to the bucket, up to its depth.
 func (h *Holder) Store(now time.Duration, tokens int) {
 	h.refill(now)
 	h.stock = min(h.stock+float64(tokens), h.share.Depth)
 }
 
-// ComeBack gives the time after which a refused request may find room, within most.
+// ComeBack returns the Retry-After delay for a rejected request, at most most.
 func (h *Holder) ComeBack(now, most time.Duration) time.Duration {
-	return min(max(h.comeBack-now, comeBackLeast), most)
+	return min(max(h.retryAt-now, minRetryAfter), most)
 }
 
-// Held gives the share and when it ends.
-func (h *Holder) Held(now time.Duration) (share Share, left time.Duration) {
+// Share returns the current share and its remaining lifetime.
+func (h *Holder) Share(now time.Duration) (share Share, left time.Duration) {
 	h.refill(now)
-	return h.share, max(h.until-now, 0)
+	return h.share, max(h.expiresAt-now, 0)
 }
 
-// Times of the demand that a node reports.
+// Parameters of the demand estimate.
 const (
-	demandTime  = 2 * time.Second // time constant
-	demandLeast = 0.05            // a second; less is none
+	demandTimeConstant = 2 * time.Second // time constant of the exponential smoothing
+	minDemand          = 0.05            // requests per second; lower demand counts as none
 )
 
-// demand is the smoothed rate of a tenant's requests.
-type demand struct {
-	value float64 // a second
-	at    time.Duration
+// rateEstimate is the exponentially smoothed arrival rate of a tenant's requests.
+type rateEstimate struct {
+	value     float64 // requests per second
+	updatedAt time.Duration
 }
 
-func (d *demand) add(now time.Duration) { d.value = d.rate(now) + 1/demandTime.Seconds(); d.at = now }
+func (d *rateEstimate) record(now time.Duration) {
+	d.value = d.rate(now) + 1/demandTimeConstant.Seconds()
+	d.updatedAt = now
+}
 
-func (d *demand) rate(now time.Duration) float64 {
-	return d.value * math.Exp(-(now-d.at).Seconds()/demandTime.Seconds())
+func (d *rateEstimate) rate(now time.Duration) float64 {
+	return d.value * math.Exp(-(now-d.updatedAt).Seconds()/demandTimeConstant.Seconds())
 }
--- a/internal/core/quota/quota.go
+++ b/internal/core/quota/quota.go
@@ -1,93 +1,96 @@
-// Package quota keeps the requests of a tenant over all nodes within its limit. One node,
-// the keeper, gives the others parts of the limit: a share, which is a rate and a depth of
-// stock that last for some seconds, and tokens out of the pool of what is in no share. A
-// node admits a request for a token of its stock, without asking anybody.
+// Package quota enforces a tenant's rate limit across all nodes with token buckets.
+// One node, the keeper, leases each other node a share of the limit: a refill rate and a
+// bucket depth that expire after a few seconds. Unallocated capacity accumulates in a pool
+// from which the keeper hands out individual tokens. A node admits a request by taking a
+// token from its local bucket, without contacting another node.
 //
-// The bound holds whatever messages are delayed, lost or come in another order, and whoever
-// pauses or restarts (property tests). Let the rate be r and the depth of all stocks
-// together D. Shares, pool and tokens under way never exceed r and D together: the keeper
-// counts a share that it has lowered until its node has said that it holds the new one, or
-// until it has ended, and a token under way to a request until it would be dropped; tokens
-// for a stock never exceed the room that the node said it has. So in any window of length W at most
+// The bound below holds under message delay, loss and reordering, and across process pauses
+// and restarts; the property tests check it. Let r be the rate and D the combined depth of
+// all buckets. Shares, pool and in-flight tokens together never exceed r and D: the keeper
+// counts a reduced share at its old size until the node confirms the new one or the old one
+// expires, counts a token in flight to a request until the node would discard it, and never
+// sends a bucket more tokens than the node reported room for. In any window of length W at most
 //
-//	D + r*W + r*Travel
+// D + r*W + r*MaxTransit
 //
-// requests are admitted: what lay ready at its begin, what came in since, and what came in
-// at a node while tokens for its stock were under way. Config.depth chooses D so that this
-// is the bound that Config names. A share ends on its node's clock, counted from
-// the begin of the question, before the keeper's right to give ends; that right ends before
-// another node can have it.
+// requests are admitted: the tokens available at the start, the refill during the window, and
+// the refill at a node while tokens for its bucket were in flight. Config.depth chooses D so
+// that this equals the bound set by Config. A share expires by its node's own clock, measured
+// from the start of the request for it, and so before the keeper's lease does; the keeper's
+// lease ends before another node can acquire it.
 //
-// The package has no locks, clocks or sockets.
+// The package uses no locks, clocks or sockets.
 package quota
 
 import "time"
 
-// Limit is what a tenant may send over all nodes.
+// Limit is a tenant's rate limit across all nodes.
 type Limit struct {
-	Rate  float64 // requests a second
-	Burst float64 // requests beyond the rate
+	Rate  float64 // requests per second
+	Burst float64 // requests above the rate
 }
 
-// Config sets the bound: in no window more than (rate x window + burst) x (1 + overshoot) +
-// slack requests of a tenant run. The operators' settings name its parts.
+// Config sets the bound: any window admits at most (rate x window + burst) x (1 + overshoot) +
+// slack requests of a tenant.
 type Config struct {
 	Window    time.Duration
 	Overshoot float64
 	Slack     float64 // requests
 }
 
-// Travel is how long tokens out of the pool may be under way; later ones are dropped.
-const Travel = 200 * time.Millisecond
+// MaxTransit is the longest time pool tokens may be in flight; the receiver discards later ones.
+const MaxTransit = 200 * time.Millisecond
 
-// depthMargin is kept below the bound for what rounding may add, in requests.
+// depthMargin, in requests, is subtracted from the depth to absorb rounding errors.
 const depthMargin = 1
 
-// depth is the most that all stocks together may hold of a limit.
+// depth returns the combined depth of all buckets for a limit.
 func (c Config) depth(limit Limit) float64 {
 	over := c.Overshoot*(limit.Rate*c.Window.Seconds()+limit.Burst) + c.Slack
-	return max(limit.Burst+over-limit.Rate*Travel.Seconds()-depthMargin, 0)
+	return max(limit.Burst+over-limit.Rate*MaxTransit.Seconds()-depthMargin, 0)
 }
 
 // Share is a part of a tenant's limit.
 type Share struct {
-	Rate  float64 // tokens a second
-	Depth float64 // most tokens in stock
+	Rate  float64 // tokens per second
+	Depth float64 // bucket capacity in tokens
 }
 
+// larger returns the field-wise maximum of two shares.
 func (s Share) larger(other Share) Share {
 	return Share{Rate: max(s.Rate, other.Rate), Depth: max(s.Depth, other.Depth)}
 }
 
-// Grant names a share that a keeper gave: its epoch, and its number there, which rises.
+// Grant identifies a share by the keeper's epoch and a number that increases within it.
 type Grant struct {
 	Epoch  int64
 	Number int64
 }
 
-// Report is what a process tells the keeper of one tenant. A process has one question at a
-// time under way; the answer to one that it has given up counts for nothing.
+// Report is a process's request to the keeper for one tenant. A process has at most one request
+// outstanding and ignores the response to one that has timed out.
 type Report struct {
 	Tenant string
-	Demand float64 // requests a second that come to the node
-	Need   int     // requests that wait for a token
-	Want   int     // tokens that it would like at once, those among them
-	Stock  float64 // tokens that it has
-	// Held is the share that it has by Grant, which ends after Left; 0: it has none.
+	Demand float64 // arrival rate at the node, in requests per second
+	Need   int     // requests waiting for a token
+	Want   int     // tokens requested, including Need
+	Stock  float64 // tokens in the local bucket
+	// Held is the share last granted, Grant its identifier and Left its remaining lifetime;
+	// Left is 0 if the process has no share.
 	Held  Share
 	Grant Grant
 	Left  time.Duration
 }
 
-// Allotment is the keeper's answer.
+// Allotment is the keeper's response to a Report.
 type Allotment struct {
 	Tenant string
 	Share  Share
 	Grant  Grant
-	Life   time.Duration // of the share, from the begin of the question
-	Tokens int           // out of the pool
-	// Again is when there may be more tokens; 0: no guess.
+	Life   time.Duration // lifetime of the share, from the start of the request
+	Tokens int           // tokens from the pool
+	// Again is the estimated time until more tokens are available; 0 means no estimate.
 	Again time.Duration
-	// Unsettled tells that the keeper does not know yet what the one before it gave.
+	// Unsettled reports that the keeper doesn't yet know all shares granted by its predecessor.
 	Unsettled bool
 }
