--- a/internal/core/crashes/ledger.go
+++ b/internal/core/crashes/ledger.go
@@ -8,253 +8,252 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Evidence is that a target ended while it ran a request.
+// Evidence records that a target crashed while it ran a request.
 type Evidence struct {
 	Print
-	Instance string // incarnation of the target
+	Instance string // process incarnation of the target
 	Service  string
 	Route    string
-	At       int64 // ms since 1970, by the clock of the node beside the target
-	// Alone tells that no other suspected request was at the target.
+	At       int64 // Unix time in milliseconds, by the clock of the target's node
+	// Alone reports that the target was running no other suspected request.
 	Alone bool
-	// Cleared tells that the request has ended well since, or that an operator lifted it. It
-	// is never taken back, so that nodes may hear of it in any order.
+	// Cleared reports that the request has succeeded since, or that an operator released it. It is
+	// never reset, so that updates commute.
 	Cleared bool
 }
 
-// Config sets when a request is held back.
+// Config sets the thresholds for holding a request back.
 type Config struct {
-	// Ends is the number of targets that ended with a request, after which it is held back.
-	Ends int
-	// Doubt and Sure are the numbers from which it is doubtful and held back where something
-	// else that was at several ends may be the cause.
-	Doubt, Sure int
-	// Most bounds the evidence that is kept, in entries.
-	Most int
+	// CrashThreshold is the number of crashed targets at which a request is held back.
+	CrashThreshold int
+	// AmbiguousThreshold and CertainThreshold replace it if another request that was present at
+	// several crashes may be the cause: it is then Doubtful from the first and Held from the second.
+	AmbiguousThreshold, CertainThreshold int
+	// MaxEntries limits the evidence that is kept.
+	MaxEntries int
 }
 
-// DefaultConfig holds back a request that three targets ended with, and while it is in doubt
-// whether it was the cause, six: a harmful request may reach three more targets at most after
-// the first three. 4,096 entries are 42 ends of targets with 96 slots each where no request
-// ended well, about 0.6 MB.
-func DefaultConfig() Config { return Config{Ends: 3, Doubt: 4, Sure: 6, Most: 4096} }
+// DefaultConfig holds a request back after three crashes, or six if its cause is ambiguous. The
+// 4096 entries, about 0.6 MB, hold 42 crashes of targets with 96 slots each.
+func DefaultConfig() Config {
+	return Config{CrashThreshold: 3, AmbiguousThreshold: 4, CertainThreshold: 6, MaxEntries: 4096}
+}
 
-// State is what is thought of a request.
+// State is the classification of a request.
 type State int
 
-// The states.
+// The classifications of a request.
 const (
-	// Free requests are sent as ever.
+	// Free requests are sent normally.
 	Free State = iota
-	// Suspected requests were at a target when it ended: they are at a target alone among
-	// suspected ones, so that the next end tells which it was.
+	// Suspected requests were present at a crash. A target runs at most one suspected request at a
+	// time, so that the next crash identifies the cause.
 	Suspected
-	// Doubtful requests were at as many ends as held ones, but something else may have ended
-	// the targets. One node sends them, one at a time: a popular harmless request that is at
-	// all ends of a small service would never end well again otherwise.
+	// Doubtful requests were present at as many crashes as held ones, but another request may be
+	// the cause. One node sends them, one at a time, so that a harmless request that was present
+	// at all crashes of a small service can succeed and be cleared.
 	Doubtful
 	// Held requests are not sent.
 	Held
 )
 
-// Ledger holds the evidence that a node knows. It is not safe for concurrent use.
+// Ledger holds the evidence known to a node. It is not safe for concurrent use.
 type Ledger struct {
-	config  Config
-	entries map[Content][]Evidence
-	there   map[string][]Content // by target, what it was running at its end
-	count   int
-	digest  uint64
+	config     Config
+	entries    map[Content][]Evidence
+	byInstance map[string][]Content // contents present at the crash of each target
+	count      int
+	digest     uint64
 }
 
-// New makes an empty ledger.
+// New returns an empty ledger.
 func New(config Config) *Ledger {
-	return &Ledger{config: config, entries: map[Content][]Evidence{}, there: map[string][]Content{}}
+	return &Ledger{config: config, entries: map[Content][]Evidence{}, byInstance: map[string][]Content{}}
 }
 
-// Add takes in evidence and gives what of it was news.
-func (l *Ledger) Add(evidence ...Evidence) (news []Evidence) {
-	for _, one := range evidence {
-		if l.add(one) {
-			news = append(news, one)
+// Add merges evidence and returns the entries that were new or changed the ledger.
+func (l *Ledger) Add(evidence ...Evidence) (added []Evidence) {
+	for _, e := range evidence {
+		if l.add(e) {
+			added = append(added, e)
 		}
 	}
-	l.bound()
-	return news
+	l.evict()
+	return added
 }
 
-func (l *Ledger) add(one Evidence) bool {
-	entries := l.entries[one.Content]
+func (l *Ledger) add(e Evidence) bool {
+	entries := l.entries[e.Content]
 	for index := range entries {
 		known := &entries[index]
-		if known.Variant != one.Variant || known.Instance != one.Instance {
+		if known.Variant != e.Variant || known.Instance != e.Instance {
 			continue
 		}
-		if (known.Cleared || !one.Cleared) && (known.Alone || !one.Alone) {
+		if (known.Cleared || !e.Cleared) && (known.Alone || !e.Alone) {
 			return false
 		}
 		l.digest ^= digestOf(known)
-		known.Cleared, known.Alone = known.Cleared || one.Cleared, known.Alone || one.Alone
+		known.Cleared, known.Alone = known.Cleared || e.Cleared, known.Alone || e.Alone
 		l.digest ^= digestOf(known)
 		return true
 	}
-	l.entries[one.Content] = append(entries, one)
-	if !slices.Contains(l.there[one.Instance], one.Content) {
-		l.there[one.Instance] = append(l.there[one.Instance], one.Content)
+	l.entries[e.Content] = append(entries, e)
+	if !slices.Contains(l.byInstance[e.Instance], e.Content) {
+		l.byInstance[e.Instance] = append(l.byInstance[e.Instance], e.Content)
 	}
 	l.count++
-	l.digest ^= digestOf(&one)
+	l.digest ^= digestOf(&e)
 	return true
 }
 
-func (l *Ledger) clear(known *Evidence) {
+func (l *Ledger) markCleared(known *Evidence) {
 	l.digest ^= digestOf(known)
 	known.Cleared = true
 	l.digest ^= digestOf(known)
 }
 
 func digestOf(e *Evidence) uint64 {
-	var room [128]byte
-	text := binary.BigEndian.AppendUint64(append(room[:0], e.Content[:]...), uint64(e.Variant))
-	text = append(text, e.Instance...)
+	var buf [128]byte
+	data := binary.BigEndian.AppendUint64(append(buf[:0], e.Content[:]...), uint64(e.Variant))
+	data = append(data, e.Instance...)
 	for _, flag := range []bool{e.Cleared, e.Alone} {
 		if flag {
-			text = append(text, 1)
+			data = append(data, 1)
 		}
-		text = append(text, 0)
+		data = append(data, 0)
 	}
-	return xxhash.Sum64(text)
+	return xxhash.Sum64(data)
 }
 
-// EndedWell clears a request that a target answered, and gives what changed.
+// EndedWell clears a request that a target has answered and returns the changed entries.
 func (l *Ledger) EndedWell(print Print) []Evidence {
-	return l.clearAll(print.Content, func(e *Evidence) bool { return e.Variant == print.Variant })
+	return l.clearMatching(print.Content, func(e *Evidence) bool { return e.Variant == print.Variant })
 }
 
-// Lift clears all requests of a content, and gives what changed.
+// Lift clears all requests with a content and returns the changed entries.
 func (l *Ledger) Lift(content Content) []Evidence {
-	return l.clearAll(content, func(*Evidence) bool { return true })
+	return l.clearMatching(content, func(*Evidence) bool { return true })
 }
 
-func (l *Ledger) clearAll(content Content, of func(e *Evidence) bool) (changed []Evidence) {
+func (l *Ledger) clearMatching(content Content, match func(e *Evidence) bool) (changed []Evidence) {
 	entries := l.entries[content]
 	for index := range entries {
-		if known := &entries[index]; !known.Cleared && of(known) {
-			l.clear(known)
+		if known := &entries[index]; !known.Cleared && match(known) {
+			l.markCleared(known)
 			changed = append(changed, *known)
 		}
 	}
 	return changed
 }
 
-// suspicion sums up the evidence against a request that was not cleared.
+// suspicion summarizes the uncleared evidence against a request.
 type suspicion struct {
-	own      int  // targets that ended with the variant
-	alone    bool // at one of the ends no other suspect was there
-	asked    ends // with the same query, from any caller
-	all      ends // with any query
-	queries  int
-	endsWell bool // the variant was cleared
+	ownCrashes int      // crashes with the same variant
+	alone      bool     // no other suspect was present at one of the crashes
+	sameQuery  crashSet // with the same query, from any caller
+	anyQuery   crashSet // with any query
+	queries    int
+	succeeded  bool // the variant was cleared
 }
 
-// ends are the targets that ended with some requests, and how many variants these are.
-type ends struct {
+// crashSet is a set of crashed targets with the request variants present.
+type crashSet struct {
 	targets  []string
 	variants []Variant
 }
 
-func (e *ends) add(one *Evidence) {
-	if !slices.Contains(e.targets, one.Instance) {
-		e.targets = append(e.targets, one.Instance)
+func (s *crashSet) add(e *Evidence) {
+	if !slices.Contains(s.targets, e.Instance) {
+		s.targets = append(s.targets, e.Instance)
 	}
-	if !slices.Contains(e.variants, one.Variant) {
-		e.variants = append(e.variants, one.Variant)
+	if !slices.Contains(s.variants, e.Variant) {
+		s.variants = append(s.variants, e.Variant)
 	}
 }
 
-func (l *Ledger) against(print Print) (s suspicion) {
+func (l *Ledger) assess(print Print) (s suspicion) {
 	var queries []Query
 	entries := l.entries[print.Content]
 	for index := range entries {
-		one := &entries[index]
-		if one.Cleared {
-			s.endsWell = s.endsWell || one.Variant == print.Variant
+		e := &entries[index]
+		if e.Cleared {
+			s.succeeded = s.succeeded || e.Variant == print.Variant
 			continue
 		}
-		if one.Variant == print.Variant {
-			s.own++
+		if e.Variant == print.Variant {
+			s.ownCrashes++
 		}
-		if one.Query == print.Query {
-			s.asked.add(one)
+		if e.Query == print.Query {
+			s.sameQuery.add(e)
 		}
-		if !slices.Contains(queries, one.Query) {
-			queries = append(queries, one.Query)
+		if !slices.Contains(queries, e.Query) {
+			queries = append(queries, e.Query)
 		}
-		s.all.add(one)
-		s.alone = s.alone || one.Alone
+		s.anyQuery.add(e)
+		s.alone = s.alone || e.Alone
 	}
 	s.queries = len(queries)
 	return s
 }
 
-// State tells what is thought of a request. Ends that it shares with others of its content
-// count too, unless it ended well itself: recently tells that it did so of late. Where the
-// same was asked by one other caller only it is doubtful; where several callers asked it, or
-// there were several queries, what they have in common is taken for the cause.
+// State classifies a request; recently reports that it has succeeded lately. Evidence against other
+// variants of its content counts unless the request itself has succeeded. If only one other caller
+// sent the same query, the request is Doubtful, since the caller may be the cause. If several
+// callers or queries are involved, their common content is taken as the cause.
 func (l *Ledger) State(print Print, recently bool) State {
-	s := l.against(print)
-	good := recently || s.endsWell && s.own == 0
-	many := func(e ends) bool { return len(e.targets) >= l.config.Ends }
+	s := l.assess(print)
+	succeeded := recently || s.succeeded && s.ownCrashes == 0
+	reached := func(set crashSet) bool { return len(set.targets) >= l.config.CrashThreshold }
 	switch {
-	case s.own >= l.config.Ends:
-	case good && s.own > 0:
+	case s.ownCrashes >= l.config.CrashThreshold:
+	case succeeded && s.ownCrashes > 0:
 		return Suspected
-	case good || len(s.all.targets) == 0:
+	case succeeded || len(s.anyQuery.targets) == 0:
 		return Free
-	case many(s.asked) && len(s.asked.variants) == 1:
+	case reached(s.sameQuery) && len(s.sameQuery.variants) == 1:
 		return Doubtful
-	case many(s.asked), many(s.all) && s.queries > 1:
+	case reached(s.sameQuery), reached(s.anyQuery) && s.queries > 1:
 	default:
 		return Suspected
 	}
 	switch {
-	case l.isCause(print.Content), len(s.all.targets) >= l.config.Sure:
+	case l.isLikelyCause(print.Content), len(s.anyQuery.targets) >= l.config.CertainThreshold:
 		return Held
-	case s.alone && len(s.all.targets) < l.config.Doubt:
+	case s.alone && len(s.anyQuery.targets) < l.config.AmbiguousThreshold:
 		return Suspected
 	}
 	return Doubtful
 }
 
-// isCause tells that a content was at an end alone among suspects, and that nothing else that
-// was there has been at a second end. What is sent again after an end may meet the cause of
-// it once more; the others there end well soon, or do not come again.
-func (l *Ledger) isCause(content Content) bool {
-	return slices.ContainsFunc(l.entries[content], func(one Evidence) bool {
-		return one.Alone && !one.Cleared && !slices.ContainsFunc(l.there[one.Instance], func(other Content) bool {
-			return other != content && l.ends(other) > 1
+// isLikelyCause reports whether a content was the only suspect at a crash at which no other
+// content present has been at a second crash. Bystanders that are retried may meet the real
+// cause again, but usually succeed soon or are not repeated.
+func (l *Ledger) isLikelyCause(content Content) bool {
+	return slices.ContainsFunc(l.entries[content], func(e Evidence) bool {
+		return e.Alone && !e.Cleared && !slices.ContainsFunc(l.byInstance[e.Instance], func(other Content) bool {
+			return other != content && l.crashCount(other) > 1
 		})
 	})
 }
 
-// ends gives the number of ends that a content was at, without those that were cleared.
-func (l *Ledger) ends(content Content) int {
-	var all ends
+// crashCount returns the number of uncleared crashes with a content.
+func (l *Ledger) crashCount(content Content) int {
+	var set crashSet
 	entries := l.entries[content]
 	for index := range entries {
-		if one := &entries[index]; !one.Cleared {
-			all.add(one)
+		if e := &entries[index]; !e.Cleared {
+			set.add(e)
 		}
 	}
-	return len(all.targets)
+	return len(set.targets)
 }
 
-// Held gives the contents of which some variant is held back, or doubtful, with all evidence
-// against them.
+// Held returns all evidence against the contents with a Held or Doubtful variant.
 func (l *Ledger) Held() map[Content][]Evidence {
 	held := map[Content][]Evidence{}
 	for content, entries := range l.entries {
-		for _, one := range entries {
-			if l.State(one.Print, false) >= Doubtful {
+		for _, e := range entries {
+			if l.State(e.Print, false) >= Doubtful {
 				held[content] = slices.Clone(entries)
 				break
 			}
@@ -263,7 +262,7 @@
 	return held
 }
 
-// Suspects tells whether any request is suspected or held back.
+// Suspects reports whether any evidence is uncleared.
 func (l *Ledger) Suspects() bool {
 	for _, entries := range l.entries {
 		if slices.ContainsFunc(entries, func(e Evidence) bool { return !e.Cleared }) {
@@ -273,13 +272,13 @@
 	return false
 }
 
-// Digest sums up the evidence: it is the same where the evidence is.
+// Digest returns an order-independent digest of the evidence.
 func (l *Ledger) Digest() uint64 { return l.digest }
 
-// Len gives the number of entries.
+// Len returns the number of entries.
 func (l *Ledger) Len() int { return l.count }
 
-// All gives all evidence.
+// All returns all evidence in unspecified order.
 func (l *Ledger) All() []Evidence {
 	all := make([]Evidence, 0, l.count)
 	for _, entries := range l.entries {
@@ -288,14 +287,14 @@
 	return all
 }
 
-// Lasting gives the evidence that has to outlive all nodes: what was not cleared, and what was
-// cleared of contents that were held back, so that a lift lasts too.
+// Lasting returns the evidence to persist: uncleared entries, and cleared ones of contents that
+// were held back, so that their release persists too.
 func (l *Ledger) Lasting() []Evidence {
 	lasting := make([]Evidence, 0, l.count)
 	for _, entries := range l.entries {
-		for _, one := range entries {
-			if !one.Cleared || len(entries) >= l.config.Ends {
-				lasting = append(lasting, one)
+		for _, e := range entries {
+			if !e.Cleared || len(entries) >= l.config.CrashThreshold {
+				lasting = append(lasting, e)
 			}
 		}
 	}
@@ -303,7 +302,7 @@
 	return lasting
 }
 
-// DigestOf sums up some evidence as Digest does.
+// DigestOf computes Digest for a list of evidence.
 func DigestOf(evidence []Evidence) (sum uint64) {
 	for index := range evidence {
 		sum ^= digestOf(&evidence[index])
@@ -311,49 +310,49 @@
 	return sum
 }
 
-// bound drops the evidence of least weight: cleared before what was not, then that of
-// contents with few entries, then the oldest. All nodes drop the same.
-func (l *Ledger) bound() {
-	if l.count <= l.config.Most {
+// evict removes entries above MaxEntries: cleared ones first, then those of contents below
+// CrashThreshold, then the oldest. The order is the same on all nodes.
+func (l *Ledger) evict() {
+	if l.count <= l.config.MaxEntries {
 		return
 	}
 	all := l.All()
 	slices.SortFunc(all, func(a, b Evidence) int {
-		return cmp.Or(l.weight(b)-l.weight(a), cmp.Compare(b.At, a.At), compare(a, b))
+		return cmp.Or(l.retentionRank(b)-l.retentionRank(a), cmp.Compare(b.At, a.At), compare(a, b))
 	})
-	for _, one := range all[l.config.Most:] {
-		l.drop(one)
+	for _, e := range all[l.config.MaxEntries:] {
+		l.remove(e)
 	}
 }
 
-func (l *Ledger) weight(e Evidence) int {
+func (l *Ledger) retentionRank(e Evidence) int {
 	switch {
 	case e.Cleared:
 		return 0
-	case len(l.against(e.Print).all.targets) < l.config.Ends:
+	case len(l.assess(e.Print).anyQuery.targets) < l.config.CrashThreshold:
 		return 1
 	}
 	return 2
 }
 
-func (l *Ledger) drop(one Evidence) {
-	l.entries[one.Content] = slices.DeleteFunc(l.entries[one.Content], func(e Evidence) bool {
-		return e.Variant == one.Variant && e.Instance == one.Instance
+func (l *Ledger) remove(removed Evidence) {
+	l.entries[removed.Content] = slices.DeleteFunc(l.entries[removed.Content], func(e Evidence) bool {
+		return e.Variant == removed.Variant && e.Instance == removed.Instance
 	})
-	if len(l.entries[one.Content]) == 0 {
-		delete(l.entries, one.Content)
+	if len(l.entries[removed.Content]) == 0 {
+		delete(l.entries, removed.Content)
 	}
-	if !slices.ContainsFunc(l.entries[one.Content], func(e Evidence) bool { return e.Instance == one.Instance }) {
-		l.there[one.Instance] = slices.DeleteFunc(l.there[one.Instance], func(c Content) bool { return c == one.Content })
-		if len(l.there[one.Instance]) == 0 {
-			delete(l.there, one.Instance)
+	if !slices.ContainsFunc(l.entries[removed.Content], func(e Evidence) bool { return e.Instance == removed.Instance }) {
+		l.byInstance[removed.Instance] = slices.DeleteFunc(l.byInstance[removed.Instance], func(c Content) bool { return c == removed.Content })
+		if len(l.byInstance[removed.Instance]) == 0 {
+			delete(l.byInstance, removed.Instance)
 		}
 	}
 	l.count--
-	l.digest ^= digestOf(&one)
+	l.digest ^= digestOf(&removed)
 }
 
-// compare gives an order that all nodes share.
+// compare is a total order that all nodes share.
 func compare(a, b Evidence) int {
 	return cmp.Or(slices.Compare(a.Content[:], b.Content[:]), cmp.Compare(a.Variant, b.Variant), cmp.Compare(a.Instance, b.Instance))
 }
--- a/internal/core/crashes/print.go
+++ b/internal/core/crashes/print.go
@@ -1,7 +1,7 @@
-// Package crashes decides which requests are held back since they end the targets that
-// run them. Nodes tell each other which requests a target was running when it ended; a
-// request that was there at several ends, and has ended well nowhere, is held back by all of
-// them. It is a state machine without locks, clocks or sockets.
+// Package crashes decides which requests are held back because they crash the targets that run
+// them. Nodes share evidence of the requests that a target was running when it crashed. A
+// request that was present at several crashes and has succeeded nowhere is held back by all
+// nodes. The package uses no locks, clocks or sockets.
 package crashes
 
 import (
@@ -12,13 +12,13 @@
 	"github.com/juju/errors"
 )
 
-// Content is the digest of what a target reads of a request: method, host, path and body.
+// Content is the digest of a request's method, host, path and body.
 type Content [16]byte
 
-// String gives the digest as operators see it.
+// String returns the digest in hexadecimal.
 func (c Content) String() string { return hex.EncodeToString(c[:]) }
 
-// ParseContent reads a digest as String gives it.
+// ParseContent parses the result of String.
 func ParseContent(text string) (Content, error) {
 	var content Content
 	data, err := hex.DecodeString(text)
@@ -29,58 +29,57 @@
 	return content, nil
 }
 
-// Query is the digest of a content with a query.
+// Query is the digest of a content and a query.
 type Query uint64
 
-// Variant is the digest of a content with a query, the service of the machine where the
-// request began and its tenant.
+// Variant is the digest of a content, a query, the calling service and the tenant.
 type Variant uint64
 
-// Print is what a request is known by when it comes again: its id differs each time.
+// Print is a request's fingerprint. It identifies retries, whose request ids differ.
 type Print struct {
 	Content Content
 	Query   Query
 	Variant Variant
 }
 
-// Request is what a print is made of.
+// Request holds the input of PrintOf.
 type Request struct {
 	Method, Host, Path, Query string
-	Body                      []byte // all of it, or its begin where it is long
-	Length                    int64  // of the body
+	Body                      []byte // the whole body, or the beginning of a long one
+	Length                    int64  // of the whole body, in bytes
 	Caller, Tenant            string
 }
 
-// bodyApart is the length in bytes from which a body is hashed by itself, so that it is not
-// copied.
-const bodyApart = 256
+// maxInlineBody is the size in bytes above which a body is hashed separately instead of copied.
+const maxInlineBody = 256
 
-// PrintOf makes the print of a request. The digest is cryptographic, so that nobody can make
-// a request that is taken for another one.
+// PrintOf returns the fingerprint of a request. The digest is cryptographic, so that clients
+// can't construct a request that collides with another one.
 func PrintOf(r Request) Print {
-	var room [1024]byte // most requests fit, so that nothing is allocated
-	text := room[:0]
+	var buf [1024]byte // large enough for most requests, to avoid an allocation
+	data := buf[:0]
 	for _, part := range []string{r.Method, r.Host, r.Path} {
-		text = add(text, part)
+		data = appendField(data, part)
 	}
-	text = binary.BigEndian.AppendUint64(text, uint64(r.Length))
+	data = binary.BigEndian.AppendUint64(data, uint64(r.Length))
 	body := r.Body
-	if len(body) > bodyApart {
+	if len(body) > maxInlineBody {
 		digest := sha256.Sum256(body)
 		body = digest[:]
 	}
-	text = append(text, body...)
-	content := sha256.Sum256(text)
-	text = add(append(text[:0], content[:]...), r.Query)
-	query := sha256.Sum256(text)
-	text = add(add(text, r.Caller), r.Tenant)
-	variant := sha256.Sum256(text)
+	data = append(data, body...)
+	content := sha256.Sum256(data)
+	data = appendField(append(data[:0], content[:]...), r.Query)
+	query := sha256.Sum256(data)
+	data = appendField(appendField(data, r.Caller), r.Tenant)
+	variant := sha256.Sum256(data)
 	return Print{
 		Content: Content(content[:len(Content{})]), Query: Query(binary.BigEndian.Uint64(query[:])), Variant: Variant(binary.BigEndian.Uint64(variant[:])),
 	}
 }
 
-// add appends a text so that no two lists of texts give the same bytes.
-func add(text []byte, part string) []byte {
-	return append(binary.BigEndian.AppendUint64(text, uint64(len(part))), part...)
+// appendField appends a length-prefixed field, so that different lists of fields never encode to
+// the same bytes.
+func appendField(data []byte, field string) []byte {
+	return append(binary.BigEndian.AppendUint64(data, uint64(len(field))), field...)
 }
