--- a/internal/core/fence/fence.go
+++ b/internal/core/fence/fence.go
@@ -1,129 +1,129 @@
-// Package fence makes "not run" true between nodes. A sender whose connection
-// broke does not know whether the gate sent its request to the target. It asks the
-// gate: if the request has not been sent, the gate fences it, so that it never
-// will be, whenever its bytes arrive; if it has been sent, the gate says so and the
-// answer can be handed over. The promise is one process's own, and holds as long
-// as that process lives: the sender names the incarnation that it asks.
+// Package fence makes "not run" responses reliable. A sender whose connection broke doesn't know
+// whether the gate forwarded its request to the target, so it asks the gate. If the request
+// has not been sent, the gate fences it: it will never be sent, even if its bytes arrive
+// later. If it has been sent, the gate says so and the response can be handed over. The
+// guarantee holds for the lifetime of one gate process; the sender names the incarnation that
+// it asks.
 //
-// The state machine is specified in spec/fence.pml. It has no locks or clocks.
+// spec/fence.pml specifies the state machine. The package uses no locks or clocks.
 package fence
 
 import "time"
 
-// State is what a gate knows of a request.
+// State is the state of a request at a gate.
 type State int
 
-// The states of a request.
+// States of a request.
 const (
-	// Unseen requests have not come.
+	// Unseen requests have not arrived.
 	Unseen State = iota
-	// Waiting requests have come and were not sent to the target.
+	// Waiting requests have arrived and have not been sent to the target.
 	Waiting
-	// Sent requests were sent and have not ended.
+	// Sent requests are running at the target.
 	Sent
-	// Ended requests were sent and have ended.
+	// Ended requests have finished at the target.
 	Ended
 	// Fenced requests were not sent and never will be.
 	Fenced
 )
 
-// Ledger holds the requests of one gate by id. It is not safe for concurrent use.
+// Ledger tracks the requests of one gate by id. It is not safe for concurrent use.
 type Ledger struct {
-	keep    time.Duration
-	entries map[string]*entry
-	order   []string // by creation, for forgetting
+	retention time.Duration
+	entries   map[string]*entry
+	order     []string // ids in order of insertion or renewal, for evict
 }
 
 type entry struct {
-	state State
-	at    time.Duration // of the last change
+	state     State
+	changedAt time.Duration
 }
 
-// New makes a ledger that remembers a request for at least so long after its
-// last change. keep must be longer than any request's bytes can be under way.
-func New(keep time.Duration) *Ledger {
-	return &Ledger{keep: keep, entries: map[string]*entry{}}
+// New returns a ledger that keeps a request for at least retention after its last change.
+// retention must exceed the time that a request can be in transit.
+func New(retention time.Duration) *Ledger {
+	return &Ledger{retention: retention, entries: map[string]*entry{}}
 }
 
-// Arrive notes that a request has come. It gives false when the request must be
-// refused as not run: it is fenced, or it has come before.
+// Arrive records a request's arrival. It returns false if the request must be rejected as not
+// run, because it is fenced or has arrived before.
 func (l *Ledger) Arrive(now time.Duration, id string) bool {
-	l.forget(now)
+	l.evict(now)
 	if l.entries[id] != nil {
 		return false
 	}
-	l.set(now, id, Waiting)
+	l.insert(now, id, Waiting)
 	return true
 }
 
-// Send notes that a request is sent to the target now. It gives false when it
-// must not be: it was fenced while it waited.
+// Send records that a request is about to be sent to the target. It returns false if the request
+// must not be sent, because it was fenced while it waited.
 func (l *Ledger) Send(now time.Duration, id string) bool {
-	one := l.entries[id]
-	if one == nil || one.state != Waiting {
+	e := l.entries[id]
+	if e == nil || e.state != Waiting {
 		return false
 	}
-	one.state, one.at = Sent, now
+	e.state, e.changedAt = Sent, now
 	return true
 }
 
-// End notes that a request that was sent has ended.
+// End records that a sent request has finished.
 func (l *Ledger) End(now time.Duration, id string) {
-	if one := l.entries[id]; one != nil && one.state == Sent {
-		one.state, one.at = Ended, now
+	if e := l.entries[id]; e != nil && e.state == Sent {
+		e.state, e.changedAt = Ended, now
 	}
 }
 
-// Withdraw notes that a request that waited was refused: it will not be sent.
+// Withdraw records that a waiting request was rejected and will not be sent.
 func (l *Ledger) Withdraw(now time.Duration, id string) {
-	if one := l.entries[id]; one != nil && one.state == Waiting {
-		one.state, one.at = Fenced, now
+	if e := l.entries[id]; e != nil && e.state == Waiting {
+		e.state, e.changedAt = Fenced, now
 	}
 }
 
-// Fence asks for a request and, unless it was sent, makes sure that it never
-// will be. The state that it gives is Sent, Ended or Fenced.
+// Fence prevents a request from being sent unless it already was. The returned state is Sent,
+// Ended or Fenced.
 func (l *Ledger) Fence(now time.Duration, id string) State {
-	l.forget(now)
-	one := l.entries[id]
-	if one == nil {
-		l.set(now, id, Fenced)
+	l.evict(now)
+	e := l.entries[id]
+	if e == nil {
+		l.insert(now, id, Fenced)
 		return Fenced
 	}
-	if one.state == Waiting {
-		one.state, one.at = Fenced, now
+	if e.state == Waiting {
+		e.state, e.changedAt = Fenced, now
 	}
-	return one.state
+	return e.state
 }
 
-// State gives what is known of a request.
+// State returns the state of a request.
 func (l *Ledger) State(id string) State {
-	if one := l.entries[id]; one != nil {
-		return one.state
+	if e := l.entries[id]; e != nil {
+		return e.state
 	}
 	return Unseen
 }
 
-// Len gives the number of requests held.
+// Len returns the number of tracked requests.
 func (l *Ledger) Len() int { return len(l.entries) }
 
-func (l *Ledger) set(now time.Duration, id string, state State) {
-	l.entries[id] = &entry{state: state, at: now}
+func (l *Ledger) insert(now time.Duration, id string, state State) {
+	l.entries[id] = &entry{state: state, changedAt: now}
 	l.order = append(l.order, id)
 }
 
-// forget drops the oldest requests that have been at rest for long enough. What
-// waits or runs is never dropped; it goes to the end of the line.
-func (l *Ledger) forget(now time.Duration) {
+// evict removes finished and fenced requests whose retention is over. Waiting and running ones
+// are kept and moved to the end of the queue.
+func (l *Ledger) evict(now time.Duration) {
 	for len(l.order) > 0 {
 		oldest := l.order[0]
-		one := l.entries[oldest]
-		if now-one.at < l.keep {
+		e := l.entries[oldest]
+		if now-e.changedAt < l.retention {
 			return
 		}
 		l.order = l.order[1:]
-		if one.state == Waiting || one.state == Sent {
-			one.at = now
+		if e.state == Waiting || e.state == Sent {
+			e.changedAt = now
 			l.order = append(l.order, oldest)
 			continue
 		}
--- a/internal/core/fence/fence_test.go
+++ b/internal/core/fence/fence_test.go
@@ -9,27 +9,27 @@
 	"pgregory.net/rapid"
 )
 
-const keep = time.Minute
+const retention = time.Minute
 
-func TestFencedBeforeItCameIsNeverSent(t *testing.T) {
+func TestFenceBeforeArrivalPreventsSend(t *testing.T) {
 	g := NewWithT(t)
-	l := New(keep)
+	l := New(retention)
 	g.Expect(l.Fence(0, "a")).To(Equal(Fenced))
 	g.Expect(l.Arrive(1, "a")).To(BeFalse())
 	g.Expect(l.Send(2, "a")).To(BeFalse())
 }
 
-func TestFencedWhileItWaitsIsNeverSent(t *testing.T) {
+func TestFenceWhileWaitingPreventsSend(t *testing.T) {
 	g := NewWithT(t)
-	l := New(keep)
+	l := New(retention)
 	g.Expect(l.Arrive(0, "a")).To(BeTrue())
 	g.Expect(l.Fence(1, "a")).To(Equal(Fenced))
 	g.Expect(l.Send(2, "a")).To(BeFalse())
 }
 
-func TestSentIsNeverCalledNotRun(t *testing.T) {
+func TestFenceReportsSentRequest(t *testing.T) {
 	g := NewWithT(t)
-	l := New(keep)
+	l := New(retention)
 	g.Expect(l.Arrive(0, "a")).To(BeTrue())
 	g.Expect(l.Send(1, "a")).To(BeTrue())
 	g.Expect(l.Fence(2, "a")).To(Equal(Sent))
@@ -37,32 +37,32 @@
 	g.Expect(l.Fence(4, "a")).To(Equal(Ended))
 }
 
-func TestSecondArrivalIsRefused(t *testing.T) {
+func TestDuplicateArrivalIsRejected(t *testing.T) {
 	g := NewWithT(t)
-	l := New(keep)
+	l := New(retention)
 	g.Expect(l.Arrive(0, "a")).To(BeTrue())
 	g.Expect(l.Arrive(1, "a")).To(BeFalse())
 }
 
-func TestRestingRequestsAreForgottenRunningOnesAreNot(t *testing.T) {
+func TestEvictsOnlyFinishedRequests(t *testing.T) {
 	g := NewWithT(t)
-	l := New(keep)
+	l := New(retention)
 	l.Arrive(0, "runs")
 	l.Send(0, "runs")
 	l.Fence(0, "fenced")
-	l.Arrive(2*keep, "later")
+	l.Arrive(2*retention, "later")
 	g.Expect(l.State("fenced")).To(Equal(Unseen))
 	g.Expect(l.State("runs")).To(Equal(Sent))
 	g.Expect(l.Len()).To(Equal(2))
 }
 
-// Over any order of events within the time that requests are kept: no request is
-// sent twice, and none of which a sender was told "not run" is ever sent.
-func TestNotRunIsTrueOverRandomSchedules(t *testing.T) {
+// Under any order of events within the retention time, no request is sent twice and no fenced
+// request is sent.
+func TestFencedRequestsNeverRunUnderRandomSchedules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := New(time.Hour)
 		sent := map[string]int{}
-		denied := map[string]bool{}
+		fenced := map[string]bool{}
 		for now := range time.Duration(200) {
 			id := strconv.Itoa(rapid.IntRange(0, 4).Draw(t, "id"))
 			switch rapid.IntRange(0, 4).Draw(t, "event") {
@@ -78,11 +78,11 @@
 				l.Withdraw(now, id)
 			case 4:
 				if l.Fence(now, id) == Fenced {
-					denied[id] = true
+					fenced[id] = true
 				}
 			}
-			if sent[id] > 1 || (denied[id] && sent[id] > 0) {
-				t.Fatalf("request %s: sent %d times, told not run: %v", id, sent[id], denied[id])
+			if sent[id] > 1 || (fenced[id] && sent[id] > 0) {
+				t.Fatalf("request %s: sent %d times, fenced: %v", id, sent[id], fenced[id])
 			}
 		}
 	})
