--- a/internal/core/lapse/lapse.go
+++ b/internal/core/lapse/lapse.go
@@ -1,117 +1,115 @@
-// Package lapse decides what becomes of a node whose record the store no longer
-// has. While the store is away nothing is decided. Once it answers, a node that
-// lives and reaches it has its record back within the grace; one whose record is
-// still missing then is gone, whoever answers at its address. A node that says
-// that the store turns it away alone cannot write its record: it stays as long as
-// it says so. It is a state machine without locks, clocks or sockets.
+// Package lapse decides whether a node whose record is missing from the store is gone. While the
+// store is unavailable nothing is decided. Once it is available, a live node that reaches it
+// restores its record within the grace period; a node whose record is still missing then is
+// gone, even if something answers at its address. A node that reports that it alone can't
+// reach the store is kept for as long as it reports so. The package uses no locks, clocks or
+// sockets.
 package lapse
 
 import "time"
 
-// Config sets the times.
+// Config sets the timeouts.
 type Config struct {
-	// Grace is how long after the store's return, or after the loss of the record,
-	// the record may be missing.
-	Grace time.Duration
-	// AskEvery is the pause between two questions to a node whose record is missing.
-	AskEvery time.Duration
-	// Silent is the number of questions without an answer after which it is gone.
-	Silent int
+	// GracePeriod is how long a record may be missing after its loss or the store's return.
+	GracePeriod time.Duration
+	// ProbeInterval is the pause between two probes of a node.
+	ProbeInterval time.Duration
+	// MaxUnanswered is the number of consecutive unanswered probes after which a node is gone.
+	MaxUnanswered int
 }
 
-// DefaultConfig leaves a node whose record is missing two seconds to write it anew, and half
-// a second until the others have heard of it.
+// DefaultConfig allows a node two seconds to rewrite its record, and half a second for the
+// other nodes to learn of it.
 func DefaultConfig() Config {
-	return Config{Grace: 2500 * time.Millisecond, AskEvery: 500 * time.Millisecond, Silent: 3}
+	return Config{GracePeriod: 2500 * time.Millisecond, ProbeInterval: 500 * time.Millisecond, MaxUnanswered: 3}
 }
 
-// Answer is what a node said of itself.
+// Answer is the result of probing a node.
 type Answer int
 
-// The answers.
+// Results of a probe.
 const (
-	// NoAnswer means that nobody, or another node, answered at the address.
+	// NoAnswer means that nothing, or another node, answered at the address.
 	NoAnswer Answer = iota + 1
-	// Reaches means that the node lives and the store serves it.
+	// Reaches means that the node is alive and reaches the store.
 	Reaches
-	// TurnedAway means that the node lives and the store does not serve it.
+	// TurnedAway means that the node is alive and can't reach the store.
 	TurnedAway
 )
 
-type missing struct {
-	since  time.Duration // from here on the record might have come back
-	asked  time.Duration
-	silent int // questions in a row without an answer
+type missingNode struct {
+	graceStart time.Duration
+	probedAt   time.Duration
+	unanswered int // consecutive unanswered probes
 }
 
-// Tracker holds the nodes whose records are missing. It is not safe for
-// concurrent use.
+// Tracker tracks the nodes whose records are missing. It is not safe for concurrent use.
 type Tracker struct {
-	config  Config
-	away    bool // the store
-	missing map[string]*missing
+	config    Config
+	storeDown bool
+	missing   map[string]*missingNode
 }
 
-// New makes a tracker of a store that answers.
+// New returns a tracker that assumes the store to be available.
 func New(config Config) *Tracker {
-	return &Tracker{config: config, missing: map[string]*missing{}}
+	return &Tracker{config: config, missing: map[string]*missingNode{}}
 }
 
-// Lapsed notes that the store no longer has the record of a node.
+// Lapsed records that a node's record is missing from the store.
 func (t *Tracker) Lapsed(now time.Duration, node string) {
 	if t.missing[node] == nil {
-		t.missing[node] = &missing{since: now, asked: now - t.config.AskEvery}
+		t.missing[node] = &missingNode{graceStart: now, probedAt: now - t.config.ProbeInterval}
 	}
 }
 
-// Back notes that the store has the record of a node.
+// Back records that a node's record is in the store.
 func (t *Tracker) Back(node string) { delete(t.missing, node) }
 
-// Store notes whether the store answers. With its return every grace begins anew.
-func (t *Tracker) Store(now time.Duration, answers bool) {
-	if answers && t.away {
-		for _, one := range t.missing {
-			one.since = now
+// Store records whether the store is available. All grace periods restart when it returns.
+func (t *Tracker) Store(now time.Duration, available bool) {
+	if available && t.storeDown {
+		for _, m := range t.missing {
+			m.graceStart = now
 		}
 	}
-	t.away = !answers
+	t.storeDown = !available
 }
 
-// Answered takes in the answer of a node to a question.
+// Answered records the result of a probe.
 func (t *Tracker) Answered(now time.Duration, node string, answer Answer) {
-	one := t.missing[node]
-	if one == nil {
+	m := t.missing[node]
+	if m == nil {
 		return
 	}
 	switch answer {
 	case NoAnswer:
-		one.silent++
+		m.unanswered++
 	case TurnedAway:
-		one.silent, one.since = 0, now
+		m.unanswered, m.graceStart = 0, now
 	default:
-		one.silent = 0
+		m.unanswered = 0
 	}
 }
 
-// Due gives the nodes to ask now and those that are gone. The latter are missing no more.
-func (t *Tracker) Due(now time.Duration) (ask, gone []string) {
-	if t.away {
+// Due returns the nodes to probe now and those that are gone. The latter are no longer tracked.
+func (t *Tracker) Due(now time.Duration) (probe, gone []string) {
+	if t.storeDown {
 		return nil, nil
 	}
-	for node, one := range t.missing {
+	for node, m := range t.missing {
 		switch {
-		case one.silent >= t.config.Silent || now-one.since >= t.config.Grace:
+		case m.unanswered >= t.config.MaxUnanswered || now-m.graceStart >= t.config.GracePeriod:
 			gone = append(gone, node)
 			delete(t.missing, node)
-		case now-one.asked >= t.config.AskEvery:
-			one.asked = now
-			ask = append(ask, node)
+		case now-m.probedAt >= t.config.ProbeInterval:
+			m.probedAt = now
+			probe = append(probe, node)
 		}
 	}
-	return ask, gone
+	return probe, gone
 }
 
-// Missing gives the nodes whose records are missing.
+// Missing returns the nodes whose records are missing.
 func (t *Tracker) Missing() []string {
 	nodes := make([]string, 0, len(t.missing))
 	for node := range t.missing {
