--- a/internal/core/freshness/freshness_test.go
+++ b/internal/core/freshness/freshness_test.go
@@ -9,16 +9,16 @@
 	"pgregory.net/rapid"
 )
 
-func TestEvidenceForAVersionThatIsNotHeldCountsNothing(t *testing.T) {
+func TestConfirmRequiresVersionInForce(t *testing.T) {
 	for _, tc := range []struct {
 		name          string
 		version, held uint64
 		want          bool
 	}{
 		{"the version in force", 4, 4, true},
-		{"an older one than in force", 3, 4, true},
-		{"a newer one", 5, 4, false},
-		{"none is in force", 0, 0, false},
+		{"older than the version in force", 3, 4, true},
+		{"newer than the version in force", 5, 4, false},
+		{"no version in force", 0, 0, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
@@ -29,7 +29,7 @@
 	}
 }
 
-func TestEvidenceGrowsOld(t *testing.T) {
+func TestEvidenceExpires(t *testing.T) {
 	g := NewWithT(t)
 	var e Evidence
 	g.Expect(e.Within(0, time.Hour)).To(BeFalse())
@@ -41,7 +41,7 @@
 	g.Expect(age).To(Equal(time.Second))
 }
 
-func TestAnAgeThatWasToldCountsFromTheQuestion(t *testing.T) {
+func TestToldSubtractsAgeFromRequestStart(t *testing.T) {
 	g := NewWithT(t)
 	g.Expect(Told(10*time.Second, 2*time.Second)).To(Equal(8 * time.Second))
 	g.Expect(Told(10*time.Second, -time.Second)).To(Equal(10 * time.Second))
@@ -49,66 +49,66 @@
 
 const bound = 5 * time.Second
 
-// believer is a node of the property below, on a clock of its own.
-type believer struct {
-	evidence Evidence
-	clock    time.Duration // its clock less the true time
-	version  uint64
+// simulatedNode is a node with its own clock.
+type simulatedNode struct {
+	evidence    Evidence
+	clockOffset time.Duration // its clock minus true time
+	version     uint64
 }
 
-func (b *believer) now(at time.Duration) time.Duration { return at + b.clock }
+func (n *simulatedNode) now(at time.Duration) time.Duration { return at + n.clockOffset }
 
-// The store takes keys away; nodes confirm at it or ask one another, answers are late, and
-// nodes are paused between the arrival of a request and its run. No request that was sent
-// longer than the bound after the acknowledgement runs with the key.
-func TestNoKeyIsBelievedForLongerThanTheBound(t *testing.T) {
+// The store revokes keys; nodes query it or each other with delayed answers, and pause between
+// the arrival of a request and its run. No request sent more than the bound after a revocation
+// was acknowledged is judged by the old configuration.
+func TestRevokedKeyIsNotAcceptedAfterBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 2))
-		nodes := make([]*believer, rapid.IntRange(2, 6).Draw(t, "nodes"))
+		nodes := make([]*simulatedNode, rapid.IntRange(2, 6).Draw(t, "nodes"))
 		for index := range nodes {
-			nodes[index] = &believer{clock: time.Duration(random.IntN(1000)) * time.Second, version: 1}
+			nodes[index] = &simulatedNode{clockOffset: time.Duration(random.IntN(1000)) * time.Second, version: 1}
 		}
-		acked := []time.Duration{0, 0} // by version: when the store acknowledged it
-		type late struct {
-			at time.Duration
-			do func(at time.Duration)
+		ackedAt := []time.Duration{0, 0} // acknowledgement times by version
+		type message struct {
+			at      time.Duration
+			deliver func(at time.Duration)
 		}
-		var messages []late
+		var messages []message
 		delay := func() time.Duration { return time.Duration(random.ExpFloat64() * float64(400*time.Millisecond)) }
 		for at := time.Duration(0); at < 30*time.Second; at += 20 * time.Millisecond {
 			if random.IntN(100) == 0 {
-				acked = append(acked, at)
+				ackedAt = append(ackedAt, at)
 			}
-			kept := messages[:0]
-			for _, one := range messages {
-				if one.at > at {
-					kept = append(kept, one)
+			pending := messages[:0]
+			for _, m := range messages {
+				if m.at > at {
+					pending = append(pending, m)
 					continue
 				}
-				one.do(at)
+				m.deliver(at)
 			}
-			messages = kept
+			messages = pending
 			for _, n := range nodes {
 				asked := n.now(at)
 				switch random.IntN(20) {
-				case 0: // at the store, which answers in between
+				case 0: // queries the store, which answers in between
 					reached := at + delay()
-					messages = append(messages, late{reached, func(time.Duration) {
-						newest := uint64(len(acked) - 1)
+					messages = append(messages, message{reached, func(time.Duration) {
+						newest := uint64(len(ackedAt) - 1)
 						back := reached + delay()
-						messages = append(messages, late{back, func(time.Duration) {
+						messages = append(messages, message{back, func(time.Duration) {
 							n.version = max(n.version, newest)
 							n.evidence.Confirm(asked, newest, n.version)
 						}})
 					}})
-				case 1: // another node
+				case 1: // queries another node
 					other := nodes[random.IntN(len(nodes))]
 					reached := at + delay()
-					messages = append(messages, late{reached, func(now time.Duration) {
+					messages = append(messages, message{reached, func(now time.Duration) {
 						age, version, known := other.evidence.Age(other.now(now))
 						configuration := other.version
 						back := now + delay()
-						messages = append(messages, late{back, func(time.Duration) {
+						messages = append(messages, message{back, func(time.Duration) {
 							if random.IntN(2) == 0 {
 								n.version = max(n.version, configuration)
 							}
@@ -118,14 +118,13 @@
 						}})
 					}})
 				}
-				// A request that is sent now; the node's answer is the same however long it
-				// pauses afterwards.
+				// A request is sent now. A later pause of the node doesn't change its decision.
 				if !n.evidence.Within(n.now(at), bound) {
 					continue
 				}
-				for version := n.version + 1; version < uint64(len(acked)); version++ {
-					if at-acked[version] > bound {
-						t.Fatalf("a request sent %s after version %d was acknowledged is judged by version %d", at-acked[version], version, n.version)
+				for version := n.version + 1; version < uint64(len(ackedAt)); version++ {
+					if at-ackedAt[version] > bound {
+						t.Fatalf("a request sent %s after version %d was acknowledged is judged by version %d", at-ackedAt[version], version, n.version)
 					}
 				}
 			}
