--- a/internal/core/election/election.go
+++ b/internal/core/election/election.go
@@ -1,9 +1,8 @@
-// Package election decides which nodes of a zone read the store on behalf of the
-// others. No agreement is needed: every node has a place among the members that it
-// knows, the first follows the store and says so in beats, the next ones take over
-// when no beat of a node that hears the store has come for long enough. Two that
-// follow at once cost calls and break nothing. It is a state machine without locks,
-// clocks or sockets.
+// Package election chooses the nodes of a zone that follow the store on behalf of the others. No
+// agreement is needed: each node ranks the members it knows. The first one follows the store
+// and announces it with beats; the next ones take over in order when beats of a node that
+// reaches the store stop. Several followers at once are harmless and only cost extra calls. The
+// package uses no locks, clocks or sockets.
 package election
 
 import (
@@ -13,43 +12,43 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Config sets an election.
+// Config sets the timeouts of an election.
 type Config struct {
-	// Silence is how long the first node in place waits without a beat before it
-	// follows the store; each later place waits Step longer.
-	Silence, Step time.Duration
-	// AwayStep is in the place of Step, from the second place on, while beats come of
-	// a node that follows but does not hear the store: the others need not all try.
-	AwayStep time.Duration
+	// BeatTimeout is how long the first-ranked node waits without a beat before it follows the
+	// store. Each further rank waits RankDelay longer.
+	BeatTimeout, RankDelay time.Duration
+	// StoreDownRankDelay replaces RankDelay from the second rank on while a follower reports that
+	// it can't reach the store, so that not all nodes of the zone try it.
+	StoreDownRankDelay time.Duration
 }
 
-// DefaultConfig gives the values that docs/design/sidecar.md was measured with.
+// DefaultConfig returns the default timeouts; see docs/design/sidecar.md.
 func DefaultConfig() Config {
-	return Config{Silence: 700 * time.Millisecond, Step: 100 * time.Millisecond, AwayStep: 700 * time.Millisecond}
+	return Config{BeatTimeout: 700 * time.Millisecond, RankDelay: 100 * time.Millisecond, StoreDownRankDelay: 700 * time.Millisecond}
 }
 
-// maxPlaces bounds the wait of late places, in steps.
-const maxPlaces = 8
+// maxRank is the rank from which the delay no longer grows.
+const maxRank = 8
 
 // Election is the state of one node. It is not safe for concurrent use.
 type Election struct {
-	config    Config
-	self      string
-	places    map[string]int
-	following bool
-	well      bool          // the node itself hears the store
-	heard     time.Duration // last beat of another node that hears the store
-	tried     time.Duration // last beat of one that does not
-	tries     bool          // tried is set
-	resigned  bool
+	config          Config
+	self            string
+	ranks           map[string]int
+	following       bool
+	storeReachable  bool          // the node itself reaches the store
+	lastHealthyBeat time.Duration // last beat of another node that reaches the store
+	lastFailingBeat time.Duration // last beat of another node that doesn't
+	hasFailingBeat  bool          // lastFailingBeat is set
+	resigned        bool
 }
 
-// New makes the election of a node that does not follow before Silence is over.
+// New returns the election state of a node. It doesn't follow the store before BeatTimeout is over.
 func New(config Config, self string, now time.Duration) *Election {
-	return &Election{config: config, self: self, heard: now, well: true, places: map[string]int{self: 0}}
+	return &Election{config: config, self: self, lastHealthyBeat: now, storeReachable: true, ranks: map[string]int{self: 0}}
 }
 
-// SetMembers sets the nodes of the zone, the own one among them or not.
+// SetMembers sets the nodes of the zone; the node itself is always included.
 func (e *Election) SetMembers(names []string) {
 	order := make([]string, 0, len(names)+1)
 	seen := map[string]bool{}
@@ -63,56 +62,55 @@
 		first, second := xxhash.Sum64String(order[a]), xxhash.Sum64String(order[b])
 		return first < second || first == second && order[a] < order[b]
 	})
-	e.places = make(map[string]int, len(order))
-	for place, name := range order {
-		e.places[name] = place
+	e.ranks = make(map[string]int, len(order))
+	for rank, name := range order {
+		e.ranks[name] = rank
 	}
 }
 
-// Beat takes in that another node follows the store; well tells that it hears it.
-func (e *Election) Beat(now time.Duration, node string, well bool) {
+// Beat records that another node follows the store; reachable reports whether that node reaches the store.
+func (e *Election) Beat(now time.Duration, node string, reachable bool) {
 	if node == e.self {
 		return
 	}
 	switch {
-	case !well:
-		e.tried, e.tries = now, true
+	case !reachable:
+		e.lastFailingBeat, e.hasFailingBeat = now, true
 	case !e.following:
-		e.heard = now
-	case !e.well || e.before(node):
-		e.heard = now
+		e.lastHealthyBeat = now
+	case !e.storeReachable || e.outranksSelf(node):
+		e.lastHealthyBeat = now
 		e.following = false
 	}
 }
 
-// before tells whether a node has a place before the own one. One that is not
-// known has none.
-func (e *Election) before(node string) bool {
-	place, known := e.places[node]
-	return known && place < e.places[e.self]
+// outranksSelf reports whether a known node ranks before this one.
+func (e *Election) outranksSelf(node string) bool {
+	rank, known := e.ranks[node]
+	return known && rank < e.ranks[e.self]
 }
 
-// SetWell notes whether the node itself hears the store while it follows.
-func (e *Election) SetWell(well bool) { e.well = well }
+// SetWell records whether the node itself, as a follower, reaches the store.
+func (e *Election) SetWell(reachable bool) { e.storeReachable = reachable }
 
-// Resign has the node never follow again: it is stopping.
+// Resign withdraws the node from the election for good, because it is stopping.
 func (e *Election) Resign() { e.resigned, e.following = true, false }
 
-// Follows tells whether the node follows the store now.
+// Follows reports whether the node follows the store at now.
 func (e *Election) Follows(now time.Duration) bool {
 	if e.resigned {
 		return false
 	}
-	if !e.following && now-e.heard >= e.wait(now) {
-		e.following, e.well = true, true
+	if !e.following && now-e.lastHealthyBeat >= e.takeoverDelay(now) {
+		e.following, e.storeReachable = true, true
 	}
 	return e.following
 }
 
-func (e *Election) wait(now time.Duration) time.Duration {
-	place := min(e.places[e.self], maxPlaces)
-	if e.tries && now-e.tried < e.config.Silence {
-		return e.config.Silence + time.Duration(max(place-1, 0))*e.config.AwayStep
+func (e *Election) takeoverDelay(now time.Duration) time.Duration {
+	rank := min(e.ranks[e.self], maxRank)
+	if e.hasFailingBeat && now-e.lastFailingBeat < e.config.BeatTimeout {
+		return e.config.BeatTimeout + time.Duration(max(rank-1, 0))*e.config.StoreDownRankDelay
 	}
-	return e.config.Silence + time.Duration(place)*e.config.Step
+	return e.config.BeatTimeout + time.Duration(rank)*e.config.RankDelay
 }
--- a/internal/core/election/election_test.go
+++ b/internal/core/election/election_test.go
@@ -8,16 +8,16 @@
 	. "github.com/onsi/gomega"
 )
 
-// zone is a zone of nodes whose beats reach all that live.
+// zone simulates the nodes of a zone. Beats reach all live nodes.
 type zone struct {
-	nodes map[string]*Election
-	dead  map[string]bool
-	deaf  map[string]bool // the store turns them away
-	now   time.Duration
+	nodes  map[string]*Election
+	dead   map[string]bool
+	cutOff map[string]bool // can't reach the store
+	now    time.Duration
 }
 
 func newZone(size int) *zone {
-	z := &zone{nodes: map[string]*Election{}, dead: map[string]bool{}, deaf: map[string]bool{}}
+	z := &zone{nodes: map[string]*Election{}, dead: map[string]bool{}, cutOff: map[string]bool{}}
 	var names []string
 	for i := range size {
 		names = append(names, fmt.Sprintf("node-%d", i))
@@ -31,7 +31,7 @@
 
 const tick = 100 * time.Millisecond
 
-// run plays the zone for some time and gives those that follow at its end.
+// run simulates the zone for some time and returns the followers at the end.
 func (z *zone) run(span time.Duration) (following []string) {
 	for end := z.now + span; z.now < end; z.now += tick {
 		following = following[:0]
@@ -39,13 +39,13 @@
 			if z.dead[name] || !e.Follows(z.now) {
 				continue
 			}
-			e.SetWell(!z.deaf[name])
+			e.SetWell(!z.cutOff[name])
 			following = append(following, name)
 		}
 		for _, from := range following {
 			for name, e := range z.nodes {
 				if !z.dead[name] {
-					e.Beat(z.now, from, !z.deaf[from])
+					e.Beat(z.now, from, !z.cutOff[from])
 				}
 			}
 		}
@@ -53,7 +53,7 @@
 	return following
 }
 
-func TestOneNodeOfAZoneFollows(t *testing.T) {
+func TestOneFollowerPerZone(t *testing.T) {
 	for _, size := range []int{1, 2, 16, 140} {
 		g := NewWithT(t)
 		z := newZone(size)
@@ -61,49 +61,49 @@
 	}
 }
 
-// The bound of configuration is 2 s on the smaller sites: another node has to
-// follow well within it, whichever nodes die.
-func TestAnotherNodeTakesOver(t *testing.T) {
+// Small sites must learn configuration changes within 2 s, so failover has to take less, whichever
+// node fails.
+func TestFailover(t *testing.T) {
 	const bound = 1600 * time.Millisecond
 	for _, tc := range []struct {
-		name string
-		harm func(z *zone, node string)
+		name   string
+		inject func(z *zone, node string)
 	}{
 		{"dead", func(z *zone, node string) { z.dead[node] = true }},
-		{"turned away", func(z *zone, node string) { z.deaf[node] = true }},
+		{"cut off from the store", func(z *zone, node string) { z.cutOff[node] = true }},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
 			z := newZone(16)
 			first := z.run(3 * time.Second)
-			tc.harm(z, first[0])
-			after := z.run(bound)
-			g.Expect(after).NotTo(BeEmpty())
+			tc.inject(z, first[0])
+			followers := z.run(bound)
+			g.Expect(followers).NotTo(BeEmpty())
 			well := 0
-			for _, name := range after {
-				if !z.deaf[name] {
+			for _, name := range followers {
+				if !z.cutOff[name] {
 					well++
 				}
 			}
-			g.Expect(well).To(Equal(1), "%v", after)
+			g.Expect(well).To(Equal(1), "%v", followers)
 		})
 	}
 }
 
-// While the store is away for all, most of a zone leaves it alone.
-func TestFewNodesTryAStoreThatIsAway(t *testing.T) {
+// Most nodes of a zone don't call a store that is unavailable to all.
+func TestFewNodesRetryUnavailableStore(t *testing.T) {
 	g := NewWithT(t)
 	z := newZone(16)
 	z.run(3 * time.Second)
 	for name := range z.nodes {
-		z.deaf[name] = true
+		z.cutOff[name] = true
 	}
 	g.Expect(len(z.run(4 * time.Second))).To(BeNumerically("<=", 6))
-	clear(z.deaf)
+	clear(z.cutOff)
 	g.Expect(z.run(2 * time.Second)).To(HaveLen(1))
 }
 
-func TestStoppingNodeHandsOver(t *testing.T) {
+func TestResignHandsOver(t *testing.T) {
 	g := NewWithT(t)
 	z := newZone(5)
 	first := z.run(3 * time.Second)
