--- a/internal/core/roster/roster.go
+++ b/internal/core/roster/roster.go
@@ -1,66 +1,63 @@
-// Package roster decides which target stands beside a node. Heartbeats come
-// late, from targets that are gone, and from a new target on the same address;
-// once a target said that it is leaving, nothing brings it back. It is a state
-// machine without clocks or locks.
+// Package roster tracks which target instance runs next to a node. Heartbeats may be late or come
+// from an earlier or a new instance at the same address; an instance that has left is never
+// admitted again. The package uses no clocks or locks.
 package roster
 
 import "time"
 
-// Report is one heartbeat of a target.
+// Report is a heartbeat of a target.
 type Report struct {
-	Instance string // one start of the target
+	Instance string // process incarnation of the target
 	Service  string
 	Address  string // IP:port
 	Zone     string
 	Version  string // of the target's software
 	Slots    int
 	Draining bool
-	Sequence int64         // rises with each heartbeat of an instance
-	Cold     time.Duration // how much longer it is slow
+	Sequence int64         // increases with each heartbeat of an instance
+	Cold     time.Duration // remaining warm-up time
 }
 
-// Verdict says what a heartbeat changed.
-type Verdict int
+// Result is the outcome of a heartbeat.
+type Result int
 
-// The verdicts.
+// Outcomes of a heartbeat.
 const (
-	// Known means that nothing changed that others have to learn.
-	Known Verdict = iota + 1
-	// Changed means that the target beside the node, or its state, is another now.
+	// Unchanged means that other nodes have nothing to learn.
+	Unchanged Result = iota + 1
+	// Changed means that the target or its state is different.
 	Changed
-	// Stale means that the heartbeat came late and counts for nothing.
+	// Stale means that the heartbeat was late and was ignored.
 	Stale
-	// Doubtful means that another instance holds the address: ask the target itself.
+	// Doubtful means that another instance is registered: ask the target itself.
 	Doubtful
 )
 
-// Roster is what a node knows of the target beside it. It is not safe for
-// concurrent use.
+// Roster is the state of the target next to a node. It is not safe for concurrent use.
 type Roster struct {
-	current Report
-	gone    map[string]bool
-	order   []string // of gone, oldest first
+	current       Report
+	departed      map[string]bool
+	departedOrder []string // oldest first
 }
 
-// maxGone bounds the memory of targets that are gone.
-const maxGone = 256
+// maxDeparted limits the number of departed instances that are remembered.
+const maxDeparted = 256
 
-// New makes an empty roster.
-func New() *Roster { return &Roster{gone: map[string]bool{}} }
+// New returns an empty roster.
+func New() *Roster { return &Roster{departed: map[string]bool{}} }
 
-// Current gives the last report of the target beside the node; its Instance is
-// empty when none is known.
+// Current returns the latest report of the current target; its Instance is empty if there is none.
 func (r *Roster) Current() Report { return r.current }
 
-// Gone tells whether an instance has left for good.
-func (r *Roster) Gone(instance string) bool { return r.gone[instance] }
+// Gone reports whether an instance has left for good.
+func (r *Roster) Gone(instance string) bool { return r.departed[instance] }
 
-// Empty tells that a target was here and left, and that no other has come.
-func (r *Roster) Empty() bool { return r.current.Instance == "" && len(r.gone) > 0 }
+// Empty reports that the last target has left and no other has arrived.
+func (r *Roster) Empty() bool { return r.current.Instance == "" && len(r.departed) > 0 }
 
-// Heartbeat takes in a report.
-func (r *Roster) Heartbeat(report Report) Verdict {
-	if r.gone[report.Instance] {
+// Heartbeat applies a heartbeat and returns its outcome.
+func (r *Roster) Heartbeat(report Report) Result {
+	if r.departed[report.Instance] {
 		return Stale
 	}
 	if r.current.Instance == "" {
@@ -70,10 +67,10 @@
 	if r.current.Instance != report.Instance {
 		return Doubtful
 	}
-	return r.advance(report)
+	return r.update(report)
 }
 
-func (r *Roster) advance(report Report) Verdict {
+func (r *Roster) update(report Report) Result {
 	if report.Sequence <= r.current.Sequence && r.current.Sequence > 0 {
 		return Stale
 	}
@@ -83,21 +80,20 @@
 	if changed {
 		return Changed
 	}
-	return Known
+	return Unchanged
 }
 
-// Replace puts another instance in the place of the current one, which is gone.
+// Replace makes another instance the current one; the previous one has departed.
 func (r *Roster) Replace(report Report) {
 	if r.current.Instance != "" && r.current.Instance != report.Instance {
-		r.bury(r.current.Instance)
+		r.markDeparted(r.current.Instance)
 	}
 	r.current = report
 }
 
-// Left notes that an instance has left for good. It gives true when it was the
-// target beside the node.
+// Left records that an instance has left for good and reports whether it was the current one.
 func (r *Roster) Left(instance string) bool {
-	r.bury(instance)
+	r.markDeparted(instance)
 	if r.current.Instance != instance {
 		return false
 	}
@@ -105,14 +101,14 @@
 	return true
 }
 
-func (r *Roster) bury(instance string) {
-	if r.gone[instance] {
+func (r *Roster) markDeparted(instance string) {
+	if r.departed[instance] {
 		return
 	}
-	r.gone[instance] = true
-	r.order = append(r.order, instance)
-	if len(r.order) > maxGone {
-		delete(r.gone, r.order[0])
-		r.order = r.order[1:]
+	r.departed[instance] = true
+	r.departedOrder = append(r.departedOrder, instance)
+	if len(r.departedOrder) > maxDeparted {
+		delete(r.departed, r.departedOrder[0])
+		r.departedOrder = r.departedOrder[1:]
 	}
 }
