--- a/internal/core/intent/intent.go
+++ b/internal/core/intent/intent.go
@@ -1,7 +1,7 @@
-// Package intent is the operators' versioned configuration as the sidecar
-// nodes use it: routes by host and path prefix, services, tenants and limits. It holds no
-// names of any platform; an adapter reads the operators' form into it. An Intent
-// is immutable once Seal was called and may then be shared between goroutines.
+// Package intent holds the operators' versioned configuration as the sidecar nodes use it: routes by
+// host and path prefix, services, tenants and limits. It is independent of any platform; an
+// adapter converts the operators' format. An Intent is immutable after Seal and may then be
+// shared between goroutines.
 package intent
 
 import (
@@ -13,50 +13,50 @@
 	"github.com/landingmast/landingmast/internal/failure"
 )
 
-// Kind says how often a request of a route may run.
+// Kind determines how often a request of a route may run.
 type Kind int
 
-// The kinds of route.
+// Kinds of routes.
 const (
 	// Safe requests may run more than once.
 	Safe Kind = iota + 1
 	// Unsafe requests run at most once for each client attempt.
 	Unsafe
-	// Download requests have large answers and may run more than once.
+	// Download requests have large responses and may run more than once.
 	Download
 )
 
-// Repeatable tells whether a request of the kind may run a second time.
+// Repeatable reports whether a request of the kind may run more than once.
 func (k Kind) Repeatable() bool { return k != Unsafe }
 
-// Part is one service of a route and its share of the route's requests.
+// Part is a service of a route and its share of the requests.
 type Part struct {
 	Service string
 	Weight  int
 }
 
-// Route says where the requests of one host and path prefix go.
+// Route defines where the requests for a host and path prefix are sent.
 type Route struct {
 	Name        string
 	Host        string
 	Prefix      string // begins and ends with a slash
 	Kind        Kind
-	Timeout     time.Duration // longest time a request is held; 0: no bound of the route's own
-	Objective   time.Duration // time inside which an answer is worth its full value
-	Priority    int           // 0 is the most important
-	MaxAttempts int           // most targets that one request may reach
-	Public      bool          // its requests need no key
+	Timeout     time.Duration // maximum time to hold a request; 0: no limit for this route
+	Objective   time.Duration // response time up to which a response has its full value
+	Priority    int           // 0 is the highest priority
+	MaxAttempts int           // maximum number of targets to try per request
+	Public      bool          // no API key required
 	Parts       []Part        // at least one
 }
 
-// Service is what the operators say of a service.
+// Service is the configuration of a service.
 type Service struct {
 	Name           string
 	HealthPath     string
-	MaxConnections int // that one target accepts; 0: not said
+	MaxConnections int // connections that one target accepts; 0: unspecified
 }
 
-// Limits bound what a client may send.
+// Limits bounds what a client may send.
 type Limits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int64
@@ -70,24 +70,24 @@
 	Routes   []*Route
 	Services map[string]Service
 	Limits   Limits
-	Tenants  []*Tenant // none: requests need no key
-	Source   []byte    // what it was read from, for other nodes
+	Tenants  []*Tenant // if empty, no API keys are required
+	Source   []byte    // original document, for distribution to other nodes
 
-	byHost        map[string][]*Route // longest prefix first
-	tenants       tenantIndex
-	leastPriority int
+	byHost         map[string][]*Route // longest prefix first
+	tenants        tenantIndex
+	lowestPriority int
 }
 
-// Seal checks the intent and builds its index. It gives a failure of kind
-// BadInput that names the first broken rule.
+// Seal validates the configuration and builds its index. The error is of kind BadInput and names
+// the first violation.
 func (i *Intent) Seal() error {
 	i.byHost = make(map[string][]*Route)
 	for _, route := range i.Routes {
-		if err := i.check(route); err != nil {
+		if err := i.validateRoute(route); err != nil {
 			return err
 		}
-		i.leastPriority = max(i.leastPriority, route.Priority)
-		host := normalHost(route.Host)
+		i.lowestPriority = max(i.lowestPriority, route.Priority)
+		host := normalizeHost(route.Host)
 		i.byHost[host] = append(i.byHost[host], route)
 	}
 	for _, routes := range i.byHost {
@@ -96,12 +96,12 @@
 	return i.tenants.build(i.Tenants)
 }
 
-func (i *Intent) check(route *Route) error {
+func (i *Intent) validateRoute(route *Route) error {
 	bad := func(remedy, format string, arguments ...any) error {
 		return failure.New(failure.BadInput, remedy, "route "+route.Name+": "+format, arguments...)
 	}
 	if !strings.HasPrefix(route.Prefix, "/") || !strings.HasSuffix(route.Prefix, "/") {
-		return bad("begin and end the prefix with a slash", "prefix %q is not usable", route.Prefix)
+		return bad("begin and end the prefix with a slash", "prefix %q does not begin and end with a slash", route.Prefix)
 	}
 	if route.Host == "" {
 		return bad("name the host", "host is missing")
@@ -115,22 +115,22 @@
 			return bad("add the service or correct the name", "service %q is unknown", part.Service)
 		}
 		if part.Weight < 0 {
-			return bad("use weights of 0 or more", "weight %d is negative", part.Weight)
+			return bad("use a weight of 0 or more", "weight %d is negative", part.Weight)
 		}
 		total += part.Weight
 	}
 	if total <= 0 {
-		return bad("give at least one part a weight", "no part has a weight")
+		return bad("give at least one service a positive weight", "all weights are 0")
 	}
 	return nil
 }
 
-// LeastPriority gives the highest number that a route has as its priority.
-func (i *Intent) LeastPriority() int { return i.leastPriority }
+// LeastPriority returns the highest priority number of any route, the least important one.
+func (i *Intent) LeastPriority() int { return i.lowestPriority }
 
-// Match gives the route of a request, or nil when none fits.
+// Match returns the route of a request, or nil if there is none.
 func (i *Intent) Match(host, path string) *Route {
-	for _, route := range i.byHost[normalHost(host)] {
+	for _, route := range i.byHost[normalizeHost(host)] {
 		if strings.HasPrefix(path, route.Prefix) {
 			return route
 		}
@@ -138,8 +138,8 @@
 	return nil
 }
 
-// normalHost drops the port and the case of a host.
-func normalHost(host string) string {
+// normalizeHost removes the port and a trailing dot and lower-cases the host.
+func normalizeHost(host string) string {
 	if bare, _, err := net.SplitHostPort(host); err == nil {
 		host = bare
 	}
--- a/internal/core/intent/intent_test.go
+++ b/internal/core/intent/intent_test.go
@@ -9,28 +9,28 @@
 
 func sealed(t *testing.T, routes ...*Route) *Intent {
 	t.Helper()
-	made := &Intent{Version: 1, Services: map[string]Service{"s": {Name: "s"}}, Routes: routes}
-	if err := made.Seal(); err != nil {
+	configuration := &Intent{Version: 1, Services: map[string]Service{"s": {Name: "s"}}, Routes: routes}
+	if err := configuration.Seal(); err != nil {
 		t.Fatal(err)
 	}
-	return made
+	return configuration
 }
 
 func route(name, host, prefix string) *Route {
 	return &Route{Name: name, Host: host, Prefix: prefix, Kind: Safe, Parts: []Part{{Service: "s", Weight: 1}}}
 }
 
-func TestLongestPrefixOfTheHostIsTaken(t *testing.T) {
+func TestMatchPrefersLongestPrefix(t *testing.T) {
 	g := NewWithT(t)
-	made := sealed(t, route("short", "a.example", "/x/"), route("long", "a.example", "/x/y/"), route("other", "b.example", "/x/"))
-	g.Expect(made.Match("a.example", "/x/z").Name).To(Equal("short"))
-	g.Expect(made.Match("A.example:80", "/x/y/z").Name).To(Equal("long"))
-	g.Expect(made.Match("b.example", "/x/y/z").Name).To(Equal("other"))
-	g.Expect(made.Match("a.example", "/x")).To(BeNil())
-	g.Expect(made.Match("c.example", "/x/y")).To(BeNil())
+	configuration := sealed(t, route("short", "a.example", "/x/"), route("long", "a.example", "/x/y/"), route("other", "b.example", "/x/"))
+	g.Expect(configuration.Match("a.example", "/x/z").Name).To(Equal("short"))
+	g.Expect(configuration.Match("A.example:80", "/x/y/z").Name).To(Equal("long"))
+	g.Expect(configuration.Match("b.example", "/x/y/z").Name).To(Equal("other"))
+	g.Expect(configuration.Match("a.example", "/x")).To(BeNil())
+	g.Expect(configuration.Match("c.example", "/x/y")).To(BeNil())
 }
 
-func TestBrokenRulesAreRefused(t *testing.T) {
+func TestSealRejectsInvalidRoutes(t *testing.T) {
 	g := NewWithT(t)
 	noSlash := route("r", "a.example", "/x")
 	noHost := route("r", "", "/x/")
@@ -38,8 +38,8 @@
 	unknown.Parts = []Part{{Service: "t", Weight: 1}}
 	weightless := route("r", "a.example", "/x/")
 	weightless.Parts = []Part{{Service: "s"}}
-	for _, broken := range []*Route{noSlash, noHost, unknown, weightless} {
-		made := &Intent{Services: map[string]Service{"s": {}}, Routes: []*Route{broken}}
-		g.Expect(failure.KindOf(made.Seal())).To(Equal(failure.BadInput))
+	for _, invalid := range []*Route{noSlash, noHost, unknown, weightless} {
+		configuration := &Intent{Services: map[string]Service{"s": {}}, Routes: []*Route{invalid}}
+		g.Expect(failure.KindOf(configuration.Seal())).To(Equal(failure.BadInput))
 	}
 }
--- a/internal/core/intent/tenant_test.go
+++ b/internal/core/intent/tenant_test.go
@@ -8,36 +8,36 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestAKeyNamesItsHolder(t *testing.T) {
+func TestTenantLookup(t *testing.T) {
 	g := NewWithT(t)
-	made := &Intent{Tenants: []*Tenant{{Name: "a", Keys: []string{"k1", "k2"}}, {Name: "b", Keys: []string{"k3"}, Rate: 5}}}
-	g.Expect(made.Seal()).To(Succeed())
-	g.Expect(made.Holder("k2").Name).To(Equal("a"))
-	g.Expect(made.Holder("k3").Name).To(Equal("b"))
-	g.Expect(made.Holder("k4")).To(BeNil())
-	g.Expect(made.Holder("")).To(BeNil())
-	g.Expect(made.Tenant("b").Limited()).To(BeTrue())
-	g.Expect(made.Limited()).To(BeTrue())
-	g.Expect(made.NeedsKey(&Route{})).To(BeTrue())
-	g.Expect(made.NeedsKey(&Route{Public: true})).To(BeFalse())
+	configuration := &Intent{Tenants: []*Tenant{{Name: "a", Keys: []string{"k1", "k2"}}, {Name: "b", Keys: []string{"k3"}, Rate: 5}}}
+	g.Expect(configuration.Seal()).To(Succeed())
+	g.Expect(configuration.Holder("k2").Name).To(Equal("a"))
+	g.Expect(configuration.Holder("k3").Name).To(Equal("b"))
+	g.Expect(configuration.Holder("k4")).To(BeNil())
+	g.Expect(configuration.Holder("")).To(BeNil())
+	g.Expect(configuration.Tenant("b").Limited()).To(BeTrue())
+	g.Expect(configuration.Limited()).To(BeTrue())
+	g.Expect(configuration.NeedsKey(&Route{})).To(BeTrue())
+	g.Expect(configuration.NeedsKey(&Route{Public: true})).To(BeFalse())
 	g.Expect((&Intent{}).NeedsKey(&Route{})).To(BeFalse())
 }
 
-func TestBadTenantsAreRefusedWithoutNamingKeys(t *testing.T) {
+func TestSealRejectsInvalidTenantsWithoutLoggingKeys(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
 		tenants []*Tenant
 		want    string // part of the error
 	}{
-		{"two holders of a key", []*Tenant{{Name: "a", Keys: []string{"secret"}}, {Name: "b", Keys: []string{"secret"}}}, "same key"},
-		{"a key twice at one tenant", []*Tenant{{Name: "a", Keys: []string{"secret", "secret"}}}, "same key"},
-		{"two of one name", []*Tenant{{Name: "a"}, {Name: "a"}}, "listed twice"},
-		{"no name", []*Tenant{{Keys: []string{"secret"}}}, "name is missing"},
-		{"a name that no header carries", []*Tenant{{Name: "a\r\nb"}}, "not usable"},
-		{"an empty key", []*Tenant{{Name: "a", Keys: []string{"secret", ""}}}, "key is empty"},
-		{"a negative rate", []*Tenant{{Name: "a", Keys: []string{"secret"}, Rate: -1}}, "rate"},
-		{"a rate that is no number", []*Tenant{{Name: "a", Rate: math.NaN()}}, "rate"},
-		{"a negative burst", []*Tenant{{Name: "a", Keys: []string{"secret"}, Burst: -1}}, "burst"},
+		{"key shared by two tenants", []*Tenant{{Name: "a", Keys: []string{"secret"}}, {Name: "b", Keys: []string{"secret"}}}, "same key"},
+		{"duplicate key of one tenant", []*Tenant{{Name: "a", Keys: []string{"secret", "secret"}}}, "same key"},
+		{"duplicate name", []*Tenant{{Name: "a"}, {Name: "a"}}, "listed twice"},
+		{"empty name", []*Tenant{{Keys: []string{"secret"}}}, "name is missing"},
+		{"name not allowed in a header", []*Tenant{{Name: "a\r\nb"}}, "not usable"},
+		{"empty key", []*Tenant{{Name: "a", Keys: []string{"secret", ""}}}, "key is empty"},
+		{"negative rate", []*Tenant{{Name: "a", Keys: []string{"secret"}, Rate: -1}}, "rate"},
+		{"rate is not a number", []*Tenant{{Name: "a", Rate: math.NaN()}}, "rate"},
+		{"negative burst", []*Tenant{{Name: "a", Keys: []string{"secret"}, Burst: -1}}, "burst"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
