--- a/internal/core/crashes/ledger_test.go
+++ b/internal/core/crashes/ledger_test.go
@@ -96,20 +96,20 @@
 		name := func(e Evidence) string { return fmt.Sprint(e.Print, e.Instance) }
 		for range 200 {
 			node := nodes[random.IntN(len(nodes))]
-			switch one := evidence(fmt.Sprintf("/%d", random.IntN(6)), "", fmt.Sprintf("i-%d", random.IntN(9))); random.IntN(6) {
+			switch e := evidence(fmt.Sprintf("/%d", random.IntN(6)), "", fmt.Sprintf("i-%d", random.IntN(9))); random.IntN(6) {
 			case 0:
-				for _, changed := range node.EndedWell(one.Print) {
+				for _, changed := range node.EndedWell(e.Print) {
 					cleared[name(changed)] = true
 				}
 			case 1:
-				for _, changed := range node.Lift(one.Content) {
+				for _, changed := range node.Lift(e.Content) {
 					cleared[name(changed)] = true
 				}
 			case 2, 3:
 				node.Add(nodes[random.IntN(len(nodes))].All()...)
 			default:
-				one.Alone = random.IntN(3) == 0
-				node.Add(one)
+				e.Alone = random.IntN(3) == 0
+				node.Add(e)
 			}
 		}
 		for range 2 {
@@ -122,8 +122,8 @@
 		for _, node := range nodes {
 			g.Expect(node.Digest()).To(Equal(nodes[0].Digest()))
 			g.Expect(node.Digest()).To(Equal(DigestOf(node.All())))
-			for _, one := range node.All() {
-				g.Expect(one.Cleared).To(Equal(cleared[name(one)]), "seed %d: %s", seed, name(one))
+			for _, e := range node.All() {
+				g.Expect(e.Cleared).To(Equal(cleared[name(e)]), "seed %d: %s", seed, name(e))
 			}
 		}
 	}
--- a/internal/core/quota/account.go
+++ b/internal/core/quota/account.go
@@ -194,21 +194,21 @@
 
 // computeShare returns the share for a process: its proportion of the total demand, limited by
 // the capacity that is free.
-func (t *tenantState) computeShare(config Config, p *processState, part, withheld float64) Share {
+func (t *tenantState) computeShare(config Config, p *processState, maxFraction, withheld float64) Share {
 	if p.demand < minDemand {
 		return Share{}
 	}
-	whole, total := config.depth(t.limit), max(t.demand, p.demand)
-	freeDepth := (maxDepthFraction-withheld)*whole - t.allocated.Depth + p.counted.allocated.Depth
+	depth, total := config.depth(t.limit), max(t.demand, p.demand)
+	freeDepth := (maxDepthFraction-withheld)*depth - t.allocated.Depth + p.counted.allocated.Depth
 	freeRate := t.limit.Rate - t.allocatedRate(withheld) + p.counted.allocated.Rate
-	given := Share{Depth: max(maxDepthFraction*whole*p.demand/total, minShareDepth)}
-	given.Depth = min(given.Depth, baseDepth+p.demand*depthDemandWindow.Seconds(), freeDepth, part*whole)
-	if given.Depth < minShareDepth {
+	share := Share{Depth: max(maxDepthFraction*depth*p.demand/total, minShareDepth)}
+	share.Depth = min(share.Depth, baseDepth+p.demand*depthDemandWindow.Seconds(), freeDepth, maxFraction*depth)
+	if share.Depth < minShareDepth {
 		return Share{}
 	}
 	rate := max((t.limit.Rate-total)/unusedRateFraction, minRateFraction*t.limit.Rate) * p.demand / total
-	given.Rate = max(min(maxDemandFraction*p.demand, rate, freeRate, part*t.limit.Rate), 0)
-	return given
+	share.Rate = max(min(maxDemandFraction*p.demand, rate, freeRate, maxFraction*t.limit.Rate), 0)
+	return share
 }
 
 // drawTokens takes tokens from the pool for waiting requests, then for future requests up to
@@ -221,10 +221,10 @@
 		p.inFlight = append(p.inFlight, inFlightTokens{grant: given.grant, tokens: float64(urgent), expiresAt: now + MaxTransit})
 		t.updateTotals(now, p)
 	}
-	later := max(min(report.Want-report.Need, int(maxPrefetchFraction*t.pool)), int(t.pool-t.poolCapacity(config, withheld)))
-	later = max(min(later, int(given.share.Depth-report.Stock), int(t.pool)), 0)
-	t.pool -= float64(later)
-	return urgent + later
+	prefetch := max(min(report.Want-report.Need, int(maxPrefetchFraction*t.pool)), int(t.pool-t.poolCapacity(config, withheld)))
+	prefetch = max(min(prefetch, int(given.share.Depth-report.Stock), int(t.pool)), 0)
+	t.pool -= float64(prefetch)
+	return urgent + prefetch
 }
 
 // shortfallTTL is the age at which a process's shortfall is ignored.
--- a/internal/core/quota/holder.go
+++ b/internal/core/quota/holder.go
@@ -12,7 +12,7 @@
 	share      Share
 	grant      Grant
 	expiresAt  time.Duration // end of the share
-	stock      float64
+	tokens     float64
 	refilledAt time.Duration // time of the last refill
 	demand     rateEstimate
 	askAfter   time.Duration // earliest time of the next request to the keeper
@@ -47,17 +47,17 @@
 	if before, after := h.config.depth(h.limit), h.config.depth(limit); after < before {
 		h.share.Depth *= after / before
 	}
-	h.stock = min(h.stock, h.share.Depth)
+	h.tokens = min(h.tokens, h.share.Depth)
 	h.limit = limit
 }
 
 // refill adds the tokens accrued since the last call. An expired share leaves an empty bucket.
 func (h *Holder) refill(now time.Duration) {
 	if now >= h.expiresAt {
-		h.share, h.stock, h.refilledAt = Share{}, 0, now
+		h.share, h.tokens, h.refilledAt = Share{}, 0, now
 		return
 	}
-	h.stock = min(h.stock+h.share.Rate*(now-h.refilledAt).Seconds(), h.share.Depth)
+	h.tokens = min(h.tokens+h.share.Rate*(now-h.refilledAt).Seconds(), h.share.Depth)
 	h.refilledAt = now
 }
 
@@ -70,17 +70,17 @@
 // Take consumes a token and reports whether there was one.
 func (h *Holder) Take(now time.Duration) bool {
 	h.refill(now)
-	if h.stock < 1 {
+	if h.tokens < 1 {
 		return false
 	}
-	h.stock--
+	h.tokens--
 	return true
 }
 
 // GiveBack returns the token of a request that did not run.
 func (h *Holder) GiveBack(now time.Duration) {
 	h.refill(now)
-	h.stock = min(h.stock+1, h.share.Depth)
+	h.tokens = min(h.tokens+1, h.share.Depth)
 }
 
 // MayAsk reports whether the backoff after a denial is over.
@@ -97,7 +97,7 @@
 // Low reports that an active tenant's bucket is empty and the keeper may be asked for tokens.
 func (h *Holder) Low(now time.Duration) bool {
 	h.refill(now)
-	return h.stock < 1 && now >= h.askAfter && h.demand.rate(now) >= minDemand
+	return h.tokens < 1 && now >= h.askAfter && h.demand.rate(now) >= minDemand
 }
 
 // Report builds the request to the keeper; waiting is the number of requests waiting for a
@@ -105,14 +105,14 @@
 // prefetchWindow of demand: this saves messages without taking tokens that other nodes need.
 func (h *Holder) Report(now time.Duration, tenant string, waiting int) Report {
 	h.refill(now)
-	report := Report{Tenant: tenant, Demand: h.demand.rate(now), Stock: h.stock, Held: h.share, Grant: h.grant, Left: max(h.expiresAt-now, 0)}
+	report := Report{Tenant: tenant, Demand: h.demand.rate(now), Stock: h.tokens, Held: h.share, Grant: h.grant, Left: max(h.expiresAt-now, 0)}
 	if now < h.askAfter {
 		return report
 	}
 	report.Need, report.Want = waiting, waiting
-	if waiting > 0 || h.stock < 1 {
+	if waiting > 0 || h.tokens < 1 {
 		ahead := 1 + report.Demand*prefetchWindow.Seconds()
-		report.Want += int(max(min(ahead, h.share.Depth)-h.stock, 0))
+		report.Want += int(max(min(ahead, h.share.Depth)-h.tokens, 0))
 	}
 	return report
 }
@@ -123,7 +123,7 @@
 	h.refill(now)
 	if end := asked + given.Life; end > now {
 		h.share, h.grant, h.expiresAt = given.Share, given.Grant, end
-		h.stock = min(h.stock, h.share.Depth)
+		h.tokens = min(h.tokens, h.share.Depth)
 	}
 	h.unsettled = given.Unsettled
 	h.exhausted = given.Again > 0
@@ -146,7 +146,7 @@
 // Store adds unused tokens to the bucket, up to its depth.
 func (h *Holder) Store(now time.Duration, tokens int) {
 	h.refill(now)
-	h.stock = min(h.stock+float64(tokens), h.share.Depth)
+	h.tokens = min(h.tokens+float64(tokens), h.share.Depth)
 }
 
 // ComeBack returns the Retry-After delay for a rejected request, at most most.
@@ -162,7 +162,7 @@
 
 // Parameters of the demand estimate.
 const (
-	demandTimeConstant = 2 * time.Second // time constant of the exponential smoothing
+	demandTimeConstant = 2 * time.Second // of the exponential smoothing
 	minDemand          = 0.05            // requests per second; lower demand counts as none
 )
 
@@ -172,11 +172,11 @@
 	updatedAt time.Duration
 }
 
-func (d *rateEstimate) record(now time.Duration) {
-	d.value = d.rate(now) + 1/demandTimeConstant.Seconds()
-	d.updatedAt = now
+func (r *rateEstimate) record(now time.Duration) {
+	r.value = r.rate(now) + 1/demandTimeConstant.Seconds()
+	r.updatedAt = now
 }
 
-func (d *rateEstimate) rate(now time.Duration) float64 {
-	return d.value * math.Exp(-(now-d.updatedAt).Seconds()/demandTimeConstant.Seconds())
+func (r *rateEstimate) rate(now time.Duration) float64 {
+	return r.value * math.Exp(-(now-r.updatedAt).Seconds()/demandTimeConstant.Seconds())
 }
--- a/internal/core/quota/keeper.go
+++ b/internal/core/quota/keeper.go
@@ -10,7 +10,7 @@
 type Keeper struct {
 	config      Config
 	epoch       int64
-	lastGrant   int64 // number of the last grant
+	lastGrant   int64
 	tenants     map[string]*tenantState
 	maxFraction float64 // largest fraction of a limit in one share
 	// listed maps each node that may hold shares to the expiry of its last one. The caller
