--- a/internal/wire/callheader.go
+++ b/internal/wire/callheader.go
@@ -5,74 +5,74 @@
 	"strconv"
 )
 
-// Names of the headers of a call. What a release has added to SidecarCall travels in a
-// header of its own, so that nodes of the release before read the call.
+// Header names of a call. Fields added to SidecarCall after its first release have their own
+// headers, so that nodes of the previous release can decode the call.
 const (
 	HeaderSidecarCall = "Landingmast-Sidecar-Call"
-	// headerGrant has Granted, in thousandths.
+	// headerGrant carries Granted in thousandths.
 	headerGrant = "Landingmast-Grant"
-	// headerTenant has Tenant.
+	// headerTenant carries Tenant.
 	headerTenant = "Landingmast-Tenant"
-	// headerSuspect has suspectMark for Suspect, trialMark for Trial.
+	// headerSuspect carries suspectValue for Suspect or trialValue for Trial.
 	headerSuspect = "Landingmast-Suspect"
 )
 
 // Values of headerSuspect.
 const (
-	suspectMark = "1"
-	trialMark   = "2"
+	suspectValue = "1"
+	trialValue   = "2"
 )
 
-// grantScale is the factor of a granted part in its header.
+// grantScale converts a granted fraction to its header value.
 const grantScale = 1000
 
-// GrantUnsaid is the part that a sender of the release before leaves to the calls.
+// GrantUnsaid is the grant assumed for senders of the previous release, which send none.
 const GrantUnsaid = 0.5
 
-// SetHeaders writes the call into the headers of a request.
+// SetHeaders encodes the call into request headers.
 func (c *SidecarCall) SetHeaders(header http.Header) error {
-	head, err := SidecarCallCodec.EncodeHeader(c)
+	encoded, err := SidecarCallCodec.EncodeHeader(c)
 	if err != nil {
 		return err
 	}
-	header.Set(HeaderSidecarCall, head)
+	header.Set(HeaderSidecarCall, encoded)
 	header.Set(headerGrant, strconv.Itoa(int(c.Granted*grantScale)))
 	if c.Tenant != "" {
 		header.Set(headerTenant, c.Tenant)
 	}
-	if mark := c.mark(); mark != "" {
-		header.Set(headerSuspect, mark)
+	if value := c.suspectHeader(); value != "" {
+		header.Set(headerSuspect, value)
 	}
 	return nil
 }
 
-// CallFrom reads a call out of the headers of a request. An error means that the sender
-// speaks another protocol; the request has not run.
+// CallFrom decodes a call from request headers. It returns an error if the sender uses an
+// incompatible protocol version; the request has not been executed in that case.
 func CallFrom(header http.Header) (*SidecarCall, error) {
 	call, err := SidecarCallCodec.DecodeHeader(header.Get(HeaderSidecarCall))
 	if err != nil {
 		return nil, err
 	}
-	mark := header.Get(headerSuspect)
-	call.Granted = granted(header.Get(headerGrant))
+	value := header.Get(headerSuspect)
+	call.Granted = parseGrant(header.Get(headerGrant))
 	call.Tenant = header.Get(headerTenant)
-	call.Suspect, call.Trial = mark == suspectMark, mark == trialMark
+	call.Suspect, call.Trial = value == suspectValue, value == trialValue
 	return call, nil
 }
 
-func (c *SidecarCall) mark() string {
+func (c *SidecarCall) suspectHeader() string {
 	switch {
 	case c.Trial:
-		return trialMark
+		return trialValue
 	case c.Suspect:
-		return suspectMark
+		return suspectValue
 	}
 	return ""
 }
 
-// granted reads a granted part. Anything but 0 to 1 would let the nodes together repeat
-// more than the bound on repeats allows: it counts as unsaid.
-func granted(text string) float64 {
+// parseGrant parses a granted fraction. A value that is missing, malformed or outside 0 to 1
+// yields GrantUnsaid: accepting a larger one would let the nodes exceed the retry budget.
+func parseGrant(text string) float64 {
 	thousandths, err := strconv.Atoi(text)
 	if err != nil || thousandths < 0 || thousandths > grantScale {
 		return GrantUnsaid
--- a/internal/wire/callheader_test.go
+++ b/internal/wire/callheader_test.go
@@ -7,19 +7,18 @@
 	. "github.com/onsi/gomega"
 )
 
-// Two nodes of a chain count one request between them, also where the message does not
-// say what is left to the second: the release before did not.
-func TestCallsCountWhatTheNodesAboveLeave(t *testing.T) {
+// A missing or invalid grant must not let a chain of nodes exceed the retry budget.
+func TestCallFromParsesGrant(t *testing.T) {
 	for _, tc := range []struct {
 		name, header string
 		want         float64
 	}{
-		{"told", "900", 0.9},
-		{"nothing left", "0", 0},
-		{"unsaid", "", GrantUnsaid},
-		{"more than there is", "1001", GrantUnsaid},
-		{"less than nothing", "-1", GrantUnsaid},
-		{"no number", "x", GrantUnsaid},
+		{"valid", "900", 0.9},
+		{"zero", "0", 0},
+		{"empty", "", GrantUnsaid},
+		{"above one", "1001", GrantUnsaid},
+		{"negative", "-1", GrantUnsaid},
+		{"not a number", "x", GrantUnsaid},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
@@ -33,15 +32,15 @@
 	}
 }
 
-func TestCallTravelsInItsHeaders(t *testing.T) {
+func TestCallHeadersRoundTrip(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		call SidecarCall
 	}{
 		{"plain", SidecarCall{RequestID: "a", Method: "GET", Granted: 0.25}},
-		{"of a tenant", SidecarCall{RequestID: "a", Tenant: "t", Granted: 1}},
-		{"suspected", SidecarCall{RequestID: "a", Suspect: true}},
-		{"the one trial", SidecarCall{RequestID: "a", Trial: true}},
+		{"with a tenant", SidecarCall{RequestID: "a", Tenant: "t", Granted: 1}},
+		{"suspect", SidecarCall{RequestID: "a", Suspect: true}},
+		{"trial", SidecarCall{RequestID: "a", Trial: true}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
--- a/internal/wire/crashes.go
+++ b/internal/wire/crashes.go
@@ -5,27 +5,26 @@
 	"github.com/landingmast/landingmast/internal/core/crashes"
 )
 
-// CrashEvidence is that a target ended while it ran a request.
+// CrashEvidence records that a target terminated while it was running a request.
 type CrashEvidence struct {
 	Content  []byte `avro:"content"` // digest of method, host, path and body
-	Query    int64  `avro:"query"`   // digest of these and of the query
-	Variant  int64  `avro:"variant"` // digest of these and of caller and tenant
+	Query    int64  `avro:"query"`   // digest of the above and the query string
+	Variant  int64  `avro:"variant"` // digest of the above, the caller and the tenant
 	Instance string `avro:"instance"`
 	Service  string `avro:"service"`
 	Route    string `avro:"route"`
-	At       int64  `avro:"at_ms"`   // since 1970, by the clock of the node beside the target
-	Cleared  bool   `avro:"cleared"` // it has ended well since, or was lifted
-	Alone    bool   `avro:"alone"`   // no other suspected request was at the target
+	At       int64  `avro:"at_ms"`   // Unix time, by the clock of the node next to the target
+	Cleared  bool   `avro:"cleared"` // the request has completed normally since, or an operator lifted the block
+	Alone    bool   `avro:"alone"`   // no other suspect request was running on the target
 }
 
-// Crashes is what nodes tell each other of requests that targets ended with, and what they
-// keep of it in the store.
+// Crashes carries evidence about requests that terminated their targets, in broadcasts between
+// nodes and in the store.
 type Crashes struct {
-	Forward  []string        `avro:"forward"` // addresses of the nodes to pass it on to
-	Digest   int64           `avro:"digest"`  // of all evidence that the sender has
+	Forward  []string        `avro:"forward"` // addresses of the nodes to forward the message to
+	Digest   int64           `avro:"digest"`  // of all evidence that the sender holds
 	Evidence []CrashEvidence `avro:"evidence"`
-	// Asks tells that the answer is to hold all evidence of the receiver if its digest is
-	// another one.
+	// Asks requests all evidence of the receiver if the digests differ.
 	Asks bool `avro:"asks"`
 }
 
@@ -36,29 +35,29 @@
 {"name":"service","type":"string"},{"name":"route","type":"string"},{"name":"at_ms","type":"long"},
 {"name":"cleared","type":"boolean"},{"name":"alone","type":"boolean","default":false}]}},"default":[]},{"name":"asks","type":"boolean","default":false}]}`
 
-// CrashesCodec writes and reads Crashes.
+// CrashesCodec encodes and decodes Crashes.
 var CrashesCodec = codec.New[Crashes](MaxMessage, crashesSchema)
 
-// CrashForms writes evidence in the form of messages.
+// CrashForms converts evidence to its message form.
 func CrashForms(evidence []crashes.Evidence) []CrashEvidence {
-	forms := make([]CrashEvidence, 0, len(evidence))
-	for _, one := range evidence {
-		forms = append(forms, CrashEvidence{
-			Content: one.Content[:], Query: int64(one.Query), Variant: int64(one.Variant), Instance: one.Instance, Service: one.Service, Route: one.Route, At: one.At,
-			Cleared: one.Cleared, Alone: one.Alone,
+	messages := make([]CrashEvidence, 0, len(evidence))
+	for _, ev := range evidence {
+		messages = append(messages, CrashEvidence{
+			Content: ev.Content[:], Query: int64(ev.Query), Variant: int64(ev.Variant), Instance: ev.Instance, Service: ev.Service, Route: ev.Route, At: ev.At,
+			Cleared: ev.Cleared, Alone: ev.Alone,
 		})
 	}
-	return forms
+	return messages
 }
 
-// Known reads the evidence of a message.
+// Known converts the evidence of the message to its internal form.
 func (m *Crashes) Known() []crashes.Evidence {
 	evidence := make([]crashes.Evidence, 0, len(m.Evidence))
-	for _, form := range m.Evidence {
-		one := crashes.Evidence{Instance: form.Instance, Service: form.Service, Route: form.Route, At: form.At, Cleared: form.Cleared, Alone: form.Alone}
-		copy(one.Content[:], form.Content)
-		one.Query, one.Variant = crashes.Query(form.Query), crashes.Variant(form.Variant)
-		evidence = append(evidence, one)
+	for _, msg := range m.Evidence {
+		ev := crashes.Evidence{Instance: msg.Instance, Service: msg.Service, Route: msg.Route, At: msg.At, Cleared: msg.Cleared, Alone: msg.Alone}
+		copy(ev.Content[:], msg.Content)
+		ev.Query, ev.Variant = crashes.Query(msg.Query), crashes.Variant(msg.Variant)
+		evidence = append(evidence, ev)
 	}
 	return evidence
 }
--- a/internal/wire/crashes_test.go
+++ b/internal/wire/crashes_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestEvidenceComesThroughWhole(t *testing.T) {
+func TestCrashesRoundTrip(t *testing.T) {
 	g := NewWithT(t)
 	evidence := []crashes.Evidence{
 		{Print: crashes.PrintOf(crashes.Request{Path: "/a", Query: "q", Caller: "c"}), Instance: "i-1", Service: "s", Route: "r", At: 5, Alone: true},
@@ -15,10 +15,10 @@
 	}
 	data, err := CrashesCodec.Encode(&Crashes{Forward: []string{"x:1"}, Digest: 7, Evidence: CrashForms(evidence), Asks: true})
 	g.Expect(err).NotTo(HaveOccurred())
-	read, err := CrashesCodec.Decode(data)
+	decoded, err := CrashesCodec.Decode(data)
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(read.Known()).To(Equal(evidence))
-	g.Expect(read.Forward).To(Equal([]string{"x:1"}))
-	g.Expect(read.Asks).To(BeTrue())
+	g.Expect(decoded.Known()).To(Equal(evidence))
+	g.Expect(decoded.Forward).To(Equal([]string{"x:1"}))
+	g.Expect(decoded.Asks).To(BeTrue())
 	g.Expect(CrashesCodec.Decode(data[:len(data)-3])).Error().To(HaveOccurred())
 }
--- a/internal/wire/sidecar.go
+++ b/internal/wire/sidecar.go
@@ -1,5 +1,5 @@
-// Package wire holds the messages between sidecar nodes and what they keep in the
-// store. The names on the wire stay as they are: nodes of the release before read them.
+// Package wire defines the messages that sidecar nodes exchange and the records that they keep in
+// the store. Names on the wire must not change, since nodes of the previous release read them.
 // docs/PROTOCOL.md lists the messages.
 package wire
 
@@ -9,20 +9,19 @@
 	"github.com/landingmast/landingmast/internal/codec"
 )
 
-// Names of the headers between sidecar nodes.
+// Header names used between sidecar nodes.
 const (
 	HeaderSidecarResult = "Landingmast-Sidecar-Result"
 	HeaderSidecarPong   = "Landingmast-Sidecar-Pong"
 	HeaderSidecarWaits  = "Landingmast-Sidecar-Waits"
 )
 
-// CallSeparator stands between the id of a request and the part of its own in the id of a call
-// that its target makes for it.
+// CallSeparator separates the request ID from the suffix that identifies a downstream call made
+// on behalf of that request.
 const CallSeparator = "."
 
-// SidecarCall is the head of a request from the node where it began to the node
-// beside the target. Method, path and host of the request are in the head; its
-// headers travel as they are.
+// SidecarCall is the metadata of a request sent from the entry node to the node next to the
+// target. It includes method, URI and host; the request's other headers are forwarded unchanged.
 type SidecarCall struct {
 	RequestID   string `avro:"request_id"`
 	Method      string `avro:"method"`
@@ -30,189 +29,186 @@
 	Host        string `avro:"host"`
 	Service     string `avro:"service"`
 	Route       string `avro:"route"`
-	Caller      string `avro:"caller"` // service of the machine where the request began
+	Caller      string `avro:"caller"` // service of the machine where the request originated
 	From        string `avro:"from"`
-	Incarnation string `avro:"incarnation"` // of the receiver, as the sender knows it; empty: any
-	Importance  int    `avro:"importance"`  // lower goes first
+	Incarnation string `avro:"incarnation"` // expected incarnation of the receiver; empty: any
+	Importance  int    `avro:"importance"`  // lower values are served first
 	Repeatable  bool   `avro:"repeatable"`
-	Repeat      bool   `avro:"repeat"`       // this request, or one above it, has been sent before
-	Attempt     int    `avro:"attempt"`      // number of this sending, from 0
-	Key         string `avro:"key"`          // of this sending, for requests that may run at most once
-	Remaining   int64  `avro:"remaining_us"` // until the request is given up
-	Version     int64  `avro:"version"`      // of the configuration that the sender has
-	// Granted is the part of the budgets for repeats that the nodes above leave to the
-	// request's calls, 0 to 1. It travels in a header of its own, so that nodes of the
-	// release before read the call.
+	Repeat      bool   `avro:"repeat"`       // this request or one of its ancestors is a retry
+	Attempt     int    `avro:"attempt"`      // attempt number, starting at 0
+	Key         string `avro:"key"`          // identifies this attempt of an at-most-once request
+	Remaining   int64  `avro:"remaining_us"` // time until the deadline
+	Version     int64  `avro:"version"`      // configuration version of the sender
+	// Granted is the fraction of the retry budgets, 0 to 1, that upstream nodes leave to
+	// downstream calls. It is sent in a separate header.
 	Granted float64 `avro:"-"`
-	// Tenant is the name of the tenant that the request belongs to, empty: none. It travels
-	// in a header of its own.
+	// Tenant is the name of the tenant that the request belongs to; empty: none. It is sent in a
+	// separate header.
 	Tenant string `avro:"-"`
-	// Suspect tells that a target has ended while it ran the request, and Trial that the
-	// sender alone may send it, though targets ended with it. They travel in a header of their
-	// own.
+	// Suspect is set if a target has terminated while running the request, and Trial if the
+	// sender is the only node that may send it nevertheless. Both are sent in a separate header.
 	Suspect, Trial bool `avro:"-"`
 }
 
-// SidecarResult is the head of the answer.
+// SidecarResult is the metadata of a response.
 type SidecarResult struct {
 	Outcome     string `avro:"outcome"`
 	Reason      string `avro:"reason"`
 	Arrived     bool   `avro:"arrived"` // the request reached the target
 	Status      int    `avro:"status"`
-	Length      int64  `avro:"length"` // of the body; -1: unknown
+	Length      int64  `avro:"length"` // body length in bytes; -1: unknown
 	RetryAfter  int64  `avro:"retry_after_ms"`
 	Incarnation string `avro:"incarnation"`
 	Version     int64  `avro:"version"`
 	Slots       int    `avro:"slots"`
 	Running     int    `avro:"running"`
 	Waiting     int    `avro:"waiting"`
-	Hold        int64  `avro:"hold_us"`
-	Below       []Need `avro:"below"` // what the request needed of other services
+	Hold        int64  `avro:"hold_us"` // mean time that a request occupies a slot; 0: unknown
+	Below       []Need `avro:"below"`   // resources used by downstream calls
 }
 
-// OccupancyScale is the factor of occupancies in messages: they travel in thousandths.
+// OccupancyScale converts occupancies to their wire unit, thousandths.
 const OccupancyScale = 1000
 
-// Need is what one request, with all calls below it, needed of a service.
+// Need describes the demand that one request, including all downstream calls, placed on a service.
 type Need struct {
 	Service   string `avro:"service"`
 	Calls     int    `avro:"calls"`
-	Occupancy int    `avro:"occupancy"` // requests at the target and waiting, in thousandths of its slots; -1: unknown
-	// Wait is how long one call waited there for a slot, mean over the calls; it travels
-	// in Waits.
+	Occupancy int    `avro:"occupancy"` // running and queued requests, in thousandths of the slots; -1: unknown
+	// Wait is the mean time that a call waited for a slot. It is sent in Waits.
 	Wait time.Duration `avro:"-"`
 }
 
-// Waits goes with a SidecarResult when the request or a call below it waited for a
-// slot. It is a message of its own, so that nodes of the release before read the result.
+// Waits accompanies a SidecarResult if the request or a downstream call waited for a slot. It is
+// a separate message so that nodes of the previous release can decode the result.
 type Waits struct {
 	Services []ServiceWait `avro:"services"`
 }
 
-// ServiceWait is how long a request's calls waited for slots of a service.
+// ServiceWait is the time that the calls of a request waited for slots of a service.
 type ServiceWait struct {
 	Service string `avro:"service"` // empty: the request itself
-	Wait    int64  `avro:"wait_us"` // of one call, mean over the calls
+	Wait    int64  `avro:"wait_us"` // mean per call
 }
 
-// NodeRecord is what a sidecar node tells the others of itself.
+// NodeRecord describes a sidecar node to the other nodes.
 type NodeRecord struct {
 	Node        string `avro:"node"`
-	Incarnation string `avro:"incarnation"` // of the node's process
-	Sequence    int64  `avro:"sequence"`    // rises with each change within an incarnation
-	Started     int64  `avro:"started_ms"`  // wall clock at the start of the process, to order incarnations
-	Address     string `avro:"address"`     // for other nodes
+	Incarnation string `avro:"incarnation"` // identifies the node's process
+	Sequence    int64  `avro:"sequence"`    // incremented with each change within an incarnation
+	Started     int64  `avro:"started_ms"`  // wall clock at process start; orders incarnations
+	Address     string `avro:"address"`     // address for other nodes
 	Zone        string `avro:"zone"`
 	Service     string `avro:"service"`
-	Instance    string `avro:"instance"` // of the target; empty: none is known
+	Instance    string `avro:"instance"` // target instance; empty: none is known
 	Slots       int    `avro:"slots"`
-	Serving     bool   `avro:"serving"` // takes new work
-	Cold        int64  `avro:"cold_ms"` // how much longer the target is slow, from the writing on
+	Serving     bool   `avro:"serving"` // accepts new requests
+	Cold        int64  `avro:"cold_ms"` // remaining warm-up time of the target when the record was written
 }
 
-// Exchange is what nodes tell each other of members and configuration.
+// Exchange synchronizes membership and configuration between two nodes.
 type Exchange struct {
-	Digest        int64        `avro:"digest"`  // of the records that the sender has
-	Version       int64        `avro:"version"` // of the configuration that it has
+	Digest        int64        `avro:"digest"`  // digest of the sender's records
+	Version       int64        `avro:"version"` // configuration version of the sender
 	Records       []NodeRecord `avro:"records"`
-	Configuration []byte       `avro:"configuration"` // in the operators' form; empty: none is sent
-	// Buckets are the digests of the records by hash of the node's name; none: only
-	// the whole digest was compared so far.
+	Configuration []byte       `avro:"configuration"` // as uploaded by the operators; empty: not included
+	// Buckets are digests of the records, partitioned by a hash of the node name. It is empty
+	// as long as only the overall digests have been compared.
 	Buckets []int64 `avro:"buckets"`
-	// From is the node that sends the message.
+	// From is the name of the sending node.
 	From string `avro:"from"`
-	// Gone tells the receiver of an answer that it is taken for gone.
+	// Gone informs the receiver of a response that the sender considers it removed.
 	Gone bool `avro:"gone"`
 }
 
-// News is what a node tells others at once. It travels along a tree: the receiver
-// passes it on to the addresses in Forward.
+// News is an update that is broadcast along a tree: the receiver forwards it to the addresses in
+// Forward.
 type News struct {
-	From     string       `avro:"from"`    // address of the sender, to ask for what Version names
-	Forward  []string     `avro:"forward"` // addresses of the nodes to pass it on to
-	Version  int64        `avro:"version"` // of the configuration that the sender has
-	Records  []NodeRecord `avro:"records"` // that have changed
-	Beat     bool         `avro:"beat"`    // Follower follows the store
+	From     string       `avro:"from"`    // address of the sender, from which the configuration can be fetched
+	Forward  []string     `avro:"forward"` // addresses of the nodes to forward the message to
+	Version  int64        `avro:"version"` // configuration version of the sender
+	Records  []NodeRecord `avro:"records"` // changed records
+	Beat     bool         `avro:"beat"`    // the message is a heartbeat of Follower, which follows the store
 	Follower string       `avro:"follower"`
-	Well     bool         `avro:"well"`    // Follower hears the store
+	Well     bool         `avro:"well"`    // Follower is receiving responses from the store
 	Missing  []string     `avro:"missing"` // nodes of the zone whose records the store has lost
-	Gone     []NodeRecord `avro:"gone"`    // the last records of nodes that are gone
+	Gone     []NodeRecord `avro:"gone"`    // last records of removed nodes
 }
 
-// Pong is the answer to a question whether a node lives.
+// Pong is the response to a liveness probe.
 type Pong struct {
 	Node       string `avro:"node"`
-	TurnedAway bool   `avro:"turned_away"` // the store does not serve it
+	TurnedAway bool   `avro:"turned_away"` // the store refuses to serve the node
 }
 
-// Freshness answers the question how fresh a node's configuration is.
+// Freshness reports how recently a node confirmed that its configuration is current.
 type Freshness struct {
-	Known   bool  `avro:"known"`   // the node has evidence
-	Version int64 `avro:"version"` // that was the newest when it was confirmed
-	Age     int64 `avro:"age_us"`  // how long before the answer it was confirmed
-	// Keepers are those of the quotas that the node knows of.
+	Known   bool  `avro:"known"`   // the node has a confirmation
+	Version int64 `avro:"version"` // version that was confirmed to be the newest
+	Age     int64 `avro:"age_us"`  // time between the confirmation and this response
+	// Keepers lists the quota keepers known to the node.
 	Keepers []Keeper `avro:"keepers"`
 }
 
-// Keeper names the node that keeps the quotas of a group of tenants.
+// Keeper identifies the node that manages the quotas of a shard of tenants.
 type Keeper struct {
 	Shard       int    `avro:"shard"`
 	Node        string `avro:"node"`
 	Address     string `avro:"address"`
-	Incarnation string `avro:"incarnation"` // of its process
-	Revision    int64  `avro:"revision"`    // of its record in the store; a higher one is newer
+	Incarnation string `avro:"incarnation"` // identifies the node's process
+	Revision    int64  `avro:"revision"`    // store revision of its record; higher is newer
 }
 
-// KeeperRecord is what a keeper keeps in the store.
+// KeeperRecord is the record of a keeper in the store.
 type KeeperRecord struct {
 	Node        string   `avro:"node"`
 	Incarnation string   `avro:"incarnation"`
 	Address     string   `avro:"address"`
-	Listed      []string `avro:"listed"` // nodes that may hold parts of limits
-	Part        float64  `avro:"part"`   // most of a limit that one of them holds
+	Listed      []string `avro:"listed"` // nodes that may hold a share of a limit
+	Part        float64  `avro:"part"`   // largest fraction of a limit held by one of them
 }
 
-// QuotaAsk is the question of a node for parts of the limits of a group of tenants.
+// QuotaAsk requests shares of the limits of a shard of tenants.
 type QuotaAsk struct {
-	Holder      string        `avro:"holder"` // name of the node and its address
+	Holder      string        `avro:"holder"` // name and address of the node
 	Incarnation string        `avro:"incarnation"`
 	Shard       int           `avro:"shard"`
-	Complete    bool          `avro:"complete"` // Reports tell all that the node holds
+	Complete    bool          `avro:"complete"` // Reports covers every share that the node holds
 	Reports     []QuotaReport `avro:"reports"`
 }
 
-// QuotaReport is what a node needs and holds of one tenant's limit.
+// QuotaReport describes the demand of a node and its current share of one tenant's limit.
 type QuotaReport struct {
 	Tenant string  `avro:"tenant"`
-	Demand float32 `avro:"demand"` // requests a second
-	Need   int     `avro:"need"`   // requests that wait for a token
-	Want   int     `avro:"want"`   // tokens
-	Stock  float32 `avro:"stock"`  // tokens that it has
-	Rate   float32 `avro:"rate"`   // of its share, tokens a second
-	Depth  float32 `avro:"depth"`  // most tokens in stock
-	Epoch  int64   `avro:"epoch"`  // of the keeper that gave the share
-	Number int64   `avro:"number"` // of the share there
-	Left   int64   `avro:"left_us"`
+	Demand float32 `avro:"demand"`  // requests per second
+	Need   int     `avro:"need"`    // requests waiting for a token
+	Want   int     `avro:"want"`    // tokens requested
+	Stock  float32 `avro:"stock"`   // tokens available
+	Rate   float32 `avro:"rate"`    // refill rate of the share, tokens per second
+	Depth  float32 `avro:"depth"`   // bucket size, tokens
+	Epoch  int64   `avro:"epoch"`   // epoch of the keeper that granted the share
+	Number int64   `avro:"number"`  // number of the share within the epoch
+	Left   int64   `avro:"left_us"` // remaining lifetime of the share
 }
 
-// QuotaAnswer is a keeper's answer.
+// QuotaAnswer is the response of a keeper to QuotaAsk.
 type QuotaAnswer struct {
-	Keeps      bool             `avro:"keeps"`  // the node keeps the quotas of the group
-	Listed     bool             `avro:"listed"` // the asking node may hold parts; else it is to ask again
-	Epoch      int64            `avro:"epoch"`  // of the keeper
+	Keeps      bool             `avro:"keeps"`  // the responder is the keeper of the shard
+	Listed     bool             `avro:"listed"` // the requester may hold shares; otherwise it must ask again
+	Epoch      int64            `avro:"epoch"`  // epoch of the keeper
 	Allotments []QuotaAllotment `avro:"allotments"`
 }
 
-// QuotaAllotment is a node's part of one tenant's limit.
+// QuotaAllotment is a node's share of one tenant's limit.
 type QuotaAllotment struct {
 	Tenant    string  `avro:"tenant"`
 	Rate      float32 `avro:"rate"`
 	Depth     float32 `avro:"depth"`
 	Number    int64   `avro:"number"`
-	Life      int64   `avro:"life_us"` // of the share, from the begin of the question
+	Life      int64   `avro:"life_us"` // lifetime of the share, counted from when the request was sent
 	Tokens    int     `avro:"tokens"`
-	Again     int64   `avro:"again_us"` // when there may be more tokens; 0: no guess
-	Unsettled bool    `avro:"unsettled"`
+	Again     int64   `avro:"again_us"`  // delay until more tokens may be available; 0: unknown
+	Unsettled bool    `avro:"unsettled"` // the shares granted by the previous keeper are not yet known
 }
 
 const (
@@ -243,13 +239,13 @@
 {"name":"configuration","type":"bytes","default":""},
 {"name":"buckets","type":{"type":"array","items":"long"},"default":[]},
 {"name":"from","type":"string","default":""},{"name":"gone","type":"boolean","default":false}]}`
-	// ExchangeSchema2 is that of the release before, which did not name the sender.
+	// ExchangeSchema2 is the schema of the previous release, without the sender.
 	ExchangeSchema2 = `{"type":"record","name":"Exchange","fields":[
 {"name":"digest","type":"long"},{"name":"version","type":"long"},
 {"name":"records","type":{"type":"array","items":` + nodeRecordSchema + `},"default":[]},
 {"name":"configuration","type":"bytes","default":""},
 {"name":"buckets","type":{"type":"array","items":"long"},"default":[]}]}`
-	// ExchangeSchema1 is that of the first release, which sent all records at once.
+	// ExchangeSchema1 is the schema of the first release, which always sent all records.
 	ExchangeSchema1 = `{"type":"record","name":"Exchange","fields":[
 {"name":"digest","type":"long"},{"name":"version","type":"long"},
 {"name":"records","type":{"type":"array","items":` + nodeRecordSchema + `},"default":[]},
@@ -290,7 +286,7 @@
 {"name":"serving","type":"boolean","default":false},{"name":"cold_ms","type":"long","default":0}]}`
 )
 
-// MaxMessage bounds a message of control between nodes, in bytes; the largest holds the
+// MaxMessage is the maximum size of a control message in bytes. The largest messages contain the
 // records of all nodes.
 const MaxMessage = 4 << 20
 
--- a/internal/wire/sidecar_test.go
+++ b/internal/wire/sidecar_test.go
@@ -29,9 +29,9 @@
 	g.Expect(WaitsCodec.DecodeHeader(head)).To(Equal(waits))
 }
 
-// An exchange of either release before is read, its sender unnamed.
-func TestOlderExchangesAreRead(t *testing.T) {
-	for _, tc := range []struct{ name, schema string }{{"all records at once", ExchangeSchema1}, {"without its sender", ExchangeSchema2}} {
+// Messages written with an older schema are accepted and have no sender.
+func TestExchangeCodecReadsOlderSchemas(t *testing.T) {
+	for _, tc := range []struct{ name, schema string }{{"first release", ExchangeSchema1}, {"previous release", ExchangeSchema2}} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
 			data, err := codec.New[Exchange](MaxMessage, tc.schema).Encode(&Exchange{Digest: 4, Version: 2, From: "lost"})
@@ -44,9 +44,8 @@
 	}
 }
 
-// The wait of a need travels in a message of its own, so that results stay readable
-// to the release before.
-func TestResultsDoNotCarryWaits(t *testing.T) {
+// A wait inside the result would make it unreadable to nodes of the previous release.
+func TestSidecarResultOmitsWait(t *testing.T) {
 	g := NewWithT(t)
 	head, err := SidecarResultCodec.EncodeHeader(&SidecarResult{Outcome: "answered", Below: []Need{{Service: "s", Calls: 1, Wait: time.Second}}})
 	g.Expect(err).NotTo(HaveOccurred())
