--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,6 +1,5 @@
-// Package store is the port to a key-value service with revisions, leases and
-// watches, in which what must outlive every process is kept. Adapters implement
-// it; they decide nothing.
+// Package store defines the interface to a key-value service with revisions, leases and watches.
+// It holds the state that must outlive every process.
 package store
 
 import (
@@ -10,69 +9,72 @@
 	"github.com/juju/errors"
 )
 
-// Item is one key. Gone tells that an event removed it.
+// Item is a key with its value, or an event of a watch.
 type Item struct {
 	Key      string
 	Value    []byte
-	Revision int64 // of its last change
+	Revision int64 // store revision of the last change
 	Lease    int64 // 0: none
-	Gone     bool
+	Gone     bool  // the key was deleted
 }
 
-// Lease is the right to keep keys for some time.
+// Lease keeps the keys attached to it alive until its TTL expires without a renewal.
 type Lease struct {
 	ID  int64
 	TTL time.Duration
 }
 
-// Write changes one key.
+// Write describes a change of one key.
 type Write struct {
 	Key   string
 	Value []byte
 	Lease int64
-	// IfRevision is the revision that the key must have; nil: any, 0: it must not be there.
+	// IfRevision is the revision that the key must have; nil: any, 0: the key must not exist.
 	IfRevision *int64
 }
 
-// Errors of a store. Callers compare with errors.Is.
+// Errors returned by a Store. Compare them with errors.Is.
 const (
-	// ErrCompacted means that the history asked for is gone: read anew.
-	ErrCompacted = errors.ConstError("history is gone (remedy: read the keys anew)")
-	// ErrConflict means that a condition did not hold; nothing was done.
-	ErrConflict = errors.ConstError("key has another revision (remedy: read it and decide anew)")
-	// ErrLeaseGone means that a lease is over; nothing was done.
-	ErrLeaseGone = errors.ConstError("lease is over (remedy: take a new one)")
-	// ErrLimited means that the store asks for fewer calls; nothing was done.
-	ErrLimited = errors.ConstError("store limits its calls (remedy: call again later)")
-	// ErrUnavailable means that the store could not serve the call; nothing was done.
-	ErrUnavailable = errors.ConstError("store is not available (remedy: call again later)")
-	// ErrUncertain means that no answer came: the call may be done, now or later.
-	ErrUncertain = errors.ConstError("store gave no answer (remedy: read before you decide)")
-	// ErrRefused means that the store takes the call for wrong.
-	ErrRefused = errors.ConstError("store refused the call (remedy: correct it)")
+	// ErrCompacted is returned by a watch whose start revision has been compacted.
+	ErrCompacted = errors.ConstError("requested revision has been compacted (remedy: list the keys again)")
+	// ErrConflict is returned if a key does not have the expected revision. The store is unchanged.
+	ErrConflict = errors.ConstError("key has a different revision (remedy: read the key and retry)")
+	// ErrLeaseGone is returned if a lease has expired or was revoked. The store is unchanged.
+	ErrLeaseGone = errors.ConstError("lease has expired or was revoked (remedy: request a new lease)")
+	// ErrLimited is returned if the store rejects a call because of its rate limit. The store is
+	// unchanged.
+	ErrLimited = errors.ConstError("store rate limit exceeded (remedy: retry later)")
+	// ErrUnavailable is returned if the store cannot serve a call. The store is unchanged.
+	ErrUnavailable = errors.ConstError("store is unavailable (remedy: retry later)")
+	// ErrUncertain is returned if no valid response was received. A write may have been applied,
+	// or may still be.
+	ErrUncertain = errors.ConstError("no valid response from the store (remedy: read the key before retrying)")
+	// ErrRefused is returned if a call is invalid.
+	ErrRefused = errors.ConstError("store rejected the call as invalid (remedy: correct the call)")
 )
 
-// Store is a key-value service. Every method ends with its context. Reads are
-// linearizable.
+// Store is a key-value service. Methods return when their context is done. Get, List and
+// Unchanged are linearizable.
 type Store interface {
-	// Get gives a key, nil when it is not there, and the revision of the store.
+	// Get returns a key, or nil if it does not exist, and the revision of the store.
 	Get(ctx context.Context, key string) (*Item, int64, error)
-	// List gives all keys below a prefix and a revision not later than any of the pages.
+	// List returns all keys with a prefix, and a store revision that is not newer than any page
+	// of the listing.
 	List(ctx context.Context, prefix string) ([]Item, int64, error)
-	// Watch waits for changes below a prefix after a revision; no events and a
-	// revision when none came within wait.
+	// Watch waits for changes of keys with a prefix after a revision. If none occur within wait,
+	// it returns no events and the current revision.
 	Watch(ctx context.Context, prefix string, after int64, wait time.Duration) ([]Item, int64, error)
-	// Unchanged asks whether a key still has a revision; ErrConflict comes with the key as
-	// it is then, nil when it is gone.
+	// Unchanged checks that a key still has a revision. Otherwise it returns ErrConflict and the
+	// current item, or nil if the key does not exist.
 	Unchanged(ctx context.Context, key string, revision int64) (newer *Item, err error)
-	// Probe asks for a sign of life, as cheaply as the service allows.
+	// Probe checks that the service responds, using the cheapest available call.
 	Probe(ctx context.Context) error
-	// Put writes a key and gives the new revision.
+	// Put writes a key and returns its new revision.
 	Put(ctx context.Context, write Write) (int64, error)
-	// Grant takes a lease.
+	// Grant creates a lease. The TTL of the result may differ from the requested one.
 	Grant(ctx context.Context, ttl time.Duration) (Lease, error)
 	// Keep renews a lease.
 	Keep(ctx context.Context, lease int64) error
-	// Revoke ends a lease and removes its keys.
+	// Revoke ends a lease and deletes its keys.
 	Revoke(ctx context.Context, lease int64) error
 }
