--- a/internal/servers/servers.go
+++ b/internal/servers/servers.go
@@ -1,6 +1,4 @@
-// Package servers closes the HTTP servers of a node without cutting a request. It owns the state of
-// their connections; it relies on a count of the requests in flight whose handlers have not
-// returned.
+// Package servers shuts down the HTTP servers of a node without interrupting requests.
 package servers
 
 import (
@@ -11,43 +9,43 @@
 	"time"
 )
 
-// Server is an HTTP server that knows which of its connections are new.
+// Server is an HTTP server that tracks connections whose first request is outstanding.
 type Server struct {
 	*http.Server
 	listener net.Listener
 	mu       sync.Mutex
-	fresh    map[net.Conn]time.Time // connections without a first answer, and since when
+	newConns map[net.Conn]time.Time // opening time of connections without a first response
 }
 
-// New makes a server for a listener; it takes over the ConnState of the server given.
+// New returns a Server for a listener. It replaces the ConnState hook of server.
 func New(listener net.Listener, server *http.Server) *Server {
-	s := &Server{Server: server, listener: listener, fresh: map[net.Conn]time.Time{}}
-	server.ConnState = s.note
+	s := &Server{Server: server, listener: listener, newConns: map[net.Conn]time.Time{}}
+	server.ConnState = s.trackState
 	return s
 }
 
-// Run serves until the listener is closed.
+// Run accepts connections until the listener is closed.
 func (s *Server) Run() error { return s.Serve(s.listener) }
 
-func (s *Server) note(conn net.Conn, state http.ConnState) {
+func (s *Server) trackState(conn net.Conn, state http.ConnState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch state {
 	case http.StateNew:
-		s.fresh[conn] = time.Now()
-	case http.StateActive: // its first request was read, and is not yet answered
+		s.newConns[conn] = time.Now()
+	case http.StateActive: // the first request was read but not yet answered
 	default:
-		delete(s.fresh, conn)
+		delete(s.newConns, conn)
 	}
 }
 
-// expects tells whether a first request may be on its way on one of the connections, or was just
-// read.
-func (s *Server) expects(now time.Time) bool {
+// awaitsFirstRequest reports whether a recently opened connection has no response yet: its first
+// request may be on its way, or is being handled.
+func (s *Server) awaitsFirstRequest(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, since := range s.fresh {
-		if now.Sub(since) < freshTime {
+	for _, opened := range s.newConns {
+		if now.Sub(opened) < firstRequestTimeout {
 			return true
 		}
 	}
@@ -55,35 +53,37 @@
 }
 
 const (
-	// flushTime is how long answers may take to be written out once nothing is in flight: their
-	// handlers have returned, net/http has not.
-	flushTime = 200 * time.Millisecond
-	// freshTime is how long the first request of a connection may take: with TLS 1.3 its sender
-	// writes it before the server has ended the handshake, and cannot know what became of it when
-	// the connection is cut. Senders also open connections that they never use.
-	freshTime = time.Second
-	poll      = 10 * time.Millisecond
+	// flushTimeout is the time that net/http may take to write the rest of the responses after
+	// the last handler has returned.
+	flushTimeout = 200 * time.Millisecond
+	// firstRequestTimeout is how long to wait for the first request of a connection. With TLS 1.3
+	// a client may send it before the server has finished the handshake, and cannot tell whether it
+	// was executed if the connection is cut. The wait is limited since clients also open
+	// connections that they never use.
+	firstRequestTimeout = time.Second
+	pollInterval        = 10 * time.Millisecond
 )
 
-// Close closes servers, all at the same time. New connections are refused first, and first requests
-// on those that were opened shortly before are awaited: once Shutdown is called net/http drops
-// what it reads. Then requests in flight end. What is open is cut when nothing has been in flight
-// for flushTime, or when ctx ends.
+// Close shuts down the servers concurrently. It closes the listeners, waits for the first requests
+// on connections that were opened shortly before, since net/http drops requests that it reads
+// after Shutdown, and then waits for the requests in flight. Connections that are still open are
+// cut once inFlight has been zero for flushTimeout, or when ctx is done. inFlight returns the
+// number of requests whose handlers have not returned.
 func Close(ctx context.Context, servers []*Server, inFlight func() int64) {
 	for _, server := range servers {
 		_ = server.listener.Close()
 	}
-	awaitFirst(ctx, servers)
+	awaitFirstRequests(ctx, servers)
 	awaitIdle(ctx, servers, inFlight)
 	for _, server := range servers {
 		_ = server.Close()
 	}
 }
 
-func awaitFirst(ctx context.Context, servers []*Server) {
-	ticker := time.NewTicker(poll)
+func awaitFirstRequests(ctx context.Context, servers []*Server) {
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
-	for ctx.Err() == nil && expectsAny(servers) {
+	for ctx.Err() == nil && anyAwaitsFirstRequest(servers) {
 		select {
 		case <-ctx.Done():
 		case <-ticker.C:
@@ -94,35 +94,35 @@
 func awaitIdle(ctx context.Context, servers []*Server, inFlight func() int64) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	var group sync.WaitGroup
+	var wg sync.WaitGroup
 	for _, server := range servers {
-		group.Go(func() { _ = server.Shutdown(ctx) })
+		wg.Go(func() { _ = server.Shutdown(ctx) })
 	}
-	idle := make(chan struct{})
+	shutdown := make(chan struct{})
 	go func() {
-		defer close(idle)
-		group.Wait()
+		defer close(shutdown)
+		wg.Wait()
 	}()
-	ticker := time.NewTicker(poll)
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
-	for quiet := time.Now(); time.Since(quiet) < flushTime; {
+	for idleSince := time.Now(); time.Since(idleSince) < flushTimeout; {
 		select {
-		case <-idle:
+		case <-shutdown:
 			return
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
 		}
 		if inFlight() > 0 {
-			quiet = time.Now()
+			idleSince = time.Now()
 		}
 	}
 }
 
-func expectsAny(servers []*Server) bool {
+func anyAwaitsFirstRequest(servers []*Server) bool {
 	now := time.Now()
 	for _, server := range servers {
-		if server.expects(now) {
+		if server.awaitsFirstRequest(now) {
 			return true
 		}
 	}
--- a/internal/servers/servers_test.go
+++ b/internal/servers/servers_test.go
@@ -12,22 +12,21 @@
 	. "github.com/onsi/gomega"
 )
 
-// Servers that were closed one after the other shared one second: a connection of the first on
-// which nothing had come yet took all of it, and requests of the others were cut. Seen in the log
-// of a stop that took 1.004 s from "closing connections" to "stopped" with nothing in flight.
+// An idle connection of one server must not use up the grace period of the others, which would cut
+// their requests in flight.
 func TestAConnectionOnWhichNothingComesCutsNoRequestOfAnotherServer(t *testing.T) {
 	g := NewWithT(t)
 	var inFlight atomic.Int64
-	begun := make(chan struct{})
-	silent, _ := serve(t, func(http.ResponseWriter, *http.Request) {})
+	handling := make(chan struct{})
+	idle, _ := serve(t, func(http.ResponseWriter, *http.Request) {})
 	busy, address := serve(t, func(w http.ResponseWriter, _ *http.Request) {
 		inFlight.Add(1)
 		defer inFlight.Add(-1)
-		close(begun)
+		close(handling)
 		time.Sleep(2 * time.Second)
 		_, _ = io.WriteString(w, "whole")
 	})
-	conn, err := net.Dial("tcp", silent.Addr)
+	conn, err := net.Dial("tcp", idle.Addr)
 	g.Expect(err).NotTo(HaveOccurred())
 	defer conn.Close()
 	answers := make(chan string, 1)
@@ -41,26 +40,25 @@
 		body, _ := io.ReadAll(response.Body)
 		answers <- string(body)
 	}()
-	<-begun
+	<-handling
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	started := time.Now()
-	Close(ctx, []*Server{silent, busy}, inFlight.Load)
+	Close(ctx, []*Server{idle, busy}, inFlight.Load)
 	g.Expect(<-answers).To(Equal("whole"))
-	g.Expect(time.Since(started)).To(BeNumerically("<", 5*time.Second), "it waits for calls, not for the silent connection")
+	g.Expect(time.Since(started)).To(BeNumerically("<", 5*time.Second), "Close waits for requests in flight, not for idle connections")
 }
 
-// A sender has opened a connection and writes its first request as the server closes. Cut, it has
-// no known end: a call that may run once was lost so, 129 ms after its connection was opened, in
-// TestAPlannedStopAmidLongCallsCutsNothing beside load.
+// A client that sends its first request while the server is closing must get a response. If the
+// connection were cut, the client could not tell whether the request was executed.
 func TestTheFirstRequestOfAConnectionIsAwaited(t *testing.T) {
 	g := NewWithT(t)
 	server, address := serve(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "whole") })
 	conn, err := net.Dial("tcp", address)
 	g.Expect(err).NotTo(HaveOccurred())
 	defer conn.Close()
-	g.Eventually(func() bool { return server.expects(time.Now()) }, "5s", "1ms").Should(BeTrue())
-	time.AfterFunc(freshTime/2, func() { _, _ = io.WriteString(conn, "GET / HTTP/1.1\r\nHost: x\r\n\r\n") })
+	g.Eventually(func() bool { return server.awaitsFirstRequest(time.Now()) }, "5s", "1ms").Should(BeTrue())
+	time.AfterFunc(firstRequestTimeout/2, func() { _, _ = io.WriteString(conn, "GET / HTTP/1.1\r\nHost: x\r\n\r\n") })
 	started := time.Now()
 	Close(context.Background(), []*Server{server}, func() int64 { return 0 })
 	answer, err := io.ReadAll(conn)
@@ -69,12 +67,12 @@
 	g.Expect(time.Since(started)).To(BeNumerically("<", 5*time.Second))
 }
 
-// What does not end is cut when the time is over.
-func TestTheEndOfTheTimeCuts(t *testing.T) {
+// Requests that are still running when the context ends are cut.
+func TestCloseCutsRequestsAtDeadline(t *testing.T) {
 	g := NewWithT(t)
-	begun := make(chan struct{})
+	handling := make(chan struct{})
 	server, address := serve(t, func(_ http.ResponseWriter, r *http.Request) {
-		close(begun)
+		close(handling)
 		<-r.Context().Done()
 	})
 	failed := make(chan error, 1)
@@ -82,7 +80,7 @@
 		_, err := http.Get("http://" + address)
 		failed <- err
 	}()
-	<-begun
+	<-handling
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancel()
 	Close(ctx, []*Server{server}, func() int64 { return 1 })
