--- a/internal/duplex/duplex.go
+++ b/internal/duplex/duplex.go
@@ -1,14 +1,13 @@
-// Package duplex lets an answer begin before its request was read whole, and sees to it that the
-// sender is told when the connection ends with that answer.
+// Package duplex lets handlers respond before they have read the whole request body, and announces
+// to the client when the connection closes after that response.
 //
-// net/http reads the rest of a request before it writes an answer, unless full duplex is enabled.
-// With full duplex it reads the rest after the answer, and panics when it then waits for the next
-// request ("invalid concurrent Body.Read call"): the connection closes without a word, and a
-// sender that has already taken it for its next call cannot tell whether that call ran. So a
-// head that goes out before the request was read to its end asks to close the connection.
+// By default net/http reads the rest of the request body before it writes a response. In full
+// duplex mode it reads the rest after the response, and panics while waiting for the next request
+// ("invalid concurrent Body.Read call"). The connection then closes unannounced, and a client that
+// has already reused it cannot tell whether its next request was executed. A response whose header
+// is written before the body was read completely therefore carries "Connection: close".
 //
-// The package owns the request's body while a handler runs, and the head of its answer. It relies
-// on handlers that write through the writer and read through the body that Begin gives them.
+// Handlers must use the Writer and the request returned by Begin.
 package duplex
 
 import (
@@ -19,41 +18,40 @@
 	"time"
 )
 
-// Writer writes the answer to one request. Its methods are not safe for concurrent use, as those
-// of http.ResponseWriter.
+// Writer is the http.ResponseWriter of one request. Its methods are not safe for concurrent use.
 type Writer struct {
 	http.ResponseWriter
-	body   *body
-	last   func() bool
-	headed bool
-	ends   bool // the head asked to close the connection
+	body        *body
+	closeAfter  func() bool
+	wroteHeader bool
+	closes      bool // the header carries "Connection: close"
 }
 
-// Begin enables full duplex for a request. It gives the writer of its answer, and the request
-// with a body that notes its end; the handler uses these from then on. last tells, when the head
-// is written, whether the connection has to end with this answer for another reason, such as a
-// planned stop; nil: never.
-func Begin(w http.ResponseWriter, r *http.Request, last func() bool) (*Writer, *http.Request) {
+// Begin enables full duplex mode for a request. It returns the writer of the response, and the
+// request with a body that tracks whether it was read completely; the handler must use these.
+// closeAfter is called when the header is written and reports whether the connection has to close
+// after this response for another reason, such as a shutdown. It may be nil.
+func Begin(w http.ResponseWriter, r *http.Request, closeAfter func() bool) (*Writer, *http.Request) {
 	_ = http.NewResponseController(w).EnableFullDuplex()
-	made := &Writer{ResponseWriter: w, last: last}
+	writer := &Writer{ResponseWriter: w, closeAfter: closeAfter}
 	if r.Body == nil || r.Body == http.NoBody {
-		return made, r
+		return writer, r
 	}
-	made.body = &body{source: r.Body, length: r.ContentLength, awaited: r.Header.Get("Expect") != ""}
-	// net/http looks at the body of its own request to choose how it closes the connection.
+	writer.body = &body{src: r.Body, length: r.ContentLength, expectContinue: r.Header.Get("Expect") != ""}
+	// The original request keeps its body, by which net/http decides how to close the connection.
 	r = r.WithContext(r.Context())
-	r.Body = made.body
-	return made, r
+	r.Body = writer.body
+	return writer, r
 }
 
-// Unwrap gives the writer below, for http.ResponseController.
+// Unwrap returns the underlying writer, for http.ResponseController.
 func (w *Writer) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
 // WriteHeader implements http.ResponseWriter.
 func (w *Writer) WriteHeader(status int) {
-	if status >= http.StatusOK && !w.headed {
-		w.headed = true
-		if w.ends = w.mustEnd(); w.ends {
+	if status >= http.StatusOK && !w.wroteHeader {
+		w.wroteHeader = true
+		if w.closes = w.mustClose(); w.closes {
 			w.Header().Set("Connection", "close")
 		}
 	}
@@ -62,89 +60,93 @@
 
 // Write implements http.ResponseWriter.
 func (w *Writer) Write(data []byte) (int, error) {
-	if !w.headed {
+	if !w.wroteHeader {
 		w.WriteHeader(http.StatusOK)
 	}
 	return w.ResponseWriter.Write(data)
 }
 
-// ReadFrom implements io.ReaderFrom, so that a long answer is copied as net/http copies it.
-func (w *Writer) ReadFrom(source io.Reader) (int64, error) {
-	if !w.headed {
+// ReadFrom implements io.ReaderFrom, so that net/http can optimize copying large responses.
+func (w *Writer) ReadFrom(src io.Reader) (int64, error) {
+	if !w.wroteHeader {
 		w.WriteHeader(http.StatusOK)
 	}
-	return io.Copy(w.ResponseWriter, source)
+	return io.Copy(w.ResponseWriter, src)
 }
 
-// Closes tells whether the head of the answer asked to close the connection; false before it.
-func (w *Writer) Closes() bool { return w.ends }
+// Closes reports whether the response header carries "Connection: close". It returns false until
+// the header is written.
+func (w *Writer) Closes() bool { return w.closes }
 
-func (w *Writer) mustEnd() bool {
-	return w.body.unread() || w.isLast()
+func (w *Writer) mustClose() bool {
+	return w.body.unread() || w.closeRequested()
 }
 
-func (w *Writer) isLast() bool { return w.last != nil && w.last() }
+func (w *Writer) closeRequested() bool { return w.closeAfter != nil && w.closeAfter() }
 
-// ReadRest reads what a handler that refuses a request has left of a short body, so that its
-// connection can be used again. It has to be called before the head is written. A body that is
-// long, of unknown length or not there within restTime is left unread, and the connection ends
-// with the answer.
+// ReadRest discards the unread part of a short request body, so that the connection can be reused
+// after the request is rejected. It must be called before the header is written. A body that is
+// long, of unknown length or not received within drainTimeout is left unread, and the connection
+// closes after the response.
 func (w *Writer) ReadRest() {
-	if !w.body.unread() || !w.body.short() || w.isLast() {
+	if !w.body.unread() || !w.body.drainable() || w.closeRequested() {
 		return
 	}
-	deadlines := http.NewResponseController(w.ResponseWriter)
-	if err := deadlines.SetReadDeadline(time.Now().Add(restTime)); err != nil {
+	controller := http.NewResponseController(w.ResponseWriter)
+	if err := controller.SetReadDeadline(time.Now().Add(drainTimeout)); err != nil {
 		return
 	}
 	w.body.discard()
-	_ = deadlines.SetReadDeadline(time.Time{}) // net/http sets its own for the next request
+	_ = controller.SetReadDeadline(time.Time{}) // net/http sets a new deadline for the next request
 }
 
-// Bounds of ReadRest.
+// Limits of ReadRest.
 const (
-	restBytes = 64 << 10
-	restTime  = 10 * time.Millisecond // what has been sent is there by then; a refusal does not wait for more
+	maxDrainBytes = 64 << 10
+	drainTimeout  = 10 * time.Millisecond // enough for data already sent; a rejection must not wait for more
 )
 
-// body is the body of a request; nil is one without.
+// body wraps a request body and records whether it was read to the end. A nil *body stands for a
+// request without a body.
 type body struct {
-	source  io.ReadCloser
-	length  int64
-	awaited bool // the sender waits to be asked for it
-	reading sync.Mutex
-	ended   atomic.Bool
+	src            io.ReadCloser
+	length         int64
+	expectContinue bool // the client sends the body only after a 100 Continue
+	mu             sync.Mutex
+	eof            atomic.Bool
 }
 
 // Read implements io.Reader.
 func (b *body) Read(data []byte) (int, error) {
-	b.reading.Lock()
-	defer b.reading.Unlock()
+	b.mu.Lock()
+	defer b.mu.Unlock()
 	return b.read(data)
 }
 
 func (b *body) read(data []byte) (int, error) {
-	n, err := b.source.Read(data)
+	n, err := b.src.Read(data)
 	if err == io.EOF {
-		b.ended.Store(true)
+		b.eof.Store(true)
 	}
 	return n, err
 }
 
 // Close implements io.Closer.
-func (b *body) Close() error { return b.source.Close() }
+func (b *body) Close() error { return b.src.Close() }
 
-func (b *body) unread() bool { return b != nil && !b.ended.Load() }
+func (b *body) unread() bool { return b != nil && !b.eof.Load() }
 
-func (b *body) short() bool { return b.length > 0 && b.length <= restBytes && !b.awaited }
+func (b *body) drainable() bool {
+	return b.length > 0 && b.length <= maxDrainBytes && !b.expectContinue
+}
 
-// discard reads to the end, unless somebody else reads: a sending that failed may not yet have
-// let go of the body.
+// discard reads the body to the end, unless another goroutine is reading it: a failed attempt to
+// forward the request may not have released the body yet.
 func (b *body) discard() {
-	if !b.reading.TryLock() {
+	if !b.mu.TryLock() {
 		return
 	}
-	defer b.reading.Unlock()
+	defer b.mu.Unlock()
 	_, _ = io.Copy(io.Discard, readerFunc(b.read))
 }
 
