--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,15 +1,14 @@
-// Package clock gives nodes the time by which rights, leases and deadlines run out. A machine
-// may be suspended: the monotonic clock that Go reads stands still then, CLOCK_BOOTTIME and
-// the time of day go on. What must not outlive real time is measured by Boot.
+// Package clock provides the clocks by which leases, grants and deadlines expire. While a machine
+// is suspended, the monotonic clock used by Go stops, whereas CLOCK_BOOTTIME and the wall clock
+// continue. Expiry that must hold in real time is measured with Boot.
 package clock
 
 import "time"
 
-// Source gives two readings of the time since a moment of its own. It is safe for concurrent
-// use.
+// Source reads two clocks, both relative to an arbitrary start. It is safe for concurrent use.
 type Source interface {
-	// Steady does not count the time for which the machine was suspended.
+	// Steady returns the elapsed time, excluding time during which the machine was suspended.
 	Steady() time.Duration
-	// Boot counts it. It never goes back.
+	// Boot returns the elapsed time, including suspensions. It never decreases.
 	Boot() time.Duration
 }
--- a/internal/clock/system.go
+++ b/internal/clock/system.go
@@ -8,33 +8,34 @@
 	"golang.org/x/sys/unix"
 )
 
-// Times of the readings of CLOCK_BOOTTIME, which is a system call where the others are not.
+// Limits of how often CLOCK_BOOTTIME is read. It is a system call, unlike the other clocks.
 const (
-	// readEvery bounds how long a suspension stays unseen that a step of the time of day hid.
-	readEvery = 100 * time.Millisecond
-	// driftSeen is the change between time of day and steady clock after which it is read. An
-	// NTP client turns the time of day by 0.5 ms a second at most.
-	driftSeen = 5 * time.Millisecond
+	// bootReadInterval bounds how long a suspension goes undetected if a simultaneous step of the
+	// wall clock cancels it out.
+	bootReadInterval = 100 * time.Millisecond
+	// driftThreshold is the change of the offset between wall clock and steady clock that triggers
+	// a reading. An NTP client slews the wall clock by at most 0.5 ms per second.
+	driftThreshold = 5 * time.Millisecond
 )
 
-// System reads the clocks of the machine. A suspension shows as a jump of the time of day
-// against the steady clock, which one reading gives both of; CLOCK_BOOTTIME tells it from a
-// step of the time of day.
+// System is a Source that reads the clocks of the machine. A suspension appears as a jump of the
+// wall clock relative to the steady clock, both of which time.Now returns. CLOCK_BOOTTIME
+// distinguishes it from a step of the wall clock.
 type System struct {
 	started time.Time
-	boot    int64 // CLOCK_BOOTTIME at started, ns
+	boot    int64 // CLOCK_BOOTTIME at started, in ns
 
-	slept atomic.Int64 // time for which the machine was suspended, ns
-	drift atomic.Int64 // time of day less steady clock when CLOCK_BOOTTIME was read, ns
-	read  atomic.Int64 // steady clock at that moment, ns
+	suspended atomic.Int64 // total time of suspensions, in ns
+	drift     atomic.Int64 // wall clock minus steady clock at the last reading of CLOCK_BOOTTIME, in ns
+	readAt    atomic.Int64 // steady clock at that reading, in ns
 }
 
-// NewSystem makes a source that begins now. It fails where the kernel has no CLOCK_BOOTTIME:
-// without it a suspended machine would take for fresh what has long run out.
+// NewSystem returns a source that starts now. It fails if CLOCK_BOOTTIME is unavailable, since
+// leases could then not be expired correctly after a suspension.
 func NewSystem() (*System, error) {
 	boot, err := bootTime()
 	if err != nil {
-		return nil, failure.Wrap(err, failure.BadInput, "run on Linux 2.6.39 or later, and let the process call clock_gettime", "CLOCK_BOOTTIME cannot be read")
+		return nil, failure.Wrap(err, failure.BadInput, "run on Linux 2.6.39 or later and allow the clock_gettime system call", "cannot read CLOCK_BOOTTIME")
 	}
 	s := &System{started: time.Now(), boot: boot}
 	s.drift.Store(s.started.UnixNano())
@@ -42,41 +43,42 @@
 }
 
 func bootTime() (int64, error) {
-	var at unix.Timespec
-	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &at); err != nil {
+	var ts unix.Timespec
+	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
 		return 0, err
 	}
-	return at.Nano(), nil
+	return ts.Nano(), nil
 }
 
 // Steady implements Source.
 func (s *System) Steady() time.Duration { return time.Since(s.started) }
 
-// Boot implements Source.
+// Boot implements Source. It reads CLOCK_BOOTTIME only if the drift changed or the last reading is
+// too old.
 func (s *System) Boot() time.Duration {
 	now := time.Now()
 	steady := now.Sub(s.started)
 	drift := now.UnixNano() - int64(steady)
-	if moved := time.Duration(drift - s.drift.Load()); moved > driftSeen || moved < -driftSeen || int64(steady)-s.read.Load() > int64(readEvery) {
-		s.measure(drift)
+	if change := time.Duration(drift - s.drift.Load()); change > driftThreshold || change < -driftThreshold || int64(steady)-s.readAt.Load() > int64(bootReadInterval) {
+		s.updateSuspended(drift)
 	}
-	return steady + time.Duration(s.slept.Load())
+	return steady + time.Duration(s.suspended.Load())
 }
 
-// measure reads for how long the machine was suspended. It never falls, so that Boot does not
-// go back; what is less than driftSeen more than before is the time between the readings.
-// Where the process was stopped between them they tell nothing, and the next call tries again.
-func (s *System) measure(drift int64) {
+// updateSuspended updates the total time of suspensions. The total only grows, so that Boot never
+// decreases, and increases below driftThreshold are ignored as the delay between the readings. If
+// the process was preempted between them, they are discarded and the next call reads again.
+func (s *System) updateSuspended(drift int64) {
 	before := time.Since(s.started)
 	boot, err := bootTime()
-	if err != nil || time.Since(s.started)-before > driftSeen {
-		return // an error: it was read at the start, and the next call tries again
+	if err != nil || time.Since(s.started)-before > driftThreshold {
+		return // the next call retries; the clock could be read in NewSystem
 	}
 	s.drift.Store(drift)
-	s.read.Store(int64(before))
-	for slept := boot - s.boot - int64(before); ; {
-		known := s.slept.Load()
-		if slept < known+int64(driftSeen) || s.slept.CompareAndSwap(known, slept) {
+	s.readAt.Store(int64(before))
+	for total := boot - s.boot - int64(before); ; {
+		known := s.suspended.Load()
+		if total < known+int64(driftThreshold) || s.suspended.CompareAndSwap(known, total) {
 			return
 		}
 	}
--- a/internal/clock/system_test.go
+++ b/internal/clock/system_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestBootGoesOnWithTheSteadyClock(t *testing.T) {
+func TestBootFollowsSteadyClock(t *testing.T) {
 	g := NewWithT(t)
 	s, err := NewSystem()
 	g.Expect(err).NotTo(HaveOccurred())
@@ -20,41 +20,40 @@
 	g.Expect(s.Boot() - s.Steady()).To(BeNumerically("<", 5*time.Millisecond))
 }
 
-// A suspension cannot be brought about in a test; what the clocks show after one can.
-func TestSuspensionIsCounted(t *testing.T) {
+// A test cannot suspend the machine, so it simulates the clock readings after a suspension.
+func TestBootCountsSuspension(t *testing.T) {
 	for _, tc := range []struct {
-		name string
-		boot time.Duration // jump of CLOCK_BOOTTIME
-		day  time.Duration // jump of the time of day
-		want time.Duration
+		name     string
+		bootJump time.Duration // jump of CLOCK_BOOTTIME
+		wallJump time.Duration // step of the wall clock
+		want     time.Duration
 	}{
 		{"suspended for 3 s", 3 * time.Second, 3 * time.Second, 3 * time.Second},
-		{"the time of day stepped ahead", 0, 2 * time.Second, 0},
-		{"the time of day stepped back", 0, -2 * time.Second, 0},
-		{"suspended while the time of day stepped back", 3 * time.Second, time.Second, 3 * time.Second},
+		{"wall clock stepped forward", 0, 2 * time.Second, 0},
+		{"wall clock stepped back", 0, -2 * time.Second, 0},
+		{"suspended while the wall clock stepped back", 3 * time.Second, time.Second, 3 * time.Second},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
 			s, err := NewSystem()
 			g.Expect(err).NotTo(HaveOccurred())
-			s.boot -= int64(tc.boot)
-			s.drift.Add(-int64(tc.day))
+			s.boot -= int64(tc.bootJump)
+			s.drift.Add(-int64(tc.wallJump))
 			g.Expect(s.Boot() - s.Steady()).To(BeNumerically("~", tc.want, 50*time.Millisecond))
 		})
 	}
 }
 
-// A step of the time of day that hides a suspension hides it for readEvery at most.
-func TestHiddenSuspensionIsFound(t *testing.T) {
+// A suspension cancelled out by a step of the wall clock must be detected within bootReadInterval.
+func TestHiddenSuspensionIsDetected(t *testing.T) {
 	g := NewWithT(t)
 	s, err := NewSystem()
 	g.Expect(err).NotTo(HaveOccurred())
 	s.boot -= int64(3 * time.Second)
-	time.Sleep(2 * readEvery)
+	time.Sleep(2 * bootReadInterval)
 	g.Expect(s.Boot() - s.Steady()).To(BeNumerically("~", 3*time.Second, 50*time.Millisecond))
 }
 
-// What one reading costs, ns; a hop makes about twenty.
 func BenchmarkBoot(b *testing.B) {
 	s, err := NewSystem()
 	if err != nil {
@@ -65,7 +64,7 @@
 	}
 }
 
-// BenchmarkSteady is what a reading cost before.
+// BenchmarkSteady is the baseline of BenchmarkBoot.
 func BenchmarkSteady(b *testing.B) {
 	s, err := NewSystem()
 	if err != nil {
