--- a/internal/failure/failure.go
+++ b/internal/failure/failure.go
@@ -1,5 +1,5 @@
-// Package failure holds the typed error kinds of landingmast. Every error that
-// reaches a person carries its kind, what is wrong and what to do about it.
+// Package failure provides errors with a kind and a remedy. Every error shown to users has a kind,
+// a description of the problem and a suggestion for how to resolve it.
 package failure
 
 import (
@@ -8,30 +8,30 @@
 	"github.com/juju/errors"
 )
 
-// Kind sorts errors by what the receiver can do about them.
+// Kind classifies errors by how the caller can handle them.
 type Kind string
 
-// The kinds of error.
+// Kinds of errors.
 const (
-	// BadInput is input that has to be corrected before it is tried again.
+	// BadInput means that the input must be corrected before retrying.
 	BadInput Kind = "bad_input"
-	// Conflict is a lost race; the message names the winner.
+	// Conflict means that a concurrent change came first.
 	Conflict Kind = "conflict"
-	// Unavailable is an outside system that cannot be reached now.
+	// Unavailable means that an external system cannot be reached at the moment.
 	Unavailable Kind = "unavailable"
-	// Limited is an outside system that asks for fewer requests.
+	// Limited means that an external system limits the request rate.
 	Limited Kind = "limited"
-	// Uncertain is a change whose answer was lost; it may have taken effect.
+	// Uncertain means that the response to a change was lost; the change may have been applied.
 	Uncertain Kind = "uncertain"
-	// Untrusted is a signature, signer or certificate that does not check.
+	// Untrusted means that a signature, signer or certificate could not be verified.
 	Untrusted Kind = "untrusted"
-	// Missing is something that was asked for and is not there.
+	// Missing means that the requested object does not exist.
 	Missing Kind = "missing"
-	// Internal is a fault of landingmast itself.
+	// Internal means a bug in landingmast.
 	Internal Kind = "internal"
 )
 
-// Error is an error with its kind and its remedy.
+// Error is an error with a kind and a remedy.
 type Error struct {
 	Kind    Kind
 	Message string
@@ -39,7 +39,7 @@
 	Cause   error
 }
 
-// Error gives the message, the cause and the remedy on one line.
+// Error returns the message, the cause and the remedy on one line.
 func (e *Error) Error() string {
 	text := e.Message
 	if e.Cause != nil {
@@ -51,20 +51,20 @@
 	return text
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// New makes an error of a kind, traced to its caller.
-func New(kind Kind, remedy, format string, arguments ...any) error {
-	return errors.Trace(&Error{Kind: kind, Message: fmt.Sprintf(format, arguments...), Remedy: remedy})
+// New returns an error of a kind with a formatted message.
+func New(kind Kind, remedy, format string, args ...any) error {
+	return errors.Trace(&Error{Kind: kind, Message: fmt.Sprintf(format, args...), Remedy: remedy})
 }
 
-// Wrap makes an error of a kind around a cause, traced to its caller.
-func Wrap(cause error, kind Kind, remedy, format string, arguments ...any) error {
-	return errors.Trace(&Error{Kind: kind, Message: fmt.Sprintf(format, arguments...), Remedy: remedy, Cause: cause})
+// Wrap returns an error of a kind with a formatted message that wraps cause.
+func Wrap(cause error, kind Kind, remedy, format string, args ...any) error {
+	return errors.Trace(&Error{Kind: kind, Message: fmt.Sprintf(format, args...), Remedy: remedy, Cause: cause})
 }
 
-// KindOf gives the kind of an error; Internal when it carries none.
+// KindOf returns the kind of an error, or Internal if it has none.
 func KindOf(err error) Kind {
 	var typed *Error
 	if errors.As(err, &typed) {
@@ -73,7 +73,7 @@
 	return Internal
 }
 
-// Is tells whether an error is of a kind.
+// Is reports whether an error is of a kind.
 func Is(err error, kind Kind) bool {
 	return err != nil && KindOf(err) == kind
 }
