--- a/internal/core/crashes/ledger_test.go
+++ b/internal/core/crashes/ledger_test.go
@@ -35,7 +35,7 @@
 }
 
 func TestState(t *testing.T) {
-	print := PrintOf(Request{Path: "/a", Query: "q"})
+	fingerprint := PrintOf(Request{Path: "/a", Query: "q"})
 	for _, tc := range []struct {
 		name      string
 		evidence  []Evidence
@@ -49,7 +49,7 @@
 		{"three crashes, isolated at none", []Evidence{evidence("/a", "q", "i-1"), evidence("/a", "q", "i-2"), evidence("/a", "q", "i-3")}, nil, false, Doubtful},
 		{"three crashes, isolation reported later", []Evidence{evidence("/a", "q", "i-1"), evidence("/a", "q", "i-2"), evidence("/a", "q", "i-3"), isolatedEvidence("/a", "q", "i-3")}, nil, false, Held},
 		{"one crash, reported three times", []Evidence{evidence("/a", "q", "i-1"), evidence("/a", "q", "i-1"), evidence("/a", "q", "i-1")}, nil, false, Suspected},
-		{"three crashes, then success", []Evidence{evidence("/a", "q", "i-1"), evidence("/a", "q", "i-2"), evidence("/a", "q", "i-3")}, []Print{print}, false, Free},
+		{"three crashes, then success", []Evidence{evidence("/a", "q", "i-1"), evidence("/a", "q", "i-2"), evidence("/a", "q", "i-3")}, []Print{fingerprint}, false, Free},
 		{"three crashes despite a recent success", []Evidence{evidence("/a", "q", "i-1"), isolatedEvidence("/a", "q", "i-2"), evidence("/a", "q", "i-3")}, nil, true, Held},
 		{"three crashes, shared with a request at several", append(isolatedCrashes("/b", 3), evidence("/a", "q", "i-1"), isolatedEvidence("/a", "q", "i-2"), evidence("/a", "q", "i-3")), nil, false, Suspected},
 		{"the same, and one isolated crash of its own", append(isolatedCrashes("/b", 3), evidence("/a", "q", "i-1"), isolatedEvidence("/a", "q", "i-2"), evidence("/a", "q", "i-3"), isolatedEvidence("/a", "q", "i-9")), nil, false, Held},
@@ -73,8 +73,8 @@
 			for _, success := range tc.successes {
 				ledger.EndedWell(success)
 			}
-			g.Expect(ledger.State(print, tc.recently)).To(Equal(tc.want))
-			_, held := ledger.Held()[print.Content]
+			g.Expect(ledger.State(fingerprint, tc.recently)).To(Equal(tc.want))
+			_, held := ledger.Held()[fingerprint.Content]
 			if tc.want >= Doubtful {
 				g.Expect(held).To(BeTrue())
 			}
--- a/internal/sidecar/quotas/limiter.go
+++ b/internal/sidecar/quotas/limiter.go
@@ -18,7 +18,7 @@
 	// fullReportInterval is the time between full reports. Requests in between report only
 	// tenants that need tokens, to reduce cross-zone traffic.
 	fullReportInterval = 2 * time.Second
-	requestTimeout     = 150 * time.Millisecond // below quota.Travel, after which tokens in the answer are dropped
+	requestTimeout     = 150 * time.Millisecond // below quota.MaxTransit, after which tokens in the answer are dropped
 	firstRetryDelay    = 20 * time.Millisecond  // after the first failure in a row
 	retryDelay         = 100 * time.Millisecond // after further failures in a row
 	// batchDelayPerNode is multiplied by the number of other nodes, and clamped to minBatchDelay
