--- a/internal/sidecar/settings/policy.go
+++ b/internal/sidecar/settings/policy.go
@@ -5,52 +5,52 @@
 	"strings"
 )
 
-// Mechanism names a part of how a node decides that can be switched off.
+// Mechanism names a traffic-management feature that can be disabled by configuration.
 type Mechanism string
 
-// The mechanisms. docs/design/rounds-of-policy.md has what each is worth.
+// Mechanisms accepted in policy.off.
 const (
-	// Window bounds the requests of a route in flight where chains start.
+	// Window limits a route's concurrent requests at the entry of call chains.
 	Window Mechanism = "window"
-	// Urgency lets requests whose answers are wanted soon go first in a priority.
+	// Urgency orders requests of equal priority by their latency objective.
 	Urgency Mechanism = "urgency"
-	// Grants leave the budget of repeats to the nodes that make the calls.
+	// Grants delegate retry budget to the nodes that make downstream calls.
 	Grants Mechanism = "grants"
-	// Ration gives scarce repeats to some chains whole.
+	// Ration concentrates a scarce retry budget on a subset of call chains.
 	Ration Mechanism = "ration"
-	// Declined sends a call again to a target that declined it.
+	// Declined resends a call to a target that previously rejected it.
 	Declined Mechanism = "declined"
-	// Repeats sends requests again whose answer was lost.
+	// Repeats retries requests whose response was lost.
 	Repeats Mechanism = "repeats"
-	// Samples tell how long a class of requests takes at each target.
+	// Samples tracks per-target latency by request class.
 	Samples Mechanism = "samples"
-	// Zones prefer targets of the node's own zone.
+	// Zones prefers targets in the node's own zone.
 	Zones Mechanism = "zones"
-	// Losses avoid targets that lose answers or decline requests.
+	// Losses avoids targets that lose responses or reject requests.
 	Losses Mechanism = "losses"
-	// Suspicion leaves targets alone beside nodes that give no sign of life.
+	// Suspicion avoids targets whose nodes are unresponsive.
 	Suspicion Mechanism = "suspicion"
-	// InTime begins no work at a target that cannot end in its time.
+	// InTime rejects requests at the target that cannot finish before their deadline.
 	InTime Mechanism = "in_time"
-	// TenantOrder lets requests of tenants of a higher priority go first in a priority.
+	// TenantOrder orders requests of equal priority by tenant priority.
 	TenantOrder Mechanism = "tenant_order"
-	// HoldBack keeps requests from targets that have ended several of them.
+	// HoldBack blocks requests that have repeatedly crashed targets.
 	HoldBack Mechanism = "hold_back"
 )
 
 var mechanisms = []Mechanism{Window, Urgency, Grants, Ration, Declined, Repeats, Samples, Zones, Losses, Suspicion, InTime, TenantOrder, HoldBack}
 
-// On tells whether a mechanism is in use.
+// On reports whether m is enabled.
 func (p Policy) On(m Mechanism) bool { return !slices.Contains(p.Off, m) }
 
 func (p Policy) validate() error {
-	for _, one := range p.Off {
-		if !slices.Contains(mechanisms, one) {
+	for _, m := range p.Off {
+		if !slices.Contains(mechanisms, m) {
 			names := make([]string, len(mechanisms))
 			for i := range mechanisms {
 				names[i] = string(mechanisms[i])
 			}
-			return bad("policy.off", "name some of "+strings.Join(names, ", "), "%q is no mechanism", one)
+			return invalidSetting("policy.off", "use any of "+strings.Join(names, ", "), "unknown mechanism %q", m)
 		}
 	}
 	return nil
--- a/internal/sidecar/settings/policy_test.go
+++ b/internal/sidecar/settings/policy_test.go
@@ -6,7 +6,7 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestMechanismsAreOnUnlessNamed(t *testing.T) {
+func TestMechanismsEnabledByDefault(t *testing.T) {
 	g := NewWithT(t)
 	for _, m := range mechanisms {
 		g.Expect(Policy{}.On(m)).To(BeTrue())
@@ -14,15 +14,15 @@
 	}
 }
 
-func TestPolicyIsChecked(t *testing.T) {
+func TestPolicyValidation(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		off  []Mechanism
-		want string // part of the error; empty: none
+		want string // substring of the error; empty if none is expected
 	}{
 		{"nothing off", nil, ""},
 		{"all off", mechanisms, ""},
-		{"no such mechanism", []Mechanism{Window, "door"}, `"door" is no mechanism`},
+		{"unknown mechanism", []Mechanism{Window, "unknown"}, `unknown mechanism "unknown"`},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
--- a/internal/sidecar/settings/settings.go
+++ b/internal/sidecar/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings holds the settings of a sidecar node: YAML, checked at start
-// and at each reload, unknown keys refused.
+// Package settings parses and validates the YAML settings of a sidecar node.
+// Unknown keys are rejected.
 package settings
 
 import (
@@ -14,35 +14,35 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// Settings are what a sidecar node is told at its start.
+// Settings is the configuration file of a sidecar node.
 type Settings struct {
-	// Node is the name of the machine, unique in the deployment.
+	// Node is the machine name, unique in the deployment.
 	Node string `yaml:"node"`
 	// Zone is the failure zone of the machine.
 	Zone string `yaml:"zone"`
-	// FirstStart is true only when the whole deployment starts for the first time.
+	// FirstStart is true only for the initial start of the whole deployment.
 	FirstStart bool `yaml:"first_start"`
-	// Target is the application beside the node.
+	// Target is the local application.
 	Target Target `yaml:"target"`
-	// Listen holds the addresses that the node listens on, IP:port.
+	// Listen holds the listen addresses of the node, IP:port.
 	Listen Listen `yaml:"listen"`
-	// Store is the key-value service that holds what must last.
+	// Store is the key-value service for durable state.
 	Store Store `yaml:"store"`
-	// Bounds are what the operators promise their users.
+	// Bounds holds the operators' drain and shutdown times.
 	Bounds Bounds `yaml:"bounds"`
-	// Retries bounds repeated requests.
+	// Retries limits retried requests.
 	Retries Retries `yaml:"retries"`
-	// Keys bounds how long a key counts that was taken away.
+	// Keys limits how long a revoked key is accepted.
 	Keys Keys `yaml:"keys"`
-	// Quotas bounds the requests of a tenant over all nodes.
+	// Quotas limits the requests of a tenant across all nodes.
 	Quotas Quotas `yaml:"quotas"`
-	// Policy says how the node decides; it stays until the next start.
+	// Policy configures traffic management; changes take effect at the next start.
 	Policy Policy `yaml:"policy"`
 }
 
-// Target is the application beside the node.
+// Target is the local application.
 type Target struct {
-	// Service is the application's service.
+	// Service is the name of the service that the application provides.
 	Service string `yaml:"service"`
 	// Address of the application, IP:port.
 	Address string `yaml:"address"`
@@ -50,55 +50,56 @@
 
 // Listen holds the addresses of a node.
 type Listen struct {
-	// Outbound is where local clients and the target send requests.
+	// Outbound accepts requests from local clients and the target.
 	Outbound string `yaml:"outbound"`
-	// Inbound is where other nodes send requests for the target.
+	// Inbound accepts requests for the target from other nodes.
 	Inbound string `yaml:"inbound"`
-	// Ready is where readiness is asked for.
+	// Ready serves the readiness check.
 	Ready string `yaml:"ready"`
-	// Control is where the target sends its heartbeats.
+	// Control accepts heartbeats from the target.
 	Control string `yaml:"control"`
-	// Metrics is where metrics are served; empty: nowhere.
+	// Metrics serves Prometheus metrics; empty disables it.
 	Metrics string `yaml:"metrics"`
 }
 
-// Store is the key-value service.
+// Store configures the key-value service.
 type Store struct {
-	// Address of the service, IP:port; empty: no store.
+	// Address of the service, IP:port; empty disables the store.
 	Address string `yaml:"address"`
-	// Lease is how long the record of a silent node lasts; default 30s.
+	// Lease is the lifetime of a node's record without renewal; default 30s.
 	Lease units.Duration `yaml:"lease"`
-	// ReadsPerSecond is how many reading calls all nodes together may make; 0: not known.
+	// ReadsPerSecond is the read limit shared by all nodes; 0 if unknown.
 	ReadsPerSecond float64 `yaml:"reads_per_second"`
 }
 
-// Bounds are times that the operators promise.
+// Bounds holds drain and shutdown times.
 type Bounds struct {
-	// Drain is how long after the acknowledgement a leaving target may get new work; default 2s.
+	// Drain is how long a leaving target may still receive new requests after the acknowledgement; default 2s.
 	Drain units.Duration `yaml:"drain"`
 	// Grace is the time between SIGTERM and SIGKILL; default 6s.
 	Grace units.Duration `yaml:"grace"`
 }
 
-// Retries bounds repeated requests over all nodes.
+// Retries limits retried requests across all nodes.
 type Retries struct {
-	// Ratio is the share of a service's requests that may be repeats; default 0.2.
+	// Ratio is the maximum ratio of retries to requests of a service; default 0.2.
 	Ratio float64 `yaml:"ratio"`
-	// Allowance is the number of repeats in a window besides; default 50.
+	// Allowance is the number of additional retries per window; default 50.
 	Allowance float64 `yaml:"allowance"`
-	// Window is the sliding window; default 10s.
+	// Window is the length of the sliding window; default 10s.
 	Window units.Duration `yaml:"window"`
 }
 
-// Keys bounds how long a key counts that was taken away.
+// Keys limits how long a revoked key is accepted.
 type Keys struct {
-	// FailClosed has requests with keys refused while the node cannot prove that its configuration is fresh; default false.
+	// FailClosed rejects requests with keys while the node cannot confirm that its configuration is up to date; default false.
 	FailClosed bool `yaml:"fail_closed"`
-	// Revoke is the age from which a configuration is not fresh; default 5s.
+	// Revoke is the maximum age of a configuration that counts as up to date; default 5s.
 	Revoke units.Duration `yaml:"revoke"`
 }
 
-// Bound gives the age from which a configuration is too old to believe a key; 0: none.
+// Bound returns the maximum age of a configuration used to authenticate keys, or 0 if
+// there is no limit.
 func (k Keys) Bound() time.Duration {
 	if !k.FailClosed {
 		return 0
@@ -106,45 +107,42 @@
 	return time.Duration(k.Revoke)
 }
 
-// Quotas bounds the requests of a tenant over all nodes: in no window more than
-// (rate x window + burst) x (1 + overshoot) + slack run.
+// Quotas limits the requests of a tenant across all nodes: at most
+// (rate x window + burst) x (1 + overshoot) + slack run in any window.
 type Quotas struct {
-	// Window is the sliding window; default 5s.
+	// Window is the length of the sliding window; default 5s.
 	Window units.Duration `yaml:"window"`
-	// Overshoot is the share beyond a limit that is borne; default 0.1.
+	// Overshoot is the tolerated excess as a fraction of the limit; default 0.1.
 	Overshoot float64 `yaml:"overshoot"`
-	// Slack is the number of requests beyond it that is borne; default 20.
+	// Slack is the tolerated number of requests beyond the overshoot; default 20.
 	Slack float64 `yaml:"slack"`
 }
 
-// Policy says how the node decides.
+// Policy configures traffic management.
 type Policy struct {
-	// Off names mechanisms that are switched off, to measure what each is worth; none by
-	// default: window, urgency, grants, ration, declined, repeats, samples, zones, losses, suspicion, in_time, tenant_order, hold_back.
+	// Off lists mechanisms to disable; default none. Accepted values: window, urgency, grants, ration, declined, repeats, samples, zones, losses, suspicion, in_time, tenant_order, hold_back.
 	Off []Mechanism `yaml:"off"`
 }
 
-// Defaults of the settings.
+// Default values.
 const (
-	DefaultLease     = 30 * time.Second
-	DefaultDrain     = 2 * time.Second
-	DefaultGrace     = 6 * time.Second
-	DefaultRatio     = 0.2
-	DefaultAllowance = 50
-	DefaultWindow    = 10 * time.Second
-	// DefaultRevoke and the bounds of quotas are what operators promise their callers where
-	// a deployment names nothing else.
+	DefaultLease          = 30 * time.Second
+	DefaultDrain          = 2 * time.Second
+	DefaultGrace          = 6 * time.Second
+	DefaultRatio          = 0.2
+	DefaultAllowance      = 50
+	DefaultWindow         = 10 * time.Second
 	DefaultRevoke         = 5 * time.Second
 	DefaultQuotaWindow    = 5 * time.Second
 	DefaultQuotaOvershoot = 0.1
 	DefaultQuotaSlack     = 20
 )
 
-// Load reads a settings file and checks it.
+// Load reads and validates a settings file.
 func Load(path string) (*Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return nil, failure.Wrap(err, failure.BadInput, "name a readable file with --settings", "settings file %s", path)
+		return nil, failure.Wrap(err, failure.BadInput, "pass a readable file with --settings", "settings file %s", path)
 	}
 	settings, err := Parse(data)
 	if err != nil {
@@ -153,32 +151,32 @@
 	return settings, nil
 }
 
-// Parse reads settings and checks them.
+// Parse decodes settings from YAML, applies defaults and validates them.
 func Parse(data []byte) (*Settings, error) {
 	decoder := yaml.NewDecoder(bytes.NewReader(data))
 	decoder.KnownFields(true)
 	settings := &Settings{}
 	if err := decoder.Decode(settings); err != nil {
-		return nil, failure.Wrap(err, failure.BadInput, "correct the named line; keys are listed in docs/CONFIGURATION.md", "settings cannot be read")
+		return nil, failure.Wrap(err, failure.BadInput, "correct the reported line; keys are listed in docs/CONFIGURATION.md", "cannot parse settings")
 	}
 	settings.SetDefaults()
 	return settings, settings.Validate()
 }
 
-func orDefault(value *units.Duration, otherwise time.Duration) {
+func setDefaultDuration(value *units.Duration, fallback time.Duration) {
 	if *value == 0 {
-		*value = units.Duration(otherwise)
+		*value = units.Duration(fallback)
 	}
 }
 
-// SetDefaults fills in what is not given.
+// SetDefaults replaces zero values with defaults.
 func (s *Settings) SetDefaults() {
-	orDefault(&s.Store.Lease, DefaultLease)
-	orDefault(&s.Bounds.Drain, DefaultDrain)
-	orDefault(&s.Bounds.Grace, DefaultGrace)
-	orDefault(&s.Retries.Window, DefaultWindow)
-	orDefault(&s.Keys.Revoke, DefaultRevoke)
-	orDefault(&s.Quotas.Window, DefaultQuotaWindow)
+	setDefaultDuration(&s.Store.Lease, DefaultLease)
+	setDefaultDuration(&s.Bounds.Drain, DefaultDrain)
+	setDefaultDuration(&s.Bounds.Grace, DefaultGrace)
+	setDefaultDuration(&s.Retries.Window, DefaultWindow)
+	setDefaultDuration(&s.Keys.Revoke, DefaultRevoke)
+	setDefaultDuration(&s.Quotas.Window, DefaultQuotaWindow)
 	if s.Quotas.Overshoot == 0 {
 		s.Quotas.Overshoot = DefaultQuotaOvershoot
 	}
@@ -193,15 +191,15 @@
 	}
 }
 
-func bad(key, remedy, format string, arguments ...any) error {
+func invalidSetting(key, remedy, format string, arguments ...any) error {
 	return failure.New(failure.BadInput, remedy, "settings: "+key+": "+format, arguments...)
 }
 
-// Validate checks every rule and names the key of the first that is broken.
+// Validate returns an error for the first invalid key.
 func (s *Settings) Validate() error {
 	for _, name := range []struct{ key, value string }{{"node", s.Node}, {"zone", s.Zone}, {"target.service", s.Target.Service}} {
 		if name.value == "" || strings.ContainsAny(name.value, " \t\n") {
-			return bad(name.key, "give it a name without spaces", "%q is not usable", name.value)
+			return invalidSetting(name.key, "use a name without spaces", "invalid name %q", name.value)
 		}
 	}
 	for _, address := range []struct {
@@ -220,17 +218,17 @@
 			continue
 		}
 		if _, err := netip.ParseAddrPort(address.value); err != nil {
-			return bad(address.key, "write it as IP:port", "address %q is not usable", address.value)
+			return invalidSetting(address.key, "use IP:port", "invalid address %q", address.value)
 		}
 	}
 	if err := s.Policy.validate(); err != nil {
 		return err
 	}
-	return s.validateNumbers()
+	return s.validateRanges()
 }
 
-func (s *Settings) validateNumbers() error {
-	for _, span := range []struct {
+func (s *Settings) validateRanges() error {
+	for _, d := range []struct {
 		key   string
 		value units.Duration
 	}{
@@ -241,24 +239,24 @@
 		{"keys.revoke", s.Keys.Revoke},
 		{"quotas.window", s.Quotas.Window},
 	} {
-		if value := time.Duration(span.value); value < 100*time.Millisecond || value > 10*time.Minute {
-			return bad(span.key, "use 100ms to 10m", "%s is out of range", value)
+		if value := time.Duration(d.value); value < 100*time.Millisecond || value > 10*time.Minute {
+			return invalidSetting(d.key, "use 100ms to 10m", "%s is out of range", value)
 		}
 	}
 	if s.Retries.Ratio < 0 || s.Retries.Ratio > 1 {
-		return bad("retries.ratio", "use 0 to 1", "%g is out of range", s.Retries.Ratio)
+		return invalidSetting("retries.ratio", "use 0 to 1", "%g is out of range", s.Retries.Ratio)
 	}
 	if s.Quotas.Overshoot < 0 || s.Quotas.Overshoot > 1 {
-		return bad("quotas.overshoot", "use 0 to 1", "%g is out of range", s.Quotas.Overshoot)
+		return invalidSetting("quotas.overshoot", "use 0 to 1", "%g is out of range", s.Quotas.Overshoot)
 	}
 	if s.Quotas.Slack < 0 {
-		return bad("quotas.slack", "use 0 or more", "%g is negative", s.Quotas.Slack)
+		return invalidSetting("quotas.slack", "use 0 or more", "%g is negative", s.Quotas.Slack)
 	}
 	if s.Store.ReadsPerSecond < 0 {
-		return bad("store.reads_per_second", "use 0 (not known) or more", "%g is negative", s.Store.ReadsPerSecond)
+		return invalidSetting("store.reads_per_second", "use 0 (unknown) or more", "%g is negative", s.Store.ReadsPerSecond)
 	}
 	if s.Retries.Allowance < 0 {
-		return bad("retries.allowance", "use 0 or more", "%g is negative", s.Retries.Allowance)
+		return invalidSetting("retries.allowance", "use 0 or more", "%g is negative", s.Retries.Allowance)
 	}
 	return nil
 }
--- a/internal/sidecar/settings/settings_test.go
+++ b/internal/sidecar/settings/settings_test.go
@@ -9,7 +9,7 @@
 	. "github.com/onsi/gomega"
 )
 
-const whole = `
+const validSettings = `
 node: n1
 zone: a
 target: {service: s, address: "10.0.0.1:1"}
@@ -19,15 +19,15 @@
 
 func TestDefaults(t *testing.T) {
 	g := NewWithT(t)
-	read, err := Parse([]byte(whole))
+	settings, err := Parse([]byte(validSettings))
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(time.Duration(read.Bounds.Drain)).To(Equal(DefaultDrain))
-	g.Expect(read.Retries.Ratio).To(Equal(DefaultRatio))
+	g.Expect(time.Duration(settings.Bounds.Drain)).To(Equal(DefaultDrain))
+	g.Expect(settings.Retries.Ratio).To(Equal(DefaultRatio))
 }
 
-func TestBadSettingsNameTheKeyAndTheRemedy(t *testing.T) {
+func TestValidationErrorNamesKeyAndRemedy(t *testing.T) {
 	g := NewWithT(t)
-	for _, one := range []struct{ from, to, key string }{
+	for _, tc := range []struct{ from, to, key string }{
 		{"node: n1", "node: \"\"", "node"},
 		{"10.0.0.1:3", "nowhere", "listen.inbound"},
 		{"10.0.0.1:1\"", "\"", "target.address"},
@@ -36,8 +36,8 @@
 		{"zone: a", "zone: a\nretries: {ratio: 3}", "retries.ratio"},
 		{"zone: a", "zone: a\nbounds: {drain: \"\"}", "time span"},
 	} {
-		_, err := Parse([]byte(strings.Replace(whole, one.from, one.to, 1)))
-		g.Expect(failure.KindOf(err)).To(Equal(failure.BadInput), one.key)
-		g.Expect(err.Error()).To(And(ContainSubstring(one.key), ContainSubstring("remedy")))
+		_, err := Parse([]byte(strings.Replace(validSettings, tc.from, tc.to, 1)))
+		g.Expect(failure.KindOf(err)).To(Equal(failure.BadInput), tc.key)
+		g.Expect(err.Error()).To(And(ContainSubstring(tc.key), ContainSubstring("remedy")))
 	}
 }
