--- a/internal/sidecar/eventlog/eventlog_test.go
+++ b/internal/sidecar/eventlog/eventlog_test.go
@@ -12,20 +12,20 @@
 	. "github.com/onsi/gomega"
 )
 
-func lines(t *testing.T, output string) []map[string]any {
+func parseLines(t *testing.T, output string) []map[string]any {
 	t.Helper()
-	var read []map[string]any
+	var parsed []map[string]any
 	for _, line := range strings.Split(strings.TrimSpace(output), "\n") {
-		var one map[string]any
-		if err := json.Unmarshal([]byte(line), &one); err != nil {
+		var fields map[string]any
+		if err := json.Unmarshal([]byte(line), &fields); err != nil {
 			t.Fatalf("line %q: %v", line, err)
 		}
-		read = append(read, one)
+		parsed = append(parsed, fields)
 	}
-	return read
+	return parsed
 }
 
-func TestVolumeIsBoundedAndFailuresGoFirst(t *testing.T) {
+func TestVolumeIsBoundedPerClass(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		var output bytes.Buffer
@@ -44,46 +44,46 @@
 		end()
 		<-done
 		counts, omitted := map[any]int{}, 0.0
-		for _, line := range lines(t, output.String()) {
+		for _, line := range parseLines(t, output.String()) {
 			counts[line["request"]]++
 			if line["msg"] == "omitted" {
 				omitted += line["lines"].(float64)
 			}
 		}
 		g.Expect(counts["bad"]).To(Equal(50))
-		g.Expect(counts["ok"]).To(Equal(perSecond[Success]))
-		g.Expect(omitted).To(Equal(float64(1000 - perSecond[Success])))
+		g.Expect(counts["ok"]).To(Equal(linesPerSecond[Success]))
+		g.Expect(omitted).To(Equal(float64(1000 - linesPerSecond[Success])))
 	})
 }
 
-// stuck is an output that nobody reads.
-type stuck struct{ until chan struct{} }
+// blockedWriter blocks writes until release is closed.
+type blockedWriter struct{ release chan struct{} }
 
-func (s stuck) Write(data []byte) (int, error) {
-	<-s.until
+func (s blockedWriter) Write(data []byte) (int, error) {
+	<-s.release
 	return len(data), nil
 }
 
-func TestOutputThatIsNotReadHoldsNobodyUp(t *testing.T) {
+func TestAddNeverBlocksOnOutput(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		output := stuck{until: make(chan struct{})}
+		output := blockedWriter{release: make(chan struct{})}
 		log := New("n", output)
 		ctx, end := context.WithCancel(context.Background())
 		done := make(chan struct{})
 		go func() { defer close(done); log.Run(ctx) }()
-		began := time.Now()
+		start := time.Now()
 		for range 60 {
 			for range 500 {
 				log.Add(Request{Request: strings.Repeat("x", 100)}, Failure)
 			}
 			time.Sleep(time.Second)
 		}
-		g.Expect(time.Since(began)).To(Equal(60 * time.Second))
-		log.mutex.Lock()
-		g.Expect(len(log.entries)).To(BeNumerically("<=", maxHeld+perSecond[Failure]+perSecond[State]))
-		log.mutex.Unlock()
-		close(output.until)
+		g.Expect(time.Since(start)).To(Equal(60 * time.Second))
+		log.mu.Lock()
+		g.Expect(len(log.entries)).To(BeNumerically("<=", maxQueuedEntries+linesPerSecond[Failure]+linesPerSecond[State]))
+		log.mu.Unlock()
+		close(output.release)
 		end()
 		<-done
 	})
@@ -98,29 +98,27 @@
 	g.Expect(page).NotTo(ContainSubstring("|  |"))
 }
 
-// pieces keeps each write as it came.
-type pieces struct{ writes [][]byte }
+// recordingWriter records each write separately.
+type recordingWriter struct{ writes [][]byte }
 
-func (p *pieces) Write(data []byte) (int, error) {
+func (p *recordingWriter) Write(data []byte) (int, error) {
 	p.writes = append(p.writes, bytes.Clone(data))
 	return len(data), nil
 }
 
-// Several processes may share one pipe: only writes of up to 4096 bytes go through
-// it undivided. Found in the logs of nsm-mast trouble-2: 457 lines of a day were
-// torn by lines of other processes.
-func TestWritesAreWholeLinesThatAPipeKeepsTogether(t *testing.T) {
+// Processes that share a pipe interleave writes of more than 4096 bytes.
+func TestWritesAreWholeLinesWithinPipeBuf(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		length int // of the text in a line
 	}{
 		{"short lines", 20},
 		{"long lines", 1500},
-		{"lines longer than a pipe keeps together", 6000},
+		{"lines longer than PIPE_BUF", 6000},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
-			output := &pieces{}
+			output := &recordingWriter{}
 			log := New("n", output)
 			for range 50 {
 				log.Add(Node{Change: strings.Repeat("x", tc.length)}, State)
--- a/internal/sidecar/eventlog/events.go
+++ b/internal/sidecar/eventlog/events.go
@@ -1,172 +1,170 @@
-// Package eventlog writes one structured line for each decision that touches a
-// request or changes what a node believes. The volume is bounded: lines of
-// failures go before lines of successes, and a line a second says how many of
-// which kind were left out. Writing never holds a request up.
+// Package eventlog writes structured log lines for requests and for changes of
+// node state. Each class of events has a rate limit; dropped lines are counted
+// in a line per kind and second. Logging never blocks a request.
 package eventlog
 
 import "time"
 
-// Event is one line of the log. Its fields are listed in docs/LOGS.md.
+// Event is one log line. Its fields are listed in docs/LOGS.md.
 type Event interface {
-	// Kind names the event; a fixed word.
+	// Kind returns the constant name of the event type.
 	Kind() string
 }
 
-// Request is the end of a request at the node where it began, with all decisions
-// made there.
+// Request reports the completion of a request at its entry node.
 type Request struct {
-	Request      string  `json:"request" doc:"id of the client's attempt, or of the target's call"`
-	Tenant       string  `json:"tenant,omitempty" doc:"tenant whose key the chain's first request carried"`
-	Parent       string  `json:"parent,omitempty" doc:"id of the request at the target beside this node that made the call"`
-	Route        string  `json:"route,omitempty" doc:"route that fits"`
-	Service      string  `json:"service,omitempty" doc:"service that it goes to"`
-	Version      uint64  `json:"version" doc:"configuration that decided"`
-	Importance   int     `json:"importance" doc:"place in queues; lower goes first"`
-	Status       int     `json:"status" doc:"status that the sender got; 0: none, the sender had left"`
-	Reason       string  `json:"reason" doc:"why it ended without a target's answer; none: it has one"`
-	TookMS       float64 `json:"took_ms" doc:"from its arrival to its answer"`
-	HoldMS       float64 `json:"hold_ms" doc:"longest time that it might have taken: the sender's deadline or the route's timeout"`
-	ObjectiveMS  float64 `json:"objective_ms,omitempty" doc:"time inside which the route's answer is wanted"`
-	Share        float64 `json:"share" doc:"chance with which the request was let in: 1 unless the route's window is full"`
-	Decisive     string  `json:"decisive,omitempty" doc:"service for whose slots the route's chains waited most, where the window is in force"`
-	Occupancy    float64 `json:"occupancy,omitempty" doc:"mean occupancy of that service: at its targets and waiting, over slots"`
-	InFlight     int     `json:"in_flight,omitempty" doc:"requests of the route in flight from here when it was refused"`
-	Fits         float64 `json:"fits,omitempty" doc:"how many of them the route's window held then"`
-	RetryAfterMS float64 `json:"retry_after_ms,omitempty" doc:"when the sender was told to come back"`
-	Sends        []Send  `json:"sends,omitempty" doc:"targets that were tried, in order"`
-}
-
-// Send is one sending of a request to a target's node.
+	Request      string  `json:"request" doc:"id of the client's request, or of the call made by the target"`
+	Tenant       string  `json:"tenant,omitempty" doc:"tenant whose key was on the first request of the call chain"`
+	Parent       string  `json:"parent,omitempty" doc:"id of the request at the local target that made the call"`
+	Route        string  `json:"route,omitempty" doc:"matching route"`
+	Service      string  `json:"service,omitempty" doc:"destination service"`
+	Version      uint64  `json:"version" doc:"version of the configuration that was applied"`
+	Importance   int     `json:"importance" doc:"queue priority; lower goes first"`
+	Status       int     `json:"status" doc:"status sent to the client; 0 if the client disconnected first"`
+	Reason       string  `json:"reason" doc:"why no response of a target was returned; none if one was"`
+	TookMS       float64 `json:"took_ms" doc:"time from arrival to response"`
+	HoldMS       float64 `json:"hold_ms" doc:"time limit: the client's deadline or the route's timeout"`
+	ObjectiveMS  float64 `json:"objective_ms,omitempty" doc:"latency objective of the route"`
+	Share        float64 `json:"share" doc:"admission probability: 1 unless the route's window is full"`
+	Decisive     string  `json:"decisive,omitempty" doc:"service that caused the longest slot wait in the route's call chains, if the window is enforced"`
+	Occupancy    float64 `json:"occupancy,omitempty" doc:"mean occupancy of that service: running and waiting requests over slots"`
+	InFlight     int     `json:"in_flight,omitempty" doc:"requests of the route in flight from this node when it was rejected"`
+	Fits         float64 `json:"fits,omitempty" doc:"size of the route's window at that time"`
+	RetryAfterMS float64 `json:"retry_after_ms,omitempty" doc:"value of Retry-After sent to the client"`
+	Sends        []Send  `json:"sends,omitempty" doc:"attempts, in order"`
+}
+
+// Send is one attempt to run a request at a target.
 type Send struct {
-	Node      string  `json:"node" doc:"node beside the target"`
+	Node      string  `json:"node" doc:"node of the target"`
 	Outcome   string  `json:"outcome" doc:"answered, not_run or unknown"`
 	Reason    string  `json:"reason" doc:"why"`
-	Arrived   bool    `json:"arrived" doc:"the request reached the target"`
+	Arrived   bool    `json:"arrived" doc:"whether the request reached the target"`
 	Status    int     `json:"status,omitempty" doc:"of the target's answer"`
-	TookMS    float64 `json:"took_ms" doc:"until the reply"`
-	Occupancy float64 `json:"occupancy" doc:"of the target, in the reply"`
+	TookMS    float64 `json:"took_ms" doc:"time until the reply"`
+	Occupancy float64 `json:"occupancy" doc:"occupancy of the target reported in the reply"`
 }
 
-// Run is the end of a request at the node beside the target that was to run it.
+// Run reports the completion of a request at the node of its target.
 type Run struct {
 	Request    string  `json:"request" doc:"id of the request"`
 	From       string  `json:"from" doc:"node that sent it"`
-	Service    string  `json:"service" doc:"service that it is for"`
-	Instance   string  `json:"instance,omitempty" doc:"target at the gate"`
+	Service    string  `json:"service" doc:"destination service"`
+	Instance   string  `json:"instance,omitempty" doc:"instance of the target"`
 	Outcome    string  `json:"outcome" doc:"answered, not_run or unknown"`
 	Reason     string  `json:"reason" doc:"why"`
 	Status     int     `json:"status,omitempty" doc:"of the target's answer"`
-	Importance int     `json:"importance" doc:"place in the queue"`
-	WaitMS     float64 `json:"wait_ms" doc:"wait for a slot"`
-	TookMS     float64 `json:"took_ms" doc:"from arrival to reply"`
-	LeftMS     float64 `json:"left_ms" doc:"time that the request had at its arrival"`
-	Running    int     `json:"running" doc:"requests at the target at the end"`
-	Waiting    int     `json:"waiting" doc:"requests waiting at the end"`
-	Slots      int     `json:"slots" doc:"usable slots of the target"`
-	Repeat     bool    `json:"repeat,omitempty" doc:"it, or a request above it, was sent before"`
+	Importance int     `json:"importance" doc:"queue priority; lower goes first"`
+	WaitMS     float64 `json:"wait_ms" doc:"time spent waiting for a slot"`
+	TookMS     float64 `json:"took_ms" doc:"time from arrival to reply"`
+	LeftMS     float64 `json:"left_ms" doc:"time to the deadline at arrival"`
+	Running    int     `json:"running" doc:"requests running at the target on completion"`
+	Waiting    int     `json:"waiting" doc:"requests waiting for a slot on completion"`
+	Slots      int     `json:"slots" doc:"available slots of the target"`
+	Repeat     bool    `json:"repeat,omitempty" doc:"whether it, or a request upstream in the call chain, is a retry"`
 }
 
-// Crash is the end of the target beside the node while it ran requests.
+// Crash reports that the local target exited while it ran requests.
 type Crash struct {
-	Instance string     `json:"instance" doc:"incarnation of the target that ended"`
+	Instance string     `json:"instance" doc:"instance that exited"`
 	Service  string     `json:"service" doc:"its service"`
-	Requests int        `json:"requests" doc:"requests that it was running, or that their senders had left less than a second before"`
+	Requests int        `json:"requests" doc:"requests that were running, or whose clients had disconnected less than a second before"`
 	Running  []CrashRun `json:"running" doc:"the first 100 of them"`
 }
 
-// CrashRun is a request that a target was running when it ended.
+// CrashRun is a request that was running when its target exited.
 type CrashRun struct {
 	Request string `json:"request" doc:"id of the request"`
 	Route   string `json:"route" doc:"its route"`
-	Digest  string `json:"digest" doc:"of method, host, path and body; the same when it comes again"`
+	Digest  string `json:"digest" doc:"digest of method, host, path and body; identical for a repeated request"`
 }
 
-// HeldBack is a change of which requests are held back since targets ended with them.
+// HeldBack reports a change to the set of requests blocked for crashing targets.
 type HeldBack struct {
-	Change  string `json:"change" doc:"held back, let go (it has ended well, or an operator lifted it) or not read (what the store has)"`
-	Digest  string `json:"digest,omitempty" doc:"of method, host, path and body"`
-	Service string `json:"service,omitempty" doc:"whose targets ended"`
+	Change  string `json:"change" doc:"held back, let go (it completed successfully, or an operator released it) or not read (the stored state could not be read)"`
+	Digest  string `json:"digest,omitempty" doc:"digest of method, host, path and body"`
+	Service string `json:"service,omitempty" doc:"service of the crashed targets"`
 	Route   string `json:"route,omitempty" doc:"route of the request"`
-	Ends    int    `json:"ends,omitempty" doc:"ends of targets that it was at"`
-	Error   string `json:"error,omitempty" doc:"why it was not read"`
+	Ends    int    `json:"ends,omitempty" doc:"number of target crashes it was involved in"`
+	Error   string `json:"error,omitempty" doc:"read error"`
 }
 
-// Settle is the question what became of a request that may run at most once.
+// Settle reports a query for the outcome of a request that may run at most once.
 type Settle struct {
 	Request string `json:"request" doc:"id of the request"`
-	From    string `json:"from" doc:"node that asked"`
+	From    string `json:"from" doc:"node that sent the query"`
 	Outcome string `json:"outcome" doc:"answered, not_run (it was fenced) or unknown"`
 	Reason  string `json:"reason" doc:"why"`
 }
 
-// Configuration is a configuration that came in force or was refused.
+// Configuration reports that a configuration was applied or rejected.
 type Configuration struct {
 	Version uint64 `json:"version" doc:"its version"`
-	Before  uint64 `json:"before" doc:"version in force before"`
-	Routes  int    `json:"routes" doc:"number of its routes"`
-	Tenants int    `json:"tenants,omitempty" doc:"number of its tenants"`
+	Before  uint64 `json:"before" doc:"previously applied version"`
+	Routes  int    `json:"routes" doc:"number of routes"`
+	Tenants int    `json:"tenants,omitempty" doc:"number of tenants"`
 	Source  string `json:"source" doc:"store or peer"`
-	Error   string `json:"error,omitempty" doc:"why it was refused"`
+	Error   string `json:"error,omitempty" doc:"why it was rejected"`
 }
 
-// Target is a change of the target beside the node.
+// Target reports a change of the local target.
 type Target struct {
-	Instance string `json:"instance" doc:"incarnation of the target"`
+	Instance string `json:"instance" doc:"instance of the target"`
 	Service  string `json:"service" doc:"its service"`
 	Change   string `json:"change" doc:"ready, draining, left or replaced"`
-	Slots    int    `json:"slots" doc:"its slots"`
-	Sequence int64  `json:"sequence" doc:"number of the heartbeat that said so"`
+	Slots    int    `json:"slots" doc:"number of slots"`
+	Sequence int64  `json:"sequence" doc:"sequence number of the heartbeat that reported it"`
 }
 
-// Member is a change of what the node believes of another one.
+// Member reports a change in the membership state of another node.
 type Member struct {
 	Member      string `json:"member" doc:"the other node"`
-	Change      string `json:"change" doc:"learned, lapsed (the store has lost its record), forgotten (it counts as gone), silent or heard again"`
-	Incarnation string `json:"incarnation,omitempty" doc:"process of the other node"`
+	Change      string `json:"change" doc:"learned, lapsed (its record is missing from the store), forgotten (removed), silent (unresponsive) or heard again (responsive again)"`
+	Incarnation string `json:"incarnation,omitempty" doc:"process incarnation of the other node"`
 	Service     string `json:"service,omitempty" doc:"service of its target"`
-	Instance    string `json:"instance,omitempty" doc:"its target"`
-	Serving     bool   `json:"serving" doc:"it takes new work"`
+	Instance    string `json:"instance,omitempty" doc:"instance of its target"`
+	Serving     bool   `json:"serving" doc:"whether it accepts new requests"`
 	Source      string `json:"source,omitempty" doc:"store or peer"`
 }
 
-// Store is a change of the store's reach.
+// Store reports a change in the availability of the store.
 type Store struct {
-	Change string  `json:"change" doc:"lost, limited, regained, followed (the node reads the store for its zone) or unfollowed"`
-	Call   string  `json:"call,omitempty" doc:"call that failed"`
-	Error  string  `json:"error,omitempty" doc:"how"`
-	AwayMS float64 `json:"away_ms,omitempty" doc:"how long it was away"`
+	Change string  `json:"change" doc:"lost, limited (rate limited), regained, followed (the node reads the store for its zone) or unfollowed"`
+	Call   string  `json:"call,omitempty" doc:"failed call"`
+	Error  string  `json:"error,omitempty" doc:"error of the call"`
+	AwayMS float64 `json:"away_ms,omitempty" doc:"duration of the outage"`
 }
 
-// Freshness tells when requests with keys begin to be refused since the configuration was
-// not confirmed lately, and when that ends.
+// Freshness reports whether requests with keys are rejected because the configuration has
+// not been confirmed recently.
 type Freshness struct {
-	Change  string  `json:"change" doc:"unconfirmed (requests with keys are refused) or confirmed"`
-	Version uint64  `json:"version" doc:"that was the newest when it was confirmed last"`
-	AgeMS   float64 `json:"age_ms" doc:"how long ago that was"`
+	Change  string  `json:"change" doc:"unconfirmed (requests with keys are rejected) or confirmed"`
+	Version uint64  `json:"version" doc:"latest version at the last confirmation"`
+	AgeMS   float64 `json:"age_ms" doc:"time since the last confirmation"`
 }
 
-// Keeper is a change of what the node does as the keeper of quotas.
+// Keeper reports a change of the node's role as quota keeper of a shard.
 type Keeper struct {
-	Shard  int    `json:"shard" doc:"group of tenants"`
-	Change string `json:"change" doc:"taken over, not taken over, names not written, paused (the right to give ran out), resumed or ended"`
-	Epoch  int64  `json:"epoch,omitempty" doc:"number of the taking over, the store's revision then"`
-	Listed int    `json:"listed,omitempty" doc:"nodes that may hold parts of the keeper before"`
-	Error  string `json:"error,omitempty" doc:"why"`
+	Shard  int    `json:"shard" doc:"shard of tenants"`
+	Change string `json:"change" doc:"taken over, not taken over, names not written, paused (the lease expired), resumed or ended"`
+	Epoch  int64  `json:"epoch,omitempty" doc:"store revision at the takeover"`
+	Listed int    `json:"listed,omitempty" doc:"nodes that may hold quota granted by the previous keeper"`
+	Error  string `json:"error,omitempty" doc:"error that caused the change"`
 }
 
-// Node is a change of the process itself.
+// Node reports a change in the state of the process.
 type Node struct {
-	Change      string  `json:"change" doc:"started, reloaded, reload refused, woke (from a suspension of the machine), stopping, stopped or panic"`
-	Incarnation string  `json:"incarnation,omitempty" doc:"this run of the process"`
+	Change      string  `json:"change" doc:"started, reloaded, reload refused, woke (resumed after a suspension of the machine), stopping, stopped or panic"`
+	Incarnation string  `json:"incarnation,omitempty" doc:"incarnation of the process"`
 	InFlight    int64   `json:"in_flight,omitempty" doc:"requests in flight"`
-	TookMS      float64 `json:"took_ms,omitempty" doc:"of the stop, or of the suspension"`
-	Error       string  `json:"error,omitempty" doc:"why a reload was refused"`
+	TookMS      float64 `json:"took_ms,omitempty" doc:"duration of the shutdown or of the suspension"`
+	Error       string  `json:"error,omitempty" doc:"reload error or panic message"`
 }
 
-// Omitted says how many lines of a kind were left out in the last second.
+// Omitted reports the number of lines of a kind dropped since the previous report.
 type Omitted struct {
-	Of    string `json:"of" doc:"kind of the lines"`
-	Lines int    `json:"lines" doc:"how many"`
+	OfKind string `json:"of" doc:"kind of the dropped lines"`
+	Lines  int    `json:"lines" doc:"number of dropped lines"`
 }
 
 // Kind implements Event.
@@ -208,10 +206,10 @@
 // Kind implements Event.
 func (Omitted) Kind() string { return "omitted" }
 
-// All gives one event of each kind, for the reference page.
+// All returns a zero value of each event type, used to generate docs/LOGS.md.
 func All() []Event {
 	return []Event{Request{}, Run{}, Crash{}, HeldBack{}, Settle{}, Configuration{}, Target{}, Member{}, Store{}, Freshness{}, Keeper{}, Node{}, Omitted{}}
 }
 
-// Milliseconds gives a span as it stands in the log.
-func Milliseconds(span time.Duration) float64 { return float64(span.Microseconds()) / 1000 }
+// Milliseconds converts a duration to the unit used in the log.
+func Milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
--- a/internal/sidecar/eventlog/lines.go
+++ b/internal/sidecar/eventlog/lines.go
@@ -2,41 +2,40 @@
 
 import "io"
 
-// pipeBytes is what a pipe takes in one undivided write (PIPE_BUF of Linux).
-const pipeBytes = 4096
+// pipeBuf is the largest write to a pipe that Linux performs atomically (PIPE_BUF).
+const pipeBuf = 4096
 
-// lineWriter gathers lines and passes them on in writes that end with a line and
-// are no longer than a pipe keeps together, so that processes that share a pipe
-// do not tear each other's lines. A longer line is a write of its own.
+// lineWriter batches whole lines into writes of at most pipeBuf bytes, so that lines of
+// processes that share a pipe are not interleaved. A longer line is written on its own.
 type lineWriter struct {
-	output io.Writer
-	held   []byte
+	out    io.Writer
+	buffer []byte
 }
 
 func newLineWriter(output io.Writer) *lineWriter {
-	return &lineWriter{output: output, held: make([]byte, 0, pipeBytes)}
+	return &lineWriter{out: output, buffer: make([]byte, 0, pipeBuf)}
 }
 
-// Write takes one or more whole lines.
+// Write buffers one or more whole lines.
 func (w *lineWriter) Write(line []byte) (int, error) {
-	if len(w.held)+len(line) > pipeBytes {
+	if len(w.buffer)+len(line) > pipeBuf {
 		if err := w.Flush(); err != nil {
 			return 0, err
 		}
 	}
-	if len(line) > pipeBytes {
-		return w.output.Write(line)
+	if len(line) > pipeBuf {
+		return w.out.Write(line)
 	}
-	w.held = append(w.held, line...)
+	w.buffer = append(w.buffer, line...)
 	return len(line), nil
 }
 
-// Flush passes on what is held.
+// Flush writes the buffered lines.
 func (w *lineWriter) Flush() error {
-	if len(w.held) == 0 {
+	if len(w.buffer) == 0 {
 		return nil
 	}
-	_, err := w.output.Write(w.held)
-	w.held = w.held[:0]
+	_, err := w.out.Write(w.buffer)
+	w.buffer = w.buffer[:0]
 	return err
 }
--- a/internal/sidecar/eventlog/writer.go
+++ b/internal/sidecar/eventlog/writer.go
@@ -11,47 +11,46 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Weight sorts events by what is left out first.
-type Weight int
+// Class groups events that share a rate limit.
+type Class int
 
-// The weights.
+// Event classes.
 const (
-	// State events are changes of what the node believes; they are few.
-	State Weight = iota
-	// Failure events are of requests that did not end as they should.
+	// State events report changes of node state.
+	State Class = iota
+	// Failure events report failed requests.
 	Failure
-	// Success events are of requests that did.
+	// Success events report successful requests.
 	Success
-	weights
+	classCount
 )
 
-// Bounds of the log.
-const flushEvery = 200 * time.Millisecond
+const flushInterval = 200 * time.Millisecond
 
-// perSecond is how many lines of each weight are written in a second.
-var perSecond = [weights]int{State: 200, Failure: 200, Success: 20}
+// linesPerSecond is the rate limit of each class.
+var linesPerSecond = [classCount]int{State: 200, Failure: 200, Success: 20}
 
 type entry struct {
 	at    time.Time
 	event Event
 }
 
-// Log collects events and writes them from a goroutine of its own. It is safe
-// for concurrent use; Add never waits for the output.
+// Log queues events and writes them in a background goroutine. It is safe
+// for concurrent use; Add never blocks on the output.
 type Log struct {
 	node   string
 	logger *logrus.Logger
 	output *lineWriter
 
-	mutex   sync.Mutex
-	second  int64
-	taken   [weights]int
-	entries []entry
-	omitted map[string]int
-	wake    chan struct{}
+	mu       sync.Mutex
+	second   int64
+	accepted [classCount]int
+	entries  []entry
+	omitted  map[string]int
+	wake     chan struct{}
 }
 
-// New makes the log of a node. Lines go to output once Run was called.
+// New returns the log of a node. Events are queued until Run writes them to output.
 func New(node string, output io.Writer) *Log {
 	l := &Log{node: node, logger: logrus.New(), output: newLineWriter(output), omitted: map[string]int{}, wake: make(chan struct{}, 1)}
 	l.logger.SetOutput(l.output)
@@ -59,31 +58,30 @@
 	return l
 }
 
-// Wants tells whether an event of the weight would be written now. A caller that
-// asks first spares itself the making of an event that is left out.
-func (l *Log) Wants(kind string, weight Weight) bool {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	l.advance(time.Now())
-	if l.taken[weight] < perSecond[weight] {
+// Wants reports whether an event of class would be accepted now, and otherwise counts it as
+// omitted. Callers use it to avoid building events that would be dropped.
+func (l *Log) Wants(kind string, class Class) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.rollSecond(time.Now())
+	if l.accepted[class] < linesPerSecond[class] {
 		return true
 	}
 	l.omitted[kind]++
 	return false
 }
 
-// Add takes in an event. It is left out when there were too many of its weight
-// in this second.
-func (l *Log) Add(event Event, weight Weight) {
+// Add queues an event, or drops it if the rate limit of its class is exceeded.
+func (l *Log) Add(event Event, class Class) {
 	now := time.Now()
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	l.advance(now)
-	if l.taken[weight] >= perSecond[weight] {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.rollSecond(now)
+	if l.accepted[class] >= linesPerSecond[class] {
 		l.omitted[event.Kind()]++
 		return
 	}
-	l.taken[weight]++
+	l.accepted[class]++
 	l.entries = append(l.entries, entry{at: now, event: event})
 	select {
 	case l.wake <- struct{}{}:
@@ -91,28 +89,29 @@
 	}
 }
 
-// advance begins a new second; the mutex is held. While the output is held up the
-// entries of several seconds would gather, so that none are taken then.
-func (l *Log) advance(now time.Time) {
+// rollSecond resets the rate limits at the start of a new second. While the output is
+// blocked and the queue is full, it keeps the exhausted limits, which bounds the queue.
+// mu must be held.
+func (l *Log) rollSecond(now time.Time) {
 	second := now.Unix()
 	if second == l.second {
 		return
 	}
 	l.second = second
-	if len(l.entries) > maxHeld {
+	if len(l.entries) > maxQueuedEntries {
 		return
 	}
-	l.taken = [weights]int{}
+	l.accepted = [classCount]int{}
 	for kind, lines := range l.omitted {
-		l.entries = append(l.entries, entry{at: now, event: Omitted{Of: kind, Lines: lines}})
+		l.entries = append(l.entries, entry{at: now, event: Omitted{OfKind: kind, Lines: lines}})
 	}
 	clear(l.omitted)
 }
 
-// maxHeld bounds the entries that wait for the output.
-const maxHeld = 1000
+// maxQueuedEntries is the queue length above which rate limits are not reset.
+const maxQueuedEntries = 1000
 
-// Run writes until ctx ends, and what is left then.
+// Run writes queued events until ctx is done, then writes the remaining ones.
 func (l *Log) Run(ctx context.Context) {
 	for {
 		select {
@@ -121,7 +120,7 @@
 			return
 		case <-l.wake:
 		}
-		timer := time.NewTimer(flushEvery)
+		timer := time.NewTimer(flushInterval)
 		select {
 		case <-ctx.Done():
 		case <-timer.C:
@@ -132,19 +131,19 @@
 }
 
 func (l *Log) flush() {
-	l.mutex.Lock()
+	l.mu.Lock()
 	entries := l.entries
 	l.entries = nil
-	l.mutex.Unlock()
-	for _, one := range entries {
-		fields := Fields(one.event)
+	l.mu.Unlock()
+	for _, e := range entries {
+		fields := Fields(e.event)
 		fields["node"] = l.node
-		l.logger.WithTime(one.at).WithFields(fields).Info(one.event.Kind())
+		l.logger.WithTime(e.at).WithFields(fields).Info(e.event.Kind())
 	}
 	_ = l.output.Flush()
 }
 
-// Fields gives the fields of an event by their names in the log.
+// Fields returns the fields of an event keyed by their JSON names.
 func Fields(event Event) logrus.Fields {
 	fields := logrus.Fields{}
 	value := reflect.ValueOf(event)
