--- a/internal/mesh/core/gate/gate.go
+++ b/internal/mesh/core/gate/gate.go
@@ -87,7 +87,7 @@
 			g.controller.Overfull(now)
 		}
 	}
-	g.controller.Typical(g.limiter.Typical())
+	g.controller.Typical(g.limiter.MeanServiceTime())
 	g.controller.Queued(now, g.limiter.Queued())
 	return actions
 }
--- a/internal/mesh/core/limiter/learner.go
+++ b/internal/mesh/core/limiter/learner.go
@@ -2,39 +2,38 @@
 
 import "time"
 
-// learner turns the service times of one window into a step of the limit.
+// learner adjusts the concurrency limit from the service times of a window.
 //
-// The baseline of a class is the mean service time seen while few calls shared
-// the target, so that an overload is never learned as normal. Service times well
-// above it mean one of two things: calls queue inside the target, or the target
-// itself became slower. They are told apart by trying: the limit goes down, and
-// when that brings no relief the slowness is the target's own; the baseline
-// follows it and the limit goes back to where it was.
+// The baseline of a class is the mean service time at low concurrency, so that
+// overload does not raise it. Service times well above the baseline mean that
+// calls queue inside the target or that the target became slower. To tell them
+// apart the limit is lowered: if service times do not fall with the concurrency,
+// the target is slower, so the baseline is raised and the limit restored.
 type learner struct {
-	baselines map[string]*baseline
-	window    window
-	typical   time.Duration // mean own time of a call in the last window
-	growing   bool          // cold start: the limit doubles until it is enough or too much
-	trial     *trial
+	baselines       map[string]*baseline
+	window          window
+	meanServiceTime time.Duration // of the last window; 0 before the first
+	coldStart       bool          // the limit doubles until it is first lowered
+	trial           *decreaseTrial
 }
 
-// window sums up the calls that ended since the last step.
+// window accumulates the calls that finished since the last adjustment.
 type window struct {
-	measured   time.Duration
-	expected   time.Duration
-	samples    int
-	concurrent int
-	shed       int
-	full       bool
+	measuredTime   time.Duration
+	expectedTime   time.Duration
+	samples        int
+	concurrencySum int
+	rejected       int
+	limitReached   bool
 }
 
-// trial remembers where decreases began. Once they have brought relief the next
-// trial begins from there: part of the slowness may be queueing and the rest the
-// target's own.
-type trial struct {
-	inflation  float64
-	concurrent float64
-	limit      int
+// decreaseTrial holds the values from before a series of decreases. A series that
+// reduces the inflation ends the trial, and the next one starts from the reduced
+// values, since a slower target can have a queue as well.
+type decreaseTrial struct {
+	inflation   float64
+	concurrency float64
+	limit       int
 }
 
 type baseline struct {
@@ -42,72 +41,73 @@
 	samples int
 }
 
-// Weights of the learner.
 const (
-	firstSamples   = 20   // plain mean over the first samples
-	baselineWeight = 0.02 // then a moving mean
-	minSamples     = 5    // a class without these has no baseline yet
-	decrease       = 0.85 // of the limit, for one inflated window
-	trialContrast  = 0.75 // concurrency, against the begin of the trial, at which it is judged
-	trialRelief    = 0.5  // share of the relief that queueing would bring, below which there was none
+	warmupSamples         = 20   // the baseline is a plain mean up to this count
+	baselineWeight        = 0.02 // weight of a sample in the moving mean that follows
+	minBaselineSamples    = 5    // a class with fewer samples has no baseline
+	decreaseFactor        = 0.85 // applied to the limit for each inflated window
+	trialConcurrencyRatio = 0.75 // ratio to the initial concurrency at which a trial is evaluated
+	minReliefShare        = 0.5  // share of the reduction expected from queueing that counts as relief
 )
 
 func newLearner() learner {
-	return learner{baselines: map[string]*baseline{}, growing: true}
+	return learner{baselines: map[string]*baseline{}, coldStart: true}
 }
 
-func (l *Limiter) learn(call *running, own time.Duration) {
-	known := l.learner.baselines[call.call.Class]
-	if known == nil {
-		known = &baseline{}
-		l.learner.baselines[call.call.Class] = known
+// recordSample adds the service time of a completed call to the baseline of its
+// class and to the window, and closes the window when it has enough samples.
+func (l *Limiter) recordSample(done *activeCall, serviceTime time.Duration) {
+	base := l.learner.baselines[done.call.Class]
+	if base == nil {
+		base = &baseline{}
+		l.learner.baselines[done.call.Class] = base
 	}
-	uncontended := call.concurrent <= max(l.config.MinLimit, l.limit/2)
-	if uncontended || known.samples < minSamples {
-		known.add(own)
+	uncontended := done.concurrency <= max(l.config.MinLimit, l.limit/2)
+	if uncontended || base.samples < minBaselineSamples {
+		base.add(serviceTime)
 	}
-	if known.samples < minSamples {
+	if base.samples < minBaselineSamples {
 		return
 	}
-	sum := &l.learner.window
-	sum.measured += own
-	sum.expected += known.mean
-	sum.concurrent += call.concurrent
-	sum.samples++
-	if sum.samples >= max(l.config.LearnSamples, 2*l.limit) {
-		l.step()
+	w := &l.learner.window
+	w.measuredTime += serviceTime
+	w.expectedTime += base.mean
+	w.concurrencySum += done.concurrency
+	w.samples++
+	if w.samples >= max(l.config.LearnSamples, 2*l.limit) {
+		l.adjustLimit()
 	}
 }
 
-func (b *baseline) add(own time.Duration) {
+func (b *baseline) add(sample time.Duration) {
 	b.samples++
-	if b.samples <= firstSamples {
-		b.mean += (own - b.mean) / time.Duration(b.samples)
+	if b.samples <= warmupSamples {
+		b.mean += (sample - b.mean) / time.Duration(b.samples)
 		return
 	}
-	b.mean += time.Duration(baselineWeight * float64(own-b.mean))
+	b.mean += time.Duration(baselineWeight * float64(sample-b.mean))
 }
 
-// step closes a window: inflated service times or refusals by the target lower
-// the limit; a limit that was reached without either goes up.
-func (l *Limiter) step() {
-	sum := l.learner.window
+// adjustLimit closes a window. Inflated service times or refusals by the target
+// lower the limit; a window that reached the limit without either raises it.
+func (l *Limiter) adjustLimit() {
+	w := l.learner.window
 	l.learner.window = window{}
-	l.learner.typical = sum.measured / time.Duration(sum.samples)
-	inflation := float64(sum.measured) / float64(max(sum.expected, 1))
-	concurrent := float64(sum.concurrent) / float64(sum.samples)
+	l.learner.meanServiceTime = w.measuredTime / time.Duration(w.samples)
+	inflation := float64(w.measuredTime) / float64(max(w.expectedTime, 1))
+	concurrency := float64(w.concurrencySum) / float64(w.samples)
 	switch {
-	case l.slownessIsOwn(inflation, concurrent):
-		l.accept(inflation)
+	case l.baselineShifted(inflation, concurrency):
+		l.rebaseline(inflation)
 	case inflation > l.config.InflationHigh:
-		l.lower(inflation, concurrent)
-	case sum.shed > 0:
-		l.lower(inflation, concurrent)
+		l.decreaseLimit(inflation, concurrency)
+	case w.rejected > 0:
+		l.decreaseLimit(inflation, concurrency)
 		l.learner.trial = nil
-	case sum.full && l.learner.growing:
+	case w.limitReached && l.learner.coldStart:
 		l.limit *= 2
 		l.learner.trial = nil
-	case sum.full:
+	case w.limitReached:
 		l.limit++
 		l.learner.trial = nil
 	default:
@@ -116,35 +116,38 @@
 	l.limit = min(max(l.limit, l.config.MinLimit), l.config.MaxLimit)
 }
 
-func (l *Limiter) lower(inflation, concurrent float64) {
-	l.learner.growing = false
+// decreaseLimit lowers the limit, starting a trial if none is running.
+func (l *Limiter) decreaseLimit(inflation, concurrency float64) {
+	l.learner.coldStart = false
 	if l.learner.trial == nil {
-		l.learner.trial = &trial{inflation: inflation, concurrent: concurrent, limit: l.limit}
+		l.learner.trial = &decreaseTrial{inflation: inflation, concurrency: concurrency, limit: l.limit}
 	}
-	l.limit = int(float64(l.limit) * decrease)
+	l.limit = int(float64(l.limit) * decreaseFactor)
 }
 
-// slownessIsOwn judges a trial once the concurrency has fallen far enough.
-func (l *Limiter) slownessIsOwn(inflation, concurrent float64) bool {
-	begun := l.learner.trial
-	if begun == nil || inflation <= l.config.InflationHigh {
+// baselineShifted reports whether the current trial shows that the target itself
+// became slower. A trial is evaluated once the concurrency has fallen far enough.
+func (l *Limiter) baselineShifted(inflation, concurrency float64) bool {
+	start := l.learner.trial
+	if start == nil || inflation <= l.config.InflationHigh {
 		return false
 	}
-	contrast := concurrent / begun.concurrent
-	if contrast > trialContrast && l.limit > l.config.MinLimit {
+	concurrencyRatio := concurrency / start.concurrency
+	if concurrencyRatio > trialConcurrencyRatio && l.limit > l.config.MinLimit {
 		return false
 	}
-	if 1-inflation/begun.inflation < trialRelief*(1-contrast) {
+	if 1-inflation/start.inflation < minReliefShare*(1-concurrencyRatio) {
 		return true
 	}
-	l.learner.trial = nil // there was relief
+	l.learner.trial = nil // lowering the limit reduced the inflation
 	return false
 }
 
-// accept takes the measured service times as the new baseline.
-func (l *Limiter) accept(inflation float64) {
-	for _, known := range l.learner.baselines {
-		known.mean = time.Duration(float64(known.mean) * inflation)
+// rebaseline scales the baselines by the measured inflation and restores the
+// limit from before the trial.
+func (l *Limiter) rebaseline(inflation float64) {
+	for _, base := range l.learner.baselines {
+		base.mean = time.Duration(float64(base.mean) * inflation)
 	}
 	l.limit = l.learner.trial.limit
 	l.learner.trial = nil
--- a/internal/mesh/core/limiter/limiter.go
+++ b/internal/mesh/core/limiter/limiter.go
@@ -1,6 +1,7 @@
-// Package limiter holds the calls in front of one target: a concurrency limit
-// that it learns, and a short queue ordered by importance. It is a state
-// machine: arrivals, ends and ticks go in with the time, actions come out.
+// Package limiter implements an adaptive concurrency limit for one target, with
+// a bounded priority queue in front of it. It is a deterministic state machine:
+// the driver passes in events with the current time and performs the actions
+// that are returned.
 package limiter
 
 import (
@@ -10,31 +11,30 @@
 	"github.com/landingmast/landingmast/internal/mesh/core/outcome"
 )
 
-// Call is one call that wants a slot of the target.
+// Call is a call that asks for a slot of the target.
 type Call struct {
 	ID          uint64
-	Level       int           // importance, 0 first
-	Class       string        // baseline of the service time is kept per class
-	Deadline    time.Duration // on the same clock as now
-	Preemptible bool          // may be cancelled after hand-over
-	Chain       string        // user request that the call is made for; empty: not known
-	Depth       int           // hops below the entry
+	Level       int           // importance level; 0 is the most important
+	Class       string        // request class; service time baselines are kept per class
+	Deadline    time.Duration // on the clock of the now parameters
+	Preemptible bool          // may be cancelled while active
+	Chain       string        // ID of the user request the call belongs to; empty if unknown
+	Depth       int           // hops from the entry
 }
 
-// ActionKind names what the driver has to do.
+// ActionKind is the kind of an Action.
 type ActionKind int
 
-// The actions.
 const (
-	// Admit hands the call over to the target.
+	// Admit forwards the call to the target.
 	Admit ActionKind = iota + 1
-	// Refuse answers the call as not run.
+	// Refuse rejects the call with the outcome not-run.
 	Refuse
-	// Preempt cancels a call that was handed over.
+	// Preempt cancels an active call.
 	Preempt
 )
 
-// Action is one thing for the driver to do, with the numbers behind it.
+// Action is an instruction to the driver, with the state of the limiter after it.
 type Action struct {
 	Kind   ActionKind
 	ID     uint64
@@ -45,19 +45,20 @@
 	Queued int
 }
 
-// Config bounds the limiter.
+// Config holds the parameters of a limiter.
 type Config struct {
-	InitialLimit  int           // where a cold target starts
-	MinLimit      int           // never below
-	MaxLimit      int           // never above: the target's connections
-	QueueFactor   float64       // queue length as a multiple of the limit
-	MaxWait       time.Duration // longest wait in the queue of a target with short service times
-	PreemptAfter  time.Duration // wait after which running less important work is cancelled; 0: never
-	LearnSamples  int           // ends in one learning window
-	InflationHigh float64       // mean service time over baseline that lowers the limit
+	InitialLimit  int           // limit before anything is known about the target
+	MinLimit      int           // lower bound of the limit
+	MaxLimit      int           // upper bound of the limit; the target's connection limit
+	QueueFactor   float64       // queue capacity as a multiple of the limit
+	MaxWait       time.Duration // longest time in the queue; see maxWait for slow targets
+	PreemptAfter  time.Duration // time in the queue after which a less important active call is cancelled; 0 disables preemption
+	LearnSamples  int           // minimum number of samples in a window
+	InflationHigh float64       // ratio of service time to baseline above which the limit is lowered
 }
 
-// DefaultConfig gives the values that docs/mesh/OVERLOAD.md was measured with.
+// DefaultConfig returns the default parameters, which the results in
+// docs/mesh/OVERLOAD.md apply to.
 func DefaultConfig() Config {
 	return Config{
 		InitialLimit: 4, MinLimit: 2, MaxLimit: 100,
@@ -66,107 +67,107 @@
 	}
 }
 
-type waiting struct {
-	call    Call
-	arrived time.Duration
-	order   uint64
+type queuedCall struct {
+	call       Call
+	enqueuedAt time.Duration
+	order      uint64
 }
 
-type running struct {
-	call       Call
-	started    time.Duration
-	preempted  bool
-	concurrent int
+type activeCall struct {
+	call        Call
+	startedAt   time.Duration
+	preempted   bool
+	concurrency int
 }
 
-// Limiter is the state of one target. It is not safe for concurrent use.
+// Limiter limits the concurrent calls to one target. It is not safe for
+// concurrent use.
 type Limiter struct {
 	config   Config
 	limit    int
-	queue    []waiting // sorted by level, then arrival
-	active   map[uint64]*running
+	queue    []queuedCall // sorted by level, then arrival
+	active   map[uint64]*activeCall
 	sequence uint64
 	learner  learner
 	draining bool
 }
 
-// New makes a limiter for a cold target.
+// New returns a limiter for a target with no history.
 func New(config Config) *Limiter {
 	return &Limiter{
-		config: config, limit: config.InitialLimit, active: map[uint64]*running{},
+		config: config, limit: config.InitialLimit, active: map[uint64]*activeCall{},
 		learner: newLearner(),
 	}
 }
 
-// Limit gives the concurrency limit now.
+// Limit returns the current concurrency limit.
 func (l *Limiter) Limit() int { return l.limit }
 
-// Active gives the calls that are at the target.
+// Active returns the number of calls at the target.
 func (l *Limiter) Active() int { return len(l.active) }
 
-// Queued gives the calls that wait.
+// Queued returns the number of calls in the queue.
 func (l *Limiter) Queued() int { return len(l.queue) }
 
-// Drain refuses everything that waits and all that arrives later; calls at the
-// target go on.
+// Drain refuses the queued calls and all later arrivals. Active calls continue.
 func (l *Limiter) Drain(now time.Duration) []Action {
 	l.draining = true
 	var actions []Action
 	for _, item := range l.queue {
-		actions = append(actions, l.refusal(now, item, outcome.ReasonDraining))
+		actions = append(actions, l.refuse(now, item, outcome.ReasonDraining))
 	}
 	l.queue = nil
 	return actions
 }
 
-// Draining tells whether Drain was called.
+// Draining reports whether Drain was called.
 func (l *Limiter) Draining() bool { return l.draining }
 
-// Arrive takes in a call. It is admitted, queued or refused; a less important
-// call may lose its place in the queue to it.
+// Arrive admits, queues or refuses a call. When the queue is full, its least
+// important call is refused to make room.
 func (l *Limiter) Arrive(now time.Duration, call Call) []Action {
-	item := waiting{call: call, arrived: now, order: l.sequence}
+	item := queuedCall{call: call, enqueuedAt: now, order: l.sequence}
 	l.sequence++
 	if l.draining {
-		return []Action{l.refusal(now, item, outcome.ReasonDraining)}
+		return []Action{l.refuse(now, item, outcome.ReasonDraining)}
 	}
 	if now >= call.Deadline {
-		return []Action{l.refusal(now, item, outcome.ReasonExpired)}
+		return []Action{l.refuse(now, item, outcome.ReasonExpired)}
 	}
-	actions := l.expire(now)
-	if l.waitsForItself(call) {
+	actions := l.dropExpired(now)
+	if l.chainHoldsSlot(call) {
 		return append(actions, l.admit(now, item))
 	}
-	l.insert(item)
-	actions = append(actions, l.fill(now)...)
-	if len(l.queue) > l.queueLength() {
+	l.enqueue(item)
+	actions = append(actions, l.dispatchQueued(now)...)
+	if len(l.queue) > l.queueCapacity() {
 		last := l.queue[len(l.queue)-1]
 		l.queue = l.queue[:len(l.queue)-1]
-		actions = append(actions, l.refusal(now, last, outcome.ReasonQueueFull))
+		actions = append(actions, l.refuse(now, last, outcome.ReasonQueueFull))
 	}
 	return actions
 }
 
-// Finish takes the end of a call at the target. own is the time that the target
-// itself took, without its deeper calls; healthy is false when the call was cut
-// short and tells nothing about the target's speed; shed tells that the target
-// refused it.
-func (l *Limiter) Finish(now time.Duration, id uint64, own time.Duration, healthy, shed bool) []Action {
-	call, present := l.active[id]
-	if !present {
+// Finish releases the slot of a call. serviceTime excludes the nested calls that
+// the target waited for. complete is false when the call was cut short, so that
+// its service time is not representative. rejected reports that the target itself
+// refused the call.
+func (l *Limiter) Finish(now time.Duration, id uint64, serviceTime time.Duration, complete, rejected bool) []Action {
+	call, ok := l.active[id]
+	if !ok {
 		return nil
 	}
 	delete(l.active, id)
-	if shed {
-		l.learner.window.shed++
+	if rejected {
+		l.learner.window.rejected++
 	}
-	if healthy && !call.preempted {
-		l.learn(call, own)
+	if complete && !call.preempted {
+		l.recordSample(call, serviceTime)
 	}
-	return append(l.expire(now), l.fill(now)...)
+	return append(l.dropExpired(now), l.dispatchQueued(now)...)
 }
 
-// Withdraw takes a call out of the queue, because its caller went away.
+// Withdraw removes a call from the queue, for callers that disconnected.
 func (l *Limiter) Withdraw(id uint64) {
 	for index, item := range l.queue {
 		if item.call.ID == id {
@@ -176,48 +177,47 @@
 	}
 }
 
-// Tick drops what has waited too long and cancels less important work that
-// keeps more important work waiting. Call it every few milliseconds while
-// anything is queued.
+// Tick refuses calls that were queued for too long and preempts less important
+// active calls. The driver calls it every few milliseconds while Queued is not 0.
 func (l *Limiter) Tick(now time.Duration) []Action {
-	actions := l.expire(now)
-	actions = append(actions, l.fill(now)...)
+	actions := l.dropExpired(now)
+	actions = append(actions, l.dispatchQueued(now)...)
 	return append(actions, l.preempt(now)...)
 }
 
-// Typical gives the mean time that the target itself took for a call lately; 0
-// until it is known.
-func (l *Limiter) Typical() time.Duration { return l.learner.typical }
+// MeanServiceTime returns the mean service time of the last learning window, or 0
+// before the first.
+func (l *Limiter) MeanServiceTime() time.Duration { return l.learner.meanServiceTime }
 
-// waitFactor is how many service times a call may wait where that is longer than
-// the configured wait: downloads of seconds need a queue of seconds.
-const waitFactor = 3
+// maxWaitServiceTimes extends the longest time in the queue to a multiple of the
+// service time, so that slow targets do not time out their whole queue.
+const maxWaitServiceTimes = 3
 
 func (l *Limiter) maxWait() time.Duration {
-	return max(l.config.MaxWait, waitFactor*l.learner.typical)
+	return max(l.config.MaxWait, maxWaitServiceTimes*l.learner.meanServiceTime)
 }
 
-func (l *Limiter) queueLength() int {
+func (l *Limiter) queueCapacity() int {
 	return max(int(float64(l.limit)*l.config.QueueFactor), 2)
 }
 
-func (l *Limiter) insert(item waiting) {
-	place := sort.Search(len(l.queue), func(index int) bool {
+func (l *Limiter) enqueue(item queuedCall) {
+	pos := sort.Search(len(l.queue), func(index int) bool {
 		other := l.queue[index]
 		return other.call.Level > item.call.Level
 	})
-	l.queue = append(l.queue, waiting{})
-	copy(l.queue[place+1:], l.queue[place:])
-	l.queue[place] = item
+	l.queue = append(l.queue, queuedCall{})
+	copy(l.queue[pos+1:], l.queue[pos:])
+	l.queue[pos] = item
 }
 
-// fill admits from the front of the queue while slots are free.
-func (l *Limiter) fill(now time.Duration) []Action {
+// dispatchQueued admits calls from the front of the queue while slots are free.
+func (l *Limiter) dispatchQueued(now time.Duration) []Action {
 	var actions []Action
 	for len(l.queue) > 0 {
 		item := l.queue[0]
 		if len(l.active) >= l.limit {
-			l.learner.window.full = true
+			l.learner.window.limitReached = true
 			break
 		}
 		l.queue = l.queue[1:]
@@ -226,16 +226,16 @@
 	return actions
 }
 
-func (l *Limiter) admit(now time.Duration, item waiting) Action {
-	l.active[item.call.ID] = &running{call: item.call, started: now, concurrent: len(l.active) + 1}
-	return l.action(Admit, item.call.ID, outcome.ReasonNone, now-item.arrived)
+func (l *Limiter) admit(now time.Duration, item queuedCall) Action {
+	l.active[item.call.ID] = &activeCall{call: item.call, startedAt: now, concurrency: len(l.active) + 1}
+	return l.newAction(Admit, item.call.ID, outcome.ReasonNone, now-item.enqueuedAt)
 }
 
-// waitsForItself tells that the limit is reached and a call further up in the same
-// chain holds a slot here: it gives the slot back only when this call has ended, so
-// that waiting for a slot is in vain. Such a call goes beyond the limit, never
-// beyond the most that the target can take.
-func (l *Limiter) waitsForItself(call Call) bool {
+// chainHoldsSlot reports whether the limit is reached and an ancestor of the call
+// in the same chain holds a slot. The ancestor keeps its slot until the call ends,
+// so queueing the call could deadlock; it is admitted above the limit instead, up
+// to MaxLimit.
+func (l *Limiter) chainHoldsSlot(call Call) bool {
 	if call.Chain == "" || len(l.active) < l.limit || len(l.active) >= l.config.MaxLimit {
 		return false
 	}
@@ -247,15 +247,16 @@
 	return false
 }
 
-func (l *Limiter) expire(now time.Duration) []Action {
+// dropExpired refuses queued calls whose deadline or longest queue time has passed.
+func (l *Limiter) dropExpired(now time.Duration) []Action {
 	var actions []Action
 	kept := l.queue[:0]
 	for _, item := range l.queue {
 		switch {
 		case now >= item.call.Deadline:
-			actions = append(actions, l.refusal(now, item, outcome.ReasonExpired))
-		case now-item.arrived > l.maxWait():
-			actions = append(actions, l.refusal(now, item, outcome.ReasonQueueTimeout))
+			actions = append(actions, l.refuse(now, item, outcome.ReasonExpired))
+		case now-item.enqueuedAt > l.maxWait():
+			actions = append(actions, l.refuse(now, item, outcome.ReasonQueueTimeout))
 		default:
 			kept = append(kept, item)
 		}
@@ -264,22 +265,22 @@
 	return actions
 }
 
-// preempt cancels one less important running call for the first waiting call,
-// once that has waited for long enough.
+// preempt cancels a less important active call once the first queued call has
+// waited for PreemptAfter.
 func (l *Limiter) preempt(now time.Duration) []Action {
 	if l.config.PreemptAfter == 0 || len(l.queue) == 0 {
 		return nil
 	}
 	first := l.queue[0]
-	if now-first.arrived < l.config.PreemptAfter {
+	if now-first.enqueuedAt < l.config.PreemptAfter {
 		return nil
 	}
-	var victim *running
+	var victim *activeCall
 	for _, candidate := range l.active {
 		if candidate.preempted {
-			return nil // one at a time: its slot is about to come free
+			return nil // one at a time: its slot is being released
 		}
-		if candidate.call.Preemptible && candidate.call.Level > first.call.Level && worse(candidate, victim) {
+		if candidate.call.Preemptible && candidate.call.Level > first.call.Level && preferVictim(candidate, victim) {
 			victim = candidate
 		}
 	}
@@ -287,24 +288,25 @@
 		return nil
 	}
 	victim.preempted = true
-	return []Action{l.action(Preempt, victim.call.ID, outcome.ReasonPreempted, now-victim.started)}
+	return []Action{l.newAction(Preempt, victim.call.ID, outcome.ReasonPreempted, now-victim.startedAt)}
 }
 
-// worse prefers the least important call, then the one that lost least work.
-func worse(candidate, victim *running) bool {
+// preferVictim reports whether candidate is a better call to preempt than victim:
+// the less important one, then the one that started last.
+func preferVictim(candidate, victim *activeCall) bool {
 	if victim == nil || candidate.call.Level != victim.call.Level {
 		return victim == nil || candidate.call.Level > victim.call.Level
 	}
-	if candidate.started != victim.started {
-		return candidate.started > victim.started
+	if candidate.startedAt != victim.startedAt {
+		return candidate.startedAt > victim.startedAt
 	}
 	return candidate.call.ID > victim.call.ID
 }
 
-func (l *Limiter) refusal(now time.Duration, item waiting, reason outcome.Reason) Action {
-	return l.action(Refuse, item.call.ID, reason, now-item.arrived)
+func (l *Limiter) refuse(now time.Duration, item queuedCall, reason outcome.Reason) Action {
+	return l.newAction(Refuse, item.call.ID, reason, now-item.enqueuedAt)
 }
 
-func (l *Limiter) action(kind ActionKind, id uint64, reason outcome.Reason, wait time.Duration) Action {
+func (l *Limiter) newAction(kind ActionKind, id uint64, reason outcome.Reason, wait time.Duration) Action {
 	return Action{Kind: kind, ID: id, Reason: reason, Wait: wait, Limit: l.limit, Active: len(l.active), Queued: len(l.queue)}
 }
--- a/internal/mesh/core/limiter/owntime.go
+++ b/internal/mesh/core/limiter/owntime.go
@@ -2,40 +2,41 @@
 
 import "time"
 
-// OwnTime separates the time that a target itself takes for a call from the time
-// in which it waits for deeper calls. It is not safe for concurrent use.
+// OwnTime measures the service time of a call without the time in which nested
+// calls made by the target are in flight. It is not safe for concurrent use.
 type OwnTime struct {
-	open   int // deeper calls that are open now
-	made   bool
-	from   time.Duration
-	deeper time.Duration
+	inFlight   int // nested calls in flight
+	any        bool
+	openSince  time.Duration
+	nestedTime time.Duration
 }
 
-// DeeperBegins notes that the target opened a call of its own.
+// DeeperBegins records the start of a nested call.
 func (o *OwnTime) DeeperBegins(now time.Duration) {
-	o.made = true
-	if o.open == 0 {
-		o.from = now
+	o.any = true
+	if o.inFlight == 0 {
+		o.openSince = now
 	}
-	o.open++
+	o.inFlight++
 }
 
-// DeeperEnds notes the end of such a call.
+// DeeperEnds records the end of a nested call.
 func (o *OwnTime) DeeperEnds(now time.Duration) {
-	o.open--
-	if o.open == 0 {
-		o.deeper += now - o.from
+	o.inFlight--
+	if o.inFlight == 0 {
+		o.nestedTime += now - o.openSince
 	}
 }
 
-// MadeDeeper tells whether the target has made any call of its own.
-func (o *OwnTime) MadeDeeper() bool { return o.made }
+// MadeDeeper reports whether the target has made any nested call.
+func (o *OwnTime) MadeDeeper() bool { return o.any }
 
-// Since gives the part of the time since started in which no deeper call was open.
+// Since returns the time between started and now in which no nested call was in
+// flight.
 func (o *OwnTime) Since(started, now time.Duration) time.Duration {
-	deeper := o.deeper
-	if o.open > 0 {
-		deeper += now - o.from
+	nested := o.nestedTime
+	if o.inFlight > 0 {
+		nested += now - o.openSince
 	}
-	return max(now-started-deeper, 0)
+	return max(now-started-nested, 0)
 }
