--- a/internal/mesh/core/admission/admission_test.go
+++ b/internal/mesh/core/admission/admission_test.go
@@ -8,18 +8,19 @@
 	. "github.com/onsi/gomega"
 )
 
-// offer sends calls of evenly spread users at three levels for some windows to a
-// target that serves a fixed number a window, and gives the shares admitted.
+// offer simulates calls of uniformly distributed users at three levels to a target
+// that serves a fixed number of calls per window. It returns the share of calls
+// admitted at each level.
 func offer(controller *Controller, from time.Duration, windows, perWindow, served int) [3]float64 {
 	var admitted, all [3]int
 	queue := 0
 	for window := range windows {
 		now := from + time.Duration(window)*100*time.Millisecond
-		for number := range perWindow {
-			level := number % 3
+		for i := range perWindow {
+			level := i % 3
 			all[level]++
-			rank := RankOf(level, fmt.Sprintf("user-%d-%d", window, number))
-			if controller.Admit(now+time.Duration(number)*time.Microsecond, rank) {
+			rank := RankOf(level, fmt.Sprintf("user-%d-%d", window, i))
+			if controller.Admit(now+time.Duration(i)*time.Microsecond, rank) {
 				admitted[level]++
 				queue++
 			}
@@ -29,7 +30,7 @@
 		}
 		queue -= min(queue, served)
 		queue = min(queue, 3*served)
-		controller.Queued(now+95*time.Millisecond, queue)
+		controller.SetQueueLength(now+95*time.Millisecond, queue)
 	}
 	var shares [3]float64
 	for level := range shares {
@@ -38,7 +39,7 @@
 	return shares
 }
 
-func TestTheLeastImportantIsShedFirst(t *testing.T) {
+func TestLeastImportantLevelIsShedFirst(t *testing.T) {
 	g := NewWithT(t)
 	controller := NewController(DefaultConfig(3))
 	offer(controller, 0, 20, 300, 150)
@@ -49,7 +50,7 @@
 	g.Expect(shares[2]).To(BeNumerically("<", 0.2))
 }
 
-func TestTheCursorOpensAgain(t *testing.T) {
+func TestCursorRisesAfterOverload(t *testing.T) {
 	g := NewWithT(t)
 	controller := NewController(DefaultConfig(3))
 	offer(controller, 0, 30, 300, 100)
@@ -65,19 +66,19 @@
 	g.Expect(controller.Cursor()).To(BeNumerically(">=", BucketsPerLevel-1))
 }
 
-func TestAViewForgetsAndProbes(t *testing.T) {
+func TestViewExpiresAndProbes(t *testing.T) {
 	g := NewWithT(t)
 	var view View
 	g.Expect(view.Admit(0, 200)).To(BeTrue())
 	view.Observe(time.Second, 100)
 	g.Expect(view.Admit(time.Second, 100)).To(BeTrue())
-	g.Expect(view.Admit(time.Second, 200)).To(BeTrue()) // the first probe
+	g.Expect(view.Admit(time.Second, 200)).To(BeTrue()) // probe
 	g.Expect(view.Admit(time.Second+50*time.Millisecond, 200)).To(BeFalse())
 	g.Expect(view.Admit(time.Second+110*time.Millisecond, 200)).To(BeTrue())
 	g.Expect(view.Admit(2*time.Second+time.Millisecond, 200)).To(BeTrue())
 }
 
-func TestTheSameUsersAreShedEverywhere(t *testing.T) {
+func TestRankIsDeterministic(t *testing.T) {
 	g := NewWithT(t)
 	g.Expect(RankOf(2, "user-7")).To(Equal(RankOf(2, "user-7")))
 	g.Expect(RankOf(2, "user-7").Level()).To(Equal(2))
--- a/internal/mesh/core/gate/gate.go
+++ b/internal/mesh/core/gate/gate.go
@@ -1,7 +1,8 @@
-// Package gate is what stands in front of one target: the admission controller
-// that refuses by rank, and behind it the limiter with its queue. What the queue
-// shows steers the controller. Like all of internal/core it is a state machine
-// without sockets or clocks; the data plane and the emulator drive the same one.
+// Package gate combines the overload protection of one target: an admission
+// controller that refuses calls by rank, followed by a concurrency limiter with a
+// queue, whose state feeds back into the controller. It is a deterministic state
+// machine that does no I/O and reads no clock, so the data plane and the emulator
+// share it.
 package gate
 
 import (
@@ -12,47 +13,49 @@
 	"github.com/landingmast/landingmast/internal/mesh/core/outcome"
 )
 
-// Config sets a gate.
+// Config holds the parameters of a Gate.
 type Config struct {
 	Limiter   limiter.Config
 	Admission admission.Config
-	// Open leaves the admission controller out; the queue alone refuses.
+	// Open disables the admission controller, so that only the limiter refuses calls.
 	Open bool
 }
 
-// DefaultConfig gives the values that docs/mesh/OVERLOAD.md was measured with.
+// DefaultConfig returns the default parameters, which the results in
+// docs/mesh/OVERLOAD.md apply to.
 func DefaultConfig(levels int) Config {
 	return Config{Limiter: limiter.DefaultConfig(), Admission: admission.DefaultConfig(levels)}
 }
 
-// Gate is the state of one target. It is not safe for concurrent use.
+// Gate controls the calls to one target. It is not safe for concurrent use.
 type Gate struct {
 	config     Config
 	limiter    *limiter.Limiter
 	controller *admission.Controller
 }
 
-// New makes the gate of a cold target.
+// New returns a gate for a target with no history.
 func New(config Config) *Gate {
 	return &Gate{config: config, limiter: limiter.New(config.Limiter), controller: admission.NewController(config.Admission)}
 }
 
-// Cursor gives the highest rank that is admitted now.
+// Cursor returns the highest rank that is admitted.
 func (g *Gate) Cursor() admission.Rank { return g.controller.Cursor() }
 
-// Limit, Active and Queued describe the limiter.
+// Limit returns the current concurrency limit.
 func (g *Gate) Limit() int { return g.limiter.Limit() }
 
-// Active gives the calls at the target.
+// Active returns the number of calls at the target.
 func (g *Gate) Active() int { return g.limiter.Active() }
 
-// Queued gives the calls that wait.
+// Queued returns the number of calls in the queue.
 func (g *Gate) Queued() int { return g.limiter.Queued() }
 
-// Draining tells whether Drain was called.
+// Draining reports whether Drain was called.
 func (g *Gate) Draining() bool { return g.limiter.Draining() }
 
-// Arrive takes in a call: one that the cursor refuses never reaches the queue.
+// Arrive refuses a call whose rank is above the cursor and passes any other on to
+// the limiter. A draining limiter refuses all calls itself.
 func (g *Gate) Arrive(now time.Duration, call limiter.Call, rank admission.Rank) []limiter.Action {
 	if !g.controller.Admit(now, rank) && !g.config.Open && !g.limiter.Draining() {
 		return []limiter.Action{{
@@ -60,34 +63,34 @@
 			Active: g.limiter.Active(), Queued: g.limiter.Queued(),
 		}}
 	}
-	return g.note(now, g.limiter.Arrive(now, call))
+	return g.observe(now, g.limiter.Arrive(now, call))
 }
 
-// Finish takes the end of a call at the target; see limiter.Limiter.Finish.
-func (g *Gate) Finish(now time.Duration, id uint64, own time.Duration, healthy, shed bool) []limiter.Action {
-	return g.note(now, g.limiter.Finish(now, id, own, healthy, shed))
+// Finish releases the slot of a call; see limiter.Limiter.Finish.
+func (g *Gate) Finish(now time.Duration, id uint64, serviceTime time.Duration, complete, rejected bool) []limiter.Action {
+	return g.observe(now, g.limiter.Finish(now, id, serviceTime, complete, rejected))
 }
 
-// Withdraw takes a call out of the queue.
+// Withdraw removes a call from the queue.
 func (g *Gate) Withdraw(id uint64) { g.limiter.Withdraw(id) }
 
-// Tick drops what waited too long; see limiter.Limiter.Tick.
-func (g *Gate) Tick(now time.Duration) []limiter.Action { return g.note(now, g.limiter.Tick(now)) }
+// Tick handles timeouts and preemption; see limiter.Limiter.Tick.
+func (g *Gate) Tick(now time.Duration) []limiter.Action { return g.observe(now, g.limiter.Tick(now)) }
 
-// Drain refuses what waits and all that comes.
+// Drain refuses the queued calls and all later arrivals.
 func (g *Gate) Drain(now time.Duration) []limiter.Action { return g.limiter.Drain(now) }
 
-// note feeds what the queue shows back to the controller.
-func (g *Gate) note(now time.Duration, actions []limiter.Action) []limiter.Action {
+// observe updates the controller from the actions and the state of the limiter.
+func (g *Gate) observe(now time.Duration, actions []limiter.Action) []limiter.Action {
 	for _, action := range actions {
 		switch {
 		case action.Kind == limiter.Admit:
 			g.controller.Served(now)
 		case action.Reason == outcome.ReasonQueueFull, action.Reason == outcome.ReasonQueueTimeout:
-			g.controller.Overfull(now)
+			g.controller.QueueRefused(now)
 		}
 	}
-	g.controller.Typical(g.limiter.MeanServiceTime())
-	g.controller.Queued(now, g.limiter.Queued())
+	g.controller.SetServiceTime(g.limiter.MeanServiceTime())
+	g.controller.SetQueueLength(now, g.limiter.Queued())
 	return actions
 }
--- a/internal/mesh/core/gate/gate_test.go
+++ b/internal/mesh/core/gate/gate_test.go
@@ -11,10 +11,10 @@
 	"pgregory.net/rapid"
 )
 
-// TestTheQueueStaysInOrderBehindTheCursor draws arrivals, ends and ticks at a gate, with
-// the cursor moving, and checks at each refusal for a full queue that nothing less
-// important waits, and at each admission that nothing more important does.
-func TestTheQueueStaysInOrderBehindTheCursor(t *testing.T) {
+// Checks for random arrivals, completions and ticks, with a moving cursor, that no
+// call is refused for a full queue while a less important call is queued, and that
+// none is admitted while a more important call is queued.
+func TestQueueStaysOrderedWhileCursorMoves(t *testing.T) {
 	const levels = 4
 	rapid.Check(t, func(t *rapid.T) {
 		config := DefaultConfig(levels)
@@ -24,7 +24,7 @@
 		waiting := map[uint64]bool{}
 		var running []uint64
 		now := time.Duration(0)
-		look := func(actions []limiter.Action) {
+		checkOrder := func(actions []limiter.Action) {
 			for _, action := range actions {
 				if action.Kind == limiter.Preempt {
 					continue
@@ -47,16 +47,16 @@
 			now += time.Duration(rapid.IntRange(0, 30).Draw(t, "pause")) * time.Millisecond
 			switch step := rapid.IntRange(0, 5).Draw(t, "step"); {
 			case step == 0:
-				look(gate.Tick(now))
+				checkOrder(gate.Tick(now))
 			case step < 3 && len(running) > 0:
 				ended := running[0]
 				running = running[1:]
-				look(gate.Finish(now, ended, time.Millisecond, true, false))
+				checkOrder(gate.Finish(now, ended, time.Millisecond, true, false))
 			default:
 				level[id] = rapid.IntRange(0, levels-1).Draw(t, "level")
 				waiting[id] = true
 				rank := admission.RankOf(level[id], strconv.Itoa(rapid.IntRange(0, 20).Draw(t, "user")))
-				look(gate.Arrive(now, limiter.Call{ID: id, Level: level[id], Class: "c", Deadline: now + time.Second, Preemptible: true}, rank))
+				checkOrder(gate.Arrive(now, limiter.Call{ID: id, Level: level[id], Class: "c", Deadline: now + time.Second, Preemptible: true}, rank))
 			}
 		}
 	})
