--- a/internal/mesh/core/routing/route.go
+++ b/internal/mesh/core/routing/route.go
@@ -7,24 +7,25 @@
 	"github.com/landingmast/landingmast/internal/mesh/core/outcome"
 )
 
-// Route is one node's way to one service: its balancer, and for each request
-// class the lowest cursor that answers reported from below the service, so that
-// a call that would be shed deeper down is refused here.
+// Route selects targets of one service. Besides the balancer it caches, for each
+// request class, the lowest cursor that responses reported from downstream of the
+// service, so that calls that would be shed there are refused at once.
 type Route struct {
-	Balancer *Balancer
-	paths    map[string]*admission.View
-	blind    bool
+	Balancer      *Balancer
+	pathCursors   map[string]*admission.View
+	ignoreCursors bool
 }
 
-// NewRoute makes a route. blind leaves the cursors of answers unread, for
-// measurements of what they bring.
-func NewRoute(balancer *Balancer, blind bool) *Route {
-	return &Route{Balancer: balancer, paths: map[string]*admission.View{}, blind: blind}
+// NewRoute returns a route. With ignoreCursors set, cursors in responses have
+// no effect; the emulator uses this to measure their benefit.
+func NewRoute(balancer *Balancer, ignoreCursors bool) *Route {
+	return &Route{Balancer: balancer, pathCursors: map[string]*admission.View{}, ignoreCursors: ignoreCursors}
 }
 
-// Pick chooses a target for a call of the class and counts it as started there.
+// Pick selects a target for a call of the class and counts the call as in flight
+// there.
 func (r *Route) Pick(now time.Duration, class string, request Request) (Choice, outcome.Reason) {
-	if view := r.paths[class]; view != nil && request.Only == "" && !view.Admit(now, request.Rank) {
+	if view := r.pathCursors[class]; view != nil && request.Only == "" && !view.Admit(now, request.Rank) {
 		return Choice{}, outcome.ReasonOverloadCursor
 	}
 	choice, reason := r.Balancer.Pick(now, request)
@@ -34,37 +35,37 @@
 	return choice, reason
 }
 
-// Finished feeds back what an attempt showed. pathCursor is the lowest cursor
-// below the target as its answer reported it; -1 when it reported none.
+// Finished records the result of an attempt. pathCursor is the lowest cursor
+// downstream of the target that its response reported, or -1 if it reported none.
 func (r *Route) Finished(now time.Duration, class string, result Result, pathCursor int) (ejected bool) {
-	if r.blind {
+	if r.ignoreCursors {
 		result.HasCursor = false
 		return r.Balancer.Finished(now, result)
 	}
 	if pathCursor >= 0 {
-		view := r.paths[class]
+		view := r.pathCursors[class]
 		if view == nil {
 			view = &admission.View{}
-			r.paths[class] = view
+			r.pathCursors[class] = view
 		}
 		view.Observe(now, admission.Rank(pathCursor))
 	}
 	return r.Balancer.Finished(now, result)
 }
 
-// Cursor is the highest rank that any usable target of the service is known to
-// admit; -1 while one is not known to be shedding.
+// Cursor returns the highest rank that any available target of the service admits,
+// or -1 if the cursor of one of them is not known or none is available.
 func (r *Route) Cursor(now time.Duration) int {
 	return r.Balancer.highestCursor(now)
 }
 
 func (b *Balancer) highestCursor(now time.Duration) int {
 	highest := -1
-	for _, known := range b.subset {
-		if now < known.ejectedUntil {
+	for _, ep := range b.subset {
+		if now < ep.ejectedUntil {
 			continue
 		}
-		cursor, fresh := known.view.Cursor(now)
+		cursor, fresh := ep.view.Cursor(now)
 		if !fresh {
 			return -1
 		}
--- a/internal/mesh/core/routing/routing.go
+++ b/internal/mesh/core/routing/routing.go
@@ -1,7 +1,7 @@
-// Package routing chooses the target of a call: zone first, out of a bounded
-// subset, by the lower of two estimated costs, with outlier ejection and slow
-// start. What calls show counts; health and load reports of the targets are not
-// read, because they lag or mislead.
+// Package routing implements client-side load balancing: zone-aware subsetting,
+// power of two choices over an estimated cost, outlier ejection and slow start.
+// It relies on the results of calls only, because health and load reports of
+// targets can be late or wrong.
 package routing
 
 import (
@@ -13,33 +13,34 @@
 	"github.com/landingmast/landingmast/internal/mesh/core/outcome"
 )
 
-// Config sets the balancer.
+// Config holds the parameters of a Balancer.
 type Config struct {
-	SubsetSize       int           // most targets of one service that a node connects to
-	ZonePenalty      float64       // factor on the cost of a target in another zone
-	EjectAfter       int           // failures in a row that eject a target
-	EjectFor         time.Duration // first ejection; doubles each time
-	EjectMax         time.Duration // longest ejection
-	MaxEjectedShare  float64       // never more than this share of the subset is ejected
-	DrainHold        time.Duration // how long a target that said it drains is left alone
-	SlowStart        time.Duration // time until a joining target gets its full share
-	InitialLatency   time.Duration // assumed until measured
-	LatencyWeight    float64       // weight of a new latency sample
-	SuccessWeight    float64       // weight of a new success sample
-	EjectBelow       float64       // success share that ejects a target
-	MinSuccessWeight int           // samples before the success share counts
+	SubsetSize        int           // maximum number of targets of a service that a node connects to
+	ZonePenalty       float64       // cost factor for targets in other zones
+	EjectAfter        int           // consecutive failures that eject a target
+	BaseEjectionTime  time.Duration // duration of the first ejection; doubles with each further one
+	MaxEjectionTime   time.Duration // maximum duration of an ejection
+	MaxEjectionShare  float64       // maximum share of targets ejected at the same time
+	DrainBackoff      time.Duration // time without calls for a target that reported that it is draining
+	SlowStart         time.Duration // time in which a new or returning target ramps up to its full share
+	InitialLatency    time.Duration // estimate for targets without samples
+	LatencyWeight     float64       // weight of a sample in the moving mean of the latency
+	SuccessWeight     float64       // weight of a sample in the moving success and decline rates
+	EjectBelow        float64       // success rate below which a target is ejected
+	MinSuccessSamples int           // samples required before EjectBelow applies
 }
 
-// DefaultConfig gives the values that docs/mesh/OVERLOAD.md was measured with.
+// DefaultConfig returns the default parameters, which the results in
+// docs/mesh/OVERLOAD.md apply to.
 func DefaultConfig() Config {
 	return Config{
-		SubsetSize: 16, ZonePenalty: 1.25, EjectAfter: 4, EjectFor: time.Second, EjectMax: 30 * time.Second,
-		MaxEjectedShare: 0.5, DrainHold: 3 * time.Second, SlowStart: 5 * time.Second, InitialLatency: 10 * time.Millisecond,
-		LatencyWeight: 0.1, SuccessWeight: 0.1, EjectBelow: 0.4, MinSuccessWeight: 10,
+		SubsetSize: 16, ZonePenalty: 1.25, EjectAfter: 4, BaseEjectionTime: time.Second, MaxEjectionTime: 30 * time.Second,
+		MaxEjectionShare: 0.5, DrainBackoff: 3 * time.Second, SlowStart: 5 * time.Second, InitialLatency: 10 * time.Millisecond,
+		LatencyWeight: 0.1, SuccessWeight: 0.1, EjectBelow: 0.4, MinSuccessSamples: 10,
 	}
 }
 
-// Target is one target as the bundle and the membership name it.
+// Target is a target of a service according to the bundle and the membership.
 type Target struct {
 	Node    string
 	Address string
@@ -48,62 +49,63 @@
 	Leaving bool
 }
 
-// Random gives numbers in [0, n); the driver supplies it.
+// Random is a source of random numbers. IntN returns a number in [0, n).
 type Random interface {
 	IntN(n int) int
 }
 
+// endpoint holds the statistics of one target.
 type endpoint struct {
-	target       Target
-	inFlight     int
-	latency      float64 // moving mean, ns
-	success      float64 // moving share
-	declines     float64 // moving share of the calls that the target declined
-	samples      int
-	failures     int // in a row
-	ejections    int
-	ejectedUntil time.Duration
-	joinedAt     time.Duration
-	warming      bool
-	view         admission.View
+	target              Target
+	inFlight            int
+	latency             float64 // moving mean in nanoseconds
+	successRate         float64 // moving mean
+	declineRate         float64 // moving mean
+	samples             int
+	consecutiveFailures int
+	ejections           int
+	ejectedUntil        time.Duration
+	slowStartAt         time.Duration
+	inSlowStart         bool
+	view                admission.View
 }
 
-// Balancer routes the calls of one node to one service. It is not safe for
-// concurrent use.
+// Balancer balances the calls of one node over the targets of one service. It is
+// not safe for concurrent use.
 type Balancer struct {
 	config    Config
 	zone      string
 	node      string
 	random    Random
 	endpoints map[string]*endpoint
-	subset    []*endpoint // sorted by node
-	all       []string    // active nodes of the service, sorted
+	subset    []*endpoint // sorted by node name
+	nodes     []string    // nodes of the service that are not leaving, sorted
 }
 
-// New makes a balancer for the node of that name and zone.
+// New returns a balancer for calls from the given node and zone.
 func New(config Config, node, zone string, random Random) *Balancer {
 	return &Balancer{config: config, node: node, zone: zone, random: random, endpoints: map[string]*endpoint{}}
 }
 
-// Update sets the targets. Knowledge about those that stay is kept. A target
-// that appears after the first update starts slowly.
+// Update replaces the targets and keeps the statistics of those that remain.
+// Targets added after the first update begin with a slow start.
 func (b *Balancer) Update(now time.Duration, targets []Target) {
 	first := len(b.endpoints) == 0
 	wanted := map[string]bool{}
-	b.all = b.all[:0]
+	b.nodes = b.nodes[:0]
 	for _, target := range targets {
 		wanted[target.Node] = true
-		known := b.endpoints[target.Node]
-		if known == nil {
-			known = &endpoint{latency: float64(b.config.InitialLatency), success: 1, joinedAt: now, warming: !first || target.Joining}
-			b.endpoints[target.Node] = known
+		ep := b.endpoints[target.Node]
+		if ep == nil {
+			ep = &endpoint{latency: float64(b.config.InitialLatency), successRate: 1, slowStartAt: now, inSlowStart: !first || target.Joining}
+			b.endpoints[target.Node] = ep
 		}
-		if target.Joining && !known.target.Joining {
-			known.joinedAt, known.warming = now, true
+		if target.Joining && !ep.target.Joining {
+			ep.slowStartAt, ep.inSlowStart = now, true
 		}
-		known.target = target
+		ep.target = target
 		if !target.Leaving {
-			b.all = append(b.all, target.Node)
+			b.nodes = append(b.nodes, target.Node)
 		}
 	}
 	for node := range b.endpoints {
@@ -111,17 +113,17 @@
 			delete(b.endpoints, node)
 		}
 	}
-	sort.Strings(b.all)
+	sort.Strings(b.nodes)
 	b.chooseSubset()
 }
 
-// chooseSubset takes the targets of the own zone first and spreads the nodes of
-// a zone over the others by rendezvous hashing.
+// chooseSubset orders the targets by zone and then by rendezvous hash, so that the
+// nodes of a zone use different subsets, and cuts them to the subset size.
 func (b *Balancer) chooseSubset() {
 	b.subset = b.subset[:0]
-	for _, candidate := range b.endpoints {
-		if !candidate.target.Leaving {
-			b.subset = append(b.subset, candidate)
+	for _, ep := range b.endpoints {
+		if !ep.target.Leaving {
+			b.subset = append(b.subset, ep)
 		}
 	}
 	sort.Slice(b.subset, func(i, j int) bool {
@@ -136,51 +138,51 @@
 		return left.target.Node < right.target.Node
 	})
 	if len(b.subset) > b.config.SubsetSize {
-		b.subset = b.spread()
+		b.subset = b.limitSubset()
 	}
 	sort.Slice(b.subset, func(i, j int) bool { return b.subset[i].target.Node < b.subset[j].target.Node })
 }
 
-// spread keeps a quarter of the subset for other zones, so that the loss of the
-// own zone does not leave the node without targets.
-func (b *Balancer) spread() []*endpoint {
-	foreign := max(b.config.SubsetSize/4, 1)
-	var near, far []*endpoint
-	for _, candidate := range b.subset {
-		if candidate.target.Zone == b.zone {
-			near = append(near, candidate)
+// limitSubset reserves a quarter of the subset for other zones, so that targets
+// remain when the local zone fails.
+func (b *Balancer) limitSubset() []*endpoint {
+	reserved := max(b.config.SubsetSize/4, 1)
+	var local, remote []*endpoint
+	for _, ep := range b.subset {
+		if ep.target.Zone == b.zone {
+			local = append(local, ep)
 		} else {
-			far = append(far, candidate)
+			remote = append(remote, ep)
 		}
 	}
-	nearCount := min(len(near), b.config.SubsetSize-min(foreign, len(far)))
-	farCount := min(len(far), b.config.SubsetSize-nearCount)
-	return append(append([]*endpoint(nil), near[:nearCount]...), far[:farCount]...)
+	localCount := min(len(local), b.config.SubsetSize-min(reserved, len(remote)))
+	remoteCount := min(len(remote), b.config.SubsetSize-localCount)
+	return append(append([]*endpoint(nil), local[:localCount]...), remote[:remoteCount]...)
 }
 
 func rendezvous(left, right string) uint64 {
 	return xxhash.Sum64String(left + "\x00" + right)
 }
 
-// Choice is a chosen target with the numbers that it was chosen on.
+// Choice is a selected target with the values that led to its selection.
 type Choice struct {
 	Target   Target
-	Cost     float64 // expected wait, ms
+	Cost     float64 // estimated wait in milliseconds
 	InFlight int
 	Latency  time.Duration
 	Rivals   int
 }
 
-// Request is what routing needs to know of a call.
+// Request holds the properties of a call that affect routing.
 type Request struct {
 	Rank    admission.Rank
-	Key     string          // key of an at-most-once request: fixes the order of targets
-	Exclude map[string]bool // nodes that were tried already
-	Only    string          // node that the call has to go to, or empty
+	Key     string          // idempotency key of an at-most-once request; selects the target by hash
+	Exclude map[string]bool // nodes already tried
+	Only    string          // the only node allowed; empty for any
 }
 
-// Pick chooses a target, or says why there is none: no target at all, or the
-// cursors of all that are left are below the rank.
+// Pick selects a target. Without one it returns ReasonOverloadCursor if a target
+// was excluded by its cursor, and ReasonNoTarget otherwise.
 func (b *Balancer) Pick(now time.Duration, request Request) (Choice, outcome.Reason) {
 	if request.Only != "" {
 		return b.pickOnly(request.Only)
@@ -200,31 +202,31 @@
 	if b.cost(now, other) < b.cost(now, best) {
 		best = other
 	}
-	return b.choice(now, best, len(candidates)), outcome.ReasonNone
+	return b.newChoice(now, best, len(candidates)), outcome.ReasonNone
 }
 
-func (b *Balancer) choice(now time.Duration, chosen *endpoint, rivals int) Choice {
+func (b *Balancer) newChoice(now time.Duration, ep *endpoint, candidates int) Choice {
 	return Choice{
-		Target: chosen.target, Cost: b.cost(now, chosen) / float64(time.Millisecond), InFlight: chosen.inFlight,
-		Latency: time.Duration(chosen.latency), Rivals: rivals,
+		Target: ep.target, Cost: b.cost(now, ep) / float64(time.Millisecond), InFlight: ep.inFlight,
+		Latency: time.Duration(ep.latency), Rivals: candidates,
 	}
 }
 
 func (b *Balancer) pickOnly(node string) (Choice, outcome.Reason) {
-	only := b.endpoints[node]
-	if only == nil {
+	ep := b.endpoints[node]
+	if ep == nil {
 		return Choice{}, outcome.ReasonNoTarget
 	}
-	return Choice{Target: only.target, InFlight: only.inFlight, Latency: time.Duration(only.latency), Rivals: 1}, outcome.ReasonNone
+	return Choice{Target: ep.target, InFlight: ep.inFlight, Latency: time.Duration(ep.latency), Rivals: 1}, outcome.ReasonNone
 }
 
-// pickByKey takes the first target in the key's own order, so that the same key
-// sent again meets the executor that has its answer.
+// pickByKey selects a target by rendezvous hash of the key, so that a repeated
+// request reaches the executor that stored the response.
 func (b *Balancer) pickByKey(now time.Duration, request Request) (Choice, outcome.Reason) {
 	var best *endpoint
 	var bestWeight uint64
 	shed := false
-	for _, node := range b.all {
+	for _, node := range b.nodes {
 		candidate := b.endpoints[node]
 		if request.Exclude[node] || now < candidate.ejectedUntil {
 			continue
@@ -238,7 +240,7 @@
 	}
 	switch {
 	case best != nil:
-		return b.choice(now, best, len(b.all)), outcome.ReasonNone
+		return b.newChoice(now, best, len(b.nodes)), outcome.ReasonNone
 	case shed:
 		return Choice{}, outcome.ReasonOverloadCursor
 	default:
@@ -246,8 +248,9 @@
 	}
 }
 
-// candidates gives the targets of the subset that may take the call. Ejected
-// ones are used only when nothing else is left.
+// candidates returns the targets of the subset that are eligible for the call.
+// Ejected targets are eligible only if there is no other and none was excluded by
+// its cursor, which shed reports.
 func (b *Balancer) candidates(now time.Duration, request Request) (candidates []*endpoint, shed bool) {
 	var ejected []*endpoint
 	for _, candidate := range b.subset {
@@ -270,24 +273,24 @@
 	return candidates, shed
 }
 
-// declineCost is what a declined call costs, in waits at the target: it takes a retry credit, of
-// which a request has few, or fails. Set so that one of three targets that declines half of its
-// calls gets less than half of an even share.
+// declineCost weights the decline rate of a target in its cost. A declined call
+// uses up one of the few retry credits of its request, or fails.
 const declineCost = 16
 
-// cost estimates the wait at a target: its latency times what this node already
-// has there, dearer in another zone and while it warms up. Calls that it declines take no time
-// there, so that it has few in flight; without its declines it would look free.
-func (b *Balancer) cost(now time.Duration, candidate *endpoint) float64 {
-	cost := candidate.latency * float64(candidate.inFlight+1) / max(candidate.success, 0.05)
-	cost *= 1 + declineCost*candidate.declines
-	if candidate.target.Zone != b.zone {
+// cost estimates the wait at a target from its latency and the calls in flight
+// there, with penalties for failures, other zones and slow start. The decline rate
+// is included because a target that declines calls has few in flight and would
+// look idle.
+func (b *Balancer) cost(now time.Duration, ep *endpoint) float64 {
+	cost := ep.latency * float64(ep.inFlight+1) / max(ep.successRate, 0.05)
+	cost *= 1 + declineCost*ep.declineRate
+	if ep.target.Zone != b.zone {
 		cost *= b.config.ZonePenalty
 	}
-	if candidate.warming {
-		age := now - candidate.joinedAt
+	if ep.inSlowStart {
+		age := now - ep.slowStartAt
 		if age >= b.config.SlowStart {
-			candidate.warming = false
+			ep.inSlowStart = false
 			return cost
 		}
 		cost /= max(float64(age)/float64(b.config.SlowStart), 0.05)
@@ -295,69 +298,72 @@
 	return cost
 }
 
-// Started counts a call that goes to the node.
+// Started counts a call as in flight to the node.
 func (b *Balancer) Started(node string) {
-	if known := b.endpoints[node]; known != nil {
-		known.inFlight++
+	if ep := b.endpoints[node]; ep != nil {
+		ep.inFlight++
 	}
 }
 
-// Result is what an attempt showed about a target.
+// Result is the result of an attempt at a target.
 type Result struct {
 	Node      string
-	Latency   time.Duration // 0: tells nothing
+	Latency   time.Duration // 0 if not measured
 	Failed    bool          // unreachable, reset, timed out, truncated
-	Draining  bool          // refused because it is leaving
-	Declined  bool          // the target did not run it, though its node had let it through
-	Neutral   bool          // cancelled or refused by choice: neither success nor failure
+	Draining  bool          // refused because the target is draining
+	Declined  bool          // not run by the target after its node admitted it
+	Neutral   bool          // any other refusal or a cancellation; neither success nor failure
 	HasCursor bool
 	Cursor    admission.Rank
 }
 
-// Finished takes the end of an attempt and tells whether it ejected the target.
+// Finished records the result of an attempt and reports whether the target was
+// ejected because of it.
 func (b *Balancer) Finished(now time.Duration, result Result) (ejected bool) {
-	known := b.endpoints[result.Node]
-	if known == nil {
+	ep := b.endpoints[result.Node]
+	if ep == nil {
 		return false
 	}
-	known.inFlight--
+	ep.inFlight--
 	if result.HasCursor {
-		known.view.Observe(now, result.Cursor)
+		ep.view.Observe(now, result.Cursor)
 	}
 	if result.Draining {
-		known.ejectedUntil = now + b.config.DrainHold
-		known.joinedAt, known.warming = known.ejectedUntil, true
+		ep.ejectedUntil = now + b.config.DrainBackoff
+		ep.slowStartAt, ep.inSlowStart = ep.ejectedUntil, true
 		return true
 	}
 	if result.Neutral {
 		return false
 	}
 	if result.Declined {
-		known.declines += b.config.SuccessWeight * (1 - known.declines)
+		ep.declineRate += b.config.SuccessWeight * (1 - ep.declineRate)
 		return false
 	}
-	known.declines *= 1 - b.config.SuccessWeight
-	known.samples++
+	ep.declineRate *= 1 - b.config.SuccessWeight
+	ep.samples++
 	if result.Failed {
-		known.success *= 1 - b.config.SuccessWeight
-		known.failures++
-		return b.ejectIfOutlier(now, known)
+		ep.successRate *= 1 - b.config.SuccessWeight
+		ep.consecutiveFailures++
+		return b.ejectIfOutlier(now, ep)
 	}
-	known.success += b.config.SuccessWeight * (1 - known.success)
-	known.failures = 0
-	if known.success > 0.95 {
-		known.ejections = 0
+	ep.successRate += b.config.SuccessWeight * (1 - ep.successRate)
+	ep.consecutiveFailures = 0
+	if ep.successRate > 0.95 {
+		ep.ejections = 0
 	}
 	if result.Latency > 0 {
-		known.latency += b.config.LatencyWeight * (float64(result.Latency) - known.latency)
+		ep.latency += b.config.LatencyWeight * (float64(result.Latency) - ep.latency)
 	}
 	return false
 }
 
-func (b *Balancer) ejectIfOutlier(now time.Duration, known *endpoint) bool {
-	unhealthy := known.failures >= b.config.EjectAfter ||
-		(known.samples >= b.config.MinSuccessWeight && known.success < b.config.EjectBelow)
-	if !unhealthy || now < known.ejectedUntil {
+// ejectIfOutlier ejects a target after consecutive failures or for a low success
+// rate, unless too many targets are ejected already.
+func (b *Balancer) ejectIfOutlier(now time.Duration, ep *endpoint) bool {
+	outlier := ep.consecutiveFailures >= b.config.EjectAfter ||
+		(ep.samples >= b.config.MinSuccessSamples && ep.successRate < b.config.EjectBelow)
+	if !outlier || now < ep.ejectedUntil {
 		return false
 	}
 	ejected := 1
@@ -366,17 +372,17 @@
 			ejected++
 		}
 	}
-	if float64(ejected) > max(float64(len(b.endpoints))*b.config.MaxEjectedShare, 1) {
+	if float64(ejected) > max(float64(len(b.endpoints))*b.config.MaxEjectionShare, 1) {
 		return false
 	}
-	known.ejectedUntil = now + min(b.config.EjectFor<<min(known.ejections, 10), b.config.EjectMax)
-	known.ejections++
-	known.failures = 0
-	known.joinedAt, known.warming = known.ejectedUntil, true
+	ep.ejectedUntil = now + min(b.config.BaseEjectionTime<<min(ep.ejections, 10), b.config.MaxEjectionTime)
+	ep.ejections++
+	ep.consecutiveFailures = 0
+	ep.slowStartAt, ep.inSlowStart = ep.ejectedUntil, true
 	return true
 }
 
-// State describes one target for operators.
+// State is the state of one target as shown to operators.
 type State struct {
 	Target   Target
 	State    string
@@ -384,21 +390,21 @@
 	Success  float64
 	Latency  time.Duration
 	Cursor   admission.Rank
-	Known    bool // cursor is known
+	Known    bool // whether Cursor is valid
 }
 
-// States gives the targets of the subset, sorted by node.
+// States returns the state of all targets, sorted by node name.
 func (b *Balancer) States(now time.Duration) []State {
 	states := make([]State, 0, len(b.endpoints))
-	for _, known := range b.endpoints {
-		state := State{Target: known.target, State: "active", InFlight: known.inFlight, Success: known.success, Latency: time.Duration(known.latency)}
-		state.Cursor, state.Known = known.view.Cursor(now)
+	for _, ep := range b.endpoints {
+		state := State{Target: ep.target, State: "active", InFlight: ep.inFlight, Success: ep.successRate, Latency: time.Duration(ep.latency)}
+		state.Cursor, state.Known = ep.view.Cursor(now)
 		switch {
-		case known.target.Leaving:
+		case ep.target.Leaving:
 			state.State = "leaving"
-		case now < known.ejectedUntil:
+		case now < ep.ejectedUntil:
 			state.State = "ejected"
-		case known.warming:
+		case ep.inSlowStart:
 			state.State = "joining"
 		}
 		states = append(states, state)
--- a/internal/mesh/core/routing/routing_test.go
+++ b/internal/mesh/core/routing/routing_test.go
@@ -11,7 +11,7 @@
 	. "github.com/onsi/gomega"
 )
 
-func targets(count int, zones ...string) []Target {
+func newTargets(count int, zones ...string) []Target {
 	made := make([]Target, count)
 	for index := range made {
 		made[index] = Target{Node: "n" + strconv.Itoa(index), Zone: zones[index%len(zones)]}
@@ -19,14 +19,14 @@
 	return made
 }
 
-func balancer(count int, zones ...string) *Balancer {
+func newBalancer(count int, zones ...string) *Balancer {
 	made := New(DefaultConfig(), "self", zones[0], rand.New(rand.NewPCG(1, 2)))
-	made.Update(0, targets(count, zones...))
+	made.Update(0, newTargets(count, zones...))
 	return made
 }
 
-// spread sends calls that all end well and counts them by node.
-func spread(b *Balancer, now time.Duration, calls int, request Request) map[string]int {
+// countCalls sends calls that all succeed and counts them by node.
+func countCalls(b *Balancer, now time.Duration, calls int, request Request) map[string]int {
 	counts := map[string]int{}
 	for range calls {
 		choice, reason := b.Pick(now, request)
@@ -40,89 +40,88 @@
 	return counts
 }
 
-func TestFailingTargetIsEjectedAndComesBackSlowly(t *testing.T) {
+func TestFailingTargetIsEjectedAndReturnsWithSlowStart(t *testing.T) {
 	g := NewWithT(t)
-	b := balancer(4, "a")
+	b := newBalancer(4, "a")
 	for range 4 {
 		b.Started("n1")
 		b.Finished(0, Result{Node: "n1", Failed: true})
 	}
-	g.Expect(spread(b, time.Millisecond, 400, Request{})["n1"]).To(BeZero())
-	back := spread(b, 1100*time.Millisecond, 400, Request{})["n1"]
+	g.Expect(countCalls(b, time.Millisecond, 400, Request{})["n1"]).To(BeZero())
+	back := countCalls(b, 1100*time.Millisecond, 400, Request{})["n1"]
 	g.Expect(back).To(BeNumerically("<", 60))
-	g.Expect(spread(b, 20*time.Second, 400, Request{})["n1"]).To(BeNumerically(">", 20))
+	g.Expect(countCalls(b, 20*time.Second, 400, Request{})["n1"]).To(BeNumerically(">", 20))
 }
 
-// A target that declines calls has few in flight by that, and would be chosen before those that
-// serve theirs. It is to get less than half of an even share while it declines half of its calls,
-// and its part again afterwards.
+// Guards against a target that declines calls being preferred because it has few
+// in flight. It must recover its share once it stops declining.
 func TestATargetThatDeclinesGetsLess(t *testing.T) {
 	for _, tc := range []struct {
 		name      string
 		declining int // targets of three
-		least     int // of 900 calls to n0
+		least     int // bounds of the calls to n0, of 900
 		most      int
 	}{
 		{"none", 0, 200, 400},
 		{"one", 1, 1, 150},
-		{"all alike", 3, 200, 400},
+		{"all", 3, 200, 400},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
-			b := balancer(3, "a")
-			toFirst := 0
-			now, busy := time.Duration(0), map[time.Duration][]string{}
+			b := newBalancer(3, "a")
+			callsToN0 := 0
+			now, finishing := time.Duration(0), map[time.Duration][]string{}
 			for call := range 900 {
 				now += time.Millisecond
-				for _, node := range busy[now] {
+				for _, node := range finishing[now] {
 					b.Finished(now, Result{Node: node, Latency: 10 * time.Millisecond})
 				}
 				choice, _ := b.Pick(now, Request{})
 				node := choice.Target.Node
 				b.Started(node)
 				if node == "n0" {
-					toFirst++
+					callsToN0++
 				}
 				if place, _ := strconv.Atoi(node[1:]); place < tc.declining && call%2 == 0 {
 					b.Finished(now, Result{Node: node, Declined: true})
 					continue
 				}
-				busy[now+10*time.Millisecond] = append(busy[now+10*time.Millisecond], node)
+				finishing[now+10*time.Millisecond] = append(finishing[now+10*time.Millisecond], node)
 			}
-			g.Expect(toFirst).To(And(BeNumerically(">=", tc.least), BeNumerically("<=", tc.most)))
-			g.Expect(spread(b, now, 900, Request{})["n0"]).To(BeNumerically(">", 200), "it is taken again")
+			g.Expect(callsToN0).To(And(BeNumerically(">=", tc.least), BeNumerically("<=", tc.most)))
+			g.Expect(countCalls(b, now, 900, Request{})["n0"]).To(BeNumerically(">", 200), "share after it stopped declining")
 		})
 	}
 }
 
-func TestNoMoreThanHalfIsEjected(t *testing.T) {
+func TestAtMostHalfOfTheTargetsIsEjected(t *testing.T) {
 	g := NewWithT(t)
-	b := balancer(4, "a")
+	b := newBalancer(4, "a")
 	for _, node := range []string{"n0", "n1", "n2", "n3"} {
 		for range 6 {
 			b.Started(node)
 			b.Finished(0, Result{Node: node, Failed: true})
 		}
 	}
-	g.Expect(spread(b, time.Millisecond, 100, Request{})).To(HaveLen(2))
+	g.Expect(countCalls(b, time.Millisecond, 100, Request{})).To(HaveLen(2))
 }
 
-func TestLeavingAndDrainingTargetsGetNothing(t *testing.T) {
+func TestLeavingAndDrainingTargetsGetNoCalls(t *testing.T) {
 	g := NewWithT(t)
-	b := balancer(3, "a")
-	changed := targets(3, "a")
+	b := newBalancer(3, "a")
+	changed := newTargets(3, "a")
 	changed[0].Leaving = true
 	b.Update(time.Second, changed)
 	b.Started("n1")
 	b.Finished(time.Second, Result{Node: "n1", Draining: true})
-	counts := spread(b, 1100*time.Millisecond, 100, Request{})
+	counts := countCalls(b, 1100*time.Millisecond, 100, Request{})
 	g.Expect(counts).To(Equal(map[string]int{"n2": 100}))
 }
 
 func TestOwnZoneIsPreferredAndTheSubsetIsBounded(t *testing.T) {
 	g := NewWithT(t)
 	b := New(DefaultConfig(), "self", "a", rand.New(rand.NewPCG(1, 2)))
-	b.Update(0, targets(100, "a", "b", "c", "d"))
+	b.Update(0, newTargets(100, "a", "b", "c", "d"))
 	g.Expect(b.subset).To(HaveLen(DefaultConfig().SubsetSize))
 	near := 0
 	for _, known := range b.subset {
@@ -131,7 +130,7 @@
 		}
 	}
 	g.Expect(near).To(Equal(12))
-	counts := spread(b, 0, 1000, Request{})
+	counts := countCalls(b, 0, 1000, Request{})
 	ownZone := 0
 	for node, count := range counts {
 		if b.endpoints[node].target.Zone == "a" {
@@ -141,14 +140,14 @@
 	g.Expect(ownZone).To(BeNumerically(">", 750))
 }
 
-func TestShedRanksAreRefusedBeforeTheyAreSent(t *testing.T) {
+func TestRanksAboveAllCursorsAreRefusedLocally(t *testing.T) {
 	g := NewWithT(t)
-	b := balancer(2, "a")
+	b := newBalancer(2, "a")
 	for _, node := range []string{"n0", "n1"} {
 		b.Started(node)
 		b.Finished(time.Second, Result{Node: node, HasCursor: true, Cursor: 100, Neutral: true})
 	}
-	spread(b, time.Second, 2, Request{Rank: 200}) // probes
+	countCalls(b, time.Second, 2, Request{Rank: 200}) // probes
 	_, reason := b.Pick(time.Second, Request{Rank: 200})
 	g.Expect(reason).To(Equal(outcome.ReasonOverloadCursor))
 	_, reason = b.Pick(time.Second, Request{Rank: 100})
@@ -157,9 +156,9 @@
 	g.Expect(route.Cursor(time.Second)).To(Equal(100))
 }
 
-func TestAPathThatShedsBelowIsRefusedAbove(t *testing.T) {
+func TestRanksAbovePathCursorAreRefusedLocally(t *testing.T) {
 	g := NewWithT(t)
-	route := NewRoute(balancer(2, "a"), false)
+	route := NewRoute(newBalancer(2, "a"), false)
 	choice, _ := route.Pick(time.Second, "bulk", Request{Rank: 200})
 	route.Finished(time.Second, "bulk", Result{Node: choice.Target.Node, Latency: 1}, 100)
 	_, reason := route.Pick(time.Second, "bulk", Request{Rank: 200}) // probe
@@ -172,8 +171,8 @@
 
 func TestTheSameKeyGoesToTheSameTarget(t *testing.T) {
 	g := NewWithT(t)
-	left, right := balancer(5, "a", "b"), New(DefaultConfig(), "other", "b", rand.New(rand.NewPCG(9, 9)))
-	right.Update(0, targets(5, "a", "b"))
+	left, right := newBalancer(5, "a", "b"), New(DefaultConfig(), "other", "b", rand.New(rand.NewPCG(9, 9)))
+	right.Update(0, newTargets(5, "a", "b"))
 	for number := range 50 {
 		request := Request{Key: strconv.Itoa(number), Rank: admission.Rank(0)}
 		first, _ := left.Pick(0, request)
