--- a/internal/mesh/core/drain/drain.go
+++ b/internal/mesh/core/drain/drain.go
@@ -1,34 +1,35 @@
-// Package drain decides how long a node that stops as planned keeps its connections. It knows no
-// connections and no clocks: the node tells it how long ago things were.
+// Package drain decides when a node may close its connections during a graceful
+// shutdown. It does no I/O and reads no clock; the node passes in elapsed times.
 package drain
 
 import "time"
 
-// Grace is how long a sender may rest on a connection that it does not know to be closing. A
-// stopping node keeps its connections for that time and answers what comes on them: refused as
-// not run beside a target, served by an entry, each with the request to close the connection.
+// Grace is the time for which a stopping node keeps idle connections open, because
+// clients may still reuse them. Requests that arrive in this time are refused with
+// the outcome not-run by nodes with a target and served by entries. The responses
+// ask the client to close the connection.
 const Grace = time.Second
 
-// State is what a stopping node knows of itself.
+// State is the progress of a shutdown.
 type State struct {
-	InFlight int           // calls that it serves, on all sides
-	Began    time.Duration // since the stop began
-	Kept     time.Duration // since the last answer ended that did not ask to close its connection
+	InFlight int           // ingress and egress calls in progress
+	Began    time.Duration // time since the shutdown began
+	Kept     time.Duration // time since the end of the last response that left its connection open for reuse
 }
 
-// Awaits names what a stopping node waits for before it closes its connections.
+// Awaits is the condition that a stopping node waits for before it closes its
+// connections.
 type Awaits string
 
-// What it waits for.
 const (
 	Nothing Awaits = "nothing"
-	Calls   Awaits = "calls"   // that are in flight
-	Senders Awaits = "senders" // that may not know yet that their connections close
+	Calls   Awaits = "calls"   // calls in flight
+	Senders Awaits = "senders" // clients that may still reuse a connection
 )
 
-// For gives what the node waits for. The head of a long answer has gone out when a stop begins:
-// its connection was not announced to close, and its sender rests on it from the end of the
-// answer on, not from the begin of the stop.
+// For returns what the node waits for. A response whose headers were sent before
+// the shutdown began could not ask the client to close the connection, so the
+// grace period restarts at the end of that response.
 func For(s State) Awaits {
 	switch {
 	case s.InFlight > 0:
