--- a/internal/mesh/core/outcome/outcome.go
+++ b/internal/mesh/core/outcome/outcome.go
@@ -1,57 +1,56 @@
-// Package outcome names the three answers that a call can end with and the
-// reasons that go with them.
+// Package outcome defines the outcomes of a call and the reasons for them.
 package outcome
 
-// Outcome is how a call ended, as far as the hop that tells it can prove.
+// Outcome is the result of a call as far as the reporting hop can prove it.
 type Outcome string
 
-// The three outcomes.
 const (
-	// Answered means that the target gave a whole answer, of any HTTP status.
+	// Answered means that the target sent a complete response with any HTTP status.
 	Answered Outcome = "answered"
-	// NotRun means that the call was provably not handed over to any target.
+	// NotRun means that provably no target executed the call.
 	NotRun Outcome = "not-run"
-	// Unknown means that the call may have run: a time-out, a reset after the
-	// first byte was written, or an executor that cannot be reached.
+	// Unknown means that the call may have run: it timed out, its connection was
+	// reset after the first byte was written, or its executor is unreachable.
 	Unknown Outcome = "unknown"
 )
 
-// Reason says why; it is a fixed word, used in headers, records and counters.
+// Reason is the cause of an outcome. Its values appear in headers, decision
+// records and metrics.
 type Reason string
 
-// The reasons.
 const (
 	ReasonNone            Reason = "none"
-	ReasonOverloadCursor  Reason = "overload_cursor"   // rank above what the target admits
-	ReasonQueueFull       Reason = "queue_full"        // queue full of work at least as important
-	ReasonQueueTimeout    Reason = "queue_timeout"     // waited as long as the queue allows
-	ReasonExpired         Reason = "deadline_expired"  // deadline passed before hand-over
-	ReasonDraining        Reason = "draining"          // target is leaving
-	ReasonNoTarget        Reason = "no_target"         // no target may be tried
-	ReasonNoClass         Reason = "no_class"          // no class matches the request
-	ReasonNoKey           Reason = "no_key"            // at-most-once class without a key
-	ReasonNoBundle        Reason = "no_bundle"         // node has no bundle yet
-	ReasonUnreachable     Reason = "unreachable"       // connection could not be made
-	ReasonReset           Reason = "reset"             // connection broke after hand-over
-	ReasonTimeout         Reason = "timeout"           // deadline passed after hand-over
-	ReasonTargetShed      Reason = "target_shed"       // target declared that it had not started
-	ReasonTruncated       Reason = "truncated"         // answer broke off
-	ReasonPreempted       Reason = "preempted"         // cancelled to make room for more important work
-	ReasonCancelled       Reason = "cancelled"         // caller went away
-	ReasonInProgress      Reason = "in_progress"       // same key is running now
-	ReasonExecutorLost    Reason = "executor_lost"     // key belongs to an executor that cannot tell its answer
-	ReasonNoQuorum        Reason = "no_quorum"         // voters could not be reached
-	ReasonClaimsFull      Reason = "claims_full"       // voter or executor holds as many keys as it may
-	ReasonTooDeep         Reason = "too_deep"          // chain deeper than the bundle allows
-	ReasonKept            Reason = "kept_answer"       // answer of an earlier run of the same key
-	ReasonGranted         Reason = "granted"           // right to run the key
-	ReasonElsewhere       Reason = "claimed_elsewhere" // another node has the right to run the key
-	ReasonAnswerNotKept   Reason = "answer_not_kept"   // ran, but its answer was too large to keep
-	ReasonUnknownService  Reason = "unknown_service"   // no such service in the bundle
-	ReasonVersionMismatch Reason = "version_mismatch"  // protocol version not spoken here
+	ReasonOverloadCursor  Reason = "overload_cursor"   // rank above the cursor of the target
+	ReasonQueueFull       Reason = "queue_full"        // queue full of calls at least as important
+	ReasonQueueTimeout    Reason = "queue_timeout"     // longest time in the queue exceeded
+	ReasonExpired         Reason = "deadline_expired"  // deadline passed before the call was sent to the target
+	ReasonDraining        Reason = "draining"          // target is draining
+	ReasonNoTarget        Reason = "no_target"         // no eligible target
+	ReasonNoClass         Reason = "no_class"          // no request class matches
+	ReasonNoKey           Reason = "no_key"            // at-most-once request without an idempotency key
+	ReasonNoBundle        Reason = "no_bundle"         // node has not received a bundle
+	ReasonUnreachable     Reason = "unreachable"       // connection could not be established
+	ReasonReset           Reason = "reset"             // connection broke after the call was sent
+	ReasonTimeout         Reason = "timeout"           // deadline passed after the call was sent
+	ReasonTargetShed      Reason = "target_shed"       // target declined the call without running it
+	ReasonTruncated       Reason = "truncated"         // incomplete response
+	ReasonPreempted       Reason = "preempted"         // cancelled in favor of a more important call
+	ReasonCancelled       Reason = "cancelled"         // caller disconnected
+	ReasonInProgress      Reason = "in_progress"       // a call with the same key is running
+	ReasonExecutorLost    Reason = "executor_lost"     // executor of the key cannot provide its response
+	ReasonNoQuorum        Reason = "no_quorum"         // no majority of the voters could be reached
+	ReasonClaimsFull      Reason = "claims_full"       // key limit of a voter or executor reached
+	ReasonTooDeep         Reason = "too_deep"          // depth limit of the bundle exceeded
+	ReasonKept            Reason = "kept_answer"       // stored response of an earlier call with the same key
+	ReasonGranted         Reason = "granted"           // claim on the key granted
+	ReasonElsewhere       Reason = "claimed_elsewhere" // key claimed by another node
+	ReasonAnswerNotKept   Reason = "answer_not_kept"   // executed, but the response was too large to store
+	ReasonUnknownService  Reason = "unknown_service"   // service not in the bundle
+	ReasonVersionMismatch Reason = "version_mismatch"  // unsupported protocol version
 )
 
-// IsOverload tells the refusals that every target of a service would repeat.
+// IsOverload reports whether the call was refused because of overload, which other
+// targets of the service are likely to share.
 func (r Reason) IsOverload() bool {
 	switch r {
 	case ReasonOverloadCursor, ReasonQueueFull, ReasonQueueTimeout, ReasonPreempted:
@@ -60,8 +59,8 @@
 	return false
 }
 
-// IsTargetFault tells the reasons that speak against a target from those that
-// are its choice or the caller's.
+// IsTargetFault reports whether the reason counts as a failure of the target, as
+// opposed to a deliberate refusal or an action of the caller.
 func (r Reason) IsTargetFault() bool {
 	switch r {
 	case ReasonUnreachable, ReasonReset, ReasonTimeout, ReasonTruncated, ReasonVersionMismatch:
@@ -70,8 +69,8 @@
 	return false
 }
 
-// IsOfOneTarget tells the failures that another target may not have.
-func (r Reason) IsOfOneTarget() bool {
+// IsTargetSpecific reports whether the call may succeed at another target.
+func (r Reason) IsTargetSpecific() bool {
 	switch r {
 	case ReasonUnreachable, ReasonReset, ReasonTruncated, ReasonDraining, ReasonTargetShed, ReasonNoBundle:
 		return true
--- a/internal/mesh/core/retry/retry_test.go
+++ b/internal/mesh/core/retry/retry_test.go
@@ -18,7 +18,7 @@
 	g.Expect(ledger.Spend()).To(BeFalse())
 }
 
-func TestALoanComesBackOnceAndNeverGrows(t *testing.T) {
+func TestLoanIsSettledOnceUpToItsAmount(t *testing.T) {
 	g := NewWithT(t)
 	ledger := NewLedger(4)
 	loan := ledger.Lend()
@@ -28,16 +28,16 @@
 	g.Expect(ledger.Held()).To(Equal(4))
 }
 
-// spend walks a random call tree with parallel calls, lost answers and retries
-// and gives the retries made anywhere in it.
-func spend(t *rapid.T, ledger *Ledger, depth int) int {
+// spendLent simulates a random call tree with lost responses and retries, and returns
+// the total number of retries.
+func spendLent(t *rapid.T, ledger *Ledger, depth int) int {
 	spent := 0
 	for range rapid.IntRange(0, 3).Draw(t, "calls") {
 		for {
 			loan := ledger.Lend()
 			child := NewLedger(loan.Amount())
 			if depth < 6 {
-				spent += spend(t, child, depth+1)
+				spent += spendLent(t, child, depth+1)
 			}
 			if !rapid.Bool().Draw(t, "answer lost") {
 				loan.Settle(child.Close())
@@ -54,13 +54,13 @@
 func TestRetriesOfAChainNeverExceedItsCredits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		credits := rapid.IntRange(0, 8).Draw(t, "credits")
-		if spent := spend(t, NewLedger(credits), 0); spent > credits {
-			t.Fatalf("%d retries of %d", spent, credits)
+		if spent := spendLent(t, NewLedger(credits), 0); spent > credits {
+			t.Fatalf("%d retries with %d credits", spent, credits)
 		}
 	})
 }
 
-func TestOnlySafeFailuresAreTriedAgain(t *testing.T) {
+func TestOnlySafeFailuresAreRetried(t *testing.T) {
 	g := NewWithT(t)
 	lost := Failure{Outcome: outcome.Unknown, Reason: outcome.ReasonReset, TimeLeft: true}
 	g.Expect(Decide(lost).Reason).To(Equal("may_have_run"))
@@ -76,34 +76,33 @@
 	g.Expect(Decide(Failure{Outcome: outcome.NotRun, Reason: outcome.ReasonNoQuorum, TimeLeft: true}).Retry).To(BeFalse())
 }
 
-// copied is the weaker way: every call takes a copy of the remaining number along,
-// as a counter in a header does.
-func copied(t *rapid.T, remaining, depth int) int {
+// spendCopied simulates a random call tree in which every call carries a copy of the
+// remaining count, as a header with a retry counter does.
+func spendCopied(t *rapid.T, remaining, depth int) int {
 	spent := 0
 	for range rapid.IntRange(0, 3).Draw(t, "calls") {
-		left := remaining
+		credits := remaining
 		for {
 			if depth < 6 {
-				spent += copied(t, left, depth+1)
+				spent += spendCopied(t, credits, depth+1)
 			}
-			if !rapid.Bool().Draw(t, "failed") || left == 0 {
+			if !rapid.Bool().Draw(t, "failed") || credits == 0 {
 				break
 			}
-			left--
+			credits--
 			spent++
 		}
 	}
 	return spent
 }
 
-// TestACopiedCounterIsNoBound shows that the property can fail, and why credits
-// are lent rather than copied.
+// Checks that the random call trees can exceed the budget: copied counters do.
 func TestACopiedCounterIsNoBound(t *testing.T) {
 	const credits = 2
-	most := 0
+	maxRetries := 0
 	for seed := range 200 {
-		most = max(most, rapid.Custom(func(t *rapid.T) int { return copied(t, credits, 4) }).Example(seed))
+		maxRetries = max(maxRetries, rapid.Custom(func(t *rapid.T) int { return spendCopied(t, credits, 4) }).Example(seed))
 	}
-	NewWithT(t).Expect(most).To(BeNumerically(">", 2*credits))
-	t.Logf("most retries with copied counters: %d of %d", most, credits)
+	NewWithT(t).Expect(maxRetries).To(BeNumerically(">", 2*credits))
+	t.Logf("maximum number of retries with copied counters: %d; credits: %d", maxRetries, credits)
 }
