--- a/internal/mesh/core/limiter/limiter.go
+++ b/internal/mesh/core/limiter/limiter.go
@@ -39,7 +39,7 @@
 	Kind   ActionKind
 	ID     uint64
 	Reason outcome.Reason
-	Wait   time.Duration // time spent in the queue
+	Wait   time.Duration // time in the queue; for Preempt, time at the target
 	Limit  int
 	Active int
 	Queued int
@@ -51,7 +51,7 @@
 	MinLimit      int           // lower bound of the limit
 	MaxLimit      int           // upper bound of the limit; the target's connection limit
 	QueueFactor   float64       // queue capacity as a multiple of the limit
-	MaxWait       time.Duration // longest time in the queue; see maxWait for slow targets
+	MaxWait       time.Duration // longest time in the queue; extended for targets with long service times
 	PreemptAfter  time.Duration // time in the queue after which a less important active call is cancelled; 0 disables preemption
 	LearnSamples  int           // minimum number of samples in a window
 	InflationHigh float64       // ratio of service time to baseline above which the limit is lowered
