--- a/internal/mesh/core/limiter/limiter_test.go
+++ b/internal/mesh/core/limiter/limiter_test.go
@@ -38,9 +38,9 @@
 // that its own ancestor holds, until it is refused with queue_timeout.
 func TestChainDoesNotWaitForItself(t *testing.T) {
 	chainCall := func(id uint64, chain string, depth int) Call {
-		one := call(id, 0)
-		one.Chain, one.Depth = chain, depth
-		return one
+		c := call(id, 0)
+		c.Chain, c.Depth = chain, depth
+		return c
 	}
 	for _, tc := range []struct {
 		name     string
@@ -57,8 +57,8 @@
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
 			limiter := New(smallConfig())
-			for _, one := range tc.active {
-				g.Expect(limiter.Arrive(0, one)).To(HaveLen(1))
+			for _, c := range tc.active {
+				g.Expect(limiter.Arrive(0, c)).To(HaveLen(1))
 			}
 			actions := limiter.Arrive(0, tc.arriving)
 			if !tc.admit {
@@ -78,9 +78,9 @@
 	config.MaxLimit = 2
 	limiter := New(config)
 	for depth := range 3 {
-		one := call(uint64(depth+1), 0)
-		one.Chain, one.Depth = "r", depth
-		limiter.Arrive(0, one)
+		c := call(uint64(depth+1), 0)
+		c.Chain, c.Depth = "r", depth
+		limiter.Arrive(0, c)
 	}
 	g.Expect(limiter.Active()).To(Equal(2))
 }
@@ -166,21 +166,21 @@
 			start(now, limiter.Arrive(now, Call{ID: next, Class: "c", Deadline: now + time.Minute}))
 		}
 		var remaining []running
-		for _, one := range active {
-			if one.ends > now {
-				remaining = append(remaining, one)
+		for _, r := range active {
+			if r.ends > now {
+				remaining = append(remaining, r)
 			}
 		}
 		ended := append([]running(nil), active...)
 		active = remaining
-		for _, one := range ended {
-			if one.ends <= now {
-				start(now, limiter.Finish(now, one.id, one.ends-one.started, true, false))
+		for _, r := range ended {
+			if r.ends <= now {
+				start(now, limiter.Finish(now, r.id, r.ends-r.started, true, false))
 			}
 		}
 	}
-	for _, one := range active {
-		limiter.Finish(from+duration, one.id, 0, false, false)
+	for _, r := range active {
+		limiter.Finish(from+duration, r.id, 0, false, false)
 	}
 }
 
--- a/internal/mesh/core/limiter/owntime.go
+++ b/internal/mesh/core/limiter/owntime.go
@@ -6,14 +6,14 @@
 // calls made by the target are in flight. It is not safe for concurrent use.
 type OwnTime struct {
 	inFlight   int // nested calls in flight
-	any        bool
+	hasNested  bool
 	openSince  time.Duration
 	nestedTime time.Duration
 }
 
 // DeeperBegins records the start of a nested call.
 func (o *OwnTime) DeeperBegins(now time.Duration) {
-	o.any = true
+	o.hasNested = true
 	if o.inFlight == 0 {
 		o.openSince = now
 	}
@@ -29,7 +29,7 @@
 }
 
 // MadeDeeper reports whether the target has made any nested call.
-func (o *OwnTime) MadeDeeper() bool { return o.any }
+func (o *OwnTime) MadeDeeper() bool { return o.hasNested }
 
 // Since returns the time between started and now in which no nested call was in
 // flight.
--- a/internal/mesh/core/routing/routing_test.go
+++ b/internal/mesh/core/routing/routing_test.go
@@ -12,17 +12,17 @@
 )
 
 func newTargets(count int, zones ...string) []Target {
-	made := make([]Target, count)
-	for index := range made {
-		made[index] = Target{Node: "n" + strconv.Itoa(index), Zone: zones[index%len(zones)]}
+	result := make([]Target, count)
+	for index := range result {
+		result[index] = Target{Node: "n" + strconv.Itoa(index), Zone: zones[index%len(zones)]}
 	}
-	return made
+	return result
 }
 
 func newBalancer(count int, zones ...string) *Balancer {
-	made := New(DefaultConfig(), "self", zones[0], rand.New(rand.NewPCG(1, 2)))
-	made.Update(0, newTargets(count, zones...))
-	return made
+	b := New(DefaultConfig(), "self", zones[0], rand.New(rand.NewPCG(1, 2)))
+	b.Update(0, newTargets(count, zones...))
+	return b
 }
 
 // countCalls sends calls that all succeed and counts them by node.
@@ -124,8 +124,8 @@
 	b.Update(0, newTargets(100, "a", "b", "c", "d"))
 	g.Expect(b.subset).To(HaveLen(DefaultConfig().SubsetSize))
 	near := 0
-	for _, known := range b.subset {
-		if known.target.Zone == "a" {
+	for _, ep := range b.subset {
+		if ep.target.Zone == "a" {
 			near++
 		}
 	}
@@ -169,7 +169,7 @@
 	g.Expect(reason).To(Equal(outcome.ReasonNone))
 }
 
-func TestTheSameKeyGoesToTheSameTarget(t *testing.T) {
+func TestSameKeySelectsSameTarget(t *testing.T) {
 	g := NewWithT(t)
 	left, right := newBalancer(5, "a", "b"), New(DefaultConfig(), "other", "b", rand.New(rand.NewPCG(9, 9)))
 	right.Update(0, newTargets(5, "a", "b"))
