--- a/internal/mesh/core/bundle/bundle_test.go
+++ b/internal/mesh/core/bundle/bundle_test.go
@@ -26,7 +26,7 @@
   - {name: rest, service: s, path: /, importance: bulk, execution: repeatable, retries: 1, deadline: 500ms}
 `
 
-func parsed(t *testing.T) *Bundle {
+func parseExample(t *testing.T) *Bundle {
 	t.Helper()
 	bundle, err := Parse([]byte(example))
 	if err != nil {
@@ -35,14 +35,14 @@
 	return bundle
 }
 
-func keys() (ed25519.PrivateKey, Keyring) {
+func signingKeys() (ed25519.PrivateKey, Keyring) {
 	private := ed25519.NewKeyFromSeed(make([]byte, ed25519.SeedSize))
 	return private, Keyring{"op": private.Public().(ed25519.PublicKey)}
 }
 
 func TestParseSetsDefaultsAndMatches(t *testing.T) {
 	g := NewWithT(t)
-	bundle := parsed(t)
+	bundle := parseExample(t)
 	g.Expect(bundle.MaxDepth).To(Equal(DefaultMaxDepth))
 	g.Expect(bundle.Match("s", "POST", "/pay").KeyHeader).To(Equal(DefaultKeyHeader))
 	g.Expect(bundle.Match("s", "GET", "/pay").Name).To(Equal("rest"))
@@ -57,7 +57,7 @@
 	g.Expect(service).To(Equal("s"))
 }
 
-func TestBadBundlesAreRefusedWithTheRemedy(t *testing.T) {
+func TestParseRejectsInvalidBundlesWithRemedy(t *testing.T) {
 	for name, change := range map[string][2]string{
 		"unknown key":      {"version: 3", "version: 3\nverzion: 4"},
 		"no unit":          {"deadline: 2s", "deadline: 2"},
@@ -84,14 +84,16 @@
 	}
 }
 
+// TestReleaseOpensOnlyWhole guards against accepting a release that was modified
+// after signing or that an unknown signer signed.
 func TestReleaseOpensOnlyWhole(t *testing.T) {
 	g := NewWithT(t)
-	private, ring := keys()
-	release, err := Sign(parsed(t), "op", private)
+	private, ring := signingKeys()
+	release, err := Sign(parseExample(t), "op", private)
 	g.Expect(err).NotTo(HaveOccurred())
 	installed, err := Open(release, ring, nil)
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(installed.Bundle).To(Equal(parsed(t)))
+	g.Expect(installed.Bundle).To(Equal(parseExample(t)))
 
 	_, err = Open(release, Keyring{"other": ring["op"]}, nil)
 	g.Expect(failure.Is(err, failure.Untrusted)).To(BeTrue())
@@ -105,25 +107,25 @@
 		"digest":    func(r *Release) { r.Digest = make([]byte, 32) },
 	}
 	for name, change := range changes {
-		broken := *release
-		broken.Sections = append([]Section(nil), release.Sections...)
-		change(&broken)
-		_, err = Open(&broken, ring, nil)
+		altered := *release
+		altered.Sections = append([]Section(nil), release.Sections...)
+		change(&altered)
+		_, err = Open(&altered, ring, nil)
 		g.Expect(failure.Is(err, failure.Untrusted)).To(BeTrue(), name)
 	}
 }
 
-func TestDeltaCarriesOnlyWhatChanged(t *testing.T) {
+func TestDeltaContainsOnlyChangedSections(t *testing.T) {
 	g := NewWithT(t)
-	private, ring := keys()
-	first, _ := Sign(parsed(t), "op", private)
+	private, ring := signingKeys()
+	first, _ := Sign(parseExample(t), "op", private)
 	base, _ := Open(first, ring, nil)
-	next := parsed(t)
+	next := parseExample(t)
 	next.Version = 4
 	next.Services[0].Targets[1].State = Active
 	second, _ := Sign(next, "op", private)
 	delta := second.Delta(first)
-	g.Expect(delta.Sections).To(HaveLen(2)) // head, for the version, and the service
+	g.Expect(delta.Sections).To(HaveLen(2)) // the head, which holds the version, and the service
 	installed, err := Open(delta, ring, base)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(installed.Bundle).To(Equal(next))
@@ -139,10 +141,10 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		bundle, err := Parse(data)
 		if (bundle == nil) == (err == nil) {
-			t.Fatal("neither a bundle nor an error")
+			t.Fatalf("Parse returned bundle %v and error %v; want exactly one", bundle, err)
 		}
 		if err != nil && failure.KindOf(err) != failure.BadInput {
-			t.Fatalf("kind of %v", err)
+			t.Fatalf("error kind = %v, want %v: %v", failure.KindOf(err), failure.BadInput, err)
 		}
 	})
 }
--- a/internal/mesh/core/bundle/index.go
+++ b/internal/mesh/core/bundle/index.go
@@ -1,32 +1,31 @@
 package bundle
 
-// Index answers the questions that every call asks of a bundle without going
-// through its lists; a large mesh has more than a thousand classes. It belongs
-// to a bundle that does not change any more.
+// Index speeds up the lookups that are made for every call; a large mesh has more
+// than a thousand classes. The bundle must not be modified after NewIndex.
 type Index struct {
-	Bundle   *Bundle
-	services map[string]*Service
-	classes  map[string][]*Class // by service, in the order of the bundle
-	names    map[string]bool     // of classes
+	Bundle           *Bundle
+	servicesByName   map[string]*Service
+	classesByService map[string][]*Class // in match order
+	classNames       map[string]bool
 }
 
-// NewIndex makes the index of a bundle.
+// NewIndex builds the index of a bundle.
 func NewIndex(b *Bundle) *Index {
-	index := &Index{Bundle: b, services: map[string]*Service{}, classes: map[string][]*Class{}, names: map[string]bool{}}
-	for place := range b.Services {
-		index.services[b.Services[place].Name] = &b.Services[place]
+	ix := &Index{Bundle: b, servicesByName: map[string]*Service{}, classesByService: map[string][]*Class{}, classNames: map[string]bool{}}
+	for i := range b.Services {
+		ix.servicesByName[b.Services[i].Name] = &b.Services[i]
 	}
-	for place := range b.Classes {
-		class := &b.Classes[place]
-		index.classes[class.Service] = append(index.classes[class.Service], class)
-		index.names[class.Name] = true
+	for i := range b.Classes {
+		class := &b.Classes[i]
+		ix.classesByService[class.Service] = append(ix.classesByService[class.Service], class)
+		ix.classNames[class.Name] = true
 	}
-	return index
+	return ix
 }
 
-// Match gives the first class that selects the request, or nil.
-func (i *Index) Match(service, method, path string) *Class {
-	for _, class := range i.classes[service] {
+// Match returns the first class that selects the request, or nil.
+func (ix *Index) Match(service, method, path string) *Class {
+	for _, class := range ix.classesByService[service] {
 		if class.selects(method, path) {
 			return class
 		}
@@ -34,8 +33,8 @@
 	return nil
 }
 
-// Service gives the service of that name, or nil.
-func (i *Index) Service(name string) *Service { return i.services[name] }
+// Service returns the service with the given name, or nil.
+func (ix *Index) Service(name string) *Service { return ix.servicesByName[name] }
 
-// HasClass tells whether the bundle has a class of that name.
-func (i *Index) HasClass(name string) bool { return i.names[name] }
+// HasClass reports whether the bundle has a class with the given name.
+func (ix *Index) HasClass(name string) bool { return ix.classNames[name] }
--- a/internal/mesh/core/bundle/release.go
+++ b/internal/mesh/core/bundle/release.go
@@ -10,15 +10,15 @@
 	"github.com/landingmast/landingmast/internal/failure"
 )
 
-// Section is one independently replaceable part of a bundle, in canonical JSON.
-// The head, the entries and the classes are sections, and so is each service, so that a
-// change to one service travels as one section.
+// Section is a part of a bundle that a delta can replace, in canonical JSON. Each
+// service is a section of its own, so that a change to one service transfers only
+// that service.
 type Section struct {
 	Name string `json:"name" avro:"name"`
 	Body []byte `json:"body" avro:"body"`
 }
 
-// Names of the sections.
+// Section names.
 const (
 	sectionHead    = "head"
 	sectionEntries = "entries"
@@ -26,9 +26,9 @@
 	servicePrefix  = "service/"
 )
 
-// Release is a signed bundle as it travels: all of its sections, or only those
-// that differ from the base version. The signature covers the digest of the
-// whole bundle, so that a delta needs no signature of its own.
+// Release is the transfer format of a signed bundle: either all sections, or a delta
+// with the sections that differ from a base version. The signature covers the digest
+// of the full bundle, so it is the same for the full release and its deltas.
 type Release struct {
 	Mesh      string    `json:"mesh" avro:"mesh"`
 	Version   int64     `json:"version" avro:"version"`
@@ -36,15 +36,15 @@
 	Signer    string    `json:"signer" avro:"signer"`
 	Digest    []byte    `json:"digest" avro:"digest"`
 	Signature []byte    `json:"signature" avro:"signature"`
-	Base      int64     `json:"base" avro:"base"` // 0: sections hold the whole bundle
+	Base      int64     `json:"base" avro:"base"` // version that a delta applies to; 0 for a full release
 	Sections  []Section `json:"sections" avro:"sections"`
-	Removed   []string  `json:"removed,omitempty" avro:"removed"` // sections of the base that are gone
+	Removed   []string  `json:"removed,omitempty" avro:"removed"` // names of base sections that a delta deletes
 }
 
-// Keyring maps the names of signers to their public keys.
+// Keyring maps signer names to public keys.
 type Keyring map[string]ed25519.PublicKey
 
-// Split gives the sections of a bundle, sorted by name.
+// Split returns the sections of a bundle, sorted by name.
 func Split(b *Bundle) ([]Section, error) {
 	head := *b
 	head.Services = nil
@@ -58,7 +58,7 @@
 	for name, part := range parts {
 		body, err := json.Marshal(part)
 		if err != nil {
-			return nil, failure.Wrap(err, failure.Internal, "report this", "bundle section %s", name)
+			return nil, failure.Wrap(err, failure.Internal, "report this", "failed to encode bundle section %s", name)
 		}
 		sections = append(sections, Section{Name: name, Body: body})
 	}
@@ -66,9 +66,9 @@
 	return sections, nil
 }
 
-// Join makes the bundle out of all of its sections and checks its rules.
+// Join decodes a bundle from all of its sections and validates it.
 func Join(sections []Section) (*Bundle, error) {
-	joined := &Bundle{}
+	bundle := &Bundle{}
 	var entries []Node
 	var classes []Class
 	var services []Service
@@ -76,7 +76,7 @@
 		var err error
 		switch {
 		case section.Name == sectionHead:
-			err = json.Unmarshal(section.Body, joined)
+			err = json.Unmarshal(section.Body, bundle)
 		case section.Name == sectionEntries:
 			err = json.Unmarshal(section.Body, &entries)
 		case section.Name == sectionClasses:
@@ -87,100 +87,102 @@
 			services = append(services, service)
 		}
 		if err != nil {
-			return nil, failure.Wrap(err, failure.BadInput, "sign the bundle again with a current landingmast", "bundle section %s cannot be read", section.Name)
+			return nil, failure.Wrap(err, failure.BadInput, "sign the bundle again with a current landingmast", "failed to decode bundle section %s", section.Name)
 		}
 	}
-	joined.Entries = entries
-	joined.Classes = classes
-	joined.Services = services
-	if err := joined.Validate(); err != nil {
+	bundle.Entries = entries
+	bundle.Classes = classes
+	bundle.Services = services
+	if err := bundle.Validate(); err != nil {
 		return nil, err
 	}
-	return joined, nil
+	return bundle, nil
 }
 
-// DigestOf is the SHA-256 over the names and hashes of the sorted sections.
-func DigestOf(sections []Section) []byte {
-	sum := sha256.New()
+// Digest returns the SHA-256 hash of the names and hashes of sections, which must be
+// sorted by name.
+func Digest(sections []Section) []byte {
+	hash := sha256.New()
 	for _, section := range sections {
-		hash := sha256.Sum256(section.Body)
-		sum.Write([]byte(section.Name))
-		sum.Write([]byte{0})
-		sum.Write(hash[:])
+		sectionHash := sha256.Sum256(section.Body)
+		hash.Write([]byte(section.Name))
+		hash.Write([]byte{0})
+		hash.Write(sectionHash[:])
 	}
-	return sum.Sum(nil)
+	return hash.Sum(nil)
 }
 
-func signedText(mesh string, version int64, signer string, digest []byte) []byte {
-	text, _ := json.Marshal([]any{"landingmast-release-1", mesh, version, signer, digest})
-	return text
+// signaturePayload returns the bytes that the signature of a release covers.
+func signaturePayload(mesh string, version int64, signer string, digest []byte) []byte {
+	payload, _ := json.Marshal([]any{"landingmast-release-1", mesh, version, signer, digest})
+	return payload
 }
 
-// Sign makes a whole release of a checked bundle.
-func Sign(b *Bundle, signer string, key ed25519.PrivateKey) (*Release, error) {
+// Sign returns a full release of a valid bundle.
+func Sign(b *Bundle, signer string, privateKey ed25519.PrivateKey) (*Release, error) {
 	sections, err := Split(b)
 	if err != nil {
 		return nil, err
 	}
-	digest := DigestOf(sections)
+	digest := Digest(sections)
 	return &Release{
 		Mesh:      b.Mesh,
 		Version:   b.Version,
 		Signer:    signer,
 		Digest:    digest,
-		Signature: ed25519.Sign(key, signedText(b.Mesh, b.Version, signer, digest)),
+		Signature: ed25519.Sign(privateKey, signaturePayload(b.Mesh, b.Version, signer, digest)),
 		Sections:  sections,
 	}, nil
 }
 
-// Installed is a bundle in force together with what is needed to pass it on.
+// Installed is the bundle in force, with the release from which peers are served.
 type Installed struct {
 	Bundle  *Bundle
-	Release *Release // whole
+	Release *Release // full, never a delta
 }
 
-// Open checks a release against the keyring and gives what it installs. base is
-// what is in force now; it is needed for a delta and may be nil otherwise.
-func Open(release *Release, keys Keyring, base *Installed) (*Installed, error) {
-	whole, err := release.expand(base)
+// Open verifies the signature of a release and decodes its bundle. base is the
+// installed version that a delta applies to; it may be nil for a full release.
+func Open(release *Release, keyring Keyring, base *Installed) (*Installed, error) {
+	full, err := release.expand(base)
 	if err != nil {
 		return nil, err
 	}
-	key, known := keys[release.Signer]
-	if !known {
-		return nil, failure.New(failure.Untrusted, "add the signer's public key to the settings of the nodes, or have a known signer sign", "release %d: signer %q is unknown", release.Version, release.Signer)
+	key, ok := keyring[release.Signer]
+	if !ok {
+		return nil, failure.New(failure.Untrusted, "add the signer's public key to the settings of the nodes, or sign with a known key", "release %d: signer %q is unknown", release.Version, release.Signer)
 	}
 	if len(key) != ed25519.PublicKeySize {
-		return nil, failure.New(failure.Untrusted, "correct the key in the settings", "key of signer %q is not usable", release.Signer)
+		return nil, failure.New(failure.Untrusted, "correct the key in the settings", "public key of signer %q has the wrong length", release.Signer)
 	}
-	digest := DigestOf(whole.Sections)
+	digest := Digest(full.Sections)
 	if hex.EncodeToString(digest) != hex.EncodeToString(release.Digest) {
-		return nil, failure.New(failure.Untrusted, "sign the bundle again", "release %d: digest does not match its content", release.Version)
+		return nil, failure.New(failure.Untrusted, "sign the bundle again", "release %d: digest does not match the sections", release.Version)
 	}
-	if !ed25519.Verify(key, signedText(release.Mesh, release.Version, release.Signer, digest), release.Signature) {
-		return nil, failure.New(failure.Untrusted, "sign the bundle again with the key of "+release.Signer, "release %d: signature of %q does not check", release.Version, release.Signer)
+	if !ed25519.Verify(key, signaturePayload(release.Mesh, release.Version, release.Signer, digest), release.Signature) {
+		return nil, failure.New(failure.Untrusted, "sign the bundle again with the key of "+release.Signer, "release %d: signature by %q is invalid", release.Version, release.Signer)
 	}
-	joined, err := Join(whole.Sections)
+	bundle, err := Join(full.Sections)
 	if err != nil {
 		return nil, err
 	}
-	if joined.Version != release.Version || joined.Mesh != release.Mesh {
-		return nil, failure.New(failure.Untrusted, "sign the bundle again", "release %d names another version or mesh than its content", release.Version)
+	if bundle.Version != release.Version || bundle.Mesh != release.Mesh {
+		return nil, failure.New(failure.Untrusted, "sign the bundle again", "release %d: version or mesh differs from the signed bundle", release.Version)
 	}
-	return &Installed{Bundle: joined, Release: whole}, nil
+	return &Installed{Bundle: bundle, Release: full}, nil
 }
 
-// expand gives the release with all of its sections.
+// expand returns the full release, applying a delta to base.
 func (r *Release) expand(base *Installed) (*Release, error) {
-	whole := *r
-	whole.Base = 0
-	whole.Removed = nil
+	full := *r
+	full.Base = 0
+	full.Removed = nil
 	if r.Base == 0 {
-		whole.Sections = sortedSections(r.Sections)
-		return &whole, nil
+		full.Sections = sortedSections(r.Sections)
+		return &full, nil
 	}
 	if base == nil || base.Release.Version != r.Base {
-		return nil, failure.New(failure.Missing, "ask for the whole release", "delta %d needs version %d", r.Version, r.Base)
+		return nil, failure.New(failure.Missing, "request the full release", "delta to version %d requires version %d", r.Version, r.Base)
 	}
 	byName := map[string]Section{}
 	for _, section := range base.Release.Sections {
@@ -192,12 +194,12 @@
 	for _, section := range r.Sections {
 		byName[section.Name] = section
 	}
-	whole.Sections = make([]Section, 0, len(byName))
+	full.Sections = make([]Section, 0, len(byName))
 	for _, section := range byName {
-		whole.Sections = append(whole.Sections, section)
+		full.Sections = append(full.Sections, section)
 	}
-	whole.Sections = sortedSections(whole.Sections)
-	return &whole, nil
+	full.Sections = sortedSections(full.Sections)
+	return &full, nil
 }
 
 func sortedSections(sections []Section) []Section {
@@ -206,24 +208,24 @@
 	return sorted
 }
 
-// Delta gives the release as the difference to an older whole release.
+// Delta returns the difference between base, an older full release, and r, also full.
 func (r *Release) Delta(base *Release) *Release {
 	delta := *r
 	delta.Base = base.Version
 	delta.Sections = nil
 	delta.Removed = nil
-	old := map[string]string{}
+	baseBodies := map[string]string{}
 	for _, section := range base.Sections {
-		old[section.Name] = string(section.Body)
+		baseBodies[section.Name] = string(section.Body)
 	}
 	for _, section := range r.Sections {
-		body, present := old[section.Name]
-		if !present || body != string(section.Body) {
+		baseBody, ok := baseBodies[section.Name]
+		if !ok || baseBody != string(section.Body) {
 			delta.Sections = append(delta.Sections, section)
 		}
-		delete(old, section.Name)
+		delete(baseBodies, section.Name)
 	}
-	for name := range old {
+	for name := range baseBodies {
 		delta.Removed = append(delta.Removed, name)
 	}
 	sort.Strings(delta.Removed)
