--- a/internal/mesh/core/claim/claim.go
+++ b/internal/mesh/core/claim/claim.go
@@ -1,35 +1,34 @@
-// Package claim decides which executor may run a request of an at-most-once
-// class. For each key the voters of the service agree on one executor, for
-// ever, by single-decree Paxos; the chosen executor runs the request once out of
-// its own memory. No rule here reads a clock: an executor that was frozen for
-// any time and wakes up late is still the only one that may run its keys.
+// Package claim elects the executor of each key of an at-most-once class. The voters
+// of a service choose one executor per key by single-decree Paxos; the choice is
+// permanent. The executor records its keys in memory and runs each once. The protocol
+// depends on no clock, so a process that was suspended for any time stays safe.
 //
-// The voters of one epoch are named by node and incarnation, so that a process
-// that lost its memory is no voter until a new epoch takes it in. A new epoch
-// first seals a majority of the old one and carries over every claim found
-// there. spec/claim.pml is the model-checked specification; the names in
-// brackets in the comments, such as [Accept], are its steps.
+// Voters are identified by node and incarnation: a restarted process has lost its
+// state and does not vote until a new epoch includes it. A new epoch starts by sealing
+// a majority of the previous voters and carrying over their claims.
+//
+// spec/claim.pml is the model-checked specification. Names in brackets, such as
+// [Accept], refer to its steps.
 package claim
 
-// Executor is one run of one node: the only holder of the right to run a key.
+// Executor identifies one incarnation (process lifetime) of a node.
 type Executor struct {
 	Node        string `avro:"node" json:"node"`
 	Incarnation string `avro:"incarnation" json:"incarnation"`
 }
 
-// Zero tells whether no executor is named.
+// Zero reports whether e is the zero value, which stands for no executor.
 func (e Executor) Zero() bool { return e.Node == "" && e.Incarnation == "" }
 
-// Ballot orders the attempts to have an executor chosen. Ballots of a later
-// epoch are higher. Round 0 belongs to the key's owner alone and needs no
-// prepare step, because nobody can have accepted anything below it.
+// Ballot is a Paxos ballot number. Round 0 is reserved for the owner of the key and
+// needs no prepare phase, because no lower ballot of the epoch exists.
 type Ballot struct {
 	Epoch    int64  `avro:"epoch" json:"epoch"`
 	Round    int64  `avro:"round" json:"round"`
-	Proposer string `avro:"proposer" json:"proposer"` // incarnation
+	Proposer string `avro:"proposer" json:"proposer"` // incarnation, from round 1 on followed by the attempt
 }
 
-// Less orders ballots by epoch, round and proposer.
+// Less compares ballots by epoch, then round, then proposer.
 func (b Ballot) Less(other Ballot) bool {
 	if b.Epoch != other.Epoch {
 		return b.Epoch < other.Epoch
@@ -40,7 +39,7 @@
 	return b.Proposer < other.Proposer
 }
 
-// Entry is what a voter holds about one key.
+// Entry is the state of a voter for one key.
 type Entry struct {
 	Key      string   `avro:"key" json:"key"`
 	Promised Ballot   `avro:"promised" json:"promised"`
@@ -48,49 +47,49 @@
 	Executor Executor `avro:"executor" json:"executor"`
 }
 
-// Refusal says why a voter did not go along.
+// Refusal is the reason why a voter refused a request.
 type Refusal string
 
-// The refusals.
+// Refusal reasons.
 const (
 	RefusedNone     Refusal = ""
-	RefusedEpoch    Refusal = "epoch"     // voter is not active in that epoch
-	RefusedBallot   Refusal = "ballot"    // voter promised a higher ballot
-	RefusedFull     Refusal = "full"      // voter holds as many keys as it may
-	RefusedNotVoter Refusal = "not_voter" // voter set names another incarnation
+	RefusedEpoch    Refusal = "epoch"     // voter is not active in the requested epoch
+	RefusedBallot   Refusal = "ballot"    // voter promised a higher ballot, or round 0 met a carried claim
+	RefusedFull     Refusal = "full"      // voter has reached its maximum number of keys
+	RefusedNotVoter Refusal = "not_voter" // request is addressed to another incarnation or service
 )
 
-// Request asks a voter to promise (Prepare) or to accept an executor.
+// Request is a Paxos prepare or accept request.
 type Request struct {
 	Prepare  bool     `avro:"prepare"`
 	Key      string   `avro:"key"`
 	Ballot   Ballot   `avro:"ballot"`
-	Executor Executor `avro:"executor"` // of an accept request
+	Executor Executor `avro:"executor"` // proposed value; ignored in a prepare request
 }
 
-// Reply is a voter's answer to one request.
+// Reply is the reply of a voter to a Request.
 type Reply struct {
 	Refusal  Refusal  `avro:"refusal"`
-	Promised Ballot   `avro:"promised"` // highest promise, when refused for the ballot
-	Accepted Ballot   `avro:"accepted"` // of a promise: what was accepted before
+	Promised Ballot   `avro:"promised"` // highest promised ballot, if Refusal is RefusedBallot
+	Accepted Ballot   `avro:"accepted"` // ballot at which Executor was accepted
 	Executor Executor `avro:"executor"`
-	Epoch    int64    `avro:"epoch"` // epoch that the voter knows of
+	Epoch    int64    `avro:"epoch"` // latest epoch that the voter has installed or sealed
 }
 
-// Voter is the memory of one voter. It is not safe for concurrent use.
+// Voter is the Paxos acceptor of one service. It is not safe for concurrent use.
 type Voter struct {
-	epoch   int64 // epoch that it is active in; 0: none
-	sealed  int64 // highest epoch that it will never vote in again
+	epoch   int64 // latest installed epoch; 0 for none
+	sealed  int64 // highest sealed epoch; the voter never votes in it again
 	entries map[string]*Entry
-	maximum int
+	maxKeys int
 }
 
-// NewVoter makes a voter without memory; it votes in no epoch until Install.
-func NewVoter(maximumKeys int) *Voter {
-	return &Voter{entries: map[string]*Entry{}, maximum: maximumKeys}
+// NewVoter returns an empty voter. It refuses all requests until Install is called.
+func NewVoter(maxKeys int) *Voter {
+	return &Voter{entries: map[string]*Entry{}, maxKeys: maxKeys}
 }
 
-// Epoch gives the epoch that the voter is active in; 0 when it is in none.
+// Epoch returns the epoch in which the voter is active, or 0.
 func (v *Voter) Epoch() int64 {
 	if v.sealed >= v.epoch {
 		return 0
@@ -98,14 +97,14 @@
 	return v.epoch
 }
 
-// Handle answers a request [Promise] [Accept].
+// Handle processes a prepare or accept request [Promise] [Accept].
 func (v *Voter) Handle(request Request) Reply {
 	if request.Ballot.Epoch != v.epoch || v.epoch <= v.sealed {
 		return Reply{Refusal: RefusedEpoch, Epoch: max(v.epoch, v.sealed)}
 	}
 	entry := v.entries[request.Key]
 	if entry == nil {
-		if len(v.entries) >= v.maximum {
+		if len(v.entries) >= v.maxKeys {
 			return Reply{Refusal: RefusedFull, Epoch: v.epoch}
 		}
 		entry = &Entry{Key: request.Key}
@@ -115,7 +114,7 @@
 		return Reply{Refusal: RefusedBallot, Promised: entry.Promised, Accepted: entry.Accepted, Executor: entry.Executor, Epoch: v.epoch}
 	}
 	if skipsPrepare(request) && !entry.Executor.Zero() && entry.Accepted != request.Ballot {
-		// A claim carried over from an older epoch must be found by a prepare step.
+		// A claim carried over from an earlier epoch must be learned by a prepare phase.
 		return Reply{Refusal: RefusedBallot, Promised: entry.Promised, Accepted: entry.Accepted, Executor: entry.Executor, Epoch: v.epoch}
 	}
 	entry.Promised = request.Ballot
@@ -125,24 +124,25 @@
 	return Reply{Accepted: entry.Accepted, Executor: entry.Executor, Epoch: v.epoch}
 }
 
+// skipsPrepare reports whether the request is an accept request of round 0.
 func skipsPrepare(request Request) bool {
 	return !request.Prepare && request.Ballot.Round == 0
 }
 
-// Seal ends the voter's part in an epoch and gives what it holds [Seal]. It is
-// refused to a voter that never was active in that epoch, because it may lack
-// claims; a voter that is sealed already gives the same again. A voter that has
-// installed the next epoch gives what it holds there: the claims of the sealed
-// epoch are among them, and installed tells that its answer is enough alone.
+// Seal stops the voter from voting in an epoch and returns its accepted entries
+// [Seal]. It is idempotent. A voter that was never active in the epoch refuses,
+// because it may lack claims. A voter that has installed the next epoch returns the
+// entries of that epoch with installed set: they include all claims of the sealed
+// epoch, so no other voter needs to be sealed.
 func (v *Voter) Seal(epoch int64) (entries []Entry, installed bool, refusal Refusal) {
 	if v.epoch != epoch && v.epoch != epoch+1 {
 		return nil, false, RefusedEpoch
 	}
 	v.sealed = max(v.sealed, epoch)
-	return v.held(), v.epoch == epoch+1, RefusedNone
+	return v.acceptedEntries(), v.epoch == epoch+1, RefusedNone
 }
 
-func (v *Voter) held() []Entry {
+func (v *Voter) acceptedEntries() []Entry {
 	entries := make([]Entry, 0, len(v.entries))
 	for _, entry := range v.entries {
 		if !entry.Executor.Zero() {
@@ -152,8 +152,8 @@
 	return entries
 }
 
-// Install makes the voter active in a new epoch with the claims carried over
-// [Install]. A second install of the same epoch changes nothing.
+// Install activates the voter in a new epoch with the claims carried over from the
+// previous one [Install]. Installing the same epoch again has no effect.
 func (v *Voter) Install(epoch int64, carried []Entry) Refusal {
 	if epoch == v.epoch {
 		return RefusedNone
@@ -170,29 +170,29 @@
 	return RefusedNone
 }
 
-// Merge joins what a majority of sealed voters gave: for each key the executor
-// accepted at the highest ballot. An executor that was chosen stands in every
-// merge, whichever majority was asked [Carry].
-func Merge(sealed ...[]Entry) []Entry {
-	best := map[string]Entry{}
+// Merge combines the entries of a majority of sealed voters: for each key it returns
+// the entry accepted at the highest ballot. Every majority includes a voter that
+// accepted a chosen executor, so no chosen executor is lost [Carry].
+func Merge(snapshots ...[]Entry) []Entry {
+	highest := map[string]Entry{}
 	var order []string
-	for _, entries := range sealed {
+	for _, entries := range snapshots {
 		for _, entry := range entries {
-			known, present := best[entry.Key]
-			if !present {
+			existing, ok := highest[entry.Key]
+			if !ok {
 				order = append(order, entry.Key)
 			}
-			if !present || known.Accepted.Less(entry.Accepted) {
-				best[entry.Key] = entry
+			if !ok || existing.Accepted.Less(entry.Accepted) {
+				highest[entry.Key] = entry
 			}
 		}
 	}
-	merged := make([]Entry, 0, len(best))
+	merged := make([]Entry, 0, len(highest))
 	for _, key := range order {
-		merged = append(merged, best[key])
+		merged = append(merged, highest[key])
 	}
 	return merged
 }
 
-// Majority gives the number of voters that decides.
+// Majority returns the size of the smallest majority of voters.
 func Majority(voters int) int { return voters/2 + 1 }
--- a/internal/mesh/core/claim/claim_test.go
+++ b/internal/mesh/core/claim/claim_test.go
@@ -10,13 +10,14 @@
 
 func executor(name string) Executor { return Executor{Node: name, Incarnation: name + "/1"} }
 
-// decide runs one proposal against voters; reach tells which of them answer.
-func decide(voters []*Voter, proposal *Proposal, reach func() bool) Step {
+// runProposal drives a proposal to its end. reachable is called for each request and
+// reports whether the voter replies.
+func runProposal(voters []*Voter, proposal *Proposal, reachable func() bool) Step {
 	for {
 		request := proposal.Request()
 		step := StepWait
 		for _, voter := range voters {
-			if reach() {
+			if reachable() {
 				step = proposal.Reply(voter.Handle(request))
 			} else {
 				step = proposal.Lost()
@@ -33,31 +34,31 @@
 
 func newVoters(count int, epoch int64) []*Voter {
 	voters := make([]*Voter, count)
-	for index := range voters {
-		voters[index] = NewVoter(100)
-		voters[index].Install(epoch, nil)
+	for i := range voters {
+		voters[i] = NewVoter(100)
+		voters[i].Install(epoch, nil)
 	}
 	return voters
 }
 
-func always() bool { return true }
+func alwaysReachable() bool { return true }
 
 func TestFirstProposalIsChosenAndStays(t *testing.T) {
 	g := NewWithT(t)
 	voters := newVoters(3, 1)
 	first := NewProposal("k", 1, 3, executor("a"), true, 1)
-	g.Expect(decide(voters, first, always)).To(Equal(StepChosen))
+	g.Expect(runProposal(voters, first, alwaysReachable)).To(Equal(StepChosen))
 	g.Expect(first.Chosen()).To(Equal(executor("a")))
 
 	second := NewProposal("k", 1, 3, executor("b"), false, 1)
-	g.Expect(decide(voters, second, always)).To(Equal(StepChosen))
+	g.Expect(runProposal(voters, second, alwaysReachable)).To(Equal(StepChosen))
 	g.Expect(second.Chosen()).To(Equal(executor("a")))
 }
 
-func TestRoundZeroDoesNotOverrideACarriedClaim(t *testing.T) {
+func TestRoundZeroDoesNotOverrideCarriedClaim(t *testing.T) {
 	g := NewWithT(t)
 	old := newVoters(3, 1)
-	g.Expect(decide(old, NewProposal("k", 1, 3, executor("a"), true, 1), always)).To(Equal(StepChosen))
+	g.Expect(runProposal(old, NewProposal("k", 1, 3, executor("a"), true, 1), alwaysReachable)).To(Equal(StepChosen))
 
 	entries, _, _ := old[0].Seal(1)
 	more, _, _ := old[1].Seal(1)
@@ -66,28 +67,28 @@
 		g.Expect(voter.Install(2, Merge(entries, more))).To(Equal(RefusedNone))
 	}
 	owner := NewProposal("k", 2, 3, executor("b"), true, 1)
-	g.Expect(decide(renewed, owner, always)).To(Equal(StepChosen))
+	g.Expect(runProposal(renewed, owner, alwaysReachable)).To(Equal(StepChosen))
 	g.Expect(owner.Chosen()).To(Equal(executor("a")))
 }
 
-func TestSealedVoterNeverVotesInThatEpochAgain(t *testing.T) {
+func TestSealedVoterRefusesRequestsOfSealedEpoch(t *testing.T) {
 	g := NewWithT(t)
 	voter := newVoters(1, 1)[0]
 	voter.Seal(1)
 	reply := voter.Handle(NewProposal("k", 1, 1, executor("a"), true, 1).Request())
 	g.Expect(reply.Refusal).To(Equal(RefusedEpoch))
-	g.Expect(voter.Install(1, nil)).To(Equal(RefusedNone)) // a late repetition changes nothing
+	g.Expect(voter.Install(1, nil)).To(Equal(RefusedNone)) // a repeated install has no effect
 	g.Expect(voter.Handle(NewProposal("k", 1, 1, executor("a"), true, 2).Request()).Refusal).To(Equal(RefusedEpoch))
 }
 
-func TestFreshVoterIsNoVoter(t *testing.T) {
+func TestUninstalledVoterRefusesRequests(t *testing.T) {
 	g := NewWithT(t)
 	g.Expect(NewVoter(9).Handle(NewProposal("k", 1, 1, executor("a"), true, 1).Request()).Refusal).To(Equal(RefusedEpoch))
 	_, _, refusal := NewVoter(9).Seal(1)
 	g.Expect(refusal).To(Equal(RefusedEpoch))
 }
 
-func TestFullVoterRefusesNewKeysAndKeepsOldOnes(t *testing.T) {
+func TestFullVoterRefusesOnlyNewKeys(t *testing.T) {
 	g := NewWithT(t)
 	voter := NewVoter(1)
 	voter.Install(1, nil)
@@ -96,13 +97,13 @@
 	g.Expect(voter.Handle(NewProposal("k1", 1, 1, executor("b"), false, 1).Request()).Executor).To(Equal(executor("a")))
 }
 
-func TestTableGrantsAKeyOnce(t *testing.T) {
+func TestTableGrantsKeyOnce(t *testing.T) {
 	g := NewWithT(t)
 	table := NewTable(10, 100, 50)
 	table.Begin("k")
 	g.Expect(table.Grant("k")).To(BeTrue())
 	g.Expect(table.Grant("k")).To(BeFalse())
-	table.GiveUp("k") // too late: it runs
+	table.GiveUp("k") // no effect: the key is granted
 	g.Expect(table.Grant("k")).To(BeFalse())
 	table.Complete("k", &Answer{Status: 200, Body: make([]byte, 40)})
 	phase, answer, _ := table.Begin("k")
@@ -110,11 +111,11 @@
 	g.Expect(answer.Status).To(Equal(200))
 }
 
-func TestTableDropsOldAnswersButNoKeys(t *testing.T) {
+func TestTableEvictsAnswersButKeepsKeys(t *testing.T) {
 	g := NewWithT(t)
 	table := NewTable(10, 100, 50)
-	for index := range 5 {
-		key := fmt.Sprint(index)
+	for i := range 5 {
+		key := fmt.Sprint(i)
 		table.Begin(key)
 		table.Grant(key)
 		table.Complete(key, &Answer{Body: make([]byte, 40)})
@@ -127,7 +128,7 @@
 	g.Expect(table.records).To(HaveLen(5))
 }
 
-func TestPlanNeedsAMajorityOfTheOldVoters(t *testing.T) {
+func TestPlanRequiresMajorityOfCurrentVoters(t *testing.T) {
 	g := NewWithT(t)
 	members := []Executor{executor("a"), executor("b"), executor("c")}
 	current := &VoterSet{Service: "s", Epoch: 4, Active: true, Members: members}
@@ -141,41 +142,41 @@
 	g.Expect(Plan("s", nil, members, 3).Epoch).To(Equal(int64(1)))
 }
 
-// network is a model of one key at a service: voters that restart, proposers
-// whose messages arrive at any time, and voter sets that change.
+// network simulates one key of a service: voters restart, messages are delayed,
+// reordered and lost, and the voter set is reconfigured.
 type network struct {
-	t         *rapid.T
-	voters    []*Voter
-	members   []string // incarnation of each voter in the record's set
-	names     []string // incarnation of each voter now
-	epoch     int64
-	active    bool
-	previous  []string
-	pending   []func()
-	ran       map[Executor]bool
-	runs      int
-	proposals uint64
-	weak      weakness
+	t            *rapid.T
+	voters       []*Voter
+	members      []string // incarnations of the voter set's members
+	incarnations []string // current incarnation of each voter
+	epoch        int64
+	active       bool
+	previous     []string
+	pending      []func()
+	executed     map[Executor]bool
+	runs         int
+	proposals    uint64
+	mutation     mutation
 }
 
-// weakness leaves a step of the protocol out.
-type weakness struct{ noCarry, noSeal, rejoin bool }
+// mutation disables steps of the protocol, as the mutants of spec/claim.pml do.
+type mutation struct{ noCarry, noSeal, rejoin bool }
 
-func newNetwork(t *rapid.T, weak weakness) *network {
-	n := &network{t: t, epoch: 1, active: true, ran: map[Executor]bool{}, weak: weak, voters: newVoters(3, 1)}
-	for index := range n.voters {
-		n.names = append(n.names, fmt.Sprintf("v%d/1", index))
+func newNetwork(t *rapid.T, mut mutation) *network {
+	n := &network{t: t, epoch: 1, active: true, executed: map[Executor]bool{}, mutation: mut, voters: newVoters(3, 1)}
+	for i := range n.voters {
+		n.incarnations = append(n.incarnations, fmt.Sprintf("v%d/1", i))
 	}
-	n.members = append([]string(nil), n.names...)
+	n.members = append([]string(nil), n.incarnations...)
 	return n
 }
 
-// deliver queues a message to a voter; it may come at any later step, or never.
+// deliver queues a message to a voter. A later step of the schedule may deliver it.
 func (n *network) deliver(incarnation string, handle func(*Voter)) {
 	n.pending = append(n.pending, func() {
-		for index, name := range n.names {
-			if name == incarnation || (n.weak.rejoin && name[:2] == incarnation[:2]) {
-				handle(n.voters[index])
+		for i, name := range n.incarnations {
+			if name == incarnation || (n.mutation.rejoin && name[:2] == incarnation[:2]) {
+				handle(n.voters[i])
 				return
 			}
 		}
@@ -193,60 +194,60 @@
 
 func (n *network) send(proposal *Proposal, self Executor, members []string) {
 	request := proposal.Request()
-	over := false
+	done := false
 	for _, member := range members {
 		n.deliver(member, func(voter *Voter) {
 			reply := voter.Handle(request)
-			if over {
+			if done {
 				return
 			}
 			switch step := proposal.Reply(reply); step {
 			case StepSend:
-				over = true
+				done = true
 				n.send(proposal, self, members)
 			case StepChosen:
-				over = true
-				n.run(proposal.Chosen(), self)
+				done = true
+				n.execute(proposal.Chosen(), self)
 			case StepFailed:
-				over = true
+				done = true
 			}
 		})
 	}
 }
 
-func (n *network) run(chosen, self Executor) {
-	if chosen == self && !n.ran[self] {
-		n.ran[self] = true
+func (n *network) execute(chosen, self Executor) {
+	if chosen == self && !n.executed[self] {
+		n.executed[self] = true
 		n.runs++
 	}
 }
 
-func (n *network) restart(index int) {
-	if n.weak.rejoin {
-		epoch := n.voters[index].epoch
-		n.voters[index] = NewVoter(100)
-		n.voters[index].Install(epoch, nil)
+func (n *network) restart(i int) {
+	if n.mutation.rejoin {
+		epoch := n.voters[i].epoch
+		n.voters[i] = NewVoter(100)
+		n.voters[i].Install(epoch, nil)
 		return
 	}
-	n.voters[index] = NewVoter(100)
-	n.names[index] = fmt.Sprintf("v%d/%d", index, n.proposals+uint64(len(n.pending))+100)
+	n.voters[i] = NewVoter(100)
+	n.incarnations[i] = fmt.Sprintf("v%d/%d", i, n.proposals+uint64(len(n.pending))+100)
 }
 
-// reconfigure begins a new epoch, or finishes one that was left pending.
-func (n *network) reconfigure(reach []bool) {
+// reconfigure starts a new epoch or resumes a pending one.
+func (n *network) reconfigure(reachable []bool) {
 	if n.active {
-		n.previous, n.members, n.active = n.members, append([]string(nil), n.names...), false
+		n.previous, n.members, n.active = n.members, append([]string(nil), n.incarnations...), false
 		n.epoch++
 	}
 	var sealed [][]Entry
 	count := 0
-	for index, name := range n.names {
-		if !reach[index] {
+	for i, name := range n.incarnations {
+		if !reachable[i] {
 			continue
 		}
-		voter := n.voters[index]
+		voter := n.voters[i]
 		entries, installed, refusal := voter.Seal(n.epoch - 1)
-		if n.weak.noSeal && !installed {
+		if n.mutation.noSeal && !installed {
 			voter.sealed = 0
 		}
 		if refusal != RefusedNone {
@@ -267,13 +268,13 @@
 		return
 	}
 	carried := Merge(sealed...)
-	if n.weak.noCarry {
+	if n.mutation.noCarry {
 		carried = nil
 	}
 	n.install(carried)
 }
 
-// install sends what is carried to the new members; the messages come at any time.
+// install queues the install messages of the current epoch to its members.
 func (n *network) install(carried []Entry) {
 	epoch, installed := n.epoch, 0
 	for _, member := range n.members {
@@ -289,25 +290,25 @@
 	}
 }
 
-// play draws a schedule and gives the number of runs of the key.
-func play(t *rapid.T, weak weakness) int {
-	n := newNetwork(t, weak)
+// runSchedule executes a random schedule and returns how often the key ran.
+func runSchedule(t *rapid.T, mut mutation) int {
+	n := newNetwork(t, mut)
 	executors := []Executor{executor("a"), executor("b"), executor("c")}
-	reach := rapid.SliceOfN(rapid.Bool(), 3, 3)
+	reachable := rapid.SliceOfN(rapid.Bool(), 3, 3)
 	for range rapid.IntRange(5, 60).Draw(t, "steps") {
 		switch rapid.IntRange(0, 9).Draw(t, "step") {
 		case 0, 1:
-			place := rapid.IntRange(0, 2).Draw(t, "executor")
-			n.propose(executors[place], place == int(n.epoch)%3)
+			i := rapid.IntRange(0, 2).Draw(t, "executor")
+			n.propose(executors[i], i == int(n.epoch)%3)
 		case 2:
-			n.reconfigure(reach.Draw(t, "reach"))
+			n.reconfigure(reachable.Draw(t, "reachable"))
 		case 3:
 			n.restart(rapid.IntRange(0, 2).Draw(t, "voter"))
 		default:
 			if len(n.pending) > 0 {
-				place := rapid.IntRange(0, len(n.pending)-1).Draw(t, "message")
-				message := n.pending[place]
-				n.pending = append(n.pending[:place:place], n.pending[place+1:]...)
+				i := rapid.IntRange(0, len(n.pending)-1).Draw(t, "message")
+				message := n.pending[i]
+				n.pending = append(n.pending[:i:i], n.pending[i+1:]...)
 				message()
 			}
 		}
@@ -317,25 +318,25 @@
 
 func TestAKeyRunsAtMostOnceUnderAnySchedule(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		if runs := play(t, weakness{}); runs > 1 {
+		if runs := runSchedule(t, mutation{}); runs > 1 {
 			t.Fatalf("key ran %d times", runs)
 		}
 	})
 }
 
-// TestWeakerProtocolsAreFound shows that the property can fail: each protocol
-// with a step left out runs some key twice.
+// TestWeakerProtocolsAreFound guards against a schedule generator that is too weak to
+// find a violation: each mutation must run the key twice under some schedule.
 func TestWeakerProtocolsAreFound(t *testing.T) {
-	for name, weak := range map[string]weakness{"no carry": {noCarry: true}, "no seal": {noSeal: true}, "rejoin": {rejoin: true}} {
+	for name, mut := range map[string]mutation{"no carry": {noCarry: true}, "no seal": {noSeal: true}, "rejoin": {rejoin: true}} {
 		t.Run(name, func(t *testing.T) {
-			most := 0
+			maxRuns := 0
 			for seed := range 20000 {
-				most = max(most, rapid.Custom(func(t *rapid.T) int { return play(t, weak) }).Example(seed))
-				if most > 1 {
+				maxRuns = max(maxRuns, rapid.Custom(func(t *rapid.T) int { return runSchedule(t, mut) }).Example(seed))
+				if maxRuns > 1 {
 					return
 				}
 			}
-			t.Fatalf("no schedule ran the key twice")
+			t.Fatal("no schedule ran the key twice")
 		})
 	}
 }
--- a/internal/mesh/core/claim/proposal.go
+++ b/internal/mesh/core/claim/proposal.go
@@ -2,121 +2,120 @@
 
 import "fmt"
 
-// Step is what a proposal does next.
+// Step is the next action of the driver of a Proposal.
 type Step int
 
-// The steps.
+// Steps of a proposal.
 const (
-	// StepWait needs more replies.
+	// StepWait means wait for more replies.
 	StepWait Step = iota
-	// StepSend sends Proposal.Request to all voters.
+	// StepSend means send Proposal.Request to all voters.
 	StepSend
-	// StepChosen is final: Proposal.Chosen is the key's executor.
+	// StepChosen means that Proposal.Chosen is the executor of the key. It is final.
 	StepChosen
-	// StepFailed is final for this proposal: no majority went along.
+	// StepFailed means that the proposal reached no majority. It is final.
 	StepFailed
 )
 
-// MaxRounds bounds the rounds of one proposal.
-const MaxRounds = 8
+// MaxRetries is how often a proposal restarts with a higher ballot.
+const MaxRetries = 8
 
-// Proposal is one attempt to learn the executor of a key, by proposing oneself.
-// It is a state machine: send Request to the voters, feed Reply or Lost for
-// each, do what it says. It is not safe for concurrent use.
+// Proposal is the Paxos proposer of one key. It proposes self and learns the chosen
+// executor. It does no I/O: the driver sends Request to all voters, calls Reply or
+// Lost for each, and follows the returned Step. It is not safe for concurrent use.
 type Proposal struct {
-	key     string
-	voters  int
-	self    Executor
-	ballot  Ballot
-	prepare bool
+	key        string
+	voterCount int
+	self       Executor
+	ballot     Ballot
+	prepare    bool
 
-	identity string // proposer of all rounds but 0
-	replies  int
-	granted  int
-	highest  Ballot // highest ballot that refused
-	accepted Ballot // highest accepted ballot found by the prepare step
-	value    Executor
-	refusal  Refusal
-	rounds   int
+	proposerID      string // Ballot.Proposer from round 1 on
+	replies         int
+	acks            int
+	highestPromised Ballot // highest promised ballot among the refusals
+	accepted        Ballot // highest accepted ballot found by the prepare phase
+	value           Executor
+	refusal         Refusal
+	retries         int
 }
 
-// NewProposal begins a proposal of self for the key. owner is true only for the
-// one incarnation that the epoch's voter set makes the owner of the key: it may
-// skip the prepare step of round 0, where it never proposes anyone but itself
-// [FastPropose]. attempt is a number that self uses for one proposal only: two
-// proposals of one process must not share a ballot, because late messages of the
-// first could then vote for another executor than the second found.
-func NewProposal(key string, epoch int64, voters int, self Executor, owner bool, attempt uint64) *Proposal {
-	proposal := &Proposal{key: key, voters: voters, self: self, prepare: !owner}
-	proposal.identity = fmt.Sprintf("%s#%d", self.Incarnation, attempt)
-	proposal.ballot = Ballot{Epoch: epoch, Proposer: self.Incarnation}
+// NewProposal returns a proposal of self as the executor of the key. owner must be
+// true only for the executor that VoterSet.Owner returns: the owner skips the prepare
+// phase in round 0 [FastPropose], where it proposes only itself. attempt must be
+// unique among the proposals of self: if two proposals shared a ballot, a delayed
+// request of one could be accepted in place of the value that the other learned.
+func NewProposal(key string, epoch int64, voterCount int, self Executor, owner bool, attempt uint64) *Proposal {
+	p := &Proposal{key: key, voterCount: voterCount, self: self, prepare: !owner}
+	p.proposerID = fmt.Sprintf("%s#%d", self.Incarnation, attempt)
+	p.ballot = Ballot{Epoch: epoch, Proposer: self.Incarnation}
 	if !owner {
-		proposal.ballot.Round = 1
-		proposal.ballot.Proposer = proposal.identity
+		p.ballot.Round = 1
+		p.ballot.Proposer = p.proposerID
 	}
-	proposal.value = self
-	return proposal
+	p.value = self
+	return p
 }
 
-// Request gives the message of the current step [Propose].
+// Request returns the request to send to the voters [Propose].
 func (p *Proposal) Request() Request {
 	return Request{Prepare: p.prepare, Key: p.key, Ballot: p.ballot, Executor: p.value}
 }
 
-// Chosen gives the executor after StepChosen.
+// Chosen returns the chosen executor. It is valid after StepChosen only.
 func (p *Proposal) Chosen() Executor { return p.value }
 
-// Refusal gives the last reason of a voter that did not go along.
+// Refusal returns the reason of the latest refusal in the current phase.
 func (p *Proposal) Refusal() Refusal { return p.refusal }
 
-// Reply takes one voter's answer to the current request.
+// Reply processes the reply of a voter to the current request.
 func (p *Proposal) Reply(reply Reply) Step {
 	p.replies++
 	if reply.Refusal != RefusedNone {
 		p.refusal = reply.Refusal
-		if p.highest.Less(reply.Promised) {
-			p.highest = reply.Promised
+		if p.highestPromised.Less(reply.Promised) {
+			p.highestPromised = reply.Promised
 		}
-		return p.next()
+		return p.nextStep()
 	}
-	p.granted++
+	p.acks++
 	if p.prepare && !reply.Executor.Zero() && p.accepted.Less(reply.Accepted) {
 		p.accepted, p.value = reply.Accepted, reply.Executor
 	}
-	return p.next()
+	return p.nextStep()
 }
 
-// Lost counts a voter that did not answer.
+// Lost records that a voter did not reply to the current request.
 func (p *Proposal) Lost() Step {
 	p.replies++
-	return p.next()
+	return p.nextStep()
 }
 
-func (p *Proposal) next() Step {
-	majority := Majority(p.voters)
+func (p *Proposal) nextStep() Step {
+	majority := Majority(p.voterCount)
 	switch {
-	case p.granted >= majority && p.prepare:
-		p.begin(false)
+	case p.acks >= majority && p.prepare:
+		p.startPhase(false)
 		return StepSend
-	case p.granted >= majority:
+	case p.acks >= majority:
 		return StepChosen
-	case p.granted+p.voters-p.replies >= majority:
+	case p.acks+p.voterCount-p.replies >= majority:
 		return StepWait
-	case p.refusal == RefusedBallot && p.rounds < MaxRounds:
-		p.rounds++
-		p.ballot.Round = max(p.highest.Round, p.ballot.Round) + 1
-		p.ballot.Proposer = p.identity
+	case p.refusal == RefusedBallot && p.retries < MaxRetries:
+		p.retries++
+		p.ballot.Round = max(p.highestPromised.Round, p.ballot.Round) + 1
+		p.ballot.Proposer = p.proposerID
 		p.value, p.accepted = p.self, Ballot{}
-		p.begin(true)
+		p.startPhase(true)
 		return StepSend
 	default:
 		return StepFailed
 	}
 }
 
-func (p *Proposal) begin(prepare bool) {
+func (p *Proposal) startPhase(prepare bool) {
 	p.prepare = prepare
-	p.replies, p.granted = 0, 0
+	p.replies, p.acks = 0, 0
 	p.refusal = RefusedNone
-	p.highest = Ballot{}
+	p.highestPromised = Ballot{}
 }
--- a/internal/mesh/core/claim/table.go
+++ b/internal/mesh/core/claim/table.go
@@ -2,19 +2,19 @@
 
 import "container/list"
 
-// Phase is where a key stands at its executor.
+// Phase is the state of a key at its executor.
 type Phase string
 
-// The phases.
+// Phases of a key.
 const (
-	PhaseAbsent   Phase = "absent"   // never seen here, or given up before it was granted
-	PhaseClaiming Phase = "claiming" // the voters are being asked
-	PhaseRunning  Phase = "running"  // handed over to the target
-	PhaseDone     Phase = "done"     // ran; the answer is kept, unless it was too large
-	PhaseUnknown  Phase = "unknown"  // handed over, and how it ended is not known
+	PhaseAbsent   Phase = "absent"   // unknown, or dropped before it was granted
+	PhaseClaiming Phase = "claiming" // a proposal is in progress
+	PhaseRunning  Phase = "running"  // granted; the request is sent to the target
+	PhaseDone     Phase = "done"     // completed; the answer is stored unless too large or evicted
+	PhaseUnknown  Phase = "unknown"  // sent to the target with an unknown outcome
 )
 
-// Answer is the kept answer of a key.
+// Answer is the stored response to the request of a key.
 type Answer struct {
 	Status  int
 	Headers map[string][]string
@@ -33,109 +33,108 @@
 }
 
 type record struct {
-	phase  Phase
-	answer *Answer
-	place  *list.Element
+	phase   Phase
+	answer  *Answer
+	element *list.Element
 }
 
-// Table is an executor's memory of its keys. A key that was granted once is
-// never granted again by the same table; that, and one executor for each key,
-// is the whole at-most-once argument [Run]. It is not safe for concurrent use.
+// Table holds the keys of an executor. At-most-once execution follows from two
+// invariants: each key has one executor, and a table grants a key once, except after
+// NotStarted [Run]. It is not safe for concurrent use.
 type Table struct {
-	records     map[string]*record
-	order       *list.List // keys with answers, oldest first
-	bytes       int
-	maxKeys     int
-	maxBytes    int
-	maxOneBytes int
+	records        map[string]*record
+	answerOrder    *list.List // keys with stored answers, oldest first
+	answerBytes    int
+	maxKeys        int
+	maxAnswerBytes int
+	maxAnswerSize  int
 }
 
-// NewTable makes an empty table that holds up to maxKeys keys and maxBytes of
-// answers, each of up to maxOneBytes.
-func NewTable(maxKeys, maxBytes, maxOneBytes int) *Table {
-	return &Table{records: map[string]*record{}, order: list.New(), maxKeys: maxKeys, maxBytes: maxBytes, maxOneBytes: maxOneBytes}
+// NewTable returns an empty table for up to maxKeys keys. It stores answers of up to
+// maxAnswerSize bytes each and maxAnswerBytes in total.
+func NewTable(maxKeys, maxAnswerBytes, maxAnswerSize int) *Table {
+	return &Table{records: map[string]*record{}, answerOrder: list.New(), maxKeys: maxKeys, maxAnswerBytes: maxAnswerBytes, maxAnswerSize: maxAnswerSize}
 }
 
-// Begin takes in a request with the key. It gives PhaseAbsent when the caller
-// now has to claim the key, and otherwise where the key stands; full tells that
-// no further key can be held.
+// Begin registers a request. For a new key it returns PhaseAbsent, and the caller must
+// claim the key; for a known key it returns its phase and stored answer. full reports
+// that the key is new and the table has no room for it.
 func (t *Table) Begin(key string) (phase Phase, answer *Answer, full bool) {
-	known := t.records[key]
-	if known == nil {
+	rec := t.records[key]
+	if rec == nil {
 		if len(t.records) >= t.maxKeys {
 			return PhaseAbsent, nil, true
 		}
 		t.records[key] = &record{phase: PhaseClaiming}
 		return PhaseAbsent, nil, false
 	}
-	return known.phase, known.answer, false
+	return rec.phase, rec.answer, false
 }
 
-// Peek tells where a key stands without taking anything in.
+// Peek returns the phase and stored answer of a key without registering it.
 func (t *Table) Peek(key string) (Phase, *Answer) {
-	known := t.records[key]
-	if known == nil {
+	rec := t.records[key]
+	if rec == nil {
 		return PhaseAbsent, nil
 	}
-	return known.phase, known.answer
+	return rec.phase, rec.answer
 }
 
-// GiveUp forgets a key that was not granted, so that a later request may claim
-// it again.
+// GiveUp removes a key that was not granted, so that a later request can claim it.
 func (t *Table) GiveUp(key string) {
-	if known := t.records[key]; known != nil && known.phase == PhaseClaiming {
+	if rec := t.records[key]; rec != nil && rec.phase == PhaseClaiming {
 		delete(t.records, key)
 	}
 }
 
-// Grant gives the right to run the key: true exactly once [Run].
+// Grant reports whether the caller may run the request of the key [Run].
 func (t *Table) Grant(key string) bool {
-	known := t.records[key]
-	if known == nil || known.phase != PhaseClaiming {
+	rec := t.records[key]
+	if rec == nil || rec.phase != PhaseClaiming {
 		return false
 	}
-	known.phase = PhaseRunning
+	rec.phase = PhaseRunning
 	return true
 }
 
-// NotStarted takes the right back, because the call was provably not handed
-// over; a later request may be granted again.
+// NotStarted removes a granted key whose request provably did not reach the target, so
+// that a later request can claim it.
 func (t *Table) NotStarted(key string) {
-	if known := t.records[key]; known != nil && known.phase == PhaseRunning {
+	if rec := t.records[key]; rec != nil && rec.phase == PhaseRunning {
 		delete(t.records, key)
 	}
 }
 
-// Lose notes that the call was handed over and its end is not known.
+// Lose records that the request was sent to the target and its outcome is unknown.
 func (t *Table) Lose(key string) {
-	if known := t.records[key]; known != nil && known.phase == PhaseRunning {
-		known.phase = PhaseUnknown
+	if rec := t.records[key]; rec != nil && rec.phase == PhaseRunning {
+		rec.phase = PhaseUnknown
 	}
 }
 
-// Complete keeps the answer of a key, if it is small enough. The oldest answers
-// give way; their keys stay.
+// Complete marks a running key as done and stores its answer unless it is nil or too
+// large. To make room it evicts the oldest answers, but never their keys.
 func (t *Table) Complete(key string, answer *Answer) {
-	known := t.records[key]
-	if known == nil || known.phase != PhaseRunning {
+	rec := t.records[key]
+	if rec == nil || rec.phase != PhaseRunning {
 		return
 	}
-	known.phase = PhaseDone
-	if answer == nil || answer.size() > t.maxOneBytes {
+	rec.phase = PhaseDone
+	if answer == nil || answer.size() > t.maxAnswerSize {
 		return
 	}
-	known.answer = answer
-	known.place = t.order.PushBack(key)
-	t.bytes += answer.size()
-	for t.bytes > t.maxBytes {
-		t.dropOldest()
+	rec.answer = answer
+	rec.element = t.answerOrder.PushBack(key)
+	t.answerBytes += answer.size()
+	for t.answerBytes > t.maxAnswerBytes {
+		t.evictOldest()
 	}
 }
 
-func (t *Table) dropOldest() {
-	oldest := t.order.Front()
-	known := t.records[oldest.Value.(string)]
-	t.bytes -= known.answer.size()
-	known.answer, known.place = nil, nil
-	t.order.Remove(oldest)
+func (t *Table) evictOldest() {
+	oldest := t.answerOrder.Front()
+	rec := t.records[oldest.Value.(string)]
+	t.answerBytes -= rec.answer.size()
+	rec.answer, rec.element = nil, nil
+	t.answerOrder.Remove(oldest)
 }
--- a/internal/mesh/core/claim/voterset.go
+++ b/internal/mesh/core/claim/voterset.go
@@ -4,18 +4,18 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// VoterSet is the record of one service's voters in the platform's service. It
-// is changed by compare-and-swap only: pending with a higher epoch, then active
-// once a majority of the new members has installed the claims.
+// VoterSet is the record of a service's voters in the platform store, updated only by
+// compare-and-swap. A new epoch is first written as pending (Active is false) and
+// becomes active once a majority of its members has installed the claims.
 type VoterSet struct {
 	Service  string     `json:"service" avro:"service"`
 	Epoch    int64      `json:"epoch" avro:"epoch"`
 	Members  []Executor `json:"members" avro:"members"`
 	Active   bool       `json:"active" avro:"active"`
-	Previous []Executor `json:"previous" avro:"previous"` // voters of epoch-1, to be sealed while pending
+	Previous []Executor `json:"previous" avro:"previous"` // voters of the previous epoch, sealed while this one is pending
 }
 
-// Contains tells whether the executor is a member.
+// Contains reports whether the executor is a member.
 func (s *VoterSet) Contains(executor Executor) bool {
 	for _, member := range s.Members {
 		if member == executor {
@@ -25,23 +25,23 @@
 	return false
 }
 
-// Owner gives the member that may skip the prepare step for a key, by
-// rendezvous hashing over the members of the epoch.
+// Owner returns the member that may skip the prepare phase for a key, chosen by
+// rendezvous hashing over the members.
 func (s *VoterSet) Owner(key string) Executor {
 	var owner Executor
-	var best uint64
+	var highest uint64
 	for _, member := range s.Members {
-		if weight := xxhash.Sum64String(key + "\x00" + member.Node); owner.Zero() || weight > best {
-			owner, best = member, weight
+		if weight := xxhash.Sum64String(key + "\x00" + member.Node); owner.Zero() || weight > highest {
+			owner, highest = member, weight
 		}
 	}
 	return owner
 }
 
-// Plan decides on the next voter set. alive are the executors of the service
-// that answer now, current is the record in force or nil. It gives nil when
-// nothing has to change, or when a change is not safe: claims are lost unless a
-// majority of the current members can be sealed.
+// Plan returns the next voter set of a service, or nil if no change is needed or
+// safe: claims would be lost unless a majority of the current members can be sealed.
+// current is the stored record or nil, alive the responsive executors of the service
+// and targets the number of its targets.
 func Plan(service string, current *VoterSet, alive []Executor, targets int) *VoterSet {
 	if current == nil {
 		if len(alive) < Majority(targets) {
@@ -53,19 +53,19 @@
 		return nil
 	}
 	surviving := 0
-	missing := false
+	joining := false
 	for _, executor := range alive {
 		if current.Contains(executor) {
 			surviving++
 		} else {
-			missing = true
+			joining = true
 		}
 	}
-	if surviving < Majority(len(current.Members)) || (!missing && surviving == len(current.Members)) {
+	if surviving < Majority(len(current.Members)) || (!joining && surviving == len(current.Members)) {
 		return nil
 	}
-	if !missing && len(alive) < Majority(targets) {
-		return nil // shrinking further would let few voters decide
+	if !joining && len(alive) < Majority(targets) {
+		return nil // keep the set at a majority of the targets or more
 	}
 	return &VoterSet{Service: service, Epoch: current.Epoch + 1, Members: alive, Previous: current.Members}
 }
