--- a/internal/mesh/core/dissemination/dissemination.go
+++ b/internal/mesh/core/dissemination/dissemination.go
@@ -1,9 +1,9 @@
-// Package dissemination brings a new bundle to every node. Few reads go to the
-// platform: every node polls it at random, with a mean interval that grows with
-// the number of nodes, so that the platform sees one rate at every size. What a
-// node learns it pushes to a few random peers for some rounds, and compares
-// versions with one random peer from time to time, which reaches those that the
-// push missed. The package is a state machine without sockets or clocks.
+// Package dissemination implements the gossip protocol that distributes new versions
+// of a document, such as the bundle, to all nodes. Nodes poll the platform at random
+// intervals whose mean is proportional to the number of nodes, so the total read rate
+// is independent of the mesh size. A node pushes a new version to random neighbors for
+// a few rounds; periodic version comparisons with a random neighbor (anti-entropy)
+// reach the nodes that the push missed. The package does no I/O and reads no clock.
 package dissemination
 
 import (
@@ -11,153 +11,154 @@
 	"time"
 )
 
-// Config sets the rates.
+// Config holds the protocol parameters.
 type Config struct {
-	PlatformReadsPerSecond float64       // of all nodes together
-	PushFanout             int           // peers told in one round
-	PushRounds             int           // rounds after a new version
-	PushInterval           time.Duration // between rounds
-	CompareInterval        time.Duration // between version comparisons with a random peer
-	FastPollFloor          time.Duration // no node polls the platform more often
-	StartTimeout           time.Duration // a fresh node asks for the version at least so often
-	Neighbors              int           // peers that are talked to; their connections stay open
-	RedrawInterval         time.Duration // one neighbor is drawn anew so often
+	PlatformReadsPerSecond float64       // summed over all nodes
+	PushFanout             int           // maximum number of messages per push round
+	PushRounds             int           // push rounds per new version
+	PushInterval           time.Duration // time between push rounds
+	AntiEntropyInterval    time.Duration // mean time between version comparisons
+	MinPollInterval        time.Duration // minimum time between platform polls of a node
+	BootstrapInterval      time.Duration // replaces AntiEntropyInterval until a version is known
+	Neighbors              int           // number of peers to which a node sends messages
+	RotationInterval       time.Duration // time between replacements of a neighbor
 }
 
-// DefaultConfig gives the values that docs/mesh/CAPACITY.md was measured with.
+// DefaultConfig returns the default parameters.
 func DefaultConfig() Config {
 	return Config{
 		PlatformReadsPerSecond: 4, PushFanout: 3, PushRounds: 4, PushInterval: 150 * time.Millisecond,
-		CompareInterval: 2 * time.Second, FastPollFloor: 500 * time.Millisecond, StartTimeout: 200 * time.Millisecond,
-		Neighbors: 8, RedrawInterval: time.Minute,
+		AntiEntropyInterval: 2 * time.Second, MinPollInterval: 500 * time.Millisecond, BootstrapInterval: 200 * time.Millisecond,
+		Neighbors: 8, RotationInterval: time.Minute,
 	}
 }
 
-// Random gives numbers; the driver supplies it.
+// Random is a source of random numbers. *rand.Rand of math/rand/v2 implements it.
 type Random interface {
 	IntN(n int) int
 	ExpFloat64() float64
 	Float64() float64
 }
 
-// ActionKind names what the driver has to do.
+// ActionKind is the kind of an Action.
 type ActionKind int
 
-// The actions.
+// Kinds of actions.
 const (
-	// ReadPlatform reads the release from the platform's service.
+	// ReadPlatform reads the current version from the platform.
 	ReadPlatform ActionKind = iota + 1
-	// Tell sends the own version number to the peer; a peer that is behind asks for the release.
+	// Tell sends Version to the peer and passes the version in its reply to Heard.
 	Tell
-	// Fetch asks the peer for the release, as a delta to Version if it can.
+	// Fetch requests the peer's version, as a delta to Version where possible.
 	Fetch
 )
 
-// Action is one thing for the driver to do.
+// Action is an operation that the driver must perform.
 type Action struct {
 	Kind    ActionKind
 	Peer    string
 	Version int64
 }
 
-// State is one node's part. It is not safe for concurrent use.
+// State is the protocol state of one node. It is not safe for concurrent use.
 type State struct {
-	config      Config
-	random      Random
-	peers       []string // neighbors
-	all         []string
-	nextRedraw  time.Duration
-	version     int64
-	rounds      int
-	nextPush    time.Duration
-	nextCompare time.Duration
-	nextPoll    time.Duration
-	fetching    map[string]time.Duration
-	told        map[string]int64 // peers known to have a version: no need to tell them
+	config          Config
+	random          Random
+	neighbors       []string // random subset of peers, oldest first
+	peers           []string // all other nodes
+	nextRotation    time.Duration
+	version         int64
+	pushRoundsLeft  int
+	nextPush        time.Duration
+	nextAntiEntropy time.Duration
+	nextPoll        time.Duration
+	fetching        map[string]time.Duration // start time of pending fetches, by peer
+	peerVersions    map[string]int64         // latest version received from each peer
 }
 
-// FetchTimeout is when a fetch that was not answered may be asked elsewhere.
+// FetchTimeout is the time after which a pending fetch no longer prevents another one.
 const FetchTimeout = 500 * time.Millisecond
 
-// New makes the state of a node that knows no version yet.
+// New returns the state of a node without a version.
 func New(config Config, random Random) *State {
-	return &State{config: config, random: random, fetching: map[string]time.Duration{}, told: map[string]int64{}}
+	return &State{config: config, random: random, fetching: map[string]time.Duration{}, peerVersions: map[string]int64{}}
 }
 
-// SetPeers sets the nodes of the mesh. Only a few of them, drawn at random, are
-// talked to: at thousands of nodes a connection to a new peer for every message
-// would cost more than the message. Neighbors that are still there stay, but when
-// the mesh grows each only with the share that the old mesh has of the new one:
-// otherwise the nodes that were there first would remain everybody's neighbors.
+// SetPeers sets the other nodes of the mesh. Messages go only to Config.Neighbors
+// random peers, so that connections can be reused. Neighbors that are still present
+// are kept; if the mesh has grown, each is kept with probability old size / new size.
+// Otherwise the first nodes of a mesh would remain neighbors of all others.
 func (s *State) SetPeers(peers []string) {
 	present := make(map[string]bool, len(peers))
 	for _, peer := range peers {
 		present[peer] = true
 	}
-	kept := s.peers[:0]
-	share := float64(len(s.all)) / float64(max(len(peers), 1))
-	for _, neighbor := range s.peers {
+	kept := s.neighbors[:0]
+	share := float64(len(s.peers)) / float64(max(len(peers), 1))
+	for _, neighbor := range s.neighbors {
 		if present[neighbor] && (share >= 1 || s.random.Float64() < share) {
 			kept = append(kept, neighbor)
 		}
 	}
-	s.peers, s.all = kept, peers
-	s.drawNeighbors()
+	s.neighbors, s.peers = kept, peers
+	s.fillNeighbors()
 }
 
-// drawNeighbors fills the list of neighbors.
-func (s *State) drawNeighbors() {
-	if len(s.all) <= s.config.Neighbors {
-		s.peers = append(s.peers[:0], s.all...)
+// fillNeighbors adds random peers until the neighbor list is complete.
+func (s *State) fillNeighbors() {
+	if len(s.peers) <= s.config.Neighbors {
+		s.neighbors = append(s.neighbors[:0], s.peers...)
 		return
 	}
-	for len(s.peers) < s.config.Neighbors {
-		drawn := s.all[s.random.IntN(len(s.all))]
-		if !slices.Contains(s.peers, drawn) {
-			s.peers = append(s.peers, drawn)
+	for len(s.neighbors) < s.config.Neighbors {
+		candidate := s.peers[s.random.IntN(len(s.peers))]
+		if !slices.Contains(s.neighbors, candidate) {
+			s.neighbors = append(s.neighbors, candidate)
 		}
 	}
 }
 
-// redraw replaces the oldest neighbor, so that no part of the mesh stays apart.
-func (s *State) redraw(now time.Duration) {
-	if now < s.nextRedraw || len(s.peers) == 0 {
+// rotateNeighbor replaces the oldest neighbor every RotationInterval, so that the
+// neighbor graph cannot stay partitioned.
+func (s *State) rotateNeighbor(now time.Duration) {
+	if now < s.nextRotation || len(s.neighbors) == 0 {
 		return
 	}
-	if s.nextRedraw > 0 && len(s.all) > s.config.Neighbors {
-		delete(s.told, s.peers[0])
-		s.peers = s.peers[1:]
-		s.drawNeighbors()
+	if s.nextRotation > 0 && len(s.peers) > s.config.Neighbors {
+		delete(s.peerVersions, s.neighbors[0])
+		s.neighbors = s.neighbors[1:]
+		s.fillNeighbors()
 	}
-	s.nextRedraw = now + s.config.RedrawInterval
+	s.nextRotation = now + s.config.RotationInterval
 }
 
-// Version gives the version in force, 0 for none.
+// Version returns the installed version, or 0.
 func (s *State) Version() int64 { return s.version }
 
-// Installed notes that a version is in force here and starts to spread it. An
-// older version than the one in force is ignored.
+// Installed records an installed version and starts pushing it. It ignores versions
+// that are not newer than the current one.
 func (s *State) Installed(now time.Duration, version int64) {
 	if version <= s.version {
 		return
 	}
 	s.version = version
-	s.rounds = s.config.PushRounds
+	s.pushRoundsLeft = s.config.PushRounds
 	s.nextPush = now
 	clear(s.fetching)
 }
 
-// Heard takes a version number that a peer told or answered. A peer that is
-// behind needs no message: it has the higher version from the same exchange.
+// Heard processes a version number received from a peer and returns a Fetch if it is
+// newer and no other fetch is pending. A peer with an older version gets no message,
+// because it learns the newer version in the same exchange.
 func (s *State) Heard(now time.Duration, peer string, version int64) []Action {
-	s.told[peer] = version
+	s.peerVersions[peer] = version
 	if version <= s.version {
 		return nil
 	}
 	if len(s.fetching) > 0 {
-		for other, since := range s.fetching {
-			if now-since > FetchTimeout {
-				delete(s.fetching, other)
+		for fetchPeer, startedAt := range s.fetching {
+			if now-startedAt > FetchTimeout {
+				delete(s.fetching, fetchPeer)
 			}
 		}
 		if len(s.fetching) > 0 {
@@ -168,7 +169,8 @@
 	return []Action{{Kind: Fetch, Peer: peer, Version: s.version}}
 }
 
-// Tick gives what is due. Call it every PushInterval/2 or oftener.
+// Tick returns the actions that are due. It must be called at least every
+// PushInterval/2.
 func (s *State) Tick(now time.Duration) []Action {
 	var actions []Action
 	if now >= s.nextPoll {
@@ -177,45 +179,46 @@
 		}
 		s.nextPoll = now + s.pollInterval()
 	}
-	if len(s.peers) == 0 {
+	if len(s.neighbors) == 0 {
 		return actions
 	}
-	s.redraw(now)
-	if s.rounds > 0 && now >= s.nextPush {
-		s.rounds--
+	s.rotateNeighbor(now)
+	if s.pushRoundsLeft > 0 && now >= s.nextPush {
+		s.pushRoundsLeft--
 		s.nextPush = now + s.config.PushInterval
 		for range s.config.PushFanout {
-			actions = s.tell(actions)
+			actions = s.appendPush(actions)
 		}
 	}
-	if now >= s.nextCompare {
-		s.nextCompare = now + time.Duration(float64(s.compareInterval())*(0.5+s.random.Float64()))
-		peer := s.peers[s.random.IntN(len(s.peers))]
+	if now >= s.nextAntiEntropy {
+		s.nextAntiEntropy = now + time.Duration(float64(s.antiEntropyInterval())*(0.5+s.random.Float64()))
+		peer := s.neighbors[s.random.IntN(len(s.neighbors))]
 		actions = append(actions, Action{Kind: Tell, Peer: peer, Version: s.version})
 	}
 	return actions
 }
 
-func (s *State) tell(actions []Action) []Action {
-	peer := s.peers[s.random.IntN(len(s.peers))]
-	if s.told[peer] >= s.version {
+// appendPush appends a Tell to a random neighbor, unless it is known to be up to date.
+func (s *State) appendPush(actions []Action) []Action {
+	peer := s.neighbors[s.random.IntN(len(s.neighbors))]
+	if s.peerVersions[peer] >= s.version {
 		return actions
 	}
 	return append(actions, Action{Kind: Tell, Peer: peer, Version: s.version})
 }
 
-func (s *State) compareInterval() time.Duration {
+func (s *State) antiEntropyInterval() time.Duration {
 	if s.version == 0 {
-		return s.config.StartTimeout
+		return s.config.BootstrapInterval
 	}
-	return s.config.CompareInterval
+	return s.config.AntiEntropyInterval
 }
 
 func (s *State) pollInterval() time.Duration {
-	mean := float64(len(s.all)+1) / s.config.PlatformReadsPerSecond * float64(time.Second)
+	mean := float64(len(s.peers)+1) / s.config.PlatformReadsPerSecond * float64(time.Second)
 	interval := time.Duration(mean * s.random.ExpFloat64())
 	if s.version == 0 {
-		interval = min(interval, 10*s.config.StartTimeout)
+		interval = min(interval, 10*s.config.BootstrapInterval)
 	}
-	return max(interval, s.config.FastPollFloor)
+	return max(interval, s.config.MinPollInterval)
 }
