--- a/internal/mesh/dataplane/attempt.go
+++ b/internal/mesh/dataplane/attempt.go
@@ -19,7 +19,7 @@
 	"github.com/landingmast/landingmast/internal/mesh/wire"
 )
 
-// attempt is one try to have a call served by one target's node.
+// attempt sends a call to one node and records the result.
 type attempt struct {
 	plane    *Plane
 	outbound *outboundCall
@@ -32,10 +32,10 @@
 	head     *wire.Result
 	outcome  outcome.Outcome
 	reason   outcome.Reason
-	settled  bool
+	reported bool
 }
 
-// send sends the call and reads the head of the answer.
+// send sends the request and decodes the result header of the response.
 func (a *attempt) send(ctx context.Context) {
 	a.started = a.plane.now()
 	request, err := a.request(ctx)
@@ -43,11 +43,11 @@
 		a.fail(outcome.NotRun, outcome.ReasonUnreachable)
 		return
 	}
-	var taken atomic.Pointer[httptrace.GotConnInfo]
-	trace := &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) { taken.Store(&info) }}
-	response, err := a.plane.peersFor(a.outbound.key != "").RoundTrip(request.WithContext(httptrace.WithClientTrace(ctx, trace)))
+	var conn atomic.Pointer[httptrace.GotConnInfo]
+	trace := &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) { conn.Store(&info) }}
+	response, err := a.plane.peerTransport(a.outbound.key != "").RoundTrip(request.WithContext(httptrace.WithClientTrace(ctx, trace)))
 	if err != nil {
-		a.noAnswer(ctx, taken.Load())
+		a.classifyError(ctx, conn.Load())
 		return
 	}
 	a.response = response
@@ -62,43 +62,44 @@
 	a.reason = outcome.Reason(head.Reason)
 }
 
-func (a *attempt) fail(how outcome.Outcome, reason outcome.Reason) {
-	a.outcome, a.reason = how, reason
+func (a *attempt) fail(result outcome.Outcome, reason outcome.Reason) {
+	a.outcome, a.reason = result, reason
 }
 
-// noAnswer sorts a failed round trip: without a connection nothing was sent. taken is the
-// connection that the call was written to, or nil.
-func (a *attempt) noAnswer(ctx context.Context, taken *httptrace.GotConnInfo) {
-	if taken == nil {
-		a.fail(outcome.NotRun, reasonOf(ctx, outcome.ReasonUnreachable))
+// classifyError sets the outcome after a transport error. conn is the connection the
+// request was written to; nil means that no connection was obtained, so nothing was sent.
+func (a *attempt) classifyError(ctx context.Context, conn *httptrace.GotConnInfo) {
+	if conn == nil {
+		a.fail(outcome.NotRun, cancelReason(ctx, outcome.ReasonUnreachable))
 		return
 	}
-	a.fail(outcome.Unknown, reasonOf(ctx, outcome.ReasonReset))
-	a.recordLost(taken)
+	a.fail(outcome.Unknown, cancelReason(ctx, outcome.ReasonReset))
+	a.recordLostConnection(conn)
 }
 
-// recordLost notes over which connection a call was lost. One that has rested tells of a node
-// that closed it, a new one of a node that ended or of a network that broke.
-func (a *attempt) recordLost(taken *httptrace.GotConnInfo) {
-	kind := connectionNew
-	if taken.Reused {
-		kind = connectionRested
+// recordLostConnection records the connection on which a call was lost. A reused
+// connection suggests that the peer closed it while idle; a new one suggests a crashed
+// node or a network failure.
+func (a *attempt) recordLostConnection(conn *httptrace.GotConnInfo) {
+	kind := connNew
+	if conn.Reused {
+		kind = connReused
 	}
 	call := a.outbound
 	a.plane.metrics.Lost.WithLabelValues(call.service, string(a.reason), kind).Inc()
 	a.plane.record(call.context, explain.Lose, kind, call.service, a.choice.Target.Node,
-		number("rested_ms", milliseconds(taken.IdleTime)), number("local_port", float64(localPort(taken.Conn))),
+		number("rested_ms", milliseconds(conn.IdleTime)), number("local_port", float64(localPort(conn.Conn))),
 		number("after_ms", milliseconds(a.plane.now()-a.started)))
 }
 
-// Kinds of connections over which calls are lost; labels of a counter and reasons of records.
+// Connection kinds, used as metric labels and as reasons in decision records.
 const (
-	connectionNew    = "new_connection"
-	connectionRested = "rested_connection" // carried calls before
+	connNew    = "new_connection"
+	connReused = "rested_connection"
 )
 
-// localPort gives the port at this end of a connection, by which the other end's tools name
-// it; 0 when it has none.
+// localPort returns the local TCP port of conn, or 0 if it is not a TCP connection. The
+// port identifies the connection in tools run on the peer.
 func localPort(conn net.Conn) int {
 	if address, ok := conn.LocalAddr().(*net.TCPAddr); ok {
 		return address.Port
@@ -111,11 +112,11 @@
 	target := &url.URL{Scheme: "https", Host: a.choice.Target.Address, Path: call.request.URL.Path, RawPath: call.request.URL.RawPath, RawQuery: call.request.URL.RawQuery}
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, target.String(), nil)
 	if err != nil {
-		return nil, failure.Wrap(err, failure.BadInput, "correct the path", "request cannot be forwarded")
+		return nil, failure.Wrap(err, failure.BadInput, "correct the path", "cannot build the forwarded request")
 	}
 	setBody(request, call.body.next(), call.request.ContentLength)
 	copyHeaders(request.Header, call.request.Header)
-	hideKeys(request.Header)
+	lowercaseIdempotencyKeys(request.Header)
 	header, err := wire.CallCodec.EncodeHeader(&wire.Call{
 		Protocol: wire.ProtocolVersion, RequestID: call.context.requestID, CallID: a.callID, Service: call.service, Method: call.request.Method,
 		Class: call.class.Name, Level: call.context.level, Rank: int(call.context.rank), Depth: call.context.depth,
@@ -129,27 +130,27 @@
 	return request, nil
 }
 
-// settle reads the rest of a refused answer, takes back the credits that were
-// not spent and tells routing what was seen.
+// settle drains the response to a refused call, returns unspent credits to the ledger
+// and reports the result to the balancer.
 func (a *attempt) settle() {
 	if a.response != nil && a.head != nil && a.outcome != outcome.Answered {
-		_, _ = io.Copy(io.Discard, io.LimitReader(a.response.Body, relayBuffer))
+		_, _ = io.Copy(io.Discard, io.LimitReader(a.response.Body, relayBufferSize))
 		if end, err := wire.EndCodec.DecodeHeader(a.response.Trailer.Get(wire.TrailerEnd)); err == nil {
 			a.outbound.context.ledger.settle(a.loan, end.Unspent)
 		}
 		_ = a.response.Body.Close()
 	}
 	if a.response == nil && a.outcome == outcome.NotRun {
-		a.outbound.context.ledger.settle(a.loan, a.loan.Amount()) // nothing was sent, so nothing was lent
+		a.outbound.context.ledger.settle(a.loan, a.loan.Amount()) // nothing was sent, so no credits were spent
 	}
-	a.tellRouting()
+	a.reportResult()
 }
 
-func (a *attempt) tellRouting() {
-	if a.settled {
+func (a *attempt) reportResult() {
+	if a.reported {
 		return
 	}
-	a.settled = true
+	a.reported = true
 	now := a.plane.now()
 	result := routing.Result{Node: a.choice.Target.Node}
 	pathCursor := -1
--- a/internal/mesh/dataplane/call.go
+++ b/internal/mesh/dataplane/call.go
@@ -10,8 +10,8 @@
 	"github.com/landingmast/landingmast/internal/mesh/core/limiter"
 )
 
-// callContext is what the node knows of one call while it serves it. The target
-// passes only its id on; the deeper calls find the rest here.
+// callContext is the state of a call in progress. The target echoes only the request ID;
+// downstream calls look up everything else here.
 type callContext struct {
 	requestID string
 	callID    string
@@ -20,24 +20,25 @@
 	level     int
 	rank      admission.Rank
 	depth     int
-	deadline  time.Duration // on the plane's clock
+	deadline  time.Duration // relative to Plane.started
 	ledger    *credits
-	abandoned context.Context // done when nobody wants the answer any more
+	ctx       context.Context // done when the caller no longer waits for the response
 
 	mutex      sync.Mutex
 	own        limiter.OwnTime
-	pathCursor int // lowest cursor met below; -1: none
+	pathCursor int // lowest admission cursor reported downstream; -1 if none
 }
 
-// deeperBegins notes that the target opened a call of its own.
-func (c *callContext) deeperBegins(now time.Duration) {
+// downstreamStarted records the start of a call made by the target.
+func (c *callContext) downstreamStarted(now time.Duration) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.own.DeeperBegins(now)
 }
 
-// deeperEnds notes the end of such a call, and the cursor met below.
-func (c *callContext) deeperEnds(now time.Duration, cursor int) {
+// downstreamEnded records the end of a call made by the target and the admission cursor
+// reported for it; a negative cursor means none.
+func (c *callContext) downstreamEnded(now time.Duration, cursor int) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.own.DeeperEnds(now)
@@ -46,7 +47,7 @@
 	}
 }
 
-// ownTime is the time since started that the target itself took.
+// ownTime returns the time since started, excluding downstream calls.
 func (c *callContext) ownTime(now, started time.Duration) time.Duration {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -59,17 +60,18 @@
 	return c.pathCursor
 }
 
-func (c *callContext) hasGoneDeeper() bool {
+func (c *callContext) madeDownstreamCall() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.own.MadeDeeper()
 }
 
-// callTable holds the calls that are at the target, by call id.
+// callTable indexes the calls being served by the target by call ID and counts the calls
+// in flight.
 type callTable struct {
-	mutex   sync.Mutex
-	calls   map[string]*callContext
-	serving int
+	mutex  sync.Mutex
+	calls  map[string]*callContext
+	active int
 }
 
 func newCallTable() *callTable { return &callTable{calls: map[string]*callContext{}} }
@@ -86,11 +88,11 @@
 	delete(t.calls, call.callID)
 }
 
-// find gives the call that a target's X-Request-Id names, or nil. The header is
-// the request id, a dot and the call id.
+// find returns the call identified by the X-Request-Id header of a request from the target,
+// or nil. The header has the form "<request ID>.<call ID>".
 func (t *callTable) find(header string) *callContext {
-	_, callID, found := cutLast(header)
-	if !found {
+	_, callID, ok := splitTargetRequestID(header)
+	if !ok {
 		return nil
 	}
 	t.mutex.Lock()
@@ -98,27 +100,27 @@
 	return t.calls[callID]
 }
 
-func (t *callTable) enter() {
+func (t *callTable) incInFlight() {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.serving++
+	t.active++
 }
 
-func (t *callTable) leave() {
+func (t *callTable) decInFlight() {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.serving--
+	t.active--
 }
 
 func (t *callTable) inFlight() int {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	return t.serving
+	return t.active
 }
 
 func targetRequestID(requestID, callID string) string { return requestID + "." + callID }
 
-func cutLast(header string) (requestID, callID string, found bool) {
+func splitTargetRequestID(header string) (requestID, callID string, ok bool) {
 	dot := strings.LastIndexByte(header, '.')
 	if dot < 0 {
 		return "", "", false
--- a/internal/mesh/dataplane/errors.go
+++ b/internal/mesh/dataplane/errors.go
@@ -8,30 +8,31 @@
 	"github.com/landingmast/landingmast/internal/mesh/core/outcome"
 )
 
-// Causes for which a call is cut short.
+// Cancellation causes of call contexts.
 const (
-	errPreempted    = errors.ConstError("preempted for more important work")
-	errReceiverGone = errors.ConstError("receiver went away")
-	errDeadline     = errors.ConstError("deadline passed")
-	errParentGone   = errors.ConstError("nobody waits for the parent call any more")
+	errPreempted        = errors.ConstError("preempted by a call of higher importance")
+	errClientGone       = errors.ConstError("client closed the connection")
+	errDeadlineExceeded = errors.ConstError("call deadline exceeded")
+	errParentCancelled  = errors.ConstError("parent call was cancelled")
 )
 
-// reasonOf names the cause for which a context ended.
-func reasonOf(ctx context.Context, otherwise outcome.Reason) outcome.Reason {
+// cancelReason maps the cancellation cause of ctx to a reason; it returns fallback if ctx is
+// not done.
+func cancelReason(ctx context.Context, fallback outcome.Reason) outcome.Reason {
 	cause := context.Cause(ctx)
 	switch {
 	case cause == nil:
-		return otherwise
+		return fallback
 	case errors.Is(cause, errPreempted):
 		return outcome.ReasonPreempted
-	case errors.Is(cause, errDeadline), errors.Is(cause, context.DeadlineExceeded):
+	case errors.Is(cause, errDeadlineExceeded), errors.Is(cause, context.DeadlineExceeded):
 		return outcome.ReasonTimeout
 	default:
 		return outcome.ReasonCancelled
 	}
 }
 
-// bounded gives a context that ends with errDeadline after a span.
-func bounded(parent context.Context, span time.Duration) (context.Context, context.CancelFunc) {
-	return context.WithTimeoutCause(parent, span, errDeadline)
+// withTimeout returns a context that is cancelled with errDeadlineExceeded after timeout.
+func withTimeout(parent context.Context, timeout time.Duration) (context.Context, context.CancelFunc) {
+	return context.WithTimeoutCause(parent, timeout, errDeadlineExceeded)
 }
--- a/internal/mesh/dataplane/gate.go
+++ b/internal/mesh/dataplane/gate.go
@@ -12,24 +12,23 @@
 	"github.com/landingmast/landingmast/internal/mesh/telemetry"
 )
 
-// gate drives the gate of the target beside the node: calls wait on channels, a
-// timer ticks while any waits.
+// gate adds locking, waiting and timers to the admission gate of the local target. Calls
+// wait on channels; a timer runs while the queue is not empty.
 type gate struct {
-	levels  int
-	now     func() time.Duration
-	metrics *telemetry.Metrics
-	mutex   sync.Mutex
-	core    *gatecore.Gate
-	nextID  uint64
-	waiting map[uint64]chan limiter.Action
-	running map[uint64]context.CancelCauseFunc
-	ticking bool
+	levels        int
+	now           func() time.Duration
+	metrics       *telemetry.Metrics
+	mutex         sync.Mutex
+	core          *gatecore.Gate
+	nextID        uint64
+	waiting       map[uint64]chan limiter.Action
+	running       map[uint64]context.CancelCauseFunc
+	tickScheduled bool
 }
 
-const gateTick = 5 * time.Millisecond
+const gateTickInterval = 5 * time.Millisecond
 
-// newGate makes the gate of a target that takes so many connections: there is one
-// for each call at it.
+// newGate returns a gate that admits at most one call per connection to the target.
 func newGate(levels, connections int, now func() time.Duration, metrics *telemetry.Metrics) *gate {
 	config := gatecore.DefaultConfig(levels)
 	config.Limiter.MaxLimit = connections
@@ -41,44 +40,45 @@
 	}
 }
 
-// ticket is the right to a slot of the target, or the refusal of one.
+// ticket is the result of an admission request: a slot at the target or a refusal.
 type ticket struct {
-	id      uint64
-	action  limiter.Action
-	cursor  admission.Rank
-	entered time.Duration
+	id        uint64
+	action    limiter.Action
+	cursor    admission.Rank
+	decidedAt time.Duration
 }
 
 func (t ticket) admitted() bool { return t.action.Kind == limiter.Admit }
 
-// enter waits for a slot. cancel is called when the call is preempted.
-func (g *gate) enter(ctx context.Context, call limiter.Call, rank admission.Rank, cancel context.CancelCauseFunc) ticket {
+// acquire waits for a slot. The gate calls cancel if the call is preempted after admission.
+func (g *gate) acquire(ctx context.Context, call limiter.Call, rank admission.Rank, cancel context.CancelCauseFunc) ticket {
 	g.mutex.Lock()
 	now := g.now()
 	g.nextID++
 	call.ID = g.nextID
-	decided := make(chan limiter.Action, 1)
-	g.waiting[call.ID] = decided
+	decision := make(chan limiter.Action, 1)
+	g.waiting[call.ID] = decision
 	g.running[call.ID] = cancel
 	g.apply(g.core.Arrive(now, call, rank))
 	cursor := g.core.Cursor()
 	g.mutex.Unlock()
 
 	select {
-	case action := <-decided:
-		return ticket{id: call.ID, action: action, cursor: cursor, entered: g.now()}
+	case action := <-decision:
+		return ticket{id: call.ID, action: action, cursor: cursor, decidedAt: g.now()}
 	case <-ctx.Done():
-		return g.withdraw(call.ID, decided, cursor)
+		return g.withdraw(call.ID, decision, cursor)
 	}
 }
 
-// withdraw takes back a call whose caller went away while it waited.
-func (g *gate) withdraw(id uint64, decided chan limiter.Action, cursor admission.Rank) ticket {
+// withdraw removes a call that was cancelled while it waited. If a slot was granted in the
+// meantime, it is released.
+func (g *gate) withdraw(id uint64, decision chan limiter.Action, cursor admission.Rank) ticket {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	now := g.now()
 	select {
-	case action := <-decided:
+	case action := <-decision:
 		if action.Kind == limiter.Admit {
 			g.apply(g.core.Finish(now, id, 0, false, false))
 		}
@@ -90,9 +90,9 @@
 	return ticket{id: id, action: limiter.Action{Kind: limiter.Refuse, ID: id, Reason: outcome.ReasonCancelled}, cursor: cursor}
 }
 
-// leave gives the slot back. own is the target's own time; healthy tells that
-// it may be learned from, shed that the target refused the call.
-func (g *gate) leave(id uint64, own time.Duration, healthy, shed bool) {
+// release frees the slot. own is the time spent in the target itself, healthy allows the
+// limiter to use it as a sample, and shed reports that the target refused the call.
+func (g *gate) release(id uint64, own time.Duration, healthy, shed bool) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	now := g.now()
@@ -118,7 +118,7 @@
 	return g.core.Limit(), g.core.Active(), g.core.Queued(), g.core.Draining()
 }
 
-// apply carries out the limiter's actions. The mutex is held.
+// apply executes the actions of the limiter. The caller holds g.mutex.
 func (g *gate) apply(actions []limiter.Action) {
 	for _, action := range actions {
 		switch action.Kind {
@@ -127,16 +127,16 @@
 				cancel(errPreempted)
 			}
 		case limiter.Admit, limiter.Refuse:
-			g.note(action)
-			if decided := g.waiting[action.ID]; decided != nil {
-				decided <- action
+			g.recordDecision(action)
+			if decision := g.waiting[action.ID]; decision != nil {
+				decision <- action
 				delete(g.waiting, action.ID)
 			}
 		}
 	}
-	if g.core.Queued() > 0 && !g.ticking {
-		g.ticking = true
-		time.AfterFunc(gateTick, g.tick)
+	if g.core.Queued() > 0 && !g.tickScheduled {
+		g.tickScheduled = true
+		time.AfterFunc(gateTickInterval, g.tick)
 	}
 	g.metrics.Limit.Set(float64(g.core.Limit()))
 	g.metrics.Active.Set(float64(g.core.Active()))
@@ -144,7 +144,7 @@
 	g.metrics.Cursor.Set(float64(g.core.Cursor()))
 }
 
-func (g *gate) note(action limiter.Action) {
+func (g *gate) recordDecision(action limiter.Action) {
 	if action.Kind == limiter.Admit {
 		g.metrics.QueueWait.Observe(action.Wait.Seconds())
 		return
@@ -155,6 +155,6 @@
 func (g *gate) tick() {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.ticking = false
+	g.tickScheduled = false
 	g.apply(g.core.Tick(g.now()))
 }
--- a/internal/mesh/dataplane/gate_test.go
+++ b/internal/mesh/dataplane/gate_test.go
@@ -10,23 +10,23 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestNoMoreCallsThanConnectionsAreAtATarget(t *testing.T) {
+func TestGateLimitsActiveCallsToConnections(t *testing.T) {
 	g := NewWithT(t)
-	began := time.Now()
-	gate := newGate(2, 1, func() time.Duration { return time.Since(began) }, telemetry.NewMetrics())
+	start := time.Now()
+	gate := newGate(2, 1, func() time.Duration { return time.Since(start) }, telemetry.NewMetrics())
 	call := limiter.Call{Class: "c", Deadline: time.Minute}
-	first := gate.enter(context.Background(), call, 0, func(error) {})
+	first := gate.acquire(context.Background(), call, 0, func(error) {})
 	g.Expect(first.admitted()).To(BeTrue())
 	ctx, cancel := context.WithCancel(context.Background())
-	waited := make(chan ticket, 1)
-	go func() { waited <- gate.enter(ctx, call, 0, func(error) {}) }()
+	second := make(chan ticket, 1)
+	go func() { second <- gate.acquire(ctx, call, 0, func(error) {}) }()
 	g.Eventually(func() int {
 		_, _, queued, _ := gate.state()
 		return queued
 	}).Should(Equal(1))
 	cancel()
-	g.Expect((<-waited).admitted()).To(BeFalse())
-	gate.leave(first.id, time.Millisecond, true, false)
+	g.Expect((<-second).admitted()).To(BeFalse())
+	gate.release(first.id, time.Millisecond, true, false)
 	_, active, queued, _ := gate.state()
 	g.Expect(active).To(BeZero())
 	g.Expect(queued).To(BeZero())
--- a/internal/mesh/dataplane/headers.go
+++ b/internal/mesh/dataplane/headers.go
@@ -8,13 +8,13 @@
 	"github.com/landingmast/landingmast/internal/mesh/wire"
 )
 
-// hopByHop are the headers that belong to one connection (RFC 9110, 7.6.1).
+// hopByHop lists the connection-specific headers (RFC 9110, section 7.6.1).
 var hopByHop = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade",
 }
 
-// copyHeaders copies what travels end to end; reserved headers stay behind.
+// copyHeaders copies the end-to-end headers, except reserved ones.
 func copyHeaders(to, from http.Header) {
 	named := map[string]bool{}
 	for _, value := range from.Values("Connection") {
@@ -37,7 +37,7 @@
 	return strings.HasPrefix(name, wire.HeaderPrefix)
 }
 
-// stripReserved removes the headers that only landingmast sets and gives their number.
+// stripReserved deletes the reserved headers and returns how many there were.
 func stripReserved(header http.Header) int {
 	stripped := 0
 	for name := range header {
@@ -49,16 +49,15 @@
 	return stripped
 }
 
-// net/http sends some requests a second time of its own accord when a reused
-// connection breaks: those whose body it can repeat and whose method or
-// Idempotency-Key header says that they may be. Retries are counted and bounded
-// here, so setBody and hideKeys see to it that it never does.
+// net/http retries a request on a broken idle connection if the body can be rewound and
+// the method or an Idempotency-Key header marks it as idempotent. Retries are limited by
+// credits here, so setBody and lowercaseIdempotencyKeys prevent the implicit ones.
 
-// opaqueBody hides from net/http what a body is.
+// opaqueBody hides the concrete type of a body from net/http.
 type opaqueBody struct{ io.ReadCloser }
 
-// setBody sets the body of a forwarded request. An empty body of a method that
-// usually has one is sent as Content-Length: 0.
+// setBody sets the body of a forwarded request. For methods that normally have a body, an
+// empty one is sent with Content-Length: 0.
 func setBody(request *http.Request, body io.ReadCloser, length int64) {
 	request.ContentLength = length
 	request.Body = opaqueBody{body}
@@ -70,9 +69,9 @@
 	}
 }
 
-// hideKeys renames the headers by which net/http takes a request for repeatable
-// to lower case; names are case-insensitive to the receiver.
-func hideKeys(header http.Header) {
+// lowercaseIdempotencyKeys lowercases the header names that make net/http treat a request
+// as idempotent. Header names are case-insensitive, so receivers are not affected.
+func lowercaseIdempotencyKeys(header http.Header) {
 	for _, name := range []string{"Idempotency-Key", "X-Idempotency-Key"} {
 		if values, present := header[name]; present {
 			delete(header, name)
--- a/internal/mesh/dataplane/ingress.go
+++ b/internal/mesh/dataplane/ingress.go
@@ -20,20 +20,20 @@
 	"github.com/landingmast/landingmast/internal/mesh/wire"
 )
 
-// ingressCall is a call from another node to the target beside this one.
+// ingressCall is a call from another node to the local target.
 type ingressCall struct {
-	plane      *Plane
-	writer     *duplex.Writer
-	request    *http.Request
-	wire       *wire.Call
-	context    *callContext
-	started    time.Duration
-	repeatable bool
-	cursor     int
+	plane       *Plane
+	writer      *duplex.Writer
+	request     *http.Request
+	wire        *wire.Call
+	context     *callContext
+	started     time.Duration
+	preemptible bool
+	cursor      int
 }
 
-// Ingress serves the calls of other nodes on the peer port. Requests that are
-// no calls go to control.
+// Ingress returns the handler of the peer port. Requests that are not calls are passed to
+// control.
 func (p *Plane) Ingress(control http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if !isCall(r) {
@@ -54,51 +54,51 @@
 		return
 	}
 	call.wire = header
-	ctx, abandon := context.WithCancelCause(r.Context())
-	defer abandon(nil)
-	ctx, cancel := bounded(ctx, time.Duration(header.Remaining)*time.Microsecond)
+	ctx, cancelCause := context.WithCancelCause(r.Context())
+	defer cancelCause(nil)
+	ctx, cancel := withTimeout(ctx, time.Duration(header.Remaining)*time.Microsecond)
 	defer cancel()
-	boundBody(w, r, time.Duration(header.Remaining)*time.Microsecond)
+	setBodyReadDeadline(w, r, time.Duration(header.Remaining)*time.Microsecond)
 	call.context = &callContext{
 		requestID: header.RequestID, callID: header.CallID, class: header.Class, level: header.Level, rank: admission.Rank(header.Rank),
 		depth: header.Depth, deadline: call.started + time.Duration(header.Remaining)*time.Microsecond,
-		ledger: newCredits(header.Credits), abandoned: ctx, pathCursor: -1,
+		ledger: newCredits(header.Credits), ctx: ctx, pathCursor: -1,
 	}
-	if final := call.check(); final != nil {
+	if final := call.validate(); final != nil {
 		call.refuse(*final, "")
 		return
 	}
-	call.admit(ctx, abandon)
+	call.admit(ctx, cancelCause)
 }
 
-// check refuses what can never be served here and answers keys that have run.
-func (c *ingressCall) check() *refusal {
-	intent := c.plane.intent.Load()
+// validate returns a refusal if this node cannot serve the call.
+func (c *ingressCall) validate() *refusal {
+	index := c.plane.index.Load()
 	switch {
 	case c.wire.Protocol > wire.ProtocolVersion:
-		return refused(outcome.ReasonVersionMismatch)
-	case intent == nil || c.plane.gate.Load() == nil:
-		return refused(outcome.ReasonNoBundle)
+		return notRun(outcome.ReasonVersionMismatch)
+	case index == nil || c.plane.gate.Load() == nil:
+		return notRun(outcome.ReasonNoBundle)
 	case c.wire.Service != *c.plane.service.Load():
-		return refused(outcome.ReasonUnknownService)
+		return notRun(outcome.ReasonUnknownService)
 	}
-	levels := intent.Bundle.Levels
+	levels := index.Bundle.Levels
 	c.context.level = min(max(c.context.level, 0), len(levels)-1)
 	c.context.levelName = levels[c.context.level]
-	c.repeatable = !c.wire.AtMostOnce
+	c.preemptible = !c.wire.AtMostOnce
 	return nil
 }
 
-// admit waits for a slot of the target and serves the call with it.
-func (c *ingressCall) admit(ctx context.Context, abandon context.CancelCauseFunc) {
-	if c.wire.AtMostOnce && c.known() {
+// admit waits for a slot at the target and runs the call.
+func (c *ingressCall) admit(ctx context.Context, cancel context.CancelCauseFunc) {
+	if c.wire.AtMostOnce && c.answerKnownKey() {
 		return
 	}
 	gate := c.plane.gate.Load()
-	ticket := gate.enter(ctx, limiter.Call{
-		Level: c.context.level, Class: c.context.class, Deadline: c.context.deadline, Preemptible: c.repeatable,
+	ticket := gate.acquire(ctx, limiter.Call{
+		Level: c.context.level, Class: c.context.class, Deadline: c.context.deadline, Preemptible: c.preemptible,
 		Chain: c.context.requestID, Depth: c.context.depth,
-	}, c.context.rank, abandon)
+	}, c.context.rank, cancel)
 	c.cursor = int(ticket.cursor)
 	numbers := []explain.Number{
 		number("rank", float64(c.context.rank)), number("cursor", float64(ticket.cursor)), number("limit", float64(ticket.action.Limit)),
@@ -107,12 +107,12 @@
 	}
 	if !ticket.admitted() {
 		c.plane.record(c.context, explain.Refuse, string(ticket.action.Reason), c.wire.Service, c.plane.node, numbers...)
-		c.refuse(refuse(outcome.NotRun, ticket.action.Reason), "")
+		c.refuse(newRefusal(outcome.NotRun, ticket.action.Reason), "")
 		return
 	}
 	c.plane.record(c.context, explain.Admit, "slot_free", c.wire.Service, c.plane.node, numbers...)
 	end := c.run(ctx)
-	gate.leave(ticket.id, end.own, end.healthy, end.shed)
+	gate.release(ticket.id, end.own, end.healthy, end.shed)
 	if end.final != nil {
 		c.refuse(*end.final, end.executor)
 	}
@@ -121,35 +121,36 @@
 	}
 }
 
-// served is how the time with a slot ended.
-type served struct {
+// runResult describes how an admitted call ended.
+type runResult struct {
 	own      time.Duration
-	healthy  bool     // own tells about the target's speed
-	shed     bool     // target refused the call
-	final    *refusal // answer still to be written
+	healthy  bool     // own is a valid latency sample
+	shed     bool     // the target refused the call
+	final    *refusal // response still to be written
 	executor string
-	abort    bool // answer was broken off: cut the connection
+	abort    bool // the response is incomplete; close the connection
 }
 
-// known answers a key that has run or is running here, without a slot.
-func (c *ingressCall) known() bool {
+// answerKnownKey responds without a slot if the idempotency key is already known here. It
+// reports whether it has written a response.
+func (c *ingressCall) answerKnownKey() bool {
 	phase, answer := c.plane.claims.Lookup(c.wire.Key)
 	switch phase {
 	case claim.PhaseDone:
-		c.keptAnswer(answer)
+		c.writeStoredAnswer(answer)
 	case claim.PhaseClaiming, claim.PhaseRunning:
-		c.refuse(refuse(outcome.Unknown, outcome.ReasonInProgress), "")
+		c.refuse(newRefusal(outcome.Unknown, outcome.ReasonInProgress), "")
 	case claim.PhaseUnknown:
-		c.refuse(refuse(outcome.Unknown, outcome.ReasonExecutorLost), "")
+		c.refuse(newRefusal(outcome.Unknown, outcome.ReasonExecutorLost), "")
 	default:
 		return false
 	}
 	return true
 }
 
-func (c *ingressCall) keptAnswer(answer *claim.Answer) {
+func (c *ingressCall) writeStoredAnswer(answer *claim.Answer) {
 	if answer == nil {
-		c.refuse(refuse(outcome.Unknown, outcome.ReasonAnswerNotKept), "")
+		c.refuse(newRefusal(outcome.Unknown, outcome.ReasonAnswerNotKept), "")
 		return
 	}
 	c.plane.record(c.context, explain.Claim, string(outcome.ReasonKept), c.wire.Service, c.plane.node)
@@ -157,51 +158,50 @@
 	for name, values := range answer.Headers {
 		header[name] = values
 	}
-	c.head(outcome.Answered, outcome.ReasonKept, answer.Status, int64(len(answer.Body)), 0, "")
-	sum, err := relay(c.writer, bytes.NewReader(answer.Body), -1, false, nil, func(body) error { return nil })
-	c.end(sum, err != nil)
+	c.writeHead(outcome.Answered, outcome.ReasonKept, answer.Status, int64(len(answer.Body)), 0, "")
+	sum, err := relay(c.writer, bytes.NewReader(answer.Body), -1, false, nil, func(bodySum) error { return nil })
+	c.writeTrailer(sum, err != nil)
 }
 
-// run claims the key where that is needed, hands the call over to the target
-// and relays the answer.
-func (c *ingressCall) run(ctx context.Context) served {
+// run claims the idempotency key of an at-most-once call, forwards the call to the target
+// and relays the response.
+func (c *ingressCall) run(ctx context.Context) runResult {
 	if c.wire.AtMostOnce {
 		claimed := c.plane.claims.Begin(ctx, c.wire.Key)
 		c.plane.record(c.context, explain.Claim, string(claimed.Reason), c.wire.Service, claimed.Executor, claimed.Numbers...)
 		switch {
 		case claimed.Kept != nil:
-			c.keptAnswer(claimed.Kept)
-			return served{}
+			c.writeStoredAnswer(claimed.Kept)
+			return runResult{}
 		case !claimed.Run:
-			final := refuse(claimed.Outcome, claimed.Reason)
-			return served{final: &final, executor: claimed.Executor}
+			final := newRefusal(claimed.Outcome, claimed.Reason)
+			return runResult{final: &final, executor: claimed.Executor}
 		}
 	}
 	c.plane.calls.add(c.context)
 	defer c.plane.calls.remove(c.context)
-	return c.handOver(ctx)
+	return c.forward(ctx)
 }
 
-// handOver sends the call to the target.
-func (c *ingressCall) handOver(ctx context.Context) served {
+func (c *ingressCall) forward(ctx context.Context) runResult {
 	started := c.plane.now()
 	request, err := c.targetRequest(ctx)
 	if err != nil {
-		return c.notHandedOver(outcome.ReasonUnreachable)
+		return c.notStarted(outcome.ReasonUnreachable)
 	}
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
 	response, err := c.plane.local.RoundTrip(request.WithContext(httptrace.WithClientTrace(ctx, trace)))
 	if err != nil {
 		if !connected.Load() {
-			return c.notHandedOver(reasonOf(ctx, outcome.ReasonUnreachable))
+			return c.notStarted(cancelReason(ctx, outcome.ReasonUnreachable))
 		}
-		return c.lost(ctx, started)
+		return c.noResponse(ctx, started)
 	}
 	defer response.Body.Close()
 	if c.isShed(response) {
-		_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, relayBuffer))
-		end := c.notHandedOver(outcome.ReasonTargetShed)
+		_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, relayBufferSize))
+		end := c.notStarted(outcome.ReasonTargetShed)
 		end.shed = true
 		return end
 	}
@@ -217,93 +217,94 @@
 	setBody(request, io.NopCloser(c.request.Body), c.request.ContentLength)
 	request.Host = c.wire.Service
 	copyHeaders(request.Header, c.request.Header)
-	hideKeys(request.Header)
+	lowercaseIdempotencyKeys(request.Header)
 	request.Header.Set(wire.HeaderRequestID, targetRequestID(c.context.requestID, c.context.callID))
 	remaining := (c.context.deadline - c.plane.now()) / time.Millisecond
 	request.Header.Set(wire.HeaderDeadline, strconv.FormatInt(int64(remaining), 10))
 	return request, nil
 }
 
-// notHandedOver ends a call that provably did not reach the target's work.
-func (c *ingressCall) notHandedOver(reason outcome.Reason) served {
+// notStarted releases the claim of a call that the target did not start.
+func (c *ingressCall) notStarted(reason outcome.Reason) runResult {
 	if c.wire.AtMostOnce {
 		c.plane.claims.NotStarted(c.wire.Key)
 	}
-	final := refuse(outcome.NotRun, reason)
-	return served{final: &final}
+	final := newRefusal(outcome.NotRun, reason)
+	return runResult{final: &final}
 }
 
-// lost ends a call that was handed over and got no answer.
-func (c *ingressCall) lost(ctx context.Context, started time.Duration) served {
+// noResponse handles a call that was sent to the target but got no response.
+func (c *ingressCall) noResponse(ctx context.Context, started time.Duration) runResult {
 	if c.wire.AtMostOnce {
 		c.plane.claims.Lose(c.wire.Key)
 	}
-	reason := reasonOf(ctx, outcome.ReasonReset)
-	final := refuse(outcome.Unknown, reason)
-	return served{final: &final, own: c.context.ownTime(c.plane.now(), started), healthy: reason == outcome.ReasonTimeout}
+	reason := cancelReason(ctx, outcome.ReasonReset)
+	final := newRefusal(outcome.Unknown, reason)
+	return runResult{final: &final, own: c.context.ownTime(c.plane.now(), started), healthy: reason == outcome.ReasonTimeout}
 }
 
-// isShed tells the target's declared "not started" from an answer. A target
-// that made a call of its own has started, whatever it says.
+// isShed reports whether the response is the shed signal of the service. A target that
+// has made a downstream call has started work, so its signal is ignored.
 func (c *ingressCall) isShed(response *http.Response) bool {
-	service := c.plane.intent.Load().Service(c.wire.Service)
-	if service == nil || service.Shed == nil || c.context.hasGoneDeeper() {
+	service := c.plane.index.Load().Service(c.wire.Service)
+	if service == nil || service.Shed == nil || c.context.madeDownstreamCall() {
 		return false
 	}
 	return response.StatusCode == service.Shed.Status && response.Header.Get(service.Shed.Header) != ""
 }
 
-// relayAnswer sends the target's answer up the chain and keeps it for the key.
-func (c *ingressCall) relayAnswer(ctx context.Context, response *http.Response, started time.Duration) served {
+// relayAnswer relays the response of the target to the calling node and stores it under
+// the idempotency key of an at-most-once call.
+func (c *ingressCall) relayAnswer(ctx context.Context, response *http.Response, started time.Duration) runResult {
 	copyHeaders(c.writer.Header(), response.Header)
 	c.writer.Header().Del("Content-Length")
-	c.head(outcome.Answered, outcome.ReasonNone, response.StatusCode, response.ContentLength, 0, "")
-	var kept *keeper
+	c.writeHead(outcome.Answered, outcome.ReasonNone, response.StatusCode, response.ContentLength, 0, "")
+	var stored *boundedCopy
 	if c.wire.AtMostOnce {
-		kept = &keeper{maximum: maxKeptAnswer}
+		stored = &boundedCopy{limit: maxStoredAnswer}
 	}
-	sum, err := relay(c.writer, response.Body, -1, response.ContentLength < 0, kept, func(body) error { return nil })
+	sum, err := relay(c.writer, response.Body, -1, response.ContentLength < 0, stored, func(bodySum) error { return nil })
 	own := c.context.ownTime(c.plane.now(), started)
 	if c.wire.AtMostOnce {
-		c.keep(response, kept, err)
+		c.storeAnswer(response, stored, err)
 	}
-	if err == errReceiverGone {
-		return served{abort: true}
+	if err == errClientGone {
+		return runResult{abort: true}
 	}
-	c.end(sum, err != nil)
+	c.writeTrailer(sum, err != nil)
 	reason := outcome.ReasonNone
 	if err != nil {
-		reason = reasonOf(ctx, outcome.ReasonTruncated)
+		reason = cancelReason(ctx, outcome.ReasonTruncated)
 	}
 	c.count(outcome.Answered, reason)
 	c.plane.metrics.Added.WithLabelValues(string(SideIngress)).Observe((started - c.started).Seconds())
 	c.plane.record(c.context, explain.Answer, string(reason), c.wire.Service, c.plane.node, number("status", float64(response.StatusCode)),
 		number("bytes", float64(sum.length)), number("own_ms", milliseconds(own)), number("took_ms", milliseconds(c.plane.now()-started)))
-	return served{own: own, healthy: err == nil && response.StatusCode < http.StatusInternalServerError}
+	return runResult{own: own, healthy: err == nil && response.StatusCode < http.StatusInternalServerError}
 }
 
-// maxKeptAnswer is the largest answer that is kept for a key, in bytes.
-const maxKeptAnswer = 64 << 10
+// maxStoredAnswer is the largest response body, in bytes, stored for an idempotency key.
+const maxStoredAnswer = 64 << 10
 
-func (c *ingressCall) keep(response *http.Response, kept *keeper, relayErr error) {
-	if relayErr != nil && relayErr != errReceiverGone {
+func (c *ingressCall) storeAnswer(response *http.Response, stored *boundedCopy, relayErr error) {
+	if relayErr != nil && relayErr != errClientGone {
 		c.plane.claims.Lose(c.wire.Key)
 		return
 	}
-	if relayErr != nil || kept.exceeded {
+	if relayErr != nil || stored.exceeded {
 		c.plane.claims.Complete(c.wire.Key, nil)
 		return
 	}
 	headers := http.Header{}
 	copyHeaders(headers, response.Header)
 	headers.Del("Content-Length")
-	c.plane.claims.Complete(c.wire.Key, &claim.Answer{Status: response.StatusCode, Headers: headers, Body: kept.data})
+	c.plane.claims.Complete(c.wire.Key, &claim.Answer{Status: response.StatusCode, Headers: headers, Body: stored.data})
 }
 
-// head writes the head of the answer to the node above.
-func (c *ingressCall) head(how outcome.Outcome, reason outcome.Reason, status int, length int64, retryAfter time.Duration, executor string) {
+// writeHead writes the result header and the status line of the response to the calling node.
+func (c *ingressCall) writeHead(result outcome.Outcome, reason outcome.Reason, status int, length int64, retryAfter time.Duration, executor string) {
 	value, err := wire.ResultCodec.EncodeHeader(&wire.Result{
-		Outcome: string(how), Reason: string(reason), Status: status, ContentLength: length, Cursor: c.cursor,
+		Outcome: string(result), Reason: string(reason), Status: status, ContentLength: length, Cursor: c.cursor,
 		PathCursor: c.context.lowestCursor(), Executor: executor, RetryAfter: int64(retryAfter / time.Millisecond),
 	})
 	if err != nil {
@@ -315,8 +316,8 @@
 	c.writer.WriteHeader(http.StatusOK)
 }
 
-// end writes the closing message of the answer.
-func (c *ingressCall) end(sum body, broken bool) {
+// writeTrailer sets the trailer with the length, digest and unspent credits.
+func (c *ingressCall) writeTrailer(sum bodySum, broken bool) {
 	value, err := wire.EndCodec.EncodeHeader(&wire.End{
 		CallID: c.context.callID, Unspent: c.context.ledger.close(), Length: sum.length, Digest: int64(sum.digest), Broken: broken,
 	})
@@ -326,28 +327,28 @@
 	c.writer.Header().Set(wire.TrailerEnd, value)
 }
 
-// refuse writes an answer without a body.
+// refuse writes a refusal, which has no body.
 func (c *ingressCall) refuse(final refusal, executor string) {
 	if final.outcome == outcome.NotRun {
-		c.plane.metrics.Shed.WithLabelValues(orElse(c.context.levelName, "none"), string(final.reason)).Inc()
+		c.plane.metrics.Shed.WithLabelValues(valueOr(c.context.levelName, "none"), string(final.reason)).Inc()
 	}
 	c.count(final.outcome, final.reason)
 	if final.reason == outcome.ReasonUnreachable || final.outcome == outcome.Unknown {
 		c.plane.record(c.context, explain.Refuse, string(final.reason), c.wire.Service, c.plane.node)
 	}
 	c.writer.ReadRest()
-	c.head(final.outcome, final.reason, 0, 0, final.retryAfter, executor)
-	c.end(body{}, false)
+	c.writeHead(final.outcome, final.reason, 0, 0, final.retryAfter, executor)
+	c.writeTrailer(bodySum{}, false)
 }
 
-func (c *ingressCall) count(how outcome.Outcome, reason outcome.Reason) {
+func (c *ingressCall) count(result outcome.Outcome, reason outcome.Reason) {
 	service := "unknown"
 	class := "unknown"
 	if c.wire.Service == *c.plane.service.Load() {
 		service = c.wire.Service
 	}
-	if intent := c.plane.intent.Load(); intent != nil && intent.HasClass(c.context.class) {
+	if index := c.plane.index.Load(); index != nil && index.HasClass(c.context.class) {
 		class = c.context.class
 	}
-	c.plane.metrics.Calls.WithLabelValues(string(SideIngress), service, class, string(how), string(reason)).Inc()
+	c.plane.metrics.Calls.WithLabelValues(string(SideIngress), service, class, string(result), string(reason)).Inc()
 }
--- a/internal/mesh/dataplane/overload_test.go
+++ b/internal/mesh/dataplane/overload_test.go
@@ -20,34 +20,33 @@
 	. "github.com/onsi/gomega"
 )
 
-// The overload is of all three kinds at once: the deepest service becomes three times
-// slower, demand triples, and callers send a failed request up to five times more.
+// The trigger: the downstream service slows down, demand rises and clients retry more often.
 const (
-	triggerFrom  = 5 * time.Second
-	triggerUntil = 11 * time.Second
-	trafficUntil = 16 * time.Second
-	slowdown     = 3.0
-	surge        = 3.0
-	loadShare    = 0.7 // of what the slots can serve, before and after
-
-	normalResends, normalBackoff = 1, 200 * time.Millisecond
-	hardResends, hardBackoff     = 5, 50 * time.Millisecond
+	triggerFrom     = 5 * time.Second
+	triggerUntil    = 11 * time.Second
+	trafficUntil    = 16 * time.Second
+	serviceSlowdown = 3.0
+	demandFactor    = 3.0
+	baseUtilization = 0.7 // outside the trigger
+
+	normalRetries, normalBackoff     = 1, 200 * time.Millisecond
+	overloadRetries, overloadBackoff = 5, 50 * time.Millisecond
 )
 
-// The mesh: two entries, service front with two targets that call service deep, which
-// has two.
+// Topology: two entries; service front with two targets, which call the two targets of
+// service deep.
 const (
-	frontSlots, frontTime = 8, 8 * time.Millisecond // of one target; mean time without the call to deep
+	frontSlots, frontTime = 8, 8 * time.Millisecond // per target; mean time without the call to deep
 	deepSlots, deepTime   = 6, 5 * time.Millisecond
-	targetsOfService      = 2
-	targetConnections     = 750                    // when they are all taken, a call waits for longer than most deadlines
+	targetsPerService     = 2
+	targetConnections     = 750                    // a full queue of this size exceeds most deadlines
 	zoneDelay             = 250 * time.Microsecond // one way
 	callerDelay           = 4 * time.Millisecond   // one way
 	deepDeadline          = time.Second
-	directRetries         = 3 // of each hop without landingmast
+	directRetries         = 3 // per hop, without landingmast
 )
 
-// overloadClasses are the kinds of request, most important first.
+// overloadClasses lists the request classes, most important first.
 var overloadClasses = []struct {
 	path, importance string
 	share            float64
@@ -60,39 +59,39 @@
 	{"/photo", "bulk", 0.3, 2, 5 * time.Second},
 }
 
-// headerToken names the user request that a call is made for.
+// headerToken carries the ID of the user request through all hops.
 const headerToken = "X-Test-Token"
 
-// overloaded is one run: targets, traffic, and what became of every user request.
-type overloaded struct {
-	began   time.Time
+// overloadRun is a simulation run: targets, load and the result of every user request.
+type overloadRun struct {
+	start   time.Time
 	network *memnet.Network
 	servers []*http.Server
 	planes  []*Plane
 	clients []*http.Transport
 	front   []*overloadTarget
 	deep    []*overloadTarget
-	turn    atomic.Int64
+	next    atomic.Int64
 
 	mutex    sync.Mutex
 	random   *rand.Rand
 	requests []*userRequest
-	work     map[string]time.Duration // time that targets spent, by token
+	work     map[string]time.Duration // target time by request token
 }
 
 type userRequest struct {
-	token   string
-	class   int
-	arrived time.Duration
-	whole   bool
+	token     string
+	class     int
+	arrived   time.Duration
+	completed bool
 }
 
-// overloadTarget is a back end: slots, one queue in the order of arrival that is
-// refused when it is long, log-normal times.
+// overloadTarget simulates a target with a fixed number of slots, a bounded FIFO queue and
+// log-normal service times.
 type overloadTarget struct {
-	run     *overloaded
+	run     *overloadRun
 	mean    time.Duration
-	slower  bool // during the trigger
+	slowed  bool // by serviceSlowdown during the trigger
 	slots   chan struct{}
 	waiting atomic.Int64
 }
@@ -100,27 +99,26 @@
 type targetReply int
 
 const (
-	replyWhole targetReply = iota
+	replyOK targetReply = iota
 	replyFailed
 	replyShed
 )
 
-func newOverloaded(seed uint64) *overloaded {
-	run := &overloaded{began: time.Now(), random: rand.New(rand.NewPCG(seed, 7)), work: map[string]time.Duration{}}
-	for range targetsOfService {
+func newOverloadRun(seed uint64) *overloadRun {
+	run := &overloadRun{start: time.Now(), random: rand.New(rand.NewPCG(seed, 7)), work: map[string]time.Duration{}}
+	for range targetsPerService {
 		run.front = append(run.front, &overloadTarget{run: run, mean: frontTime, slots: make(chan struct{}, frontSlots)})
-		run.deep = append(run.deep, &overloadTarget{run: run, mean: deepTime, slower: true, slots: make(chan struct{}, deepSlots)})
+		run.deep = append(run.deep, &overloadTarget{run: run, mean: deepTime, slowed: true, slots: make(chan struct{}, deepSlots)})
 	}
 	return run
 }
 
-func (o *overloaded) now() time.Duration { return time.Since(o.began) }
+func (o *overloadRun) now() time.Duration { return time.Since(o.start) }
 
-func (o *overloaded) triggered() bool { return o.now() >= triggerFrom && o.now() < triggerUntil }
+func (o *overloadRun) triggered() bool { return o.now() >= triggerFrom && o.now() < triggerUntil }
 
-// serve takes a slot for the target's own time and for the deeper call; it stops when
-// ctx ends.
-func (t *overloadTarget) serve(ctx context.Context, token string, deeper func() bool) targetReply {
+// serve holds a slot for the service time and the downstream call, until ctx is done.
+func (t *overloadTarget) serve(ctx context.Context, token string, downstream func() bool) targetReply {
 	if t.waiting.Add(1) > int64(targetConnections-cap(t.slots)) {
 		t.waiting.Add(-1)
 		return replyShed
@@ -133,29 +131,29 @@
 		return replyFailed
 	}
 	defer func() { <-t.slots }()
-	if !t.spend(ctx, token) || (deeper != nil && !deeper()) {
+	if !t.work(ctx, token) || (downstream != nil && !downstream()) {
 		return replyFailed
 	}
-	return replyWhole
+	return replyOK
 }
 
-// spend takes the service time; false when ctx ended first.
-func (t *overloadTarget) spend(ctx context.Context, token string) bool {
-	const sigma = 0.5 // of the log-normal times
+// work waits for a random service time; it returns false if ctx is done first.
+func (t *overloadTarget) work(ctx context.Context, token string) bool {
+	const sigma = 0.5 // of the log-normal distribution
 	o := t.run
 	o.mutex.Lock()
-	span := time.Duration(float64(t.mean) * math.Exp(sigma*o.random.NormFloat64()-sigma*sigma/2))
+	serviceTime := time.Duration(float64(t.mean) * math.Exp(sigma*o.random.NormFloat64()-sigma*sigma/2))
 	o.mutex.Unlock()
-	if t.slower && o.triggered() {
-		span = time.Duration(float64(span) * slowdown)
+	if t.slowed && o.triggered() {
+		serviceTime = time.Duration(float64(serviceTime) * serviceSlowdown)
 	}
-	began := time.Now()
-	timer := time.NewTimer(span)
+	start := time.Now()
+	timer := time.NewTimer(serviceTime)
 	defer timer.Stop()
 	defer func() {
 		o.mutex.Lock()
 		defer o.mutex.Unlock()
-		o.work[token] += time.Since(began)
+		o.work[token] += time.Since(start)
 	}()
 	select {
 	case <-timer.C:
@@ -165,29 +163,29 @@
 	}
 }
 
-// traffic sends user requests as an open loop and waits for the last of them.
-func (o *overloaded) traffic(send func(class int, user, token string) bool) {
+// generateLoad runs an open-loop load generator and waits for all requests to end.
+func (o *overloadRun) generateLoad(send func(class int, user, token string) bool) {
 	var group sync.WaitGroup
 	for o.now() < trafficUntil {
-		rate := loadShare * capacity(1)
+		rate := baseUtilization * capacity(1)
 		if o.triggered() {
-			rate *= surge
+			rate *= demandFactor
 		}
 		o.mutex.Lock()
-		pause := time.Duration(o.random.ExpFloat64() / rate * float64(time.Second))
-		class, user := o.pick(), fmt.Sprintf("user-%d", o.random.IntN(500))
+		interval := time.Duration(o.random.ExpFloat64() / rate * float64(time.Second))
+		class, user := o.pickClass(), fmt.Sprintf("user-%d", o.random.IntN(500))
 		o.mutex.Unlock()
-		time.Sleep(pause)
+		time.Sleep(interval)
 		request := &userRequest{token: fmt.Sprint(len(o.requests)), class: class, arrived: o.now()}
 		o.requests = append(o.requests, request)
-		resends, backoff := normalResends, normalBackoff
+		retries, backoff := normalRetries, normalBackoff
 		if o.now() >= triggerFrom {
-			resends, backoff = hardResends, hardBackoff
+			retries, backoff = overloadRetries, overloadBackoff
 		}
 		group.Go(func() {
-			for range 1 + resends {
+			for range 1 + retries {
 				if send(class, user, request.token) {
-					request.whole = true
+					request.completed = true
 					return
 				}
 				time.Sleep(backoff/2 + rand.N(backoff))
@@ -197,8 +195,8 @@
 	group.Wait()
 }
 
-// pick draws a class by the shares. The mutex is held.
-func (o *overloaded) pick() int {
+// pickClass draws a class by share. The caller holds o.mutex.
+func (o *overloadRun) pickClass() int {
 	point := o.random.Float64()
 	for index, class := range overloadClasses {
 		point -= class.share
@@ -209,132 +207,132 @@
 	return len(overloadClasses) - 1
 }
 
-// capacity is the rate of user requests, a second, that the slots can serve while deep
-// is slower by a factor; a slot of front is held during the call to deep.
-func capacity(slower float64) float64 {
-	deep := deepTime.Seconds() * slower
-	return math.Min(targetsOfService*frontSlots/(frontTime.Seconds()+deep), targetsOfService*deepSlots/deep)
+// capacity returns the user requests per second that the targets can serve at the given
+// slowdown of deep. A slot of front is held during the call to deep.
+func capacity(slowdown float64) float64 {
+	deep := deepTime.Seconds() * slowdown
+	return math.Min(targetsPerService*frontSlots/(frontTime.Seconds()+deep), targetsPerService*deepSlots/deep)
 }
 
-// between counts the user requests that arrived in a span, and those of them that
-// completed; class may be everyClass.
-func (o *overloaded) between(from, until time.Duration, class int) (offered, whole int) {
+// countBetween counts the user requests that arrived in a time range and how many of them
+// completed.
+func (o *overloadRun) countBetween(from, until time.Duration, class int) (offered, completed int) {
 	for _, request := range o.requests {
 		if request.arrived < from || request.arrived >= until || (class >= 0 && request.class != class) {
 			continue
 		}
 		offered++
-		if request.whole {
-			whole++
+		if request.completed {
+			completed++
 		}
 	}
-	return offered, whole
+	return offered, completed
 }
 
 const everyClass = -1
 
-func (o *overloaded) share(from, until time.Duration, class int) float64 {
-	offered, whole := o.between(from, until, class)
-	return float64(whole) / math.Max(float64(offered), 1)
+func (o *overloadRun) completionRate(from, until time.Duration, class int) float64 {
+	offered, completed := o.countBetween(from, until, class)
+	return float64(completed) / math.Max(float64(offered), 1)
 }
 
-// recovery is the time from the end of the trigger until the share of completed
-// requests is back at 95% of the share before, for one second.
-func (o *overloaded) recovery() (span time.Duration, recovered bool) {
-	normal := o.share(triggerFrom-4*time.Second, triggerFrom-time.Second, everyClass)
+// recovery returns the time from the end of the trigger until the completion rate over one
+// second is back at 95% of the rate before the trigger.
+func (o *overloadRun) recovery() (delay time.Duration, recovered bool) {
+	normal := o.completionRate(triggerFrom-4*time.Second, triggerFrom-time.Second, everyClass)
 	for at := triggerUntil; at+time.Second <= trafficUntil; at += 100 * time.Millisecond {
-		if o.share(at, at+time.Second, everyClass) >= 0.95*normal {
+		if o.completionRate(at, at+time.Second, everyClass) >= 0.95*normal {
 			return at - triggerUntil, true
 		}
 	}
 	return 0, false
 }
 
-// goodput is what completed of the requests of the trigger, its first second left
-// out, out of what was possible.
-func (o *overloaded) goodput() float64 {
-	_, whole := o.between(triggerFrom+time.Second, triggerUntil, everyClass)
-	return float64(whole) / (triggerUntil - triggerFrom - time.Second).Seconds() / capacity(slowdown)
+// goodput returns the completed requests during the trigger, except its first second,
+// relative to capacity.
+func (o *overloadRun) goodput() float64 {
+	_, completed := o.countBetween(triggerFrom+time.Second, triggerUntil, everyClass)
+	return float64(completed) / (triggerUntil - triggerFrom - time.Second).Seconds() / capacity(serviceSlowdown)
 }
 
-// wasted is the share of the targets' time that went to requests that did not complete.
-func (o *overloaded) wasted() float64 {
-	var all, useful time.Duration
+// wastedShare returns the share of target time spent on requests that did not complete.
+func (o *overloadRun) wastedShare() float64 {
+	var total, useful time.Duration
 	for _, request := range o.requests {
-		all += o.work[request.token]
-		if request.whole {
+		total += o.work[request.token]
+		if request.completed {
 			useful += o.work[request.token]
 		}
 	}
-	return 1 - float64(useful)/float64(all)
+	return 1 - float64(useful)/float64(total)
 }
 
-// String lists the figures of the run.
-func (o *overloaded) String() string {
+// String implements fmt.Stringer.
+func (o *overloadRun) String() string {
 	recovery, recovered := o.recovery()
 	return fmt.Sprintf("%d requests, most important %.1f%%, recovered %t after %s, goodput %.1f%%, wasted %.1f%%", len(o.requests),
-		100*o.share(0, trafficUntil, 0), recovered, recovery, 100*o.goodput(), 100*o.wasted())
+		100*o.completionRate(0, trafficUntil, 0), recovered, recovery, 100*o.goodput(), 100*o.wastedShare())
 }
 
-// throughNodes runs the traffic through the data planes of nodes over HTTP.
-func (o *overloaded) throughNodes() {
+// runThroughNodes sends the load through data planes over HTTP.
+func (o *overloadRun) runThroughNodes() {
 	o.network = memnet.New(func(from, to string) time.Duration {
 		switch {
 		case from == to:
 			return 0
-		case from == callersHost || to == callersHost:
+		case from == callerHost || to == callerHost:
 			return callerDelay
 		}
 		return zoneDelay
 	})
-	intent := overloadBundle()
-	entries := make([]string, 0, len(intent.Entries))
-	for _, node := range intent.Entries {
-		entries = append(entries, o.startNode(intent, node, nil))
+	installed := overloadBundle()
+	entries := make([]string, 0, len(installed.Entries))
+	for _, node := range installed.Entries {
+		entries = append(entries, o.startNode(installed, node, nil))
 	}
 	for service, targets := range [][]*overloadTarget{o.front, o.deep} {
 		for index, target := range targets {
-			o.startNode(intent, intent.Services[service].Targets[index], target)
+			o.startNode(installed, installed.Services[service].Targets[index], target)
 		}
 	}
-	client := o.client(callersHost)
-	o.traffic(func(class int, user, token string) bool {
-		entry := entries[o.turn.Add(1)%int64(len(entries))]
+	client := o.client(callerHost)
+	o.generateLoad(func(class int, user, token string) bool {
+		entry := entries[o.next.Add(1)%int64(len(entries))]
 		return o.get(context.Background(), client, entry, "front", overloadClasses[class].path, http.Header{"X-User": {user}, headerToken: {token}})
 	})
 	o.stop()
 }
 
-// callersHost is where the callers are.
-const callersHost = "10.9.9.9"
+// callerHost is the address of the clients.
+const callerHost = "10.9.9.9"
 
 func overloadBundle() *bundle.Bundle {
-	made := &bundle.Bundle{Mesh: "test", Version: 1, MaxDepth: bundle.DefaultMaxDepth, UserHeader: "X-User"}
+	b := &bundle.Bundle{Mesh: "test", Version: 1, MaxDepth: bundle.DefaultMaxDepth, UserHeader: "X-User"}
 	node := func(name string, number int) bundle.Node {
 		return bundle.Node{Name: name, Address: fmt.Sprintf("10.0.0.%d:1", number), Zone: "a", State: bundle.Active}
 	}
 	for _, class := range overloadClasses {
-		made.Levels = append(made.Levels, class.importance)
-		made.Classes = append(made.Classes, bundle.Class{
+		b.Levels = append(b.Levels, class.importance)
+		b.Classes = append(b.Classes, bundle.Class{
 			Name: class.path[1:], Service: "front", Path: class.path, Importance: class.importance, Execution: bundle.Repeatable,
 			Retries: class.retries, Deadline: units.Duration(class.deadline),
 		})
 	}
-	made.Classes = append(made.Classes, bundle.Class{
+	b.Classes = append(b.Classes, bundle.Class{
 		Name: "deep", Service: "deep", Path: "/", Importance: "normal", Execution: bundle.Repeatable, Retries: 1, Deadline: units.Duration(deepDeadline),
 	})
-	made.Entries = []bundle.Node{node("entry-1", 1), node("entry-2", 2)}
+	b.Entries = []bundle.Node{node("entry-1", 1), node("entry-2", 2)}
 	shed := &bundle.ShedSignal{Status: http.StatusServiceUnavailable, Header: "X-Shed"}
-	made.Services = []bundle.Service{
+	b.Services = []bundle.Service{
 		{Name: "front", Shed: shed, Targets: []bundle.Node{node("front-1", 3), node("front-2", 4)}},
 		{Name: "deep", Shed: shed, Targets: []bundle.Node{node("deep-1", 5), node("deep-2", 6)}},
 	}
-	return made
+	return b
 }
 
-// startNode starts the data plane of a node, and the target beside it unless it is an
-// entry; it returns the address for callers of an entry.
-func (o *overloaded) startNode(intent *bundle.Bundle, node bundle.Node, target *overloadTarget) (callers string) {
+// startNode starts a node and, unless it is an entry, its target. For an entry it returns the
+// address for clients.
+func (o *overloadRun) startNode(installed *bundle.Bundle, node bundle.Node, target *overloadTarget) (entryAddress string) {
 	host := node.Address[:len(node.Address)-len(":1")]
 	options := Options{
 		Node: node.Name, Zone: node.Zone, Connections: targetConnections, Metrics: telemetry.NewMetrics(),
@@ -344,7 +342,7 @@
 		options.Target = host + ":2"
 	}
 	plane := New(options)
-	plane.SetBundle(intent, nil)
+	plane.SetBundle(installed, nil)
 	o.planes = append(o.planes, plane)
 	o.listen(node.Address, plane.Ingress(http.NotFoundHandler()))
 	if target == nil {
@@ -357,17 +355,17 @@
 	return ""
 }
 
-// handler serves a target over HTTP; its calls go through the node beside it.
-func (o *overloaded) handler(target *overloadTarget, host string) http.Handler {
+// handler serves a target over HTTP; downstream calls go through the local node.
+func (o *overloadRun) handler(target *overloadTarget, host string) http.Handler {
 	client := o.client(host)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		token := r.Header.Get(headerToken)
-		var deeper func() bool
+		var downstream func() bool
 		if r.Host == "front" {
 			header := http.Header{headerToken: {token}, "X-Request-Id": {r.Header.Get("X-Request-Id")}}
-			deeper = func() bool { return o.get(r.Context(), client, host+":3", "deep", "/", header) }
+			downstream = func() bool { return o.get(r.Context(), client, host+":3", "deep", "/", header) }
 		}
-		switch target.serve(r.Context(), token, deeper) {
+		switch target.serve(r.Context(), token, downstream) {
 		case replyShed:
 			w.Header().Set("X-Shed", "1")
 			w.WriteHeader(http.StatusServiceUnavailable)
@@ -379,7 +377,7 @@
 	})
 }
 
-func (o *overloaded) listen(address string, handler http.Handler) {
+func (o *overloadRun) listen(address string, handler http.Handler) {
 	listener, err := o.network.Listen(address)
 	if err != nil {
 		panic(err)
@@ -389,14 +387,14 @@
 	go func() { _ = server.Serve(listener) }()
 }
 
-func (o *overloaded) client(host string) *http.Transport {
+func (o *overloadRun) client(host string) *http.Transport {
 	transport := &http.Transport{DialContext: o.network.Dialer(host), MaxIdleConnsPerHost: 512, DisableCompression: true}
 	o.clients = append(o.clients, transport)
 	return transport
 }
 
-// get sends a request and reports whether it was answered with 200.
-func (o *overloaded) get(ctx context.Context, client *http.Transport, address, service, path string, header http.Header) bool {
+// get sends a request and reports whether the response status was 200.
+func (o *overloadRun) get(ctx context.Context, client *http.Transport, address, service, path string, header http.Header) bool {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+path, nil)
 	if err != nil {
 		panic(err)
@@ -414,7 +412,7 @@
 	return response.StatusCode == http.StatusOK
 }
 
-func (o *overloaded) stop() {
+func (o *overloadRun) stop() {
 	for _, server := range o.servers {
 		_ = server.Close()
 	}
@@ -428,10 +426,10 @@
 	synctest.Wait()
 }
 
-// direct runs the traffic without landingmast: each hop takes the targets in turn,
-// tries three times more, and passes neither its deadline nor a cancellation on.
-func (o *overloaded) direct() {
-	o.traffic(func(class int, _, token string) bool {
+// runDirect sends the load without landingmast: round robin with three retries per hop, and
+// no propagation of deadlines or cancellation.
+func (o *overloadRun) runDirect() {
+	o.generateLoad(func(class int, _, token string) bool {
 		time.Sleep(2 * callerDelay)
 		return o.roundRobin(o.front, overloadClasses[class].deadline, token, func() bool {
 			time.Sleep(2 * zoneDelay)
@@ -441,16 +439,16 @@
 	synctest.Wait()
 }
 
-func (o *overloaded) roundRobin(targets []*overloadTarget, deadline time.Duration, token string, deeper func() bool) bool {
+func (o *overloadRun) roundRobin(targets []*overloadTarget, deadline time.Duration, token string, downstream func() bool) bool {
 	timer := time.NewTimer(deadline)
 	defer timer.Stop()
 	for range 1 + directRetries {
-		target := targets[o.turn.Add(1)%int64(len(targets))]
-		answer := make(chan targetReply, 1)
-		go func() { answer <- target.serve(context.Background(), token, deeper) }()
+		target := targets[o.next.Add(1)%int64(len(targets))]
+		replies := make(chan targetReply, 1)
+		go func() { replies <- target.serve(context.Background(), token, downstream) }()
 		select {
-		case reply := <-answer:
-			if reply == replyWhole {
+		case reply := <-replies:
+			if reply == replyOK {
 				return true
 			}
 		case <-timer.C:
@@ -460,29 +458,28 @@
 	return false
 }
 
-// TestRecoveryAndImportanceHoldUnderOverload plays an overload through data planes of
-// nodes over HTTP, in virtual time, and the same without them, which has to fail. It
-// logs the goodput and sets no bound to it: the order of goroutines differs from run to
-// run, and the goodput with it.
+// TestRecoveryAndImportanceHoldUnderOverload guards recovery, priority and wasted work under
+// overload; the same load without landingmast must fail. Goodput is only logged, because it
+// varies with goroutine scheduling.
 func TestRecoveryAndImportanceHoldUnderOverload(t *testing.T) {
-	play := func(through func(*overloaded)) *overloaded {
-		var run *overloaded
+	simulate := func(send func(*overloadRun)) *overloadRun {
+		var run *overloadRun
 		synctest.Test(t, func(t *testing.T) {
-			run = newOverloaded(1)
-			through(run)
+			run = newOverloadRun(1)
+			send(run)
 		})
 		return run
 	}
 	g := NewWithT(t)
-	ours, baseline := play((*overloaded).throughNodes), play((*overloaded).direct)
-	t.Log("through nodes:", ours)
+	meshed, baseline := simulate((*overloadRun).runThroughNodes), simulate((*overloadRun).runDirect)
+	t.Log("through nodes:", meshed)
 	t.Log("without:", baseline)
-	recovery, recovered := ours.recovery()
+	recovery, recovered := meshed.recovery()
 	g.Expect(recovered).To(BeTrue())
 	g.Expect(recovery).To(BeNumerically("<=", 2*time.Second))
-	g.Expect(ours.share(0, trafficUntil, 0)).To(BeNumerically(">=", 0.999))
-	g.Expect(ours.wasted()).To(BeNumerically("<", 0.02))
+	g.Expect(meshed.completionRate(0, trafficUntil, 0)).To(BeNumerically(">=", 0.999))
+	g.Expect(meshed.wastedShare()).To(BeNumerically("<", 0.02))
 	_, recovered = baseline.recovery()
 	g.Expect(recovered).To(BeFalse())
-	g.Expect(baseline.share(0, trafficUntil, 0)).To(BeNumerically("<", 0.9))
+	g.Expect(baseline.completionRate(0, trafficUntil, 0)).To(BeNumerically("<", 0.9))
 }
--- a/internal/mesh/dataplane/plane.go
+++ b/internal/mesh/dataplane/plane.go
@@ -1,7 +1,6 @@
-// Package dataplane forwards calls: from outside callers (entry), from the
-// target beside the node (egress) and from other nodes to that target
-// (ingress). It asks the pure packages below internal/core what to do and
-// carries it out over net/http.
+// Package dataplane forwards calls over HTTP: from outside clients (entry), from the local
+// target (egress) and from other nodes to the local target (ingress). Admission, routing and
+// retry decisions are made by the packages below internal/mesh/core.
 package dataplane
 
 import (
@@ -23,84 +22,82 @@
 	"github.com/landingmast/landingmast/internal/mesh/wire"
 )
 
-// Side is the part that the node plays in a call.
+// Side is the role of the node in a call.
 type Side string
 
-// The sides.
 const (
 	SideEntry   Side = "entry"
 	SideEgress  Side = "egress"
 	SideIngress Side = "ingress"
 )
 
-// Claims grants the right to run at-most-once requests. Its methods are called
-// from the goroutines of the requests.
+// Claims grants the right to run at-most-once calls. Implementations must be safe for
+// concurrent use.
 type Claims interface {
-	// Lookup tells where a key stands at this node without claiming it.
+	// Lookup returns the local phase of a key without claiming it.
 	Lookup(key string) (claim.Phase, *claim.Answer)
-	// Begin claims the key; it may talk to the voters of the service.
+	// Begin claims the key; it may contact the voters of the service.
 	Begin(ctx context.Context, key string) Claimed
-	// NotStarted returns the right, because the call was provably not handed over.
+	// NotStarted releases the claim of a call that was not forwarded to the target.
 	NotStarted(key string)
-	// Lose notes that how the call ended is not known.
+	// Lose records that the outcome of the call is unknown.
 	Lose(key string)
-	// Complete keeps the answer; nil when it was too large.
+	// Complete stores the answer; a nil answer means that it was too large to store.
 	Complete(key string, answer *claim.Answer)
 }
 
 // Claimed is the result of Claims.Begin.
 type Claimed struct {
-	Run      bool          // this call holds the right to run the key
-	Kept     *claim.Answer // answer of the run that there was
-	Executor string        // other node that holds the right
+	Run      bool          // the caller may run the call
+	Kept     *claim.Answer // stored answer of an earlier run
+	Executor string        // node that holds the claim, if it is another one
 	Outcome  outcome.Outcome
 	Reason   outcome.Reason
 	Numbers  []explain.Number
 }
 
-// Options are what a plane is made of.
+// Options configures a Plane.
 type Options struct {
 	Node        string
 	Zone        string
-	Target      string // IP:port of the back end; empty for an entry
-	Connections int    // most connections to the target
+	Target      string // IP:port of the local target; empty for an entry
+	Connections int    // maximum number of connections to the target
 	Metrics     *telemetry.Metrics
 	Recorder    *explain.Recorder
-	Peers       *http.Transport // mutual TLS to other nodes
+	Peers       *http.Transport // mutual TLS transport to other nodes
 	Claims      Claims          // nil for an entry
 }
 
 // Plane is the data plane of one node.
 type Plane struct {
-	node   string
-	zone   string
-	target string
-	// connections is the most that the target takes.
-	connections int
-	started     time.Time
-	metrics     *telemetry.Metrics
-	recorder    *explain.Recorder
-	peers       *http.Transport
-	once        *http.Transport // to other nodes, for calls that may run at most once
-	local       *http.Transport
-	claims      Claims
-	intent      atomic.Pointer[bundle.Index]
-	service     atomic.Pointer[string]
-	calls       *callTable
-	router      *router
-	gate        atomic.Pointer[gate]
-	resends     *resendTable
-	closing     atomic.Bool
-	kept        atomic.Int64 // on the plane's clock, ns: end of the last answer whose connection stays
+	node            string
+	zone            string
+	target          string
+	maxConnections  int
+	started         time.Time
+	metrics         *telemetry.Metrics
+	recorder        *explain.Recorder
+	peers           *http.Transport
+	atMostOncePeers *http.Transport // for at-most-once calls
+	local           *http.Transport
+	claims          Claims
+	index           atomic.Pointer[bundle.Index]
+	service         atomic.Pointer[string]
+	calls           *callTable
+	router          *router
+	gate            atomic.Pointer[gate]
+	resends         *resendTable
+	closing         atomic.Bool
+	lastKeptAlive   atomic.Int64 // end of the last response that kept its connection open; ns since started
 }
 
-// New makes a plane; it serves once SetBundle was called.
+// New returns a Plane. It refuses calls until SetBundle is called.
 func New(options Options) *Plane {
 	plane := &Plane{
-		node: options.Node, zone: options.Zone, target: options.Target, connections: options.Connections, started: time.Now(), metrics: options.Metrics,
+		node: options.Node, zone: options.Zone, target: options.Target, maxConnections: options.Connections, started: time.Now(), metrics: options.Metrics,
 		recorder: options.Recorder, peers: options.Peers, claims: options.Claims, calls: newCallTable(), resends: newResendTable(),
 	}
-	plane.once = onceTransport(options.Peers)
+	plane.atMostOncePeers = atMostOnceTransport(options.Peers)
 	plane.router = newRouter(options.Node, options.Zone, plane.now)
 	plane.service.Store(new(string))
 	if options.Target != "" {
@@ -117,8 +114,8 @@
 	}
 }
 
-// PeerTransport makes the transport to other nodes, on top of a TLS dialer. It
-// keeps the number of connections to one peer bounded.
+// PeerTransport returns a transport to other nodes over a TLS dialer, with a limit on the
+// connections per node.
 func PeerTransport(dial func(ctx context.Context, network, address string) (net.Conn, error)) *http.Transport {
 	return &http.Transport{
 		DialTLSContext: dial, MaxIdleConnsPerHost: maxPeerConnections, MaxConnsPerHost: maxPeerConnections,
@@ -128,49 +125,48 @@
 
 const maxPeerConnections = 64
 
-// DrainGrace is how long a stopping node goes on taking calls, to refuse them as not
-// run, before it closes its connections.
+// DrainGrace is how long a stopping node keeps refusing calls as not run before it closes
+// its connections.
 const DrainGrace = drain.Grace
 
-// onceIdle is how long a connection may rest that is used for calls that may run at
-// most once. It is shorter than DrainGrace: a node that closes its connections at the
-// end of a stop then holds none that rests and that a sender might take at that
-// moment, when nobody could say any more whether the call has run.
-const onceIdle = DrainGrace / 2
+// atMostOnceIdleTimeout limits how long connections for at-most-once calls stay idle. It is
+// shorter than DrainGrace, so a stopping node never closes an idle connection just as a
+// peer sends a call on it, which would leave the outcome of the call unknown.
+const atMostOnceIdleTimeout = DrainGrace / 2
 
-// onceTransport makes the transport for calls that may run at most once from that of
-// all calls; nil gives nil.
-func onceTransport(peers *http.Transport) *http.Transport {
+// atMostOnceTransport derives the transport for at-most-once calls from peers; it returns
+// nil if peers is nil.
+func atMostOnceTransport(peers *http.Transport) *http.Transport {
 	if peers == nil {
 		return nil
 	}
-	once := peers.Clone()
-	once.IdleConnTimeout = onceIdle
-	return once
+	transport := peers.Clone()
+	transport.IdleConnTimeout = atMostOnceIdleTimeout
+	return transport
 }
 
-// peersFor gives the transport to other nodes for a call.
-func (p *Plane) peersFor(atMostOnce bool) *http.Transport {
+// peerTransport selects the transport to other nodes.
+func (p *Plane) peerTransport(atMostOnce bool) *http.Transport {
 	if atMostOnce {
-		return p.once
+		return p.atMostOncePeers
 	}
 	return p.peers
 }
 
-// now is the monotonic time since the start of the plane; the core's clock.
+// now returns the monotonic time since the plane was created.
 func (p *Plane) now() time.Duration { return time.Since(p.started) }
 
-// SetBundle puts a bundle in force. leaving are nodes that the machine list
-// calls leaving.
+// SetBundle activates a bundle. leaving holds the names of nodes marked as leaving in the
+// machine list.
 func (p *Plane) SetBundle(installed *bundle.Bundle, leaving map[string]bool) {
 	_, service := installed.Node(p.node)
 	p.service.Store(&service)
 	if current := p.gate.Load(); p.target != "" && (current == nil || current.levels != len(installed.Levels)) {
-		p.setGate(current, newGate(len(installed.Levels), p.connections, p.now, p.metrics))
+		p.setGate(current, newGate(len(installed.Levels), p.maxConnections, p.now, p.metrics))
 	}
-	intent := bundle.NewIndex(installed)
-	p.router.update(intent, leaving)
-	p.intent.Store(intent)
+	index := bundle.NewIndex(installed)
+	p.router.update(index, leaving)
+	p.index.Store(index)
 }
 
 func (p *Plane) setGate(old, gate *gate) {
@@ -180,48 +176,49 @@
 	p.gate.Store(gate)
 }
 
-// Drain refuses new work from now on; what is in flight goes on.
+// Drain makes the node refuse new calls; calls in flight continue.
 func (p *Plane) Drain() {
 	if gate := p.gate.Load(); gate != nil {
 		gate.drain()
 	}
 }
 
-// CloseConnections has every answer from now on ask to close its connection.
+// CloseConnections makes all further responses close their connection.
 func (p *Plane) CloseConnections() { p.closing.Store(true) }
 
-// begin counts a call as in flight until end is called. Its answer may begin before all of the
-// request was read: a sender that waits for the first byte would otherwise never end. It gives
-// the writer of the answer and the request to use.
+// begin counts a call as in flight until end is called. The returned writer and request
+// support full duplex: the response may start before the request body has been read, which
+// clients that wait for the first byte depend on.
 func (p *Plane) begin(w http.ResponseWriter, r *http.Request) (answer *duplex.Writer, request *http.Request, end func()) {
-	p.calls.enter()
+	p.calls.incInFlight()
 	answer, request = duplex.Begin(w, r, p.closing.Load)
 	return answer, request, func() {
 		if !answer.Closes() {
-			p.kept.Store(int64(p.now()))
+			p.lastKeptAlive.Store(int64(p.now()))
 		}
-		p.calls.leave()
+		p.calls.decInFlight()
 	}
 }
 
-// SinceKept gives the time since the last answer ended whose connection its sender may use again.
-func (p *Plane) SinceKept() time.Duration { return p.now() - time.Duration(p.kept.Load()) }
+// SinceKept returns the time since the last response that kept its connection open.
+func (p *Plane) SinceKept() time.Duration { return p.now() - time.Duration(p.lastKeptAlive.Load()) }
 
-// bodyGrace is how long after its deadline a request body may still be read.
-const bodyGrace = 50 * time.Millisecond
+// bodyReadGrace is how long a request body may still be read after the call deadline.
+const bodyReadGrace = 50 * time.Millisecond
 
-// boundBody ends the reading of a request's body soon after the deadline, so that
-// a sender that stalls holds nothing for longer.
-func boundBody(w http.ResponseWriter, r *http.Request, remaining time.Duration) {
+// setBodyReadDeadline limits the reading of the request body, so that a stalled client does
+// not hold resources after the deadline.
+func setBodyReadDeadline(w http.ResponseWriter, r *http.Request, remaining time.Duration) {
 	if r.ContentLength != 0 {
-		_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(remaining + bodyGrace))
+		_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(remaining + bodyReadGrace))
 	}
 }
 
-// InFlight gives the calls that the node is serving, on all sides.
+// InFlight returns the number of calls in progress: entry, egress and ingress.
 func (p *Plane) InFlight() int { return p.calls.inFlight() }
 
-// GateState gives the numbers of the gate: limit, calls at the target and waiting.
+// GateState returns the concurrency limit, the active and queued calls and whether the gate
+// is draining.
 func (p *Plane) GateState() (limit, active, queued int, draining bool) {
 	gate := p.gate.Load()
 	if gate == nil {
@@ -230,13 +227,13 @@
 	return gate.state()
 }
 
-// Routes gives the targets as routing sees them, by service.
+// Routes returns the state of the targets by service.
 func (p *Plane) Routes() map[string][]RouteState { return p.router.states(p.now()) }
 
-// Close ends idle connections.
+// Close closes idle connections.
 func (p *Plane) Close() {
 	p.peers.CloseIdleConnections()
-	p.once.CloseIdleConnections()
+	p.atMostOncePeers.CloseIdleConnections()
 	if p.local != nil {
 		p.local.CloseIdleConnections()
 	}
@@ -255,7 +252,7 @@
 	return explain.Number{Name: name, Value: value}
 }
 
-func milliseconds(span time.Duration) float64 { return float64(span) / float64(time.Millisecond) }
+func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// isCall tells a call from a control message on the peer port.
+// isCall reports whether a request on the peer port is a call, not a control message.
 func isCall(r *http.Request) bool { return r.Header.Get(wire.HeaderCall) != "" }
--- a/internal/mesh/dataplane/plane_test.go
+++ b/internal/mesh/dataplane/plane_test.go
@@ -13,15 +13,13 @@
 	. "github.com/onsi/gomega"
 )
 
-// A stopping node closes the connections that rest. A call that may run at most once
-// and takes one of them at that moment has an unknown end ("approve: unknown reset",
-// seen once in TestAPlannedStopCutsNothing beside load). So none rests for as long as
-// a stopping node goes on taking calls.
+// A call sent on an idle connection that the stopping peer closes at the same moment would
+// have an unknown outcome.
 func TestNoConnectionForCallsThatRunOnceRestsAsLongAsAStopTakes(t *testing.T) {
 	for _, tc := range []struct {
 		name       string
 		atMostOnce bool
-		open       int32 // connections once DrainGrace is over
+		open       int32 // connections after DrainGrace
 	}{
 		{"at most once", true, 0},
 		{"may be repeated", false, 1},
@@ -44,7 +42,7 @@
 			defer plane.Close()
 			request, err := http.NewRequest(http.MethodPost, server.URL, strings.NewReader(""))
 			g.Expect(err).NotTo(HaveOccurred())
-			response, err := plane.peersFor(tc.atMostOnce).RoundTrip(request)
+			response, err := plane.peerTransport(tc.atMostOnce).RoundTrip(request)
 			g.Expect(err).NotTo(HaveOccurred())
 			_, _ = io.Copy(io.Discard, response.Body)
 			_ = response.Body.Close()
--- a/internal/mesh/dataplane/relay.go
+++ b/internal/mesh/dataplane/relay.go
@@ -9,43 +9,42 @@
 	"github.com/landingmast/landingmast/internal/failure"
 )
 
-const relayBuffer = 32 << 10
+const relayBufferSize = 32 << 10
 
-var relayBuffers = sync.Pool{New: func() any { return new([relayBuffer]byte) }}
+var relayBuffers = sync.Pool{New: func() any { return new([relayBufferSize]byte) }}
 
-// body sums up a relayed body.
-type body struct {
+// bodySum holds the length and digest of a relayed body.
+type bodySum struct {
 	length int64
 	digest uint64
 }
 
-// relay copies a body of any length without holding it whole. With a known
-// length the last byte is held back until check has passed, so that a body that
-// turns out to be broken never reaches the receiver as a whole one; with an
-// unknown length (-1) the receiver learns of the failure by the missing end of the
-// chunked coding. flush sends each piece on at once, for bodies that are streamed.
-func relay(w http.ResponseWriter, source io.Reader, length int64, flush bool, keep *keeper, check func(body) error) (body, error) {
-	buffer := relayBuffers.Get().(*[relayBuffer]byte)
+// relay streams source to w. If the length is known, it withholds the last byte until verify
+// succeeds, so the receiver never sees a corrupt body as complete. If it is unknown (-1),
+// the receiver detects a failure by the missing end of the chunked encoding. flush forwards
+// each chunk immediately.
+func relay(w http.ResponseWriter, source io.Reader, length int64, flush bool, stored *boundedCopy, verify func(bodySum) error) (bodySum, error) {
+	buffer := relayBuffers.Get().(*[relayBufferSize]byte)
 	defer relayBuffers.Put(buffer)
 	digest := xxhash.New()
-	var sum body
-	var held []byte
+	var sum bodySum
+	var lastByte []byte
 	for {
-		count, readErr := source.Read(buffer[:])
-		piece := buffer[:count]
-		_, _ = digest.Write(piece)
-		keep.write(piece)
-		sum.length += int64(count)
-		if length > 0 && sum.length == length && count > 0 {
-			held = []byte{piece[count-1]}
-			piece = piece[:count-1]
+		n, readErr := source.Read(buffer[:])
+		chunk := buffer[:n]
+		_, _ = digest.Write(chunk)
+		stored.write(chunk)
+		sum.length += int64(n)
+		if length > 0 && sum.length == length && n > 0 {
+			lastByte = []byte{chunk[n-1]}
+			chunk = chunk[:n-1]
 		}
 		if length >= 0 && sum.length > length {
-			return sum, failure.New(failure.Internal, "look at the target", "body is longer than the %d bytes announced", length)
+			return sum, failure.New(failure.Internal, "look at the target", "body exceeds the declared length of %d bytes", length)
 		}
-		if len(piece) > 0 {
-			if _, err := w.Write(piece); err != nil {
-				return sum, errReceiverGone
+		if len(chunk) > 0 {
+			if _, err := w.Write(chunk); err != nil {
+				return sum, errClientGone
 			}
 			if flush {
 				_ = http.NewResponseController(w).Flush()
@@ -62,60 +61,59 @@
 	if length >= 0 && sum.length < length {
 		return sum, io.ErrUnexpectedEOF
 	}
-	if err := check(sum); err != nil {
+	if err := verify(sum); err != nil {
 		return sum, err
 	}
-	if len(held) > 0 {
-		if _, err := w.Write(held); err != nil {
-			return sum, errReceiverGone
+	if len(lastByte) > 0 {
+		if _, err := w.Write(lastByte); err != nil {
+			return sum, errClientGone
 		}
 	}
 	return sum, nil
 }
 
-// keeper keeps a copy of a body up to a bound; nil keeps nothing.
-type keeper struct {
+// boundedCopy stores a copy of a body up to limit bytes; a nil boundedCopy stores nothing.
+type boundedCopy struct {
 	data     []byte
-	maximum  int
+	limit    int
 	exceeded bool
 }
 
-func (k *keeper) write(piece []byte) {
-	if k == nil || k.exceeded {
+func (c *boundedCopy) write(p []byte) {
+	if c == nil || c.exceeded {
 		return
 	}
-	if len(k.data)+len(piece) > k.maximum {
-		k.exceeded, k.data = true, nil
+	if len(c.data)+len(p) > c.limit {
+		c.exceeded, c.data = true, nil
 		return
 	}
-	k.data = append(k.data, piece...)
+	c.data = append(c.data, p...)
 }
 
-// replayBody lets a request body be sent again as long as what was read of it
-// fits a bound. It is used by one attempt at a time.
+// replayBody allows a request body to be resent if it was not read yet or is fully buffered.
+// Only the latest reader returned by next may read it.
 type replayBody struct {
-	source  io.Reader
-	mutex   sync.Mutex
-	kept    []byte
-	read    int // bytes read from source
-	ended   error
-	attempt int
+	source    io.Reader
+	mutex     sync.Mutex
+	buffered  []byte
+	bytesRead int
+	readErr   error
+	attempt   int
 }
 
-const replayMaximum = 64 << 10
+const maxReplayBody = 64 << 10
 
-// replayable tells whether the body can be sent again: nothing was read of it,
-// or all of it was and it is kept. It never waits for a slow sender.
+// replayable reports whether the body can be resent. It returns false if a read is in
+// progress, without waiting for it.
 func (b *replayBody) replayable() bool {
 	if !b.mutex.TryLock() {
 		return false
 	}
 	defer b.mutex.Unlock()
-	return b.read == 0 || (b.ended == io.EOF && b.read <= replayMaximum)
+	return b.bytesRead == 0 || (b.readErr == io.EOF && b.bytesRead <= maxReplayBody)
 }
 
-// next gives the body for a new attempt. A reader of an earlier attempt reads
-// nothing more from then on.
+// next returns a reader of the body for a new attempt and invalidates earlier readers.
 func (b *replayBody) next() io.ReadCloser {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -126,36 +124,36 @@
 type replayReader struct {
 	body    *replayBody
 	attempt int
-	place   int
+	offset  int
 }
 
 // Read implements io.Reader.
-func (r *replayReader) Read(piece []byte) (int, error) {
+func (r *replayReader) Read(p []byte) (int, error) {
 	b := r.body
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	if r.attempt != b.attempt {
 		return 0, io.ErrClosedPipe
 	}
-	if r.place < b.read && r.place < len(b.kept) {
-		count := copy(piece, b.kept[r.place:])
-		r.place += count
-		return count, nil
+	if r.offset < b.bytesRead && r.offset < len(b.buffered) {
+		n := copy(p, b.buffered[r.offset:])
+		r.offset += n
+		return n, nil
 	}
-	if b.ended != nil {
-		return 0, b.ended
+	if b.readErr != nil {
+		return 0, b.readErr
 	}
-	count, err := b.source.Read(piece)
-	if b.read+count <= replayMaximum {
-		b.kept = append(b.kept, piece[:count]...)
+	n, err := b.source.Read(p)
+	if b.bytesRead+n <= maxReplayBody {
+		b.buffered = append(b.buffered, p[:n]...)
 	}
-	b.read += count
-	r.place += count
+	b.bytesRead += n
+	r.offset += n
 	if err != nil {
-		b.ended = err
+		b.readErr = err
 	}
-	return count, err
+	return n, err
 }
 
-// Close implements io.Closer; the source stays open for further attempts.
+// Close implements io.Closer. It leaves the source open for further attempts.
 func (r *replayReader) Close() error { return nil }
--- a/internal/mesh/dataplane/resend.go
+++ b/internal/mesh/dataplane/resend.go
@@ -7,28 +7,27 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// resendTable recognises a client that sends the same request again while an
-// entry still has, or has just had, the first. Such a request gets no retry
-// credits: the client's own repetition is the retry.
+// resendTable detects requests that a client resends while the entry still has, or recently
+// had, the first one. They get no retry credits, since the client itself is retrying.
 type resendTable struct {
-	mutex    sync.Mutex
-	current  map[uint64]struct{}
-	previous map[uint64]struct{}
-	turned   time.Duration
+	mutex     sync.Mutex
+	current   map[uint64]struct{}
+	previous  map[uint64]struct{}
+	rotatedAt time.Duration
 }
 
-// Bounds of the table: two generations of up to so many requests.
+// Age and size at which the current generation is rotated; two generations are kept.
 const (
-	resendGeneration = 5 * time.Second
-	resendMaximum    = 50000
+	resendWindow     = 5 * time.Second
+	maxResendEntries = 50000
 )
 
 func newResendTable() *resendTable {
 	return &resendTable{current: map[uint64]struct{}{}, previous: map[uint64]struct{}{}}
 }
 
-// seen notes a request and tells whether it was noted before. Only requests that
-// name their user or carry a key can be recognised; others pass as new.
+// seen records a request and reports whether it was recorded before. Requests with neither a
+// user nor a key are always treated as new.
 func (t *resendTable) seen(now time.Duration, user, method, uri, key string) bool {
 	if user == "" && key == "" {
 		return false
@@ -36,8 +35,8 @@
 	hash := xxhash.Sum64String(user + "\x00" + method + "\x00" + uri + "\x00" + key)
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	if now-t.turned > resendGeneration || len(t.current) >= resendMaximum {
-		t.previous, t.current, t.turned = t.current, map[uint64]struct{}{}, now
+	if now-t.rotatedAt > resendWindow || len(t.current) >= maxResendEntries {
+		t.previous, t.current, t.rotatedAt = t.current, map[uint64]struct{}{}, now
 	}
 	_, inCurrent := t.current[hash]
 	_, inPrevious := t.previous[hash]
--- a/internal/mesh/dataplane/router.go
+++ b/internal/mesh/dataplane/router.go
@@ -10,23 +10,22 @@
 	"github.com/landingmast/landingmast/internal/mesh/core/routing"
 )
 
-// RouteState is one target as routing sees it.
+// RouteState is the state of a target in the balancer.
 type RouteState = routing.State
 
-// router holds the routes to the services that the node calls. A route is made
-// by the first call, so that a node of a large mesh keeps nothing about the many
-// services that it never calls.
+// router holds the routes to services. Routes are created on the first call, so a node keeps
+// no state for services it never calls.
 type router struct {
 	node     string
 	zone     string
 	now      func() time.Duration
 	mutex    sync.RWMutex
-	intent   *bundle.Index
+	index    *bundle.Index
 	leaving  map[string]bool
 	services map[string]*serviceRoute
 }
 
-// serviceRoute guards a route against concurrent use.
+// serviceRoute is a routing.Route that is safe for concurrent use.
 type serviceRoute struct {
 	mutex sync.Mutex
 	route *routing.Route
@@ -40,14 +39,13 @@
 	return &router{node: node, zone: zone, now: now, services: map[string]*serviceRoute{}}
 }
 
-// update tells the routes of a bundle and of the nodes that the machine list
-// calls leaving.
-func (r *router) update(intent *bundle.Index, leaving map[string]bool) {
+// update applies a bundle and the names of nodes marked as leaving in the machine list.
+func (r *router) update(index *bundle.Index, leaving map[string]bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.intent, r.leaving = intent, leaving
+	r.index, r.leaving = index, leaving
 	for name, route := range r.services {
-		service := intent.Service(name)
+		service := index.Service(name)
 		if service == nil {
 			delete(r.services, name)
 			continue
@@ -56,7 +54,7 @@
 	}
 }
 
-// route gives the route to a service, or nil when the bundle does not have it.
+// route returns the route to a service, or nil if it is not in the bundle.
 func (r *router) route(name string) *serviceRoute {
 	r.mutex.RLock()
 	route := r.services[name]
@@ -66,10 +64,10 @@
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if route := r.services[name]; route != nil || r.intent == nil {
+	if route := r.services[name]; route != nil || r.index == nil {
 		return route
 	}
-	service := r.intent.Service(name)
+	service := r.index.Service(name)
 	if service == nil {
 		return nil
 	}
