--- a/internal/reference/reference_test.go
+++ b/internal/reference/reference_test.go
@@ -8,7 +8,7 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestThePageIsUpToDate(t *testing.T) {
+func TestConfigurationPageIsUpToDate(t *testing.T) {
 	g := NewWithT(t)
 	page, err := Page("../..")
 	g.Expect(err).NotTo(HaveOccurred())
@@ -20,7 +20,7 @@
 	g.Expect(page).To(ContainSubstring("| `retries.allowance` |"))
 }
 
-func TestThePageOfLogLinesIsUpToDate(t *testing.T) {
+func TestLogPageIsUpToDate(t *testing.T) {
 	g := NewWithT(t)
 	committed, err := os.ReadFile("../../docs/LOGS.md")
 	g.Expect(err).NotTo(HaveOccurred())
