--- a/cmd/landingmast/main.go
+++ b/cmd/landingmast/main.go
@@ -1,4 +1,4 @@
-// Command landingmast is the operators' command line.
+// Command landingmast is the command line client for operators.
 package main
 
 import (
@@ -17,7 +17,7 @@
 	"github.com/landingmast/landingmast/platform"
 )
 
-// exitCodes by kind of error; docs/OPERATIONS.md lists them.
+// exitCodes maps error kinds to exit codes; see docs/OPERATIONS.md.
 var exitCodes = map[failure.Kind]int{
 	failure.Internal:    1,
 	failure.BadInput:    2,
@@ -33,22 +33,22 @@
 	os.Exit(run(os.Args[1:], os.Stdout, os.Stderr))
 }
 
-func run(arguments []string, output, complaints io.Writer) int {
-	application := kingpin.New("landingmast", "Operators' command line of landingmast.")
+func run(arguments []string, stdout, stderr io.Writer) int {
+	application := kingpin.New("landingmast", "Command line client for operators of landingmast.")
 	application.Version(node.Version)
 	application.HelpFlag.Short('h')
-	commands := operator.Register(application, output, operator.Stores{
+	commands := operator.Register(application, stdout, operator.Stores{
 		Open: func(address string) store.Store { return platform.NewStore(address, nil) }, CrashKey: platform.CrashKey, Input: os.Stdin,
 	})
-	chosen, err := application.Parse(arguments)
+	selected, err := application.Parse(arguments)
 	if err != nil {
-		fmt.Fprintf(complaints, "landingmast: %s (remedy: see landingmast --help)\n", err)
+		fmt.Fprintf(stderr, "landingmast: %s (remedy: see landingmast --help)\n", err)
 		return exitCodes[failure.BadInput]
 	}
 	ctx, cancel := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer cancel()
-	if err := commands[chosen](ctx); err != nil {
-		fmt.Fprintln(complaints, "landingmast:", err)
+	if err := commands[selected](ctx); err != nil {
+		fmt.Fprintln(stderr, "landingmast:", err)
 		return exitCodes[failure.KindOf(err)]
 	}
 	return 0
