--- a/cmd/landingmastd/main.go
+++ b/cmd/landingmastd/main.go
@@ -1,5 +1,5 @@
-// Command landingmastd is the node of landingmast: one beside every target, and
-// without a target the entry for outside callers.
+// Command landingmastd runs a landingmast node: the proxy beside one
+// target or, without a target, an entry for external callers.
 package main
 
 import (
@@ -16,28 +16,28 @@
 	"github.com/landingmast/landingmast/internal/mesh/node"
 )
 
-// Exit codes; docs/OPERATIONS.md lists them.
+// Exit codes; see docs/OPERATIONS.md.
 const (
 	exitBadInput = 2
 	exitFailed   = 1
 )
 
-// collectorPercent makes the garbage collector trade some processor time for a
-// small resident size; GOGC in the environment goes before it.
-const collectorPercent = 50
+// gcPercent trades CPU time for a smaller resident set size. GOGC in the
+// environment overrides it.
+const gcPercent = 50
 
 func main() {
 	if os.Getenv("GOGC") == "" {
-		debug.SetGCPercent(collectorPercent)
+		debug.SetGCPercent(gcPercent)
 	}
 	application := kingpin.New("landingmastd", "A node of landingmast, the overload control layer.")
 	application.Version(node.Version)
 	application.HelpFlag.Short('h')
-	settingsFile := application.Flag("settings", "Settings file, YAML; see docs/CONFIGURATION.md.").Envar(settingsVariable).Required().String()
-	checkOnly := application.Flag("check", "Check the settings and end.").Bool()
-	logLevel := application.Flag("log-level", "debug, info, warning or error; goes before the settings file.").String()
+	settingsFile := application.Flag("settings", "Settings file, YAML; see docs/CONFIGURATION.md.").Envar(settingsEnvVar).Required().String()
+	checkOnly := application.Flag("check", "Validate the settings and exit.").Bool()
+	logLevel := application.Flag("log-level", "debug, info, warning or error; overrides the settings file.").String()
 	application.Command("mesh", "Run as a node of a mesh with signed bundles.").Default()
-	sidecarCommand := application.Command("sidecar", "Run beside one target on a machine that keeps nothing; see docs/SIDECAR.md.")
+	sidecarCommand := application.Command("sidecar", "Run as a sidecar of one target on a machine without persistent storage; see docs/SIDECAR.md.")
 	command := kingpin.MustParse(application.Parse(os.Args[1:]))
 
 	start := run
@@ -68,26 +68,26 @@
 		fmt.Println("settings are usable")
 		return nil
 	}
-	running, err := node.New(settings, os.Stderr)
+	instance, err := node.New(settings, os.Stderr)
 	if err != nil {
 		return err
 	}
-	ctx, hurry := stopSignals()
-	return running.Run(ctx, hurry)
+	ctx, forced := stopSignals()
+	return instance.Run(ctx, forced)
 }
 
-// stopSignals gives a context that ends with the first SIGTERM or interrupt (a
-// planned stop) and one that ends with the second (the operator's hurry).
-func stopSignals() (first, second context.Context) {
-	first, endFirst := context.WithCancel(context.Background())
-	second, endSecond := context.WithCancel(context.Background())
+// stopSignals returns a context that is cancelled by the first SIGTERM or SIGINT
+// (graceful shutdown) and one that is cancelled by the second (forced shutdown).
+func stopSignals() (graceful, forced context.Context) {
+	graceful, cancelGraceful := context.WithCancel(context.Background())
+	forced, cancelForced := context.WithCancel(context.Background())
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, os.Interrupt)
 	go func() {
 		<-signals
-		endFirst()
+		cancelGraceful()
 		<-signals
-		endSecond()
+		cancelForced()
 	}()
-	return first, second
+	return graceful, forced
 }
--- a/cmd/landingmastd/sidecar.go
+++ b/cmd/landingmastd/sidecar.go
@@ -17,34 +17,36 @@
 	"github.com/landingmast/landingmast/platform"
 )
 
-// settingsVariable names the settings file where the platform starts the process.
-const settingsVariable = "LANDINGMAST_BOOT"
+// settingsEnvVar is the environment variable in which the platform passes the path
+// of the settings file.
+const settingsEnvVar = "LANDINGMAST_BOOT"
 
-// sidecarCollectorPercent trades memory for processor time: at 50 a fifth of a node's
-// processor time was the collector, with a heap of a few MB.
-const sidecarCollectorPercent = 150
+// sidecarGCPercent trades memory for CPU time: the heap of a sidecar is a few MB, so
+// a lower value spends much of its CPU time on garbage collection.
+const sidecarGCPercent = 150
 
-// settingsEvery is how often the settings file is looked at for changes that no
-// signal announces.
-const settingsEvery = time.Second
+// settingsPollInterval is how often the settings file is checked for changes that
+// no SIGHUP announces.
+const settingsPollInterval = time.Second
 
-// followSettings puts changed settings in force, on SIGHUP and without.
-func followSettings(settingsFile string, node *sidecar.Node) {
+// watchSettings reloads the settings when the file changes, on SIGHUP or on the next
+// poll. It does not return.
+func watchSettings(settingsFile string, node *sidecar.Node) {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
-	before, _ := os.ReadFile(settingsFile)
-	ticker := time.NewTicker(settingsEvery)
+	previous, _ := os.ReadFile(settingsFile)
+	ticker := time.NewTicker(settingsPollInterval)
 	for {
 		select {
 		case <-hangups:
 		case <-ticker.C:
 		}
-		now, err := os.ReadFile(settingsFile)
-		if err != nil || bytes.Equal(now, before) {
+		current, err := os.ReadFile(settingsFile)
+		if err != nil || bytes.Equal(current, previous) {
 			continue
 		}
-		before = now
-		changed, err := settings.Parse(now)
+		previous = current
+		changed, err := settings.Parse(current)
 		if err != nil {
 			node.ReloadFailed(err)
 			continue
@@ -53,10 +55,10 @@
 	}
 }
 
-// runSidecar runs a sidecar node.
+// runSidecar runs a sidecar node until it is stopped by a signal.
 func runSidecar(settingsFile, _ string, checkOnly bool) error {
-	debug.SetGCPercent(sidecarCollectorPercent)
-	checked, err := settings.Load(settingsFile)
+	debug.SetGCPercent(sidecarGCPercent)
+	loaded, err := settings.Load(settingsFile)
 	if err != nil {
 		return err
 	}
@@ -68,8 +70,8 @@
 	if err != nil {
 		return err
 	}
-	node, err := sidecar.New(checked, sidecar.Options{
-		Headers: platform.Headers(), Store: platform.NewStore(checked.Store.Address, peer.DialAlive),
+	node, err := sidecar.New(loaded, sidecar.Options{
+		Headers: platform.Headers(), Store: platform.NewStore(loaded.Store.Address, peer.DialAlive),
 		ConfigurationKey: platform.ConfigurationKey, RecordPrefix: platform.RecordPrefix, NodePrefix: platform.NodePrefix,
 		QuotaPrefix: platform.QuotaPrefix, CrashKey: platform.CrashKey, ReadIntent: platform.ReadIntent,
 		Control: func(targets *sidecar.Targets) http.Handler { return platform.Heartbeats(targets) },
@@ -79,7 +81,7 @@
 		return err
 	}
 	signal.Ignore(syscall.SIGPIPE)
-	go followSettings(settingsFile, node)
-	ctx, hurry := stopSignals()
-	return node.Run(ctx, hurry)
+	go watchSettings(settingsFile, node)
+	ctx, forced := stopSignals()
+	return node.Run(ctx, forced)
 }
