--- a/internal/mesh/lab/deployment/deployment.go
+++ b/internal/mesh/lab/deployment/deployment.go
@@ -1,6 +1,5 @@
-// Package deployment describes the two meshes that landingmast was first made
-// for, with the sizes, zones and delays of today, as data for the stand-ins, the
-// emulator and the example files.
+// Package deployment describes the example meshes (services, zones, delays and
+// traffic) for the fake backends, the emulator and the example files.
 package deployment
 
 import (
@@ -24,35 +23,35 @@
 	Mix         []Traffic
 }
 
-// Service is a service and how its back ends behave.
+// Service is a service and the behaviour of its backends.
 type Service struct {
 	Name        string
 	Targets     int
-	MinSlots    int // slots of its targets are spread between these
+	MinSlots    int // concurrency of its targets ranges from MinSlots to MaxSlots
 	MaxSlots    int
 	Connections int
 	Routes      []Route
 }
 
-// Route is how a back end serves one kind of request.
+// Route describes how a backend serves one kind of request.
 type Route struct {
 	Method string
 	Path   string // prefix
 	Mean   time.Duration
 	Bytes  int
-	Calls  []DeepCall // made one after the other, or all at once
+	Calls  []DeepCall // sequential, or concurrent if AtOnce is set
 	AtOnce bool
 }
 
-// DeepCall is a call that a back end makes.
+// DeepCall is a call that a backend makes to another service.
 type DeepCall struct {
 	Service string
 	Method  string
 	Path    string
-	Keyed   bool // derives a key from the key of the request it serves
+	Keyed   bool // derives its idempotency key from that of the request being served
 }
 
-// Traffic is one kind of outside request and its share of all.
+// Traffic is one kind of external request and its share of the mix.
 type Traffic struct {
 	Class   string
 	Service string
@@ -62,7 +61,8 @@
 	Keyed   bool
 }
 
-// Slots gives the slots of a target, spread evenly over the service's range.
+// Slots returns the number of slots of a target, spaced evenly over the range of the
+// service.
 func (s *Service) Slots(target int) int {
 	if s.Targets < 2 {
 		return s.MaxSlots
@@ -70,7 +70,7 @@
 	return s.MinSlots + (s.MaxSlots-s.MinSlots)*target/(s.Targets-1)
 }
 
-// Route gives the route of a request, or nil.
+// Route returns the route that matches a request, or nil.
 func (s *Service) Route(method, path string) *Route {
 	for index := range s.Routes {
 		route := &s.Routes[index]
@@ -81,7 +81,7 @@
 	return nil
 }
 
-// Service gives the service of that name, or nil.
+// Service returns the service with the given name, or nil.
 func (d *Deployment) Service(name string) *Service {
 	for index := range d.Services {
 		if d.Services[index].Name == name {
@@ -91,57 +91,59 @@
 	return nil
 }
 
-// Named gives a deployment by its mesh's name.
+// Named returns the deployment with the given mesh name.
 func Named(name string) (*Deployment, error) {
-	for _, known := range []*Deployment{CoreArchive(), ExpenseClaims(), Bench()} {
-		if known.Mesh == name {
-			return known, nil
+	for _, candidate := range []*Deployment{CoreArchive(), ExpenseClaims(), Bench()} {
+		if candidate.Mesh == name {
+			return candidate, nil
 		}
 	}
 	return nil, fmt.Errorf("deployment %q is unknown (remedy: use core-archive or expense-claims)", name)
 }
 
-// shedSignal is how all the stand-in back ends say that they had not started.
+// shedSignal returns the signal by which fake backends report that they rejected a
+// request before starting it.
 func shedSignal() *bundle.ShedSignal {
 	return &bundle.ShedSignal{Status: 503, Header: ShedHeader}
 }
 
-// ShedHeader is the header by which a stand-in back end says "not started".
+// ShedHeader is the response header of a fake backend that rejected a request before
+// starting it.
 const ShedHeader = "X-Load-Shed"
 
-// Entries is the number of entries of a deployment.
+// Entries is the number of entry nodes in a deployment.
 const Entries = 2
 
-// Bundle gives the deployment's bundle at a version; address gives the peer
-// address of each node by name.
+// Bundle returns a bundle of the deployment with the given version. The address
+// function returns the peer address of a node.
 func (d *Deployment) Bundle(version int64, address func(node string) string) *bundle.Bundle {
-	made := &bundle.Bundle{Mesh: d.Mesh, Version: version, Levels: d.Levels, MaxDepth: bundle.DefaultMaxDepth, UserHeader: "X-User", Classes: slices.Clone(d.Classes)}
+	result := &bundle.Bundle{Mesh: d.Mesh, Version: version, Levels: d.Levels, MaxDepth: bundle.DefaultMaxDepth, UserHeader: "X-User", Classes: slices.Clone(d.Classes)}
 	for index := range Entries {
-		made.Entries = append(made.Entries, d.node(fmt.Sprintf("entry-%d", index+1), index, address))
+		result.Entries = append(result.Entries, d.node(fmt.Sprintf("entry-%d", index+1), index, address))
 	}
 	for _, service := range d.Services {
 		targets := make([]bundle.Node, 0, service.Targets)
 		for index := range service.Targets {
 			targets = append(targets, d.node(fmt.Sprintf("%s-%d", service.Name, index+1), index, address))
 		}
-		made.Services = append(made.Services, bundle.Service{Name: service.Name, Shed: shedSignal(), Targets: targets})
+		result.Services = append(result.Services, bundle.Service{Name: service.Name, Shed: shedSignal(), Targets: targets})
 	}
-	return made
+	return result
 }
 
 func (d *Deployment) node(name string, index int, address func(string) string) bundle.Node {
 	return bundle.Node{Name: name, Address: address(name), Zone: d.Zones[index%len(d.Zones)], Region: d.Region, State: bundle.Active}
 }
 
-// Capacity gives the user requests a second of a mix that the slots of the
-// service that is used up first can serve, and that service. A slot is held
-// while its request waits for deeper calls; delays of the network are left out.
+// Capacity returns the highest request rate of a mix that the deployment can serve,
+// per second, and the service that limits it. A slot is held while its request waits
+// for downstream calls; network delays are ignored.
 func (d *Deployment) Capacity(mix []Traffic) (rate float64, bottleneck string) {
 	total := 0.0
-	held := map[string]float64{}
+	slotSeconds := map[string]float64{}
 	for _, traffic := range mix {
 		total += traffic.Share
-		d.hold(held, traffic.Service, traffic.Method, traffic.Path, traffic.Share)
+		d.addSlotSeconds(slotSeconds, traffic.Service, traffic.Method, traffic.Path, traffic.Share)
 	}
 	for index := range d.Services {
 		service := &d.Services[index]
@@ -149,30 +151,30 @@
 		for target := range service.Targets {
 			slots += service.Slots(target)
 		}
-		if held[service.Name] == 0 {
+		if slotSeconds[service.Name] == 0 {
 			continue
 		}
-		if limit := float64(slots) * total / held[service.Name]; rate == 0 || limit < rate {
+		if limit := float64(slots) * total / slotSeconds[service.Name]; rate == 0 || limit < rate {
 			rate, bottleneck = limit, service.Name
 		}
 	}
 	return rate, bottleneck
 }
 
-// hold adds the slot seconds of one request, and of its deeper calls, to held
-// and gives its length.
-func (d *Deployment) hold(held map[string]float64, service, method, path string, share float64) float64 {
+// addSlotSeconds adds the slot time of one request and of its downstream calls to
+// slotSeconds and returns the duration of the request in seconds.
+func (d *Deployment) addSlotSeconds(slotSeconds map[string]float64, service, method, path string, share float64) float64 {
 	route := d.Service(service).Route(method, path)
 	seconds := route.Mean.Seconds()
 	for _, call := range route.Calls {
-		seconds += d.hold(held, call.Service, call.Method, call.Path, share)
+		seconds += d.addSlotSeconds(slotSeconds, call.Service, call.Method, call.Path, share)
 	}
-	held[service] += seconds * share
+	slotSeconds[service] += seconds * share
 	return seconds
 }
 
-// Pick gives the kind of request that a point in [0, 1) falls on; the shares of
-// the mix may sum up to any number.
+// Pick selects a kind of request by a point in [0, 1), in proportion to the shares of
+// the mix, which need not sum to 1.
 func Pick(mix []Traffic, point float64) *Traffic {
 	total := 0.0
 	for index := range mix {
--- a/internal/mesh/lab/deployment/deployment_test.go
+++ b/internal/mesh/lab/deployment/deployment_test.go
@@ -6,9 +6,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// TestPickKeepsToShares holds a finding: the load on real processes ignored shares
-// that did not sum up to 1, so that a month-end of bulk was an ordinary mix.
-func TestPickKeepsToShares(t *testing.T) {
+// Guards against treating shares as probabilities when they do not sum to 1.
+func TestPickFollowsShares(t *testing.T) {
 	g := NewWithT(t)
 	mix := []Traffic{{Class: "a", Share: 1}, {Class: "b", Share: 3}}
 	counts := map[string]int{}
@@ -23,6 +22,6 @@
 	d := ExpenseClaims()
 	rate, bottleneck := d.Capacity(d.Mix)
 	g.Expect(bottleneck).To(Equal("receipt-store"))
-	// 54 slots, 0.3 of the requests, 29 ms each with the lookup below.
+	// 54 slots; 0.3 of the requests hold one for 29 ms, including the downstream lookup.
 	g.Expect(rate).To(BeNumerically("~", 54/(0.3*0.029), 1))
 }
--- a/internal/mesh/lab/deployment/meshes.go
+++ b/internal/mesh/lab/deployment/meshes.go
@@ -12,20 +12,20 @@
 	post = "POST"
 )
 
+// class returns a request class; at-most-once classes get the default key header.
 func class(name, service, method, path, importance string, execution bundle.Execution, retries int, deadline time.Duration) bundle.Class {
-	made := bundle.Class{
+	result := bundle.Class{
 		Name: name, Service: service, Method: method, Path: path, Importance: importance, Execution: execution, Retries: retries,
 		Deadline: units.Duration(deadline),
 	}
 	if execution == bundle.AtMostOnce {
-		made.KeyHeader = bundle.DefaultKeyHeader
+		result.KeyHeader = bundle.DefaultKeyHeader
 	}
-	return made
+	return result
 }
 
-// CoreArchive is the Core Archive Mesh at Sierra Madre: four zones in one
-// region, nobody on call at night. A reservation that runs twice cuts the same
-// core twice.
+// CoreArchive returns the core archive mesh: four zones in one region. Reservations
+// must not run twice.
 func CoreArchive() *Deployment {
 	return &Deployment{
 		Mesh: "core-archive", Region: "guatemala", Zones: []string{"sm-a", "sm-b", "sm-c", "sm-d"},
@@ -64,9 +64,8 @@
 	}
 }
 
-// ExpenseClaims is the Expense Claims Mesh at Chaophraya Holdings: three zones in
-// one region. An approval must never run twice, the fraud flag must answer fast,
-// and month-end volume must get through.
+// ExpenseClaims returns the expense claims mesh: three zones in one region. Approvals
+// must not run twice, and fraud flags have the shortest deadline.
 func ExpenseClaims() *Deployment {
 	return &Deployment{
 		Mesh: "expense-claims", Region: "bangkok", Zones: []string{"cp-a", "cp-b", "cp-c"},
@@ -109,8 +108,8 @@
 	}
 }
 
-// Bench is a mesh for measurements of landingmast itself: one service whose back
-// ends take no time.
+// Bench returns a mesh for benchmarks: one service whose backends respond
+// immediately.
 func Bench() *Deployment {
 	return &Deployment{
 		Mesh: "bench", Region: "local", Zones: []string{"z"}, Levels: []string{"critical", "normal", "bulk"},
