--- a/internal/mesh/lab/standin/backend.go
+++ b/internal/mesh/lab/standin/backend.go
@@ -1,5 +1,5 @@
-// Package standin holds the stand-ins for what landingmast meets outside itself:
-// back ends and the platform's service.
+// Package standin implements fakes of the services that landingmast depends on:
+// backends and the platform's key-value service.
 package standin
 
 import (
@@ -19,33 +19,33 @@
 	"github.com/landingmast/landingmast/internal/mesh/lab/deployment"
 )
 
-// Headers between stand-in back ends and callers.
+// Headers used by fake backends and their callers.
 const (
-	HeaderDigest = "X-Body-Digest" // xxhash64 of the answer's body, hex
-	HeaderEcho   = "X-Echo-Token"  // token of the caller, sent back
+	HeaderDigest = "X-Body-Digest" // xxHash64 of the response body, hexadecimal
+	HeaderEcho   = "X-Echo-Token"  // token of the caller, echoed in the response
 	HeaderKey    = "Idempotency-Key"
 	HeaderID     = "X-Request-Id"
 )
 
-// Execution is one request that a back end really ran: the ground truth.
+// Execution records a request that a backend started to execute.
 type Execution struct {
 	Backend   string `json:"backend"`
-	RequestID string `json:"request_id"` // with the call id
+	RequestID string `json:"request_id"` // including the call id
 	Method    string `json:"method"`
 	Path      string `json:"path"`
 	Key       string `json:"key"`
 	Token     string `json:"token"`
-	Finished  bool   `json:"finished"` // served to the end
+	Finished  bool   `json:"finished"` // completed successfully
 }
 
-// Behaviour may be changed while the back end runs.
+// Behaviour configures the faults of a backend. It may be changed at run time.
 type Behaviour struct {
-	Slowdown float64 `json:"slowdown"`  // factor on service times; 0 is 1
-	FailRate float64 `json:"fail_rate"` // share of requests answered with a reset
-	LieReady bool    `json:"lie_ready"` // health says ready whatever happens
+	Slowdown    float64 `json:"slowdown"`  // factor applied to service times; 0 means 1
+	FailRate    float64 `json:"fail_rate"` // fraction of requests whose connection is reset
+	AlwaysReady bool    `json:"lie_ready"` // report ready regardless of state
 }
 
-// Backend is a stand-in back end.
+// Backend is a fake backend with a limited number of slots.
 type Backend struct {
 	name       string
 	service    *deployment.Service
@@ -60,7 +60,7 @@
 	executions []*Execution
 }
 
-// NewBackend makes a back end of a service. egress is where it sends its calls.
+// NewBackend returns a backend of a service that sends its own calls to egress.
 func NewBackend(name string, service *deployment.Service, slots int, egress string) *Backend {
 	backend := &Backend{
 		name: name, service: service, egress: egress, slots: make(chan struct{}, slots), maxWaiting: int64(service.Connections - slots),
@@ -105,7 +105,7 @@
 		http.NotFound(w, r)
 		return
 	}
-	if !b.takeSlot(r.Context()) {
+	if !b.acquireSlot(r.Context()) {
 		w.Header().Set(deployment.ShedHeader, "not-started")
 		http.Error(w, "overloaded", http.StatusServiceUnavailable)
 		return
@@ -113,25 +113,27 @@
 	defer func() { <-b.slots }()
 	_, _ = io.Copy(io.Discard, r.Body)
 	w.Header().Set(HeaderEcho, r.Header.Get(HeaderEcho))
-	execution := b.begin(r)
+	execution := b.recordExecution(r)
 	behaviour := b.behaviour.Load()
 	if rand.Float64() < behaviour.FailRate {
 		panic(http.ErrAbortHandler)
 	}
-	if !b.work(r.Context(), route, behaviour) {
+	if !b.simulateWork(r.Context(), route, behaviour) {
 		return
 	}
-	if err := b.callDeeper(r, route); err != nil {
+	if err := b.callDownstream(r, route); err != nil {
 		http.Error(w, err.Error(), http.StatusBadGateway)
 		return
 	}
-	b.answer(w, r, route)
+	b.writeResponse(w, r, route)
 	b.mutex.Lock()
 	execution.Finished = true
 	b.mutex.Unlock()
 }
 
-func (b *Backend) takeSlot(ctx context.Context) bool {
+// acquireSlot waits for a slot; false if too many requests are waiting or ctx is
+// cancelled.
+func (b *Backend) acquireSlot(ctx context.Context) bool {
 	if b.waiting.Add(1) > b.maxWaiting {
 		b.waiting.Add(-1)
 		return false
@@ -145,7 +147,8 @@
 	}
 }
 
-func (b *Backend) begin(r *http.Request) *Execution {
+// recordExecution adds a request to the executions of the backend.
+func (b *Backend) recordExecution(r *http.Request) *Execution {
 	execution := &Execution{
 		Backend: b.name, RequestID: r.Header.Get(HeaderID), Method: r.Method, Path: r.URL.Path, Key: r.Header.Get(HeaderKey),
 		Token: r.Header.Get(HeaderEcho),
@@ -156,14 +159,14 @@
 	return execution
 }
 
-// work takes the route's service time with a log-normal tail; false when the
-// request was cancelled meanwhile.
-func (b *Backend) work(ctx context.Context, route *deployment.Route, behaviour *Behaviour) bool {
-	span := ServiceTime(route.Mean, rand.NormFloat64())
+// simulateWork waits for a log-normally distributed service time; false if the
+// request is cancelled before it ends.
+func (b *Backend) simulateWork(ctx context.Context, route *deployment.Route, behaviour *Behaviour) bool {
+	duration := ServiceTime(route.Mean, rand.NormFloat64())
 	if behaviour.Slowdown > 0 {
-		span = time.Duration(float64(span) * behaviour.Slowdown)
+		duration = time.Duration(float64(duration) * behaviour.Slowdown)
 	}
-	timer := time.NewTimer(span)
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -173,15 +176,17 @@
 	}
 }
 
-// serviceSigma is the spread of the log-normal service times.
+// serviceSigma is the sigma of the log-normal distribution of service times.
 const serviceSigma = 0.5
 
-// ServiceTime gives a service time of that mean out of a standard normal number.
+// ServiceTime returns a log-normally distributed service time with the given mean
+// from a standard normal variate.
 func ServiceTime(mean time.Duration, normal float64) time.Duration {
 	return time.Duration(float64(mean) * math.Exp(serviceSigma*normal-serviceSigma*serviceSigma/2))
 }
 
-func (b *Backend) callDeeper(r *http.Request, route *deployment.Route) error {
+// callDownstream makes the downstream calls of a route and returns the first error.
+func (b *Backend) callDownstream(r *http.Request, route *deployment.Route) error {
 	if !route.AtOnce {
 		for _, call := range route.Calls {
 			if err := b.call(r, call); err != nil {
@@ -190,21 +195,21 @@
 		}
 		return nil
 	}
-	failures := make(chan error, len(route.Calls))
+	errs := make(chan error, len(route.Calls))
 	for _, call := range route.Calls {
-		go func() { failures <- b.call(r, call) }()
+		go func() { errs <- b.call(r, call) }()
 	}
 	var first error
 	for range route.Calls {
-		if err := <-failures; err != nil && first == nil {
+		if err := <-errs; err != nil && first == nil {
 			first = err
 		}
 	}
 	return first
 }
 
-// call makes one deeper call. Only the request id is passed on, and a key where
-// the call needs one of its own.
+// call makes one downstream call. It propagates the request id and the echo token, and
+// derives an idempotency key if the call needs one.
 func (b *Backend) call(r *http.Request, call deployment.DeepCall) error {
 	request, err := http.NewRequestWithContext(r.Context(), call.Method, "http://"+b.egress+call.Path, nil)
 	if err != nil {
@@ -230,16 +235,17 @@
 	return nil
 }
 
-func (b *Backend) answer(w http.ResponseWriter, r *http.Request, route *deployment.Route) {
-	body := Body(r.Header.Get(HeaderEcho), route.Bytes)
+// writeResponse writes the response body of a route and its digest.
+func (b *Backend) writeResponse(w http.ResponseWriter, r *http.Request, route *deployment.Route) {
+	body := responseBody(r.Header.Get(HeaderEcho), route.Bytes)
 	w.Header().Set(HeaderDigest, strconv.FormatUint(xxhash.Sum64(body), 16))
 	w.Header().Set("Content-Type", "application/octet-stream")
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	_, _ = w.Write(body)
 }
 
-// Body makes an answer's body of that length out of the caller's token.
-func Body(token string, length int) []byte {
+// responseBody returns a pseudo-random body that depends only on the token of the caller.
+func responseBody(token string, length int) []byte {
 	body := make([]byte, length)
 	state := xxhash.Sum64String(token)
 	for index := range body {
@@ -251,15 +257,15 @@
 	return body
 }
 
-// CheckBody reads an answer whole and checks it against its digest.
+// CheckBody reads the body of a response and verifies its digest, if it has one.
 func CheckBody(response *http.Response) error {
 	digest := xxhash.New()
 	if _, err := io.Copy(digest, response.Body); err != nil {
 		return err
 	}
-	wanted := response.Header.Get(HeaderDigest)
-	if wanted != "" && wanted != strconv.FormatUint(digest.Sum64(), 16) {
-		return fmt.Errorf("body does not match its digest")
+	expected := response.Header.Get(HeaderDigest)
+	if expected != "" && expected != strconv.FormatUint(digest.Sum64(), 16) {
+		return fmt.Errorf("response body does not match its digest")
 	}
 	return nil
 }
--- a/internal/mesh/lab/standin/platform.go
+++ b/internal/mesh/lab/standin/platform.go
@@ -16,14 +16,14 @@
 	goa "goa.design/goa/v3/pkg"
 )
 
-// Faults are the ways in which the stand-in of the platform fails. They may be
-// changed while it runs, with PUT /lab/faults.
+// Faults configures the faults that the fake platform injects. They may be changed at
+// run time with PUT /lab/faults.
 type Faults struct {
-	Down        bool          `json:"down"`         // every connection is cut
-	Delay       time.Duration `json:"delay"`        // before every answer, ns
-	LoseAnswers bool          `json:"lose_answers"` // writes take effect, their answers are cut
-	RateLimit   float64       `json:"rate_limit"`   // requests a second; 0: none
-	MachineLag  time.Duration `json:"machine_lag"`  // age of the machine list, ns
+	Down        bool          `json:"down"`         // abort every request
+	Delay       time.Duration `json:"delay"`        // added to every response, ns
+	LoseAnswers bool          `json:"lose_answers"` // apply writes, but abort their responses
+	RateLimit   float64       `json:"rate_limit"`   // requests per second; 0 means unlimited
+	MachineLag  time.Duration `json:"machine_lag"`  // staleness of the machine list, ns
 }
 
 type keyValue struct {
@@ -39,8 +39,8 @@
 	index uint64
 }
 
-// Platform is a stand-in of the platform's key-value service and machine list.
-// It keeps everything in memory.
+// Platform is an in-memory fake of the platform's key-value service and machine
+// list.
 type Platform struct {
 	mutex    sync.Mutex
 	index    uint64
@@ -55,22 +55,22 @@
 
 var _ api.Service = (*Platform)(nil)
 
-// NewPlatform makes an empty platform.
+// NewPlatform returns an empty platform.
 func NewPlatform() *Platform {
 	return &Platform{keys: map[string]*keyValue{}, refilled: time.Now()}
 }
 
-// Handler serves the published protocol and the lab's own switches.
+// Handler serves the key-value protocol and the control endpoints under /lab/.
 func (p *Platform) Handler() http.Handler {
 	mux := goahttp.NewMuxer()
 	server := platformserver.New(api.NewEndpoints(p), mux, goahttp.RequestDecoder, goahttp.ResponseEncoder, nil, nil)
 	platformserver.Mount(mux, server)
-	outer := http.NewServeMux()
-	outer.HandleFunc("PUT /lab/faults", p.serveFaults)
-	outer.HandleFunc("PUT /lab/machines/{node}/{state}", p.serveMachine)
-	outer.HandleFunc("GET /lab/counts", p.serveCounts)
-	outer.Handle("/", p.inject(mux))
-	return outer
+	root := http.NewServeMux()
+	root.HandleFunc("PUT /lab/faults", p.serveFaults)
+	root.HandleFunc("PUT /lab/machines/{node}/{state}", p.serveMachine)
+	root.HandleFunc("GET /lab/counts", p.serveCounts)
+	root.Handle("/", p.injectFaults(mux))
+	return root
 }
 
 func (p *Platform) serveFaults(w http.ResponseWriter, r *http.Request) {
@@ -82,7 +82,7 @@
 	p.SetFaults(faults)
 }
 
-// SetFaults changes the faults.
+// SetFaults replaces the injected faults.
 func (p *Platform) SetFaults(faults Faults) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -94,7 +94,7 @@
 	p.SetMachine(r.PathValue("node"), r.PathValue("state"))
 }
 
-// SetMachine sets the state of a machine: live, leaving or gone.
+// SetMachine sets the state of a machine to live, leaving or gone.
 func (p *Platform) SetMachine(node, state string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -108,8 +108,8 @@
 	_ = json.NewEncoder(w).Encode(map[string]uint64{"reads": p.reads, "writes": p.writes})
 }
 
-// inject applies the faults to a request.
-func (p *Platform) inject(next http.Handler) http.Handler {
+// injectFaults wraps a handler with the configured faults.
+func (p *Platform) injectFaults(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		faults, limited := p.admit(r.Method)
 		if faults.Down {
@@ -134,6 +134,7 @@
 	})
 }
 
+// admit counts a request and applies the rate limit.
 func (p *Platform) admit(method string) (faults Faults, limited bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -155,7 +156,7 @@
 	return p.faults, false
 }
 
-// discardWriter takes an answer that nobody will read.
+// discardWriter discards a response.
 type discardWriter struct{ header http.Header }
 
 // Header implements http.ResponseWriter.
@@ -167,7 +168,8 @@
 // WriteHeader implements http.ResponseWriter.
 func (d *discardWriter) WriteHeader(int) {}
 
-// Get implements the service. It does not wait for changes: nodes read and never watch.
+// Get implements api.Service. It ignores index and wait: nodes poll and do not use
+// blocking queries.
 func (p *Platform) Get(_ context.Context, payload *api.GetPayload) (*api.GetResult, error) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -179,7 +181,7 @@
 	return &api.GetResult{Pairs: []*api.KeyValuePair{pair}, Index: strconv.FormatUint(p.index, 10)}, nil
 }
 
-// Put implements the service.
+// Put implements api.Service.
 func (p *Platform) Put(_ context.Context, payload *api.PutPayload, body io.ReadCloser) (bool, error) {
 	value, err := io.ReadAll(io.LimitReader(body, 1<<20))
 	if err != nil {
@@ -202,27 +204,28 @@
 	return true, nil
 }
 
-// errNoSessions answers the calls for sessions, which no node makes.
-func errNoSessions() error {
-	return api.MakeMalformed(goa.PermanentError("malformed", "the stand-in has no sessions"))
+// errSessionsUnsupported returns the error of the session methods, which nodes do not
+// use.
+func errSessionsUnsupported() error {
+	return api.MakeMalformed(goa.PermanentError("malformed", "sessions are not supported"))
 }
 
-// CreateSession implements the service.
+// CreateSession implements api.Service.
 func (p *Platform) CreateSession(context.Context, *api.SessionRequest) (*api.SessionEntry, error) {
-	return nil, errNoSessions()
+	return nil, errSessionsUnsupported()
 }
 
-// RenewSession implements the service.
+// RenewSession implements api.Service.
 func (p *Platform) RenewSession(context.Context, *api.RenewSessionPayload) ([]*api.SessionEntry, error) {
-	return nil, errNoSessions()
+	return nil, errSessionsUnsupported()
 }
 
-// DestroySession implements the service.
+// DestroySession implements api.Service.
 func (p *Platform) DestroySession(context.Context, *api.DestroySessionPayload) (bool, error) {
-	return false, errNoSessions()
+	return false, errSessionsUnsupported()
 }
 
-// CatalogNodes implements the service: the machine list as it was some time ago.
+// CatalogNodes implements api.Service. It returns the machine list as it was MachineLag ago.
 func (p *Platform) CatalogNodes(context.Context) (*api.CatalogNodesResult, error) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
