--- a/internal/mesh/lab/load/load.go
+++ b/internal/mesh/lab/load/load.go
@@ -1,5 +1,5 @@
-// Package load sends a deployment's mixed traffic as an open loop of outside
-// callers and keeps what every caller saw, for later checks.
+// Package load is an open-loop load generator. It sends the traffic mix of a
+// deployment and records the response to every attempt.
 package load
 
 import (
@@ -19,53 +19,54 @@
 	"github.com/landingmast/landingmast/internal/mesh/lab/standin"
 )
 
-// Answer is what one sending of a request came to, as its caller saw it.
+// Answer is the result of one attempt of a request, as its caller saw it.
 type Answer struct {
 	Class     string
-	Token     string // of this sending
+	Token     string // identifies the attempt
 	Key       string
 	RequestID string
-	Outcome   string // answered, not-run, unknown, or broken when the connection was cut
+	Outcome   string // Answered, NotRun, Unknown or Broken
 	Reason    string
 	Status    int
-	Whole     bool   // body complete, matching its digest and this caller's token
-	Foreign   bool   // body of another caller
-	Run       string // token of the sending that the answer was made for
+	Whole     bool   // body complete, with matching digest and token
+	Foreign   bool   // response to another caller
+	Run       string // token of the attempt whose execution produced the response
 	Sent      time.Time
 	Took      time.Duration
 }
 
-// Outcomes as callers see them.
+// Outcomes of an attempt.
 const (
 	Answered = "answered"
 	NotRun   = "not-run"
 	Unknown  = "unknown"
-	Broken   = "broken"
+	Broken   = "broken" // no complete response
 )
 
-// Options set a run.
+// Options configures a run.
 type Options struct {
 	Deployment *deployment.Deployment
 	Entries    []string // IP:port of the entries
-	Rate       float64  // new requests a second, over all classes
+	Rate       float64  // new requests per second over all classes
 	Duration   time.Duration
 	Users      int
-	Resend     int           // a caller without an answer sends again so many times, at another entry
-	Backoff    time.Duration // before that; default 20ms
+	Resend     int           // retries of a caller without a complete response, each at another entry
+	Backoff    time.Duration // before a retry; at least 20ms
 	Seed       uint64
 	Progress   func(sent, whole int)
 }
 
-// Run sends the traffic and gives every answer. It stops early with ctx.
+// Run sends the traffic and returns the result of every attempt. It stops early if
+// ctx is cancelled.
 func Run(ctx context.Context, options Options) []Answer {
 	runner := &runner{options: options, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 512, DisableCompression: true}}}
 	random := rand.New(rand.NewPCG(options.Seed, 1))
 	var group sync.WaitGroup
-	started := time.Now()
-	due := started
-	for number := 0; time.Since(started) < options.Duration && ctx.Err() == nil; number++ {
-		due = due.Add(time.Duration(random.ExpFloat64() / options.Rate * float64(time.Second)))
-		time.Sleep(time.Until(due))
+	start := time.Now()
+	next := start
+	for number := 0; time.Since(start) < options.Duration && ctx.Err() == nil; number++ {
+		next = next.Add(time.Duration(random.ExpFloat64() / options.Rate * float64(time.Second)))
+		time.Sleep(time.Until(next))
 		traffic := deployment.Pick(options.Deployment.Mix, random.Float64())
 		user := fmt.Sprintf("user-%d", random.IntN(max(options.Users, 1)))
 		entry := random.IntN(len(options.Entries))
@@ -92,16 +93,16 @@
 	r.options.Progress(len(r.answers), r.whole)
 }
 
-// request sends one user request, and sends it again with the same key when it
-// got no whole answer.
+// request sends one user request and retries it with the same key until it gets a
+// complete response or has no retries left.
 func (r *runner) request(ctx context.Context, traffic *deployment.Traffic, user string, entry, number int) {
 	key := ""
 	if traffic.Keyed {
 		key = fmt.Sprintf("key-%d-%d", r.options.Seed, number)
 	}
-	for sending := 0; sending <= r.options.Resend; sending++ {
-		token := fmt.Sprintf("t%d-%d-%d", r.options.Seed, number, sending)
-		answer := Send(ctx, r.client, r.options.Entries[(entry+sending)%len(r.options.Entries)], traffic, user, key, token)
+	for attempt := 0; attempt <= r.options.Resend; attempt++ {
+		token := fmt.Sprintf("t%d-%d-%d", r.options.Seed, number, attempt)
+		answer := Send(ctx, r.client, r.options.Entries[(entry+attempt)%len(r.options.Entries)], traffic, user, key, token)
 		r.mutex.Lock()
 		r.answers = append(r.answers, answer)
 		if answer.Whole {
@@ -115,12 +116,12 @@
 	}
 }
 
-// minBackoff is a caller's shortest pause before it sends again.
+// minBackoff is the shortest pause before a retry.
 const minBackoff = 20 * time.Millisecond
 
 const clientTimeout = 15 * time.Second
 
-// Send sends one request to an entry and checks the answer.
+// Send sends one request to an entry and verifies the response.
 func Send(ctx context.Context, client *http.Client, entry string, traffic *deployment.Traffic, user, key, token string) Answer {
 	answer := Answer{Class: traffic.Class, Token: token, Key: key, Outcome: Broken, Sent: time.Now()}
 	defer func() { answer.Took = time.Since(answer.Sent) }()
@@ -140,7 +141,8 @@
 	request.Header.Set("X-User", user)
 	request.Header.Set(standin.HeaderEcho, token)
 	if key != "" {
-		// Lower case keeps net/http from sending it again by itself.
+		// net/http retries requests that have a canonical Idempotency-Key header; the
+		// lower-case key prevents that.
 		request.Header["idempotency-key"] = []string{key}
 	}
 	response, err := client.Do(request)
@@ -154,6 +156,7 @@
 	return answer
 }
 
+// read fills the answer from a response and verifies its body.
 func (a *Answer) read(response *http.Response, token string) {
 	a.Status = response.StatusCode
 	a.RequestID = response.Header.Get("X-Request-Id")
@@ -171,27 +174,28 @@
 	if outcome != Answered || response.StatusCode != http.StatusOK {
 		return
 	}
-	kept := a.Reason == "kept_answer" // belongs to an earlier sending of the same key
-	a.Foreign = a.Run != token && !(kept && sameRequest(a.Run, token))
+	stored := a.Reason == "kept_answer" // belongs to an earlier attempt with the same key
+	a.Foreign = a.Run != token && !(stored && sameRequest(a.Run, token))
 	a.Whole = response.Header.Get(standin.HeaderDigest) != "" && !a.Foreign
 }
 
-// Request names the user request that the answer's sending belongs to.
+// Request returns the token of the attempt without the attempt number, which
+// identifies the user request.
 func (a *Answer) Request() string {
 	return a.Token[:max(strings.LastIndexByte(a.Token, '-'), 0)]
 }
 
-// sameRequest tells whether two tokens are of sendings of one request.
+// sameRequest reports whether two tokens belong to attempts of the same request.
 func sameRequest(left, right string) bool {
 	return left[:max(strings.LastIndexByte(left, '-'), 0)] == right[:max(strings.LastIndexByte(right, '-'), 0)]
 }
 
-// Summary sums up the answers of one class.
+// Summary aggregates the answers of one class.
 type Summary struct {
 	Class   string
 	Sent    int
 	Whole   int
-	Failed  int // answered, but not with 200
+	Failed  int // answered with a status other than 200 or without a digest
 	NotRun  int
 	Unknown int
 	Broken  int
@@ -200,18 +204,18 @@
 	P99     time.Duration
 }
 
-// Summarize sums up answers by class, in the order of the mix.
+// Summarize aggregates answers by class, in the order of the mix.
 func Summarize(d *deployment.Deployment, answers []Answer) []Summary {
 	summaries := make([]Summary, len(d.Mix))
 	histograms := make([]*hdrhistogram.Histogram, len(d.Mix))
-	place := map[string]int{}
+	positions := map[string]int{}
 	for index, traffic := range d.Mix {
-		place[traffic.Class] = index
+		positions[traffic.Class] = index
 		summaries[index].Class = traffic.Class
 		histograms[index] = hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
 	}
 	for _, answer := range answers {
-		index := place[answer.Class]
+		index := positions[answer.Class]
 		summaries[index].add(answer)
 		if answer.Whole {
 			_ = histograms[index].RecordValue(int64(answer.Took / time.Microsecond))
@@ -242,7 +246,7 @@
 	}
 }
 
-// BaseID gives the request id without the call id that nodes add for targets.
+// BaseID returns the request id without the call id that nodes append to it.
 func BaseID(targetID string) string {
 	if dot := strings.LastIndexByte(targetID, '.'); dot >= 0 {
 		return targetID[:dot]
@@ -250,13 +254,13 @@
 	return targetID
 }
 
-// Ports hands out loopback addresses in sequence.
+// Ports allocates loopback addresses with consecutive ports.
 type Ports struct{ next int }
 
-// NewPorts begins at a port.
+// NewPorts returns an allocator that starts at the given port.
 func NewPorts(first int) *Ports { return &Ports{next: first} }
 
-// Next gives the next address.
+// Next returns the next address.
 func (p *Ports) Next() string {
 	p.next++
 	return "127.0.0.1:" + strconv.Itoa(p.next-1)
