--- a/internal/mesh/lab/check/check.go
+++ b/internal/mesh/lab/check/check.go
@@ -1,4 +1,5 @@
-// Package check compares what callers saw with what back ends really ran.
+// Package check verifies the guarantees of a run by comparing the responses that
+// callers received with the requests that backends executed.
 package check
 
 import (
@@ -11,14 +12,14 @@
 	"github.com/landingmast/landingmast/internal/mesh/lab/standin"
 )
 
-// Check is one checked statement.
+// Check is the result of checking one guarantee.
 type Check struct {
 	Name   string
 	Held   bool
 	Detail string
 }
 
-// All checks every statement about a run.
+// All runs every check.
 func All(d *deployment.Deployment, answers []load.Answer, executions []standin.Execution) []Check {
 	return []Check{
 		OwnAnswers(answers),
@@ -28,38 +29,38 @@
 	}
 }
 
-// OwnAnswers checks that no caller got a piece of another's answer.
+// OwnAnswers checks that no caller received any part of another caller's response.
 func OwnAnswers(answers []load.Answer) Check {
-	foreign := 0
+	misdelivered := 0
 	for _, answer := range answers {
 		if answer.Foreign {
-			foreign++
+			misdelivered++
 		}
 	}
-	return Check{"every answer is the caller's own", foreign == 0, fmt.Sprintf("%d answers, %d of others", len(answers), foreign)}
+	return Check{"every answer is the caller's own", misdelivered == 0, fmt.Sprintf("%d answers, %d of others", len(answers), misdelivered)}
 }
 
-// NotRunMeansNowhere checks that no sending that was answered "not run" was run
-// by any back end, at any depth. Sendings carry tokens of their own.
+// NotRunMeansNowhere checks that no attempt answered "not run" was executed by any
+// backend at any depth. Every attempt has its own token.
 func NotRunMeansNowhere(answers []load.Answer, executions []standin.Execution) Check {
-	ran := map[string]bool{}
+	executed := map[string]bool{}
 	for _, execution := range executions {
-		ran[execution.Token] = true
+		executed[execution.Token] = true
 	}
-	refused, wrong := 0, 0
+	refused, violations := 0, 0
 	for _, answer := range answers {
 		if answer.Outcome != load.NotRun {
 			continue
 		}
 		refused++
-		if ran[answer.Token] {
-			wrong++
+		if executed[answer.Token] {
+			violations++
 		}
 	}
-	return Check{`"not run" means not run anywhere`, wrong == 0, fmt.Sprintf("%d refusals, %d had run", refused, wrong)}
+	return Check{`"not run" means not run anywhere`, violations == 0, fmt.Sprintf("%d refusals, %d had run", refused, violations)}
 }
 
-// AtMostOnce checks that no key was run twice at one service and path.
+// AtMostOnce checks that no idempotency key was executed more than once for a path.
 func AtMostOnce(executions []standin.Execution) Check {
 	runs := map[string]int{}
 	for _, execution := range executions {
@@ -67,23 +68,22 @@
 			runs[execution.Path+" "+execution.Key]++
 		}
 	}
-	var twice []string
+	var duplicates []string
 	for key, count := range runs {
 		if count > 1 {
-			twice = append(twice, fmt.Sprintf("%s: %d times", key, count))
+			duplicates = append(duplicates, fmt.Sprintf("%s: %d times", key, count))
 		}
 	}
-	sort.Strings(twice)
-	detail := fmt.Sprintf("%d keys, %d run twice", len(runs), len(twice))
-	if len(twice) > 0 {
-		detail += ": " + strings.Join(twice[:min(len(twice), 3)], "; ")
+	sort.Strings(duplicates)
+	detail := fmt.Sprintf("%d keys, %d run twice", len(runs), len(duplicates))
+	if len(duplicates) > 0 {
+		detail += ": " + strings.Join(duplicates[:min(len(duplicates), 3)], "; ")
 	}
-	return Check{"at most once for each key", len(twice) == 0, detail}
+	return Check{"at most once for each key", len(duplicates) == 0, detail}
 }
 
-// RetriesBounded checks for every sending that the back ends received at most
-// the calls of its chain and the retries of its class: R retries can at most run
-// one whole chain again each.
+// RetriesBounded checks that the backends received each call of a request at most R+1
+// times, R being the highest retry limit of the classes it matches.
 func RetriesBounded(d *deployment.Deployment, executions []standin.Execution) Check {
 	received := map[string]map[string]int{}
 	for _, execution := range executions {
@@ -93,21 +93,21 @@
 		}
 		received[id][execution.Method+" "+execution.Path]++
 	}
-	worst, over := 0, 0
+	maxRetries, exceeded := 0, 0
 	for _, calls := range received {
-		retries, bound := excess(d, calls)
-		worst = max(worst, retries)
-		if retries > bound {
-			over++
+		retries, limit := countRetries(d, calls)
+		maxRetries = max(maxRetries, retries)
+		if retries > limit {
+			exceeded++
 		}
 	}
-	return Check{"retries bounded over the whole chain", over == 0, fmt.Sprintf("%d requests, most retries of one %d, over the bound %d", len(received), worst, over)}
+	return Check{"retries bounded over the whole chain", exceeded == 0, fmt.Sprintf("%d requests, most retries of one %d, over the bound %d", len(received), maxRetries, exceeded)}
 }
 
-// excess counts the calls beyond one for each step of the chain. The steps of
-// the lab's chains are all different, so that the most repeated step tells the
-// retries at and above it; a retry at one hop repeats the steps below it, too.
-func excess(d *deployment.Deployment, calls map[string]int) (retries, bound int) {
+// countRetries returns the number of retries of a request and the limit of its
+// classes. No call occurs twice in a call chain of the lab, and a retry at one hop
+// repeats the calls below it, so the most frequent call gives the number.
+func countRetries(d *deployment.Deployment, calls map[string]int) (retries, limit int) {
 	for _, count := range calls {
 		retries = max(retries, count-1)
 	}
@@ -115,9 +115,9 @@
 		for call := range calls {
 			method, path, _ := strings.Cut(call, " ")
 			if class.Method == method && strings.HasPrefix(path, strings.TrimSuffix(class.Path, "*")) {
-				bound = max(bound, class.Retries)
+				limit = max(limit, class.Retries)
 			}
 		}
 	}
-	return retries, bound
+	return retries, limit
 }
