--- a/internal/mesh/lab/virtualtime/virtualtime.go
+++ b/internal/mesh/lab/virtualtime/virtualtime.go
@@ -1,6 +1,6 @@
-// Package virtualtime is a clock that events move: they run in the order of their
-// times, and of their making where times are equal, so that a run with the same
-// seed is the same run, event for event.
+// Package virtualtime implements a discrete-event clock. Events run in order of time;
+// events with equal times run in the order in which they were scheduled, which makes
+// runs reproducible.
 package virtualtime
 
 import (
@@ -36,33 +36,33 @@
 	return value
 }
 
-// Clock is virtual time; the zero clock stands at 0. It is not safe for
-// concurrent use.
+// Clock is a virtual clock with its event queue. The zero value is a clock at time 0.
+// It is not safe for concurrent use.
 type Clock struct {
-	now    time.Duration
-	events eventHeap
-	order  uint64
-	count  uint64
+	now      time.Duration
+	events   eventHeap
+	order    uint64
+	executed uint64
 }
 
-// Now gives the time since the begin of the run.
+// Now returns the virtual time since the start of the run.
 func (c *Clock) Now() time.Duration { return c.now }
 
-// Count gives the number of events that have run.
-func (c *Clock) Count() uint64 { return c.count }
+// Count returns the number of events that have run.
+func (c *Clock) Count() uint64 { return c.executed }
 
-// After runs a function when a span has passed; a negative span is none.
-func (c *Clock) After(span time.Duration, run func()) {
+// After schedules a function to run after a delay. A negative delay counts as zero.
+func (c *Clock) After(delay time.Duration, run func()) {
 	c.order++
-	heap.Push(&c.events, event{at: c.now + max(span, 0), order: c.order, run: run})
+	heap.Push(&c.events, event{at: c.now + max(delay, 0), order: c.order, run: run})
 }
 
-// Run runs events until none is left or the time is reached.
+// Run runs the events that are due up to a time and advances the clock to it.
 func (c *Clock) Run(until time.Duration) {
 	for len(c.events) > 0 && c.events[0].at <= until {
 		next := heap.Pop(&c.events).(event)
 		c.now = next.at
-		c.count++
+		c.executed++
 		next.run()
 	}
 	c.now = until
