--- a/internal/mesh/lab/scaffold/scaffold.go
+++ b/internal/mesh/lab/scaffold/scaffold.go
@@ -1,5 +1,4 @@
-// Package scaffold writes the example bundles and settings of the two
-// deployments; a test holds the committed files of examples/ against it.
+// Package scaffold generates the example bundles and settings in examples/.
 package scaffold
 
 import (
@@ -18,21 +17,21 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// Examples gives the example files of a deployment by their path below examples/.
+// Examples returns the example files of a deployment by path relative to examples/.
 func Examples(d *deployment.Deployment) (map[string][]byte, error) {
 	layout := newLayout(d)
-	intent := d.Bundle(1, layout.peers)
+	exampleBundle := d.Bundle(1, layout.peers)
 	files := map[string][]byte{}
-	head := fmt.Sprintf("# Bundle of %s: the sizes, zones and classes of today.\n# Zones are %s apart one way, callers %s. Keys: docs/CONFIGURATION.md.\n",
+	header := fmt.Sprintf("# Bundle of the example mesh %s. One-way delays: %s between zones, %s to callers.\n# Keys: docs/CONFIGURATION.md.\n",
 		d.Mesh, d.ZoneDelay, d.ClientDelay)
-	data, err := encode(head, intent)
+	data, err := encode(header, exampleBundle)
 	if err != nil {
 		return nil, err
 	}
 	files[filepath.Join(d.Mesh, "bundle.yaml")] = data
-	for _, node := range intent.Nodes() {
-		_, service := intent.Node(node.Name)
-		settings := layout.settings(d, node, service, intent.Nodes())
+	for _, node := range exampleBundle.Nodes() {
+		_, service := exampleBundle.Node(node.Name)
+		settings := layout.settings(d, node, service, exampleBundle.Nodes())
 		data, err := encode("# Settings of node "+node.Name+". Keys: docs/CONFIGURATION.md.\n", settings)
 		if err != nil {
 			return nil, err
@@ -42,9 +41,9 @@
 	return files, nil
 }
 
-func encode(head string, document any) ([]byte, error) {
+func encode(header string, document any) ([]byte, error) {
 	var text bytes.Buffer
-	text.WriteString(head)
+	text.WriteString(header)
 	encoder := yaml.NewEncoder(&text)
 	encoder.SetIndent(2)
 	if err := encoder.Encode(document); err != nil {
@@ -53,36 +52,37 @@
 	return text.Bytes(), encoder.Close()
 }
 
-// layout gives every node its loopback ports.
+// layout assigns loopback ports to nodes.
 type layout struct {
-	numbers map[string]int
+	indexes map[string]int
 	first   int
 }
 
 const (
 	portsPerNode = 5
-	firstExample = 7000
-	meshPorts    = 200
+	firstPort    = 7000
+	portsPerMesh = 200
 )
 
 func newLayout(d *deployment.Deployment) *layout {
-	l := &layout{numbers: map[string]int{}, first: firstExample}
+	l := &layout{indexes: map[string]int{}, first: firstPort}
 	if d.Mesh == deployment.ExpenseClaims().Mesh {
-		l.first += meshPorts
+		l.first += portsPerMesh
 	}
 	for _, node := range d.Bundle(1, func(name string) string { return "127.0.0.1:1" }).Nodes() {
-		l.numbers[node.Name] = len(l.numbers)
+		l.indexes[node.Name] = len(l.indexes)
 	}
 	return l
 }
 
 func (l *layout) address(node string, offset int) string {
-	return fmt.Sprintf("127.0.0.1:%d", l.first+l.numbers[node]*portsPerNode+offset)
+	return fmt.Sprintf("127.0.0.1:%d", l.first+l.indexes[node]*portsPerNode+offset)
 }
 
 func (l *layout) peers(node string) string { return l.address(node, 0) }
 
-// examplePublicKey is the public part of a key that everybody knows.
+// examplePublicKey returns the public key of a well-known key pair. It must not be
+// used in production.
 func examplePublicKey() string {
 	private := ed25519.NewKeyFromSeed([]byte(strings.Repeat("example!", 4)))
 	return base64.StdEncoding.EncodeToString(private.Public().(ed25519.PublicKey))
--- a/internal/mesh/lab/scaffold/scaffold_test.go
+++ b/internal/mesh/lab/scaffold/scaffold_test.go
@@ -11,7 +11,7 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestExamplesAreUpToDateAndUsable(t *testing.T) {
+func TestExamplesAreUpToDateAndValid(t *testing.T) {
 	for _, d := range []*deployment.Deployment{deployment.CoreArchive(), deployment.ExpenseClaims()} {
 		g := NewWithT(t)
 		files, err := Examples(d)
