--- a/cmd/landingmast-lab/bench.go
+++ b/cmd/landingmast-lab/bench.go
@@ -11,18 +11,18 @@
 )
 
 func registerBench(application *kingpin.Application) (string, func(context.Context) error) {
-	command := application.Command("bench", "Measure the time that entry and ingress add, calls for a core, and memory.")
-	rate := command.Flag("rate", "Calls a second of each kind.").Default("400").Float64()
-	duration := command.Flag("duration", "Length of the latency part.").Default("8s").Duration()
-	connections := command.Flag("connections", "Connections of the callers.").Default("64").Int()
-	port := command.Flag("first-port", "First of some 30 loopback ports.").Default("23500").Int()
+	command := application.Command("bench", "Measure the latency added by entry and ingress, throughput per core, and memory.")
+	rate := command.Flag("rate", "Calls per second of each kind.").Default("400").Float64()
+	duration := command.Flag("duration", "Duration of the latency measurement.").Default("8s").Duration()
+	connections := command.Flag("connections", "Number of client connections.").Default("64").Int()
+	port := command.Flag("first-port", "First of about 30 loopback ports.").Default("23500").Int()
 	return command.FullCommand(), func(ctx context.Context) error {
 		directory, err := os.MkdirTemp("", "landingmast-bench-")
 		if err != nil {
 			return err
 		}
 		result, err := bench.Run(ctx, bench.Options{
-			Cluster: cluster.Options{Daemon: sibling("landingmastd"), Lab: sibling("landingmast-lab"), Directory: directory, FirstPort: *port},
+			Cluster: cluster.Options{Daemon: siblingBinary("landingmastd"), Lab: siblingBinary("landingmast-lab"), Directory: directory, FirstPort: *port},
 			Rate:    *rate, Duration: *duration, Connections: *connections,
 		})
 		if err != nil {
@@ -34,14 +34,14 @@
 }
 
 func printBench(result *bench.Result) {
-	fmt.Printf("direct          %6d calls  p50 %-9s p99 %s\n", result.Direct.Calls, short(result.Direct.P50), short(result.Direct.P99))
-	fmt.Printf("entry+ingress   %6d calls  p50 %-9s p99 %s\n", result.Through.Calls, short(result.Through.P50), short(result.Through.P99))
-	fmt.Printf("at most once    %6d calls  p50 %-9s p99 %s\n", result.Once.Calls, short(result.Once.P50), short(result.Once.P99))
-	fmt.Printf("added           p50 %s  p99 %s; with a claim p50 %s  p99 %s\n", short(result.Through.P50-result.Direct.P50), short(result.Through.P99-result.Direct.P99),
-		short(result.Once.P50-result.Direct.P50), short(result.Once.P99-result.Direct.P99))
-	fmt.Printf("saturated       %.0f calls/s, %.0f calls for a second of processor time of entry and ingress together\n", result.Throughput, result.PerCore)
+	fmt.Printf("direct          %6d calls  p50 %-9s p99 %s\n", result.Direct.Calls, formatDuration(result.Direct.P50), formatDuration(result.Direct.P99))
+	fmt.Printf("entry+ingress   %6d calls  p50 %-9s p99 %s\n", result.Proxied.Calls, formatDuration(result.Proxied.P50), formatDuration(result.Proxied.P99))
+	fmt.Printf("at most once    %6d calls  p50 %-9s p99 %s\n", result.AtMostOnce.Calls, formatDuration(result.AtMostOnce.P50), formatDuration(result.AtMostOnce.P99))
+	fmt.Printf("added           p50 %s  p99 %s; with a claim p50 %s  p99 %s\n", formatDuration(result.Proxied.P50-result.Direct.P50), formatDuration(result.Proxied.P99-result.Direct.P99),
+		formatDuration(result.AtMostOnce.P50-result.Direct.P50), formatDuration(result.AtMostOnce.P99-result.Direct.P99))
+	fmt.Printf("saturated       %.0f calls/s, %.0f calls per CPU second of entry and ingress together\n", result.Throughput, result.CallsPerCPUSecond)
 	for _, usage := range result.Usages {
-		fmt.Printf("%-15s resident %5.1f MB idle, %5.1f MB after load; %s of processor time while saturated\n", usage.Name,
-			float64(usage.ResidentIdle)/1e6, float64(usage.ResidentLoad)/1e6, usage.ProcessorTime)
+		fmt.Printf("%-15s resident %5.1f MB idle, %5.1f MB after load; %s CPU time while saturated\n", usage.Name,
+			float64(usage.ResidentIdle)/1e6, float64(usage.ResidentLoad)/1e6, usage.CPUTime)
 	}
 }
--- a/cmd/landingmast-lab/demo.go
+++ b/cmd/landingmast-lab/demo.go
@@ -16,17 +16,17 @@
 )
 
 func registerDemo(application *kingpin.Application) (string, func(context.Context) error) {
-	command := application.Command("demo", "Run both deployments on loopback as separate processes, with their traffic, and check what came out.")
-	seconds := command.Flag("duration", "Length of the traffic.").Default("20s").Duration()
-	rate := command.Flag("rate", "Requests a second and deployment.").Default("150").Float64()
-	port := command.Flag("first-port", "First of some 300 loopback ports.").Default("21000").Int()
-	seed := command.Flag("seed", "Seed of the traffic.").Default("1").Uint64()
+	command := application.Command("demo", "Run both deployments on loopback as separate processes under load and check the results.")
+	duration := command.Flag("duration", "Duration of the load.").Default("20s").Duration()
+	rate := command.Flag("rate", "Requests per second for each deployment.").Default("150").Float64()
+	port := command.Flag("first-port", "First of about 300 loopback ports.").Default("21000").Int()
+	seed := command.Flag("seed", "Seed of the load generator.").Default("1").Uint64()
 	return command.FullCommand(), func(ctx context.Context) error {
-		return runDemo(ctx, *seconds, *rate, *port, *seed)
+		return runDemo(ctx, *duration, *rate, *port, *seed)
 	}
 }
 
-// portsPerCluster is enough for the larger deployment.
+// portsPerCluster is the number of ports reserved for each cluster.
 const portsPerCluster = 150
 
 func runDemo(ctx context.Context, duration time.Duration, rate float64, port int, seed uint64) error {
@@ -41,7 +41,7 @@
 		go func() {
 			results <- demo.Run(ctx, demo.Options{
 				Cluster: cluster.Options{
-					Deployment: mesh, Daemon: sibling("landingmastd"), Lab: sibling("landingmast-lab"),
+					Deployment: mesh, Daemon: siblingBinary("landingmastd"), Lab: siblingBinary("landingmast-lab"),
 					Directory: filepath.Join(directory, mesh.Mesh), FirstPort: port + index*portsPerCluster,
 				},
 				Duration: duration, Rate: rate, Seed: seed,
@@ -65,8 +65,8 @@
 	return os.RemoveAll(directory)
 }
 
-// sibling gives the path of another program of the project.
-func sibling(name string) string {
+// siblingBinary returns the path of another program in the directory of this one.
+func siblingBinary(name string) string {
 	own, err := os.Executable()
 	if err != nil {
 		return name
@@ -77,17 +77,17 @@
 func printResult(result *demo.Result) (failed int) {
 	fmt.Printf("\n== %s ==\n", result.Mesh)
 	if result.Err != nil {
-		fmt.Println("did not run:", result.Err)
+		fmt.Println("demo failed:", result.Err)
 		return 1
 	}
 	table := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(table, "class\tsent\twhole\tnot run\tunknown\tbroken\tfailed\tretries\tadded p50\tadded p99\ttotal p50\ttotal p99\t")
 	for _, row := range result.Rows {
 		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s\t%s\t%s\t%s\t\n", row.Class, row.Sent, row.Whole, row.NotRun, row.Unknown, row.Broken,
-			row.Failed, row.Retries, short(row.AddedP50), short(row.AddedP99), short(row.P50), short(row.P99))
+			row.Failed, row.Retries, formatDuration(row.AddedP50), formatDuration(row.AddedP99), formatDuration(row.P50), formatDuration(row.P99))
 	}
 	_ = table.Flush()
-	fmt.Printf("bundle 2 in force on all %d nodes after %s\n", result.Nodes, short(result.RollTook))
+	fmt.Printf("bundle 2 in force on all %d nodes after %s\n", result.Nodes, formatDuration(result.RolloutDuration))
 	fmt.Println("explain", result.ExplainedID)
 	for _, line := range result.Explained {
 		fmt.Println("  " + line)
@@ -103,9 +103,11 @@
 	return failed
 }
 
-func short(span time.Duration) string { return span.Round(10 * time.Microsecond).String() }
+func formatDuration(duration time.Duration) string {
+	return duration.Round(10 * time.Microsecond).String()
+}
 
-// progressLine shows one line for both runs.
+// progressLine prints the progress of both runs on one terminal line.
 type progressLine struct{ counts [][2]int }
 
 func (p *progressLine) show(index, sent, whole int) {
--- a/cmd/landingmast-lab/examples.go
+++ b/cmd/landingmast-lab/examples.go
@@ -13,7 +13,7 @@
 
 func registerExamples(application *kingpin.Application) (string, func(context.Context) error) {
 	command := application.Command("examples", "Write the example bundles and settings of both deployments.")
-	directory := command.Flag("directory", "Folder to write into.").Default("examples").String()
+	directory := command.Flag("directory", "Output directory.").Default("examples").String()
 	return command.FullCommand(), func(context.Context) error {
 		for _, mesh := range []*deployment.Deployment{deployment.CoreArchive(), deployment.ExpenseClaims()} {
 			files, err := scaffold.Examples(mesh)
--- a/cmd/landingmast-lab/experiments.go
+++ b/cmd/landingmast-lab/experiments.go
@@ -15,43 +15,43 @@
 )
 
 func registerExperiments(application *kingpin.Application) (string, func(context.Context) error) {
-	command := application.Command("experiments", "Run experiment files in virtual time and report.")
-	directory := command.Flag("directory", "Folder of the experiment files.").Default("experiments").String()
-	only := command.Flag("only", "Name of one experiment; repeat for more.").Strings()
-	variants := command.Flag("variant", "Variant to run; repeat for more. Without it: all.").Strings()
-	report := command.Flag("report", "Folder for the report and its plots.").String()
-	real := command.Flag("real", "Run landingmast as real processes, once with the first seed, rates and service times scaled.").Bool()
-	port := command.Flag("first-port", "First of some 150 loopback ports, with --real.").Default("27500").Int()
+	command := application.Command("experiments", "Run experiment files in virtual time and report the results.")
+	directory := command.Flag("directory", "Directory of the experiment files.").Default("experiments").String()
+	only := command.Flag("only", "Name of an experiment; may be repeated.").Strings()
+	variants := command.Flag("variant", "Variant to run; may be repeated. Default: all.").Strings()
+	report := command.Flag("report", "Directory for the report and its plots.").String()
+	realProcesses := command.Flag("real", "Run landingmast as real processes, once with the first seed, with scaled rates and service times.").Bool()
+	port := command.Flag("first-port", "First of about 150 loopback ports; used with --real.").Default("27500").Int()
 	return command.FullCommand(), func(ctx context.Context) error {
-		if *real {
-			return runReal(ctx, *directory, *only, *port)
+		if *realProcesses {
+			return runRealProcesses(ctx, *directory, *only, *port)
 		}
 		return runExperiments(*directory, *only, *variants, *report)
 	}
 }
 
 func registerEmulate(application *kingpin.Application) (string, func(context.Context) error) {
-	command := application.Command("emulate", "Run one experiment once in virtual time and print its state over time. The same seed prints the same bytes.")
-	directory := command.Flag("directory", "Folder of the experiment files.").Default("experiments").String()
+	command := application.Command("emulate", "Run one experiment once in virtual time and print its state over time. The output is deterministic for a seed.")
+	directory := command.Flag("directory", "Directory of the experiment files.").Default("experiments").String()
 	name := command.Arg("experiment", "Name of the experiment.").Required().String()
 	variant := command.Flag("variant", "Variant to run.").Default("landingmast").String()
 	seed := command.Flag("seed", "Seed of the run.").Default("1").Uint64()
-	interval := command.Flag("interval", "Time between two lines.").Default("1s").Duration()
+	interval := command.Flag("interval", "Virtual time between two samples.").Default("1s").Duration()
 	return command.FullCommand(), func(context.Context) error {
-		return emulateOne(*directory, *name, *variant, *seed, *interval)
+		return runEmulation(*directory, *name, *variant, *seed, *interval)
 	}
 }
 
-func emulateOne(directory, name, variantName string, seed uint64, interval time.Duration) error {
-	chosen, err := load(directory, []string{name})
+func runEmulation(directory, name, variantName string, seed uint64, interval time.Duration) error {
+	experiments, err := loadExperiments(directory, []string{name})
 	if err != nil {
 		return err
 	}
-	variants, err := chooseVariants([]string{variantName})
+	variants, err := selectVariants([]string{variantName})
 	if err != nil {
 		return err
 	}
-	result, err := experiment.Trace(chosen[0], variants[0], seed, interval, func(samples []emulator.Sample) {
+	result, err := experiment.Trace(experiments[0], variants[0], seed, interval, func(samples []emulator.Sample) {
 		for _, sample := range samples {
 			fmt.Printf("%-6s %-14s busy %3d/%-3d backlog %4d  limit %4d queued %4d cursor %3d\n", sample.At, sample.Service, sample.Busy, sample.Slots,
 				sample.Backlog, sample.Limit, sample.Queued, sample.Cursor)
@@ -63,21 +63,21 @@
 	for _, class := range result.Classes {
 		fmt.Printf("%-16s %6d requests, %6d whole\n", class.Class, class.Requests, class.Whole)
 	}
-	fmt.Printf("%d sendings, %d received by back ends, %d retries, %d refused early, %.2f%% of the work wasted, %d events\n",
+	fmt.Printf("%d attempts, %d received by back ends, %d retries, %d refused early, %.2f%% of the work wasted, %d events\n",
 		result.Sendings, result.Received, result.Retries, result.RefusedEarly, result.Wasted*100, result.Events)
 	return nil
 }
 
-func runExperiments(directory string, only, names []string, folder string) error {
-	experiments, err := load(directory, only)
+func runExperiments(directory string, only, names []string, outputDirectory string) error {
+	experiments, err := loadExperiments(directory, only)
 	if err != nil {
 		return err
 	}
-	variants, err := chooseVariants(names)
+	variants, err := selectVariants(names)
 	if err != nil {
 		return err
 	}
-	reports, err := experiment.RunEmulated(experiments, variants, func(done, all int) { fmt.Fprintf(os.Stderr, "\r%d of %d runs", done, all) })
+	reports, err := experiment.RunEmulated(experiments, variants, func(done, total int) { fmt.Fprintf(os.Stderr, "\r%d of %d runs", done, total) })
 	fmt.Fprintln(os.Stderr)
 	if err != nil {
 		return err
@@ -85,46 +85,46 @@
 	for _, report := range reports {
 		report.Print(os.Stdout)
 	}
-	if folder == "" {
+	if outputDirectory == "" {
 		return nil
 	}
-	return writeReport(folder, reports)
+	return writeReport(outputDirectory, reports)
 }
 
-func runReal(ctx context.Context, directory string, only []string, port int) error {
-	experiments, err := load(directory, only)
+func runRealProcesses(ctx context.Context, directory string, only []string, port int) error {
+	experiments, err := loadExperiments(directory, only)
 	if err != nil {
 		return err
 	}
-	for _, one := range experiments {
-		folder, err := os.MkdirTemp("", "landingmast-experiment-")
+	for _, selected := range experiments {
+		outputDirectory, err := os.MkdirTemp("", "landingmast-experiment-")
 		if err != nil {
 			return err
 		}
-		options := cluster.Options{Daemon: sibling("landingmastd"), Lab: sibling("landingmast-lab"), Directory: folder, FirstPort: port}
-		measured, err := experiment.MeasureReal(ctx, one, options, one.Seeds[0])
+		options := cluster.Options{Daemon: siblingBinary("landingmastd"), Lab: siblingBinary("landingmast-lab"), Directory: outputDirectory, FirstPort: port}
+		measured, err := experiment.MeasureReal(ctx, selected, options, selected.Seeds[0])
 		if err != nil {
-			return fmt.Errorf("%s: %w", one.Name, err)
+			return fmt.Errorf("%s: %w", selected.Name, err)
 		}
-		report := &experiment.Report{Experiment: one, Rows: []experiment.Row{{Variant: "real processes", Runs: []experiment.Measure{measured}}}}
+		report := &experiment.Report{Experiment: selected, Rows: []experiment.Row{{Variant: "real processes", Runs: []experiment.Measure{measured}}}}
 		report.Print(os.Stdout)
-		if err := os.RemoveAll(folder); err != nil {
+		if err := os.RemoveAll(outputDirectory); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// load reads the experiments of a folder, or only the named ones.
-func load(directory string, only []string) ([]*experiment.Experiment, error) {
+// loadExperiments reads the experiments in a directory, or only the named ones.
+func loadExperiments(directory string, only []string) ([]*experiment.Experiment, error) {
 	experiments, err := experiment.LoadAll(directory)
 	if err != nil || len(only) == 0 {
 		return experiments, err
 	}
-	return choose(experiments, only)
+	return selectExperiments(experiments, only)
 }
 
-func choose(experiments []*experiment.Experiment, only []string) ([]*experiment.Experiment, error) {
+func selectExperiments(experiments []*experiment.Experiment, only []string) ([]*experiment.Experiment, error) {
 	var chosen []*experiment.Experiment
 	for _, name := range only {
 		found := false
@@ -135,20 +135,20 @@
 			}
 		}
 		if !found {
-			return nil, fmt.Errorf("experiment %q is unknown (remedy: name a file of the folder without its ending)", name)
+			return nil, fmt.Errorf("experiment %q is unknown (remedy: use the name of a file in the directory, without its extension)", name)
 		}
 	}
 	return chosen, nil
 }
 
-func chooseVariants(names []string) ([]emulator.Variant, error) {
+func selectVariants(names []string) ([]emulator.Variant, error) {
 	if len(names) == 0 {
 		return emulator.Variants(), nil
 	}
 	var chosen []emulator.Variant
 	for _, name := range names {
-		variant, known := emulator.VariantNamed(name)
-		if !known {
+		variant, ok := emulator.VariantNamed(name)
+		if !ok {
 			return nil, fmt.Errorf("variant %q is unknown (remedy: use landingmast, baseline or \"without MECHANISM\")", name)
 		}
 		chosen = append(chosen, variant)
@@ -156,27 +156,27 @@
 	return chosen, nil
 }
 
-func writeReport(folder string, reports []*experiment.Report) error {
-	if err := os.MkdirAll(folder, 0o755); err != nil {
+func writeReport(outputDirectory string, reports []*experiment.Report) error {
+	if err := os.MkdirAll(outputDirectory, 0o755); err != nil {
 		return err
 	}
-	file, err := os.Create(filepath.Join(folder, "report.md"))
+	file, err := os.Create(filepath.Join(outputDirectory, "report.md"))
 	if err != nil {
 		return err
 	}
 	defer file.Close()
 	fmt.Fprintln(file, "# Experiments in virtual time")
 	for _, report := range reports {
-		plotFile, err := report.Plot(folder)
+		plotFile, err := report.Plot(outputDirectory)
 		if err != nil {
 			return err
 		}
-		writeOne(file, report, filepath.Base(plotFile))
+		writeSection(file, report, filepath.Base(plotFile))
 	}
 	return nil
 }
 
-func writeOne(file io.Writer, report *experiment.Report, plotFile string) {
+func writeSection(file io.Writer, report *experiment.Report, plotFile string) {
 	fmt.Fprintf(file, "\n## %s\n\n```\n", report.Experiment.Name)
 	report.Print(file)
 	fmt.Fprintf(file, "```\n\n![%s](%s)\n", report.Experiment.Name, plotFile)
--- a/cmd/landingmast-lab/faults.go
+++ b/cmd/landingmast-lab/faults.go
@@ -16,16 +16,16 @@
 )
 
 func registerFaults(application *kingpin.Application) (string, func(context.Context) error) {
-	command := application.Command("faults", "Run deployments as real processes under seeded faults and check the guarantees.")
+	command := application.Command("faults", "Run deployments as real processes under randomly injected faults and check the guarantees.")
 	schedules := command.Flag("schedules", "Number of schedules; each has its own seed.").Default("12").Int()
-	seconds := command.Flag("duration", "Traffic and faults of one schedule.").Default("15s").Duration()
-	rate := command.Flag("rate", "Requests a second.").Default("120").Float64()
+	duration := command.Flag("duration", "Duration of a schedule.").Default("15s").Duration()
+	rate := command.Flag("rate", "Requests per second.").Default("120").Float64()
 	pause := command.Flag("pause", "Mean time between two faults.").Default("700ms").Duration()
-	port := command.Flag("first-port", "First of some 150 loopback ports.").Default("24000").Int()
+	port := command.Flag("first-port", "First of about 150 loopback ports.").Default("24000").Int()
 	first := command.Flag("seed", "Seed of the first schedule.").Default("1").Uint64()
-	kinds := command.Flag("kind", "Fault to inject; repeat for more. Without it: all.").Strings()
+	kinds := command.Flag("kind", "Fault to inject; may be repeated. Default: all.").Strings()
 	return command.FullCommand(), func(ctx context.Context) error {
-		return runFaults(ctx, *schedules, *first, *port, *kinds, faults.Options{Duration: *seconds, Rate: *rate, Pause: *pause})
+		return runFaults(ctx, *schedules, *first, *port, *kinds, faults.Options{Duration: *duration, Rate: *rate, Pause: *pause})
 	}
 }
 
@@ -51,7 +51,7 @@
 		mesh := meshes[number%len(meshes)]
 		options.Seed = first + uint64(number)
 		options.Cluster = cluster.Options{
-			Deployment: mesh, Daemon: sibling("landingmastd"), Lab: sibling("landingmast-lab"), FirstPort: port,
+			Deployment: mesh, Daemon: siblingBinary("landingmastd"), Lab: siblingBinary("landingmast-lab"), FirstPort: port,
 			Directory: filepath.Join(directory, fmt.Sprintf("seed-%d", options.Seed)),
 		}
 		result, err := faults.Run(ctx, options)
@@ -65,14 +65,14 @@
 		}
 		violations += result.Violations()
 		fmt.Fprintf(table, "%d\t%s\t%d\t%d\t%d\t%d\t%d\t%d\n", result.Seed, mesh.Mesh, injected, result.Answers, result.Whole, result.NotRun, result.Unknown, result.Violations())
-		for _, one := range result.Checks {
-			if !one.Held {
-				failed = append(failed, fmt.Sprintf("seed %d: %s (%s)", result.Seed, one.Name, one.Detail))
+		for _, check := range result.Checks {
+			if !check.Held {
+				failed = append(failed, fmt.Sprintf("seed %d: %s (%s)", result.Seed, check.Name, check.Detail))
 			}
 		}
 		_ = table.Flush()
 	}
-	fmt.Println("faults:", totalsText(totals))
+	fmt.Println("faults:", formatFaultCounts(totals))
 	if violations > 0 {
 		return fmt.Errorf("%d violations; logs are in %s\n%s", violations, directory, strings.Join(failed, "\n"))
 	}
@@ -80,7 +80,7 @@
 	return os.RemoveAll(directory)
 }
 
-func totalsText(totals map[faults.Kind]int) string {
+func formatFaultCounts(totals map[faults.Kind]int) string {
 	var parts []string
 	for kind, count := range totals {
 		parts = append(parts, fmt.Sprintf("%s %d", kind, count))
--- a/cmd/landingmast-lab/reference.go
+++ b/cmd/landingmast-lab/reference.go
@@ -10,7 +10,7 @@
 )
 
 func registerReference(application *kingpin.Application) (string, func(context.Context) error) {
-	command := application.Command("reference", "Write docs/CONFIGURATION.md and docs/LOGS.md out of the structs.")
+	command := application.Command("reference", "Write docs/CONFIGURATION.md and docs/LOGS.md from the source.")
 	return command.FullCommand(), func(context.Context) error {
 		page, err := reference.Page(".")
 		if err != nil {
--- a/internal/mesh/lab/demo/demo.go
+++ b/internal/mesh/lab/demo/demo.go
@@ -1,4 +1,4 @@
-// Package demo runs one deployment for some seconds and checks what came out.
+// Package demo runs a deployment under load for a short time and checks the result.
 package demo
 
 import (
@@ -16,7 +16,7 @@
 	"github.com/landingmast/landingmast/internal/mesh/lab/load"
 )
 
-// Options set a demo.
+// Options configures a demo.
 type Options struct {
 	Cluster  cluster.Options
 	Duration time.Duration
@@ -25,27 +25,28 @@
 	Progress func(sent, whole int)
 }
 
-// Row is one class of the table.
+// Row is the row of one request class in the result table.
 type Row struct {
 	load.Summary
 	Retries  int
-	AddedP50 time.Duration // time that the system added to whole answers
+	AddedP50 time.Duration // latency added by the mesh, complete responses only
 	AddedP99 time.Duration
 }
 
-// Result is what a demo came to.
+// Result holds the outcome of a demo.
 type Result struct {
-	Mesh        string
-	Err         error
-	Rows        []Row
-	Nodes       int
-	RollTook    time.Duration
-	ExplainedID string
-	Explained   []string
-	Checks      []check.Check
+	Mesh            string
+	Err             error
+	Rows            []Row
+	Nodes           int
+	RolloutDuration time.Duration
+	ExplainedID     string
+	Explained       []string
+	Checks          []check.Check
 }
 
-// Run runs the deployment, rolls a bundle half-way and explains one request.
+// Run runs the deployment under load, rolls out a second bundle halfway through and
+// explains one request.
 func Run(ctx context.Context, options Options) *Result {
 	result := &Result{Mesh: options.Cluster.Deployment.Mesh}
 	running, err := cluster.Start(ctx, options.Cluster)
@@ -54,44 +55,45 @@
 		return result
 	}
 	defer running.Stop()
-	rolled := make(chan error, 1)
-	go func() { rolled <- rollHalfWay(ctx, running, options.Duration/2, result) }()
+	rolloutDone := make(chan error, 1)
+	go func() { rolloutDone <- rollOutBundle(ctx, running, options.Duration/2, result) }()
 	answers := load.Run(ctx, load.Options{
 		Deployment: options.Cluster.Deployment, Entries: running.Entries(), Rate: options.Rate, Duration: options.Duration, Users: 200,
 		Resend: 1, Seed: options.Seed, Progress: options.Progress,
 	})
-	if err := <-rolled; err != nil {
+	if err := <-rolloutDone; err != nil {
 		result.Err = err
 		return result
 	}
-	result.Err = result.finish(ctx, running, answers)
+	result.Err = result.evaluate(ctx, running, answers)
 	return result
 }
 
-const rollLimit = 5 * time.Second
+const rolloutLimit = 5 * time.Second
 
-// rollHalfWay rolls version 2 and waits until it is in force everywhere.
-func rollHalfWay(ctx context.Context, running *cluster.Cluster, after time.Duration, result *Result) error {
-	time.Sleep(after)
+// rollOutBundle rolls out version 2 after a delay and waits until every node uses it.
+func rollOutBundle(ctx context.Context, running *cluster.Cluster, delay time.Duration, result *Result) error {
+	time.Sleep(delay)
 	next := running.Bundle(2)
 	next.MaxDepth--
-	began := time.Now()
+	start := time.Now()
 	if _, err := running.Roll(ctx, next); err != nil {
 		return err
 	}
 	result.Nodes = len(running.Nodes)
-	for time.Since(began) < 2*rollLimit {
-		if inForce(ctx, running, 2) {
-			result.RollTook = time.Since(began)
+	for time.Since(start) < 2*rolloutLimit {
+		if bundleActive(ctx, running, 2) {
+			result.RolloutDuration = time.Since(start)
 			return nil
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	result.RollTook = time.Since(began)
+	result.RolloutDuration = time.Since(start)
 	return nil
 }
 
-func inForce(ctx context.Context, running *cluster.Cluster, version int64) bool {
+// bundleActive reports whether every node uses the given bundle version.
+func bundleActive(ctx context.Context, running *cluster.Cluster, version int64) bool {
 	for _, process := range running.Nodes {
 		status, err := adminapi.New(process.Admin).Status(ctx)
 		if err != nil || status.BundleVersion != version {
@@ -101,14 +103,14 @@
 	return true
 }
 
-func (r *Result) finish(ctx context.Context, running *cluster.Cluster, answers []load.Answer) error {
+func (r *Result) evaluate(ctx context.Context, running *cluster.Cluster, answers []load.Answer) error {
 	executions, err := running.Executions()
 	if err != nil {
 		return err
 	}
 	r.Checks = check.All(running.Deployment, answers, executions)
 	r.Checks = append(r.Checks, check.Check{
-		Name: "bundle in force everywhere within 5s", Held: r.RollTook > 0 && r.RollTook <= rollLimit, Detail: r.RollTook.Round(time.Millisecond).String(),
+		Name: "bundle in force everywhere within 5s", Held: r.RolloutDuration > 0 && r.RolloutDuration <= rolloutLimit, Detail: r.RolloutDuration.Round(time.Millisecond).String(),
 	})
 	whole := 0
 	for _, answer := range answers {
@@ -119,20 +121,20 @@
 	r.Checks = append(r.Checks, check.Check{
 		Name: "at least 99% of the answers are whole", Held: whole*100 >= len(answers)*99 && whole > 0, Detail: fmt.Sprintf("%d of %d", whole, len(answers)),
 	})
-	r.rows(ctx, running, answers)
+	r.buildRows(ctx, running, answers)
 	return r.explain(ctx, running, answers)
 }
 
-// rows makes the table: what callers saw, and out of the records of the nodes
-// the time added by entry and ingress of the first hop.
-func (r *Result) rows(ctx context.Context, running *cluster.Cluster, answers []load.Answer) {
+// buildRows builds the result table from the responses that callers received, the
+// retry counters, and the decision records of the first hop.
+func (r *Result) buildRows(ctx context.Context, running *cluster.Cluster, answers []load.Answer) {
 	retries := map[string]int{}
 	for _, process := range running.Nodes {
 		for class, count := range scrapeRetries(process.Admin) {
 			retries[class] += count
 		}
 	}
-	added := addedTimes(ctx, running, answers)
+	added := addedLatencies(ctx, running, answers)
 	for _, summary := range load.Summarize(running.Deployment, answers) {
 		row := Row{Summary: summary, Retries: retries[summary.Class]}
 		if histogram := added[summary.Class]; histogram != nil {
@@ -143,17 +145,18 @@
 	}
 }
 
-const sampled = 300 // whole answers of a class whose records are read
+// maxSamples limits the requests of a class whose decision records are read.
+const maxSamples = 300
 
-// addedTimes reads the records of some requests: the entry's whole time less the
-// target's, for the outermost call.
-func addedTimes(ctx context.Context, running *cluster.Cluster, answers []load.Answer) map[string]*hdrhistogram.Histogram {
+// addedLatencies samples, by class, the latency that the mesh added to the outermost
+// call.
+func addedLatencies(ctx context.Context, running *cluster.Cluster, answers []load.Answer) map[string]*hdrhistogram.Histogram {
 	added := map[string]*hdrhistogram.Histogram{}
 	counts := map[string]int{}
 	client := adminapi.New(running.Nodes[0].Admin)
 	for index := len(answers) - 1; index >= 0; index-- {
 		answer := answers[index]
-		if !answer.Whole || counts[answer.Class] >= sampled {
+		if !answer.Whole || counts[answer.Class] >= maxSamples {
 			continue
 		}
 		counts[answer.Class]++
@@ -164,29 +167,31 @@
 		if added[answer.Class] == nil {
 			added[answer.Class] = hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
 		}
-		if span, ok := addedBy(decisions); ok {
-			_ = added[answer.Class].RecordValue(int64(span / time.Microsecond))
+		if latency, ok := addedLatency(decisions); ok {
+			_ = added[answer.Class].RecordValue(int64(latency / time.Microsecond))
 		}
 	}
 	return added
 }
 
-func addedBy(decisions []*admin.Decision) (time.Duration, bool) {
-	var whole, target float64
+// addedLatency returns the time that the entry took less the time that the target
+// took; false if either is not recorded.
+func addedLatency(decisions []*admin.Decision) (time.Duration, bool) {
+	var entry, target float64
 	for _, decision := range decisions {
 		if decision.Action != "answer" || decision.Depth != 0 {
 			continue
 		}
 		if strings.HasPrefix(decision.Node, "entry-") {
-			whole = decision.Numbers["took_ms"]
+			entry = decision.Numbers["took_ms"]
 		} else {
 			target = decision.Numbers["took_ms"]
 		}
 	}
-	return time.Duration((whole - target) * float64(time.Millisecond)), whole > 0 && target > 0
+	return time.Duration((entry - target) * float64(time.Millisecond)), entry > 0 && target > 0
 }
 
-// explain asks for the records of the request with the most hops.
+// explain reads the decision records of the last answered keyed request.
 func (r *Result) explain(ctx context.Context, running *cluster.Cluster, answers []load.Answer) error {
 	for index := len(answers) - 1; index >= 0; index-- {
 		if !answers[index].Whole || answers[index].Key == "" {
@@ -203,10 +208,11 @@
 		r.Checks = append(r.Checks, check.Check{Name: "a request can be explained at every hop", Held: len(decisions) >= 6, Detail: fmt.Sprintf("%d decisions", len(decisions))})
 		return nil
 	}
-	return fmt.Errorf("no keyed request was answered")
+	return fmt.Errorf("no request with an idempotency key was answered")
 }
 
-// scrapeRetries reads the retry counters of a node by class.
+// scrapeRetries returns the retry counters of a node by class, empty if the node
+// cannot be reached.
 func scrapeRetries(address string) map[string]int {
 	retries := map[string]int{}
 	response, err := http.Get("http://" + address + "/metrics")
