--- a/design/admin.go
+++ b/design/admin.go
@@ -1,86 +1,85 @@
-// Package design describes, in goa's DSL, the two HTTP interfaces of the
-// project: the operators' admin API of every node (this file) and the
-// platform's key-value service (platform.go). `make generate` turns it into
-// the committed packages below gen/.
+// Package design defines the HTTP APIs of the project in the goa DSL: the admin API
+// of a node (this file) and the platform's key-value service (platform.go).
+// `make generate` generates the packages in gen/ from it.
 package design
 
-import . "goa.design/goa/v3/dsl" //nolint:revive // goa's DSL is meant to be dot-imported.
+import . "goa.design/goa/v3/dsl" //nolint:revive // the goa DSL is designed to be dot-imported.
 
 var _ = API("landingmast", func() {
 	Title("landingmast")
-	Description("Overload control for deep service call graphs: admin API and platform port.")
+	Description("Overload control for deep service call graphs: admin API and platform client.")
 })
 
-// NodeStatus is one node as its own admin API, or a peer's status message, tells it.
+// NodeStatus is the status of a node, reported by itself or by a peer.
 var NodeStatus = Type("NodeStatus", func() {
 	Attribute("node", String, "name of the node")
-	Attribute("service", String, "service of the target beside it; empty for an entry")
+	Attribute("service", String, "service of its target; empty for an entry")
 	Attribute("zone", String, "zone of the node")
 	Attribute("address", String, "peer address, host:port")
 	Attribute("state", String, "active, leaving, draining or unreachable")
-	Attribute("incarnation", String, "random name of this run of the process")
-	Attribute("bundle_version", Int64, "bundle in force")
-	Attribute("bundle_digest", String, "digest of the bundle in force")
-	Attribute("in_flight", Int, "calls now handed over to the target")
-	Attribute("queued", Int, "calls now waiting for a slot")
-	Attribute("limit", Int, "learned concurrency limit of the target")
-	Attribute("admitted", UInt64, "calls admitted since start")
-	Attribute("refused", UInt64, "calls refused as not run since start")
-	Attribute("shed_by_level", MapOf(String, UInt64), "refusals by importance level since start")
-	Attribute("bundles_rejected", UInt64, "releases refused for a bad signature, signer or digest")
-	Attribute("voter_epoch", Int64, "epoch of the voter set that this node votes in; 0 when it is no voter")
+	Attribute("incarnation", String, "random id of this process instance")
+	Attribute("bundle_version", Int64, "version of the active bundle")
+	Attribute("bundle_digest", String, "digest of the active bundle")
+	Attribute("in_flight", Int, "calls in progress at the target")
+	Attribute("queued", Int, "calls waiting for a slot")
+	Attribute("limit", Int, "current adaptive concurrency limit of the target")
+	Attribute("admitted", UInt64, "calls admitted since process start")
+	Attribute("refused", UInt64, "calls rejected before being run, since process start")
+	Attribute("shed_by_level", MapOf(String, UInt64), "rejected calls by importance level since process start")
+	Attribute("bundles_rejected", UInt64, "bundles rejected for an invalid signature, signer or digest")
+	Attribute("voter_epoch", Int64, "epoch of the voter set that this node belongs to; 0 if it is not a voter")
 	Attribute("program_version", String, "version of landingmastd")
 	Required("node", "service", "zone", "address", "state", "incarnation", "bundle_version", "bundle_digest",
 		"in_flight", "queued", "limit", "admitted", "refused", "shed_by_level", "bundles_rejected", "voter_epoch",
 		"program_version")
 })
 
-// Decision is one recorded decision about one call, with the numbers behind it.
+// Decision is a recorded decision about a call, with the values it was based on.
 var Decision = Type("Decision", func() {
-	Attribute("request_id", String, "request id of the whole chain")
-	Attribute("call_id", String, "id of this call in the chain")
-	Attribute("node", String, "node that decided")
-	Attribute("depth", Int, "hops below the entry")
+	Attribute("request_id", String, "request id, shared by all calls of the chain")
+	Attribute("call_id", String, "id of the call within the chain")
+	Attribute("node", String, "node that made the decision")
+	Attribute("depth", Int, "number of hops from the entry")
 	Attribute("at", String, "time of the decision, RFC 3339 with microseconds")
 	Attribute("action", String, "admit, refuse, route, retry, no_retry, lose, claim or answer")
-	Attribute("reason", String, "why, as a fixed word")
-	Attribute("service", String, "service that is called")
+	Attribute("reason", String, "reason code")
+	Attribute("service", String, "called service")
 	Attribute("class", String, "request class")
 	Attribute("level", String, "importance level")
-	Attribute("peer", String, "node that the call goes to, when there is one")
-	Attribute("numbers", MapOf(String, Float64), "values that the decision was made on")
+	Attribute("peer", String, "node that the call is sent to, if any")
+	Attribute("numbers", MapOf(String, Float64), "values that the decision was based on")
 	Required("request_id", "call_id", "node", "depth", "at", "action", "reason", "service", "class", "level", "peer", "numbers")
 })
 
-// ServiceStatus sums up one service as the asked node sees it.
+// ServiceStatus is the state of a service in the routing table of the queried node.
 var ServiceStatus = Type("ServiceStatus", func() {
 	Attribute("service", String)
 	Attribute("targets", ArrayOf(EndpointStatus))
 	Required("service", "targets")
 })
 
-// EndpointStatus is one target as the asked node's routing sees it.
+// EndpointStatus is the state of a target in the routing table of the queried node.
 var EndpointStatus = Type("EndpointStatus", func() {
 	Attribute("node", String)
 	Attribute("zone", String)
 	Attribute("state", String, "active, joining, leaving or ejected")
-	Attribute("in_flight", Int, "calls of this node that are at the target")
-	Attribute("success_rate", Float64, "moving share of calls that were not failures, 0 to 1")
-	Attribute("latency_ms", Float64, "moving mean of answer times, ms")
-	Attribute("cursor", Int, "highest rank that the target still admits")
+	Attribute("in_flight", Int, "calls from this node in progress at the target")
+	Attribute("success_rate", Float64, "moving average of the success rate, 0 to 1")
+	Attribute("latency_ms", Float64, "moving average of the response time, ms")
+	Attribute("cursor", Int, "highest rank that the target admits")
 	Required("node", "zone", "state", "in_flight", "success_rate", "latency_ms", "cursor")
 })
 
-// Problem is the admin API's error body.
+// Problem is the error response of the admin API.
 var Problem = Type("Problem", func() {
 	ErrorName("name", String, "kind of error")
-	Attribute("message", String, "what is wrong")
-	Attribute("remedy", String, "what to do about it")
+	Attribute("message", String, "error message")
+	Attribute("remedy", String, "suggested remedy")
 	Required("name", "message", "remedy")
 })
 
 var _ = Service("admin", func() {
-	Description("Operators' view of one node, and through it of its peers.")
+	Description("Inspection and control of a node and, through it, of its peers.")
 	Error("not_found", Problem)
 	Error("bad_input", Problem)
 	HTTP(func() {
@@ -89,28 +88,28 @@
 	})
 
 	Method("status", func() {
-		Description("State of this node.")
+		Description("Status of this node.")
 		Result(NodeStatus)
 		HTTP(func() { GET("/v1/status") })
 	})
 	Method("nodes", func() {
-		Description("State of every node that the bundle names, asked for through the peer port.")
+		Description("Status of every node in the bundle, queried through the peer port.")
 		Result(ArrayOf(NodeStatus))
 		HTTP(func() { GET("/v1/nodes") })
 	})
 	Method("services", func() {
-		Description("Services and targets as this node's routing sees them.")
+		Description("Services and targets in the routing table of this node.")
 		Result(ArrayOf(ServiceStatus))
 		HTTP(func() { GET("/v1/services") })
 	})
 	Method("explain", func() {
-		Description("Decision records of one request; over all nodes of the chain unless local is set.")
+		Description("Decision records of a request, from all nodes of the chain unless local is set.")
 		Payload(func() {
-			Attribute("request_id", String, "request id as the X-Request-Id header of the answer gave it", func() {
+			Attribute("request_id", String, "request id from the X-Request-Id response header", func() {
 				MinLength(1)
 				MaxLength(128)
 			})
-			Attribute("local", Boolean, "only this node's records", func() { Default(false) })
+			Attribute("local", Boolean, "return only the records of this node", func() { Default(false) })
 			Required("request_id")
 		})
 		Result(ArrayOf(Decision))
@@ -120,23 +119,23 @@
 		})
 	})
 	Method("drain", func() {
-		Description("Stop taking new work here; what is in flight goes on.")
+		Description("Stop accepting new calls on this node; calls in progress continue.")
 		Result(NodeStatus)
 		HTTP(func() { POST("/v1/drain") })
 	})
 	Method("bundle", func() {
-		Description("Release in force on this node, as signed.")
+		Description("Signed bundle that is active on this node.")
 		Result(func() {
 			Attribute("version", Int64)
 			Attribute("digest", String)
 			Attribute("signer", String)
-			Attribute("release", Bytes, "the signed release, JSON")
+			Attribute("release", Bytes, "signed bundle, JSON")
 			Required("version", "digest", "signer", "release")
 		})
 		HTTP(func() { GET("/v1/bundle") })
 	})
 	Method("version", func() {
-		Description("Version of the program.")
+		Description("Version of landingmastd.")
 		Result(String)
 		HTTP(func() { GET("/v1/version") })
 	})
--- a/design/platform.go
+++ b/design/platform.go
@@ -1,38 +1,38 @@
 package design
 
-import . "goa.design/goa/v3/dsl" //nolint:revive // goa's DSL is meant to be dot-imported.
+import . "goa.design/goa/v3/dsl" //nolint:revive // the goa DSL is designed to be dot-imported.
 
-// KeyValuePair is one entry as the published HTTP key-value protocol of Consul returns it.
+// KeyValuePair is an entry as returned by the HTTP key-value API of Consul.
 var KeyValuePair = Type("KeyValuePair", func() {
 	Attribute("Key", String)
 	Attribute("Value", Bytes, "value; base64 in JSON")
 	Attribute("Session", String, "session that holds the key")
-	Attribute("ModifyIndex", UInt64, "index of the last change, the argument of compare-and-swap")
+	Attribute("ModifyIndex", UInt64, "index of the last change; argument of compare-and-swap")
 	Attribute("CreateIndex", UInt64)
 	Required("Key", "Value", "ModifyIndex", "CreateIndex")
 })
 
-// SessionEntry is the answer to the creation of a session (a lease).
+// SessionEntry is the response to the creation or renewal of a session (a lease).
 var SessionEntry = Type("SessionEntry", func() {
 	Attribute("ID", String)
 	Attribute("TTL", String, "time to live, e.g. 10s")
 	Required("ID")
 })
 
-// CatalogNode is one machine of the lagging machine list.
+// CatalogNode is a machine in the node catalog.
 var CatalogNode = Type("CatalogNode", func() {
 	Attribute("Node", String)
 	Attribute("Address", String)
-	Attribute("Meta", MapOf(String, String), "state is live or leaving")
+	Attribute("Meta", MapOf(String, String), "metadata; the value of state is live or leaving")
 	Required("Node", "Address", "Meta")
 })
 
 var _ = Service("platform", func() {
-	Description("The platform's key-value service: Consul's published HTTP protocol, as far as it is used.")
-	Error("limited", ErrorResult, "rate limit reached; ask again later")
-	Error("unavailable", ErrorResult, "the service is down")
+	Description("The key-value service of the platform: the subset of Consul's HTTP API that landingmast uses.")
+	Error("limited", ErrorResult, "rate limit exceeded; retry later")
+	Error("unavailable", ErrorResult, "service unavailable")
 	Error("missing", ErrorResult, "no such key or session")
-	Error("malformed", ErrorResult, "unusable request")
+	Error("malformed", ErrorResult, "malformed request")
 	HTTP(func() {
 		Response("limited", StatusTooManyRequests)
 		Response("unavailable", StatusInternalServerError)
@@ -41,16 +41,16 @@
 	})
 
 	Method("get", func() {
-		Description("Read one key; with index, wait until it changes past that index or the wait ends.")
+		Description("Read a key. With index, block until its index is higher or the wait time ends.")
 		Payload(func() {
 			Attribute("key", String)
-			Attribute("index", UInt64, "answer only when the key's index is higher")
-			Attribute("wait", String, "longest wait, e.g. 5s")
+			Attribute("index", UInt64, "respond only when the index of the key is higher")
+			Attribute("wait", String, "maximum wait time, e.g. 5s")
 			Required("key")
 		})
 		Result(func() {
 			Attribute("pairs", ArrayOf(KeyValuePair))
-			Attribute("index", String, "index of the answer")
+			Attribute("index", String, "index of the response")
 			Required("pairs", "index")
 		})
 		HTTP(func() {
@@ -64,7 +64,7 @@
 		})
 	})
 	Method("put", func() {
-		Description("Write one key; cas writes only at that index (0: only if absent), acquire and release only with the session.")
+		Description("Write a key. With cas, write only if the index matches (0: only if the key is absent); with acquire or release, only with that session.")
 		Payload(func() {
 			Attribute("key", String)
 			Attribute("cas", UInt64)
@@ -72,7 +72,7 @@
 			Attribute("release", String)
 			Required("key")
 		})
-		Result(Boolean, "whether the write took place")
+		Result(Boolean, "whether the value was written")
 		HTTP(func() {
 			PUT("/v1/kv/{*key}")
 			Param("cas")
@@ -103,10 +103,10 @@
 		HTTP(func() { PUT("/v1/session/destroy/{id}") })
 	})
 	Method("catalog_nodes", func() {
-		Description("The machine list; it may lag.")
+		Description("The node catalog; it may be stale.")
 		Result(func() {
 			Attribute("nodes", ArrayOf(CatalogNode))
-			Attribute("index", String, "index of the answer")
+			Attribute("index", String, "index of the response")
 			Required("nodes", "index")
 		})
 		HTTP(func() {
@@ -119,7 +119,7 @@
 	})
 })
 
-// SessionRequest asks for a session.
+// SessionRequest is the request to create a session.
 var SessionRequest = Type("SessionRequest", func() {
 	Attribute("Name", String)
 	Attribute("TTL", String, "time to live, e.g. 10s")
--- a/gen/admin/service.go
+++ b/gen/admin/service.go
@@ -11,22 +11,22 @@
 	"context"
 )
 
-// Operators' view of one node, and through it of its peers.
+// Inspection and control of a node and, through it, of its peers.
 type Service interface {
-	// State of this node.
+	// Status of this node.
 	Status(context.Context) (res *NodeStatus, err error)
-	// State of every node that the bundle names, asked for through the peer port.
+	// Status of every node in the bundle, queried through the peer port.
 	Nodes(context.Context) (res []*NodeStatus, err error)
-	// Services and targets as this node's routing sees them.
+	// Services and targets in the routing table of this node.
 	Services(context.Context) (res []*ServiceStatus, err error)
-	// Decision records of one request; over all nodes of the chain unless local is
+	// Decision records of a request, from all nodes of the chain unless local is
 	// set.
 	Explain(context.Context, *ExplainPayload) (res []*Decision, err error)
-	// Stop taking new work here; what is in flight goes on.
+	// Stop accepting new calls on this node; calls in progress continue.
 	Drain(context.Context) (res *NodeStatus, err error)
-	// Release in force on this node, as signed.
+	// Signed bundle that is active on this node.
 	Bundle(context.Context) (res *BundleResult, err error)
-	// Version of the program.
+	// Version of landingmastd.
 	Version(context.Context) (res string, err error)
 }
 
@@ -51,34 +51,34 @@
 	Version int64
 	Digest  string
 	Signer  string
-	// the signed release, JSON
+	// signed bundle, JSON
 	Release []byte
 }
 
 type Decision struct {
-	// request id of the whole chain
+	// request id, shared by all calls of the chain
 	RequestID string
-	// id of this call in the chain
+	// id of the call within the chain
 	CallID string
-	// node that decided
+	// node that made the decision
 	Node string
-	// hops below the entry
+	// number of hops from the entry
 	Depth int
 	// time of the decision, RFC 3339 with microseconds
 	At string
 	// admit, refuse, route, retry, no_retry, lose, claim or answer
 	Action string
-	// why, as a fixed word
+	// reason code
 	Reason string
-	// service that is called
+	// called service
 	Service string
 	// request class
 	Class string
 	// importance level
 	Level string
-	// node that the call goes to, when there is one
+	// node that the call is sent to, if any
 	Peer string
-	// values that the decision was made on
+	// values that the decision was based on
 	Numbers map[string]float64
 }
 
@@ -87,21 +87,21 @@
 	Zone string
 	// active, joining, leaving or ejected
 	State string
-	// calls of this node that are at the target
+	// calls from this node in progress at the target
 	InFlight int
-	// moving share of calls that were not failures, 0 to 1
+	// moving average of the success rate, 0 to 1
 	SuccessRate float64
-	// moving mean of answer times, ms
+	// moving average of the response time, ms
 	LatencyMs float64
-	// highest rank that the target still admits
+	// highest rank that the target admits
 	Cursor int
 }
 
 // ExplainPayload is the payload type of the admin service explain method.
 type ExplainPayload struct {
-	// request id as the X-Request-Id header of the answer gave it
+	// request id from the X-Request-Id response header
 	RequestID string
-	// only this node's records
+	// return only the records of this node
 	Local bool
 }
 
@@ -109,7 +109,7 @@
 type NodeStatus struct {
 	// name of the node
 	Node string
-	// service of the target beside it; empty for an entry
+	// service of its target; empty for an entry
 	Service string
 	// zone of the node
 	Zone string
@@ -117,27 +117,27 @@
 	Address string
 	// active, leaving, draining or unreachable
 	State string
-	// random name of this run of the process
+	// random id of this process instance
 	Incarnation string
-	// bundle in force
+	// version of the active bundle
 	BundleVersion int64
-	// digest of the bundle in force
+	// digest of the active bundle
 	BundleDigest string
-	// calls now handed over to the target
+	// calls in progress at the target
 	InFlight int
-	// calls now waiting for a slot
+	// calls waiting for a slot
 	Queued int
-	// learned concurrency limit of the target
+	// current adaptive concurrency limit of the target
 	Limit int
-	// calls admitted since start
+	// calls admitted since process start
 	Admitted uint64
-	// calls refused as not run since start
+	// calls rejected before being run, since process start
 	Refused uint64
-	// refusals by importance level since start
+	// rejected calls by importance level since process start
 	ShedByLevel map[string]uint64
-	// releases refused for a bad signature, signer or digest
+	// bundles rejected for an invalid signature, signer or digest
 	BundlesRejected uint64
-	// epoch of the voter set that this node votes in; 0 when it is no voter
+	// epoch of the voter set that this node belongs to; 0 if it is not a voter
 	VoterEpoch int64
 	// version of landingmastd
 	ProgramVersion string
@@ -146,9 +146,9 @@
 type Problem struct {
 	// kind of error
 	Name string
-	// what is wrong
+	// error message
 	Message string
-	// what to do about it
+	// suggested remedy
 	Remedy string
 }
 
--- a/gen/http/admin/client/types.go
+++ b/gen/http/admin/client/types.go
@@ -17,7 +17,7 @@
 type StatusResponseBody struct {
 	// name of the node
 	Node *string `form:"node,omitempty" json:"node,omitempty" xml:"node,omitempty"`
-	// service of the target beside it; empty for an entry
+	// service of its target; empty for an entry
 	Service *string `form:"service,omitempty" json:"service,omitempty" xml:"service,omitempty"`
 	// zone of the node
 	Zone *string `form:"zone,omitempty" json:"zone,omitempty" xml:"zone,omitempty"`
@@ -25,27 +25,27 @@
 	Address *string `form:"address,omitempty" json:"address,omitempty" xml:"address,omitempty"`
 	// active, leaving, draining or unreachable
 	State *string `form:"state,omitempty" json:"state,omitempty" xml:"state,omitempty"`
-	// random name of this run of the process
+	// random id of this process instance
 	Incarnation *string `form:"incarnation,omitempty" json:"incarnation,omitempty" xml:"incarnation,omitempty"`
-	// bundle in force
+	// version of the active bundle
 	BundleVersion *int64 `form:"bundle_version,omitempty" json:"bundle_version,omitempty" xml:"bundle_version,omitempty"`
-	// digest of the bundle in force
+	// digest of the active bundle
 	BundleDigest *string `form:"bundle_digest,omitempty" json:"bundle_digest,omitempty" xml:"bundle_digest,omitempty"`
-	// calls now handed over to the target
+	// calls in progress at the target
 	InFlight *int `form:"in_flight,omitempty" json:"in_flight,omitempty" xml:"in_flight,omitempty"`
-	// calls now waiting for a slot
+	// calls waiting for a slot
 	Queued *int `form:"queued,omitempty" json:"queued,omitempty" xml:"queued,omitempty"`
-	// learned concurrency limit of the target
+	// current adaptive concurrency limit of the target
 	Limit *int `form:"limit,omitempty" json:"limit,omitempty" xml:"limit,omitempty"`
-	// calls admitted since start
+	// calls admitted since process start
 	Admitted *uint64 `form:"admitted,omitempty" json:"admitted,omitempty" xml:"admitted,omitempty"`
-	// calls refused as not run since start
+	// calls rejected before being run, since process start
 	Refused *uint64 `form:"refused,omitempty" json:"refused,omitempty" xml:"refused,omitempty"`
-	// refusals by importance level since start
+	// rejected calls by importance level since process start
 	ShedByLevel map[string]uint64 `form:"shed_by_level,omitempty" json:"shed_by_level,omitempty" xml:"shed_by_level,omitempty"`
-	// releases refused for a bad signature, signer or digest
+	// bundles rejected for an invalid signature, signer or digest
 	BundlesRejected *uint64 `form:"bundles_rejected,omitempty" json:"bundles_rejected,omitempty" xml:"bundles_rejected,omitempty"`
-	// epoch of the voter set that this node votes in; 0 when it is no voter
+	// epoch of the voter set that this node belongs to; 0 if it is not a voter
 	VoterEpoch *int64 `form:"voter_epoch,omitempty" json:"voter_epoch,omitempty" xml:"voter_epoch,omitempty"`
 	// version of landingmastd
 	ProgramVersion *string `form:"program_version,omitempty" json:"program_version,omitempty" xml:"program_version,omitempty"`
@@ -56,7 +56,7 @@
 type DrainResponseBody struct {
 	// name of the node
 	Node *string `form:"node,omitempty" json:"node,omitempty" xml:"node,omitempty"`
-	// service of the target beside it; empty for an entry
+	// service of its target; empty for an entry
 	Service *string `form:"service,omitempty" json:"service,omitempty" xml:"service,omitempty"`
 	// zone of the node
 	Zone *string `form:"zone,omitempty" json:"zone,omitempty" xml:"zone,omitempty"`
@@ -64,27 +64,27 @@
 	Address *string `form:"address,omitempty" json:"address,omitempty" xml:"address,omitempty"`
 	// active, leaving, draining or unreachable
 	State *string `form:"state,omitempty" json:"state,omitempty" xml:"state,omitempty"`
-	// random name of this run of the process
+	// random id of this process instance
 	Incarnation *string `form:"incarnation,omitempty" json:"incarnation,omitempty" xml:"incarnation,omitempty"`
-	// bundle in force
+	// version of the active bundle
 	BundleVersion *int64 `form:"bundle_version,omitempty" json:"bundle_version,omitempty" xml:"bundle_version,omitempty"`
-	// digest of the bundle in force
+	// digest of the active bundle
 	BundleDigest *string `form:"bundle_digest,omitempty" json:"bundle_digest,omitempty" xml:"bundle_digest,omitempty"`
-	// calls now handed over to the target
+	// calls in progress at the target
 	InFlight *int `form:"in_flight,omitempty" json:"in_flight,omitempty" xml:"in_flight,omitempty"`
-	// calls now waiting for a slot
+	// calls waiting for a slot
 	Queued *int `form:"queued,omitempty" json:"queued,omitempty" xml:"queued,omitempty"`
-	// learned concurrency limit of the target
+	// current adaptive concurrency limit of the target
 	Limit *int `form:"limit,omitempty" json:"limit,omitempty" xml:"limit,omitempty"`
-	// calls admitted since start
+	// calls admitted since process start
 	Admitted *uint64 `form:"admitted,omitempty" json:"admitted,omitempty" xml:"admitted,omitempty"`
-	// calls refused as not run since start
+	// calls rejected before being run, since process start
 	Refused *uint64 `form:"refused,omitempty" json:"refused,omitempty" xml:"refused,omitempty"`
-	// refusals by importance level since start
+	// rejected calls by importance level since process start
 	ShedByLevel map[string]uint64 `form:"shed_by_level,omitempty" json:"shed_by_level,omitempty" xml:"shed_by_level,omitempty"`
-	// releases refused for a bad signature, signer or digest
+	// bundles rejected for an invalid signature, signer or digest
 	BundlesRejected *uint64 `form:"bundles_rejected,omitempty" json:"bundles_rejected,omitempty" xml:"bundles_rejected,omitempty"`
-	// epoch of the voter set that this node votes in; 0 when it is no voter
+	// epoch of the voter set that this node belongs to; 0 if it is not a voter
 	VoterEpoch *int64 `form:"voter_epoch,omitempty" json:"voter_epoch,omitempty" xml:"voter_epoch,omitempty"`
 	// version of landingmastd
 	ProgramVersion *string `form:"program_version,omitempty" json:"program_version,omitempty" xml:"program_version,omitempty"`
@@ -96,7 +96,7 @@
 	Version *int64  `form:"version,omitempty" json:"version,omitempty" xml:"version,omitempty"`
 	Digest  *string `form:"digest,omitempty" json:"digest,omitempty" xml:"digest,omitempty"`
 	Signer  *string `form:"signer,omitempty" json:"signer,omitempty" xml:"signer,omitempty"`
-	// the signed release, JSON
+	// signed bundle, JSON
 	Release []byte `form:"release,omitempty" json:"release,omitempty" xml:"release,omitempty"`
 }
 
@@ -105,9 +105,9 @@
 type StatusNotFoundResponseBody struct {
 	// kind of error
 	Name *string `form:"name,omitempty" json:"name,omitempty" xml:"name,omitempty"`
-	// what is wrong
+	// error message
 	Message *string `form:"message,omitempty" json:"message,omitempty" xml:"message,omitempty"`
-	// what to do about it
+	// suggested remedy
 	Remedy *string `form:"remedy,omitempty" json:"remedy,omitempty" xml:"remedy,omitempty"`
 }
 
@@ -116,9 +116,9 @@
 type StatusBadInputResponseBody struct {
 	// kind of error
 	Name *string `form:"name,omitempty" json:"name,omitempty" xml:"name,omitempty"`
-	// what is wrong
+	// error message
 	Message *string `form:"message,omitempty" json:"message,omitempty" xml:"message,omitempty"`
-	// what to do about it
+	// suggested remedy
 	Remedy *string `form:"remedy,omitempty" json:"remedy,omitempty" xml:"remedy,omitempty"`
 }
 
@@ -127,9 +127,9 @@
 type NodesNotFoundResponseBody struct {
 	// kind of error
 	Name *string `form:"name,omitempty" json:"name,omitempty" xml:"name,omitempty"`
-	// what is wrong
+	// error message
 	Message *string `form:"message,omitempty" json:"message,omitempty" xml:"message,omitempty"`
-	// what to do about it
+	// suggested remedy
 	Remedy *string `form:"remedy,omitempty" json:"remedy,omitempty" xml:"remedy,omitempty"`
 }
 
@@ -138,9 +138,9 @@
 type NodesBadInputResponseBody struct {
 	// kind of error
 	Name *string `form:"name,omitempty" json:"name,omitempty" xml:"name,omitempty"`
-	// what is wrong
+	// error message
 	Message *string `form:"message,omitempty" json:"message,omitempty" xml:"message,omitempty"`
-	// what to do about it
+	// suggested remedy
 	Remedy *string `form:"remedy,omitempty" json:"remedy,omitempty" xml:"remedy,omitempty"`
 }
 
@@ -149,9 +149,9 @@
 type ServicesNotFoundResponseBody struct {
 	// kind of error
 	Name *string `form:"name,omitempty" json:"name,omitempty" xml:"name,omitempty"`
-	// what is wrong
+	// error message
 	Message *string `form:"message,omitempty" json:"message,omitempty" xml:"message,omitempty"`
-	// what to do about it
+	// suggested remedy
 	Remedy *string `form:"remedy,omitempty" json:"remedy,omitempty" xml:"remedy,omitempty"`
 }
 
@@ -160,9 +160,9 @@
 type ServicesBadInputResponseBody struct {
 	// kind of error
 	Name *string `form:"name,omitempty" json:"name,omitempty" xml:"name,omitempty"`
-	// what is wrong
+	// error message
 	Message *string `form:"message,omitempty" json:"message,omitempty" xml:"message,omitempty"`
-	// what to do about it
+	// suggested remedy
 	Remedy *string `form:"remedy,omitempty" json:"remedy,omitempty" xml:"remedy,omitempty"`
 }
 
@@ -171,9 +171,9 @@
 type ExplainNotFoundResponseBody struct {
 	// kind of error
 	Name *string `form:"name,omitempty" json:"name,omitempty" xml:"name,omitempty"`
-	// what is wrong
+	// error message
 	Message *string `form:"message,omitempty" json:"message,omitempty" xml:"message,omitempty"`
-	// what to do about it
+	// suggested remedy
 	Remedy *string `form:"remedy,omitempty" json:"remedy,omitempty" xml:"remedy,omitempty"`
 }
 
@@ -182,9 +182,9 @@
 type ExplainBadInputResponseBody struct {
 	// kind of error
 	Name *string `form:"name,omitempty" json:"name,omitempty" xml:"name,omitempty"`
-	// what is wrong
+	// error message
 	Message *string `form:"message,omitempty" json:"message,omitempty" xml:"message,omitempty"`
-	// what to do about it
+	// suggested remedy
 	Remedy *string `form:"remedy,omitempty" json:"remedy,omitempty" xml:"remedy,omitempty"`
 }
 
@@ -193,9 +193,9 @@
 type DrainNotFoundResponseBody struct {
 	// kind of error
 	Name *string `form:"name,omitempty" json:"name,omitempty" xml:"name,omitempty"`
-	// what is wrong
+	// error message
 	Message *string `form:"message,omitempty" json:"message,omitempty" xml:"message,omitempty"`
-	// what to do about it
+	// suggested remedy
 	Remedy *string `form:"remedy,omitempty" json:"remedy,omitempty" xml:"remedy,omitempty"`
 }
 
@@ -204,9 +204,9 @@
 type DrainBadInputResponseBody struct {
 	// kind of error
 	Name *string `form:"name,omitempty" json:"name,omitempty" xml:"name,omitempty"`
-	// what is wrong
+	// error message
 	Message *string `form:"message,omitempty" json:"message,omitempty" xml:"message,omitempty"`
-	// what to do about it
+	// suggested remedy
 	Remedy *string `form:"remedy,omitempty" json:"remedy,omitempty" xml:"remedy,omitempty"`
 }
 
@@ -215,9 +215,9 @@
 type BundleNotFoundResponseBody struct {
 	// kind of error
 	Name *string `form:"name,omitempty" json:"name,omitempty" xml:"name,omitempty"`
-	// what is wrong
+	// error message
 	Message *string `form:"message,omitempty" json:"message,omitempty" xml:"message,omitempty"`
-	// what to do about it
+	// suggested remedy
 	Remedy *string `form:"remedy,omitempty" json:"remedy,omitempty" xml:"remedy,omitempty"`
 }
 
@@ -226,9 +226,9 @@
 type BundleBadInputResponseBody struct {
 	// kind of error
 	Name *string `form:"name,omitempty" json:"name,omitempty" xml:"name,omitempty"`
-	// what is wrong
+	// error message
 	Message *string `form:"message,omitempty" json:"message,omitempty" xml:"message,omitempty"`
-	// what to do about it
+	// suggested remedy
 	Remedy *string `form:"remedy,omitempty" json:"remedy,omitempty" xml:"remedy,omitempty"`
 }
 
@@ -237,9 +237,9 @@
 type VersionNotFoundResponseBody struct {
 	// kind of error
 	Name *string `form:"name,omitempty" json:"name,omitempty" xml:"name,omitempty"`
-	// what is wrong
+	// error message
 	Message *string `form:"message,omitempty" json:"message,omitempty" xml:"message,omitempty"`
-	// what to do about it
+	// suggested remedy
 	Remedy *string `form:"remedy,omitempty" json:"remedy,omitempty" xml:"remedy,omitempty"`
 }
 
@@ -248,9 +248,9 @@
 type VersionBadInputResponseBody struct {
 	// kind of error
 	Name *string `form:"name,omitempty" json:"name,omitempty" xml:"name,omitempty"`
-	// what is wrong
+	// error message
 	Message *string `form:"message,omitempty" json:"message,omitempty" xml:"message,omitempty"`
-	// what to do about it
+	// suggested remedy
 	Remedy *string `form:"remedy,omitempty" json:"remedy,omitempty" xml:"remedy,omitempty"`
 }
 
@@ -258,7 +258,7 @@
 type NodeStatusResponse struct {
 	// name of the node
 	Node *string `form:"node,omitempty" json:"node,omitempty" xml:"node,omitempty"`
-	// service of the target beside it; empty for an entry
+	// service of its target; empty for an entry
 	Service *string `form:"service,omitempty" json:"service,omitempty" xml:"service,omitempty"`
 	// zone of the node
 	Zone *string `form:"zone,omitempty" json:"zone,omitempty" xml:"zone,omitempty"`
@@ -266,27 +266,27 @@
 	Address *string `form:"address,omitempty" json:"address,omitempty" xml:"address,omitempty"`
 	// active, leaving, draining or unreachable
 	State *string `form:"state,omitempty" json:"state,omitempty" xml:"state,omitempty"`
-	// random name of this run of the process
+	// random id of this process instance
 	Incarnation *string `form:"incarnation,omitempty" json:"incarnation,omitempty" xml:"incarnation,omitempty"`
-	// bundle in force
+	// version of the active bundle
 	BundleVersion *int64 `form:"bundle_version,omitempty" json:"bundle_version,omitempty" xml:"bundle_version,omitempty"`
-	// digest of the bundle in force
+	// digest of the active bundle
 	BundleDigest *string `form:"bundle_digest,omitempty" json:"bundle_digest,omitempty" xml:"bundle_digest,omitempty"`
-	// calls now handed over to the target
+	// calls in progress at the target
 	InFlight *int `form:"in_flight,omitempty" json:"in_flight,omitempty" xml:"in_flight,omitempty"`
-	// calls now waiting for a slot
+	// calls waiting for a slot
 	Queued *int `form:"queued,omitempty" json:"queued,omitempty" xml:"queued,omitempty"`
-	// learned concurrency limit of the target
+	// current adaptive concurrency limit of the target
 	Limit *int `form:"limit,omitempty" json:"limit,omitempty" xml:"limit,omitempty"`
-	// calls admitted since start
+	// calls admitted since process start
 	Admitted *uint64 `form:"admitted,omitempty" json:"admitted,omitempty" xml:"admitted,omitempty"`
-	// calls refused as not run since start
+	// calls rejected before being run, since process start
 	Refused *uint64 `form:"refused,omitempty" json:"refused,omitempty" xml:"refused,omitempty"`
-	// refusals by importance level since start
+	// rejected calls by importance level since process start
 	ShedByLevel map[string]uint64 `form:"shed_by_level,omitempty" json:"shed_by_level,omitempty" xml:"shed_by_level,omitempty"`
-	// releases refused for a bad signature, signer or digest
+	// bundles rejected for an invalid signature, signer or digest
 	BundlesRejected *uint64 `form:"bundles_rejected,omitempty" json:"bundles_rejected,omitempty" xml:"bundles_rejected,omitempty"`
-	// epoch of the voter set that this node votes in; 0 when it is no voter
+	// epoch of the voter set that this node belongs to; 0 if it is not a voter
 	VoterEpoch *int64 `form:"voter_epoch,omitempty" json:"voter_epoch,omitempty" xml:"voter_epoch,omitempty"`
 	// version of landingmastd
 	ProgramVersion *string `form:"program_version,omitempty" json:"program_version,omitempty" xml:"program_version,omitempty"`
@@ -304,41 +304,41 @@
 	Zone *string `form:"zone,omitempty" json:"zone,omitempty" xml:"zone,omitempty"`
 	// active, joining, leaving or ejected
 	State *string `form:"state,omitempty" json:"state,omitempty" xml:"state,omitempty"`
-	// calls of this node that are at the target
+	// calls from this node in progress at the target
 	InFlight *int `form:"in_flight,omitempty" json:"in_flight,omitempty" xml:"in_flight,omitempty"`
-	// moving share of calls that were not failures, 0 to 1
+	// moving average of the success rate, 0 to 1
 	SuccessRate *float64 `form:"success_rate,omitempty" json:"success_rate,omitempty" xml:"success_rate,omitempty"`
-	// moving mean of answer times, ms
+	// moving average of the response time, ms
 	LatencyMs *float64 `form:"latency_ms,omitempty" json:"latency_ms,omitempty" xml:"latency_ms,omitempty"`
-	// highest rank that the target still admits
+	// highest rank that the target admits
 	Cursor *int `form:"cursor,omitempty" json:"cursor,omitempty" xml:"cursor,omitempty"`
 }
 
 // DecisionResponse is used to define fields on response body types.
 type DecisionResponse struct {
-	// request id of the whole chain
+	// request id, shared by all calls of the chain
 	RequestID *string `form:"request_id,omitempty" json:"request_id,omitempty" xml:"request_id,omitempty"`
-	// id of this call in the chain
+	// id of the call within the chain
 	CallID *string `form:"call_id,omitempty" json:"call_id,omitempty" xml:"call_id,omitempty"`
-	// node that decided
+	// node that made the decision
 	Node *string `form:"node,omitempty" json:"node,omitempty" xml:"node,omitempty"`
-	// hops below the entry
+	// number of hops from the entry
 	Depth *int `form:"depth,omitempty" json:"depth,omitempty" xml:"depth,omitempty"`
 	// time of the decision, RFC 3339 with microseconds
 	At *string `form:"at,omitempty" json:"at,omitempty" xml:"at,omitempty"`
 	// admit, refuse, route, retry, no_retry, lose, claim or answer
 	Action *string `form:"action,omitempty" json:"action,omitempty" xml:"action,omitempty"`
-	// why, as a fixed word
+	// reason code
 	Reason *string `form:"reason,omitempty" json:"reason,omitempty" xml:"reason,omitempty"`
-	// service that is called
+	// called service
 	Service *string `form:"service,omitempty" json:"service,omitempty" xml:"service,omitempty"`
 	// request class
 	Class *string `form:"class,omitempty" json:"class,omitempty" xml:"class,omitempty"`
 	// importance level
 	Level *string `form:"level,omitempty" json:"level,omitempty" xml:"level,omitempty"`
-	// node that the call goes to, when there is one
+	// node that the call is sent to, if any
 	Peer *string `form:"peer,omitempty" json:"peer,omitempty" xml:"peer,omitempty"`
-	// values that the decision was made on
+	// values that the decision was based on
 	Numbers map[string]float64 `form:"numbers,omitempty" json:"numbers,omitempty" xml:"numbers,omitempty"`
 }
 
--- a/gen/http/admin/server/types.go
+++ b/gen/http/admin/server/types.go
@@ -16,7 +16,7 @@
 type StatusResponseBody struct {
 	// name of the node
 	Node string `form:"node" json:"node" xml:"node"`
-	// service of the target beside it; empty for an entry
+	// service of its target; empty for an entry
 	Service string `form:"service" json:"service" xml:"service"`
 	// zone of the node
 	Zone string `form:"zone" json:"zone" xml:"zone"`
@@ -24,27 +24,27 @@
 	Address string `form:"address" json:"address" xml:"address"`
 	// active, leaving, draining or unreachable
 	State string `form:"state" json:"state" xml:"state"`
-	// random name of this run of the process
+	// random id of this process instance
 	Incarnation string `form:"incarnation" json:"incarnation" xml:"incarnation"`
-	// bundle in force
+	// version of the active bundle
 	BundleVersion int64 `form:"bundle_version" json:"bundle_version" xml:"bundle_version"`
-	// digest of the bundle in force
+	// digest of the active bundle
 	BundleDigest string `form:"bundle_digest" json:"bundle_digest" xml:"bundle_digest"`
-	// calls now handed over to the target
+	// calls in progress at the target
 	InFlight int `form:"in_flight" json:"in_flight" xml:"in_flight"`
-	// calls now waiting for a slot
+	// calls waiting for a slot
 	Queued int `form:"queued" json:"queued" xml:"queued"`
-	// learned concurrency limit of the target
+	// current adaptive concurrency limit of the target
 	Limit int `form:"limit" json:"limit" xml:"limit"`
-	// calls admitted since start
+	// calls admitted since process start
 	Admitted uint64 `form:"admitted" json:"admitted" xml:"admitted"`
-	// calls refused as not run since start
+	// calls rejected before being run, since process start
 	Refused uint64 `form:"refused" json:"refused" xml:"refused"`
-	// refusals by importance level since start
+	// rejected calls by importance level since process start
 	ShedByLevel map[string]uint64 `form:"shed_by_level" json:"shed_by_level" xml:"shed_by_level"`
-	// releases refused for a bad signature, signer or digest
+	// bundles rejected for an invalid signature, signer or digest
 	BundlesRejected uint64 `form:"bundles_rejected" json:"bundles_rejected" xml:"bundles_rejected"`
-	// epoch of the voter set that this node votes in; 0 when it is no voter
+	// epoch of the voter set that this node belongs to; 0 if it is not a voter
 	VoterEpoch int64 `form:"voter_epoch" json:"voter_epoch" xml:"voter_epoch"`
 	// version of landingmastd
 	ProgramVersion string `form:"program_version" json:"program_version" xml:"program_version"`
@@ -67,7 +67,7 @@
 type DrainResponseBody struct {
 	// name of the node
 	Node string `form:"node" json:"node" xml:"node"`
-	// service of the target beside it; empty for an entry
+	// service of its target; empty for an entry
 	Service string `form:"service" json:"service" xml:"service"`
 	// zone of the node
 	Zone string `form:"zone" json:"zone" xml:"zone"`
@@ -75,27 +75,27 @@
 	Address string `form:"address" json:"address" xml:"address"`
 	// active, leaving, draining or unreachable
 	State string `form:"state" json:"state" xml:"state"`
-	// random name of this run of the process
+	// random id of this process instance
 	Incarnation string `form:"incarnation" json:"incarnation" xml:"incarnation"`
-	// bundle in force
+	// version of the active bundle
 	BundleVersion int64 `form:"bundle_version" json:"bundle_version" xml:"bundle_version"`
-	// digest of the bundle in force
+	// digest of the active bundle
 	BundleDigest string `form:"bundle_digest" json:"bundle_digest" xml:"bundle_digest"`
-	// calls now handed over to the target
+	// calls in progress at the target
 	InFlight int `form:"in_flight" json:"in_flight" xml:"in_flight"`
-	// calls now waiting for a slot
+	// calls waiting for a slot
 	Queued int `form:"queued" json:"queued" xml:"queued"`
-	// learned concurrency limit of the target
+	// current adaptive concurrency limit of the target
 	Limit int `form:"limit" json:"limit" xml:"limit"`
-	// calls admitted since start
+	// calls admitted since process start
 	Admitted uint64 `form:"admitted" json:"admitted" xml:"admitted"`
-	// calls refused as not run since start
+	// calls rejected before being run, since process start
 	Refused uint64 `form:"refused" json:"refused" xml:"refused"`
-	// refusals by importance level since start
+	// rejected calls by importance level since process start
 	ShedByLevel map[string]uint64 `form:"shed_by_level" json:"shed_by_level" xml:"shed_by_level"`
-	// releases refused for a bad signature, signer or digest
+	// bundles rejected for an invalid signature, signer or digest
 	BundlesRejected uint64 `form:"bundles_rejected" json:"bundles_rejected" xml:"bundles_rejected"`
-	// epoch of the voter set that this node votes in; 0 when it is no voter
+	// epoch of the voter set that this node belongs to; 0 if it is not a voter
 	VoterEpoch int64 `form:"voter_epoch" json:"voter_epoch" xml:"voter_epoch"`
 	// version of landingmastd
 	ProgramVersion string `form:"program_version" json:"program_version" xml:"program_version"`
@@ -107,7 +107,7 @@
 	Version int64  `form:"version" json:"version" xml:"version"`
 	Digest  string `form:"digest" json:"digest" xml:"digest"`
 	Signer  string `form:"signer" json:"signer" xml:"signer"`
-	// the signed release, JSON
+	// signed bundle, JSON
 	Release []byte `form:"release" json:"release" xml:"release"`
 }
 
@@ -116,9 +116,9 @@
 type StatusNotFoundResponseBody struct {
 	// kind of error
 	Name string `form:"name" json:"name" xml:"name"`
-	// what is wrong
+	// error message
 	Message string `form:"message" json:"message" xml:"message"`
-	// what to do about it
+	// suggested remedy
 	Remedy string `form:"remedy" json:"remedy" xml:"remedy"`
 }
 
@@ -127,9 +127,9 @@
 type StatusBadInputResponseBody struct {
 	// kind of error
 	Name string `form:"name" json:"name" xml:"name"`
-	// what is wrong
+	// error message
 	Message string `form:"message" json:"message" xml:"message"`
-	// what to do about it
+	// suggested remedy
 	Remedy string `form:"remedy" json:"remedy" xml:"remedy"`
 }
 
@@ -138,9 +138,9 @@
 type NodesNotFoundResponseBody struct {
 	// kind of error
 	Name string `form:"name" json:"name" xml:"name"`
-	// what is wrong
+	// error message
 	Message string `form:"message" json:"message" xml:"message"`
-	// what to do about it
+	// suggested remedy
 	Remedy string `form:"remedy" json:"remedy" xml:"remedy"`
 }
 
@@ -149,9 +149,9 @@
 type NodesBadInputResponseBody struct {
 	// kind of error
 	Name string `form:"name" json:"name" xml:"name"`
-	// what is wrong
+	// error message
 	Message string `form:"message" json:"message" xml:"message"`
-	// what to do about it
+	// suggested remedy
 	Remedy string `form:"remedy" json:"remedy" xml:"remedy"`
 }
 
@@ -160,9 +160,9 @@
 type ServicesNotFoundResponseBody struct {
 	// kind of error
 	Name string `form:"name" json:"name" xml:"name"`
-	// what is wrong
+	// error message
 	Message string `form:"message" json:"message" xml:"message"`
-	// what to do about it
+	// suggested remedy
 	Remedy string `form:"remedy" json:"remedy" xml:"remedy"`
 }
 
@@ -171,9 +171,9 @@
 type ServicesBadInputResponseBody struct {
 	// kind of error
 	Name string `form:"name" json:"name" xml:"name"`
-	// what is wrong
+	// error message
 	Message string `form:"message" json:"message" xml:"message"`
-	// what to do about it
+	// suggested remedy
 	Remedy string `form:"remedy" json:"remedy" xml:"remedy"`
 }
 
@@ -182,9 +182,9 @@
 type ExplainNotFoundResponseBody struct {
 	// kind of error
 	Name string `form:"name" json:"name" xml:"name"`
-	// what is wrong
+	// error message
 	Message string `form:"message" json:"message" xml:"message"`
-	// what to do about it
+	// suggested remedy
 	Remedy string `form:"remedy" json:"remedy" xml:"remedy"`
 }
 
@@ -193,9 +193,9 @@
 type ExplainBadInputResponseBody struct {
 	// kind of error
 	Name string `form:"name" json:"name" xml:"name"`
-	// what is wrong
+	// error message
 	Message string `form:"message" json:"message" xml:"message"`
-	// what to do about it
+	// suggested remedy
 	Remedy string `form:"remedy" json:"remedy" xml:"remedy"`
 }
 
@@ -204,9 +204,9 @@
 type DrainNotFoundResponseBody struct {
 	// kind of error
 	Name string `form:"name" json:"name" xml:"name"`
-	// what is wrong
+	// error message
 	Message string `form:"message" json:"message" xml:"message"`
-	// what to do about it
+	// suggested remedy
 	Remedy string `form:"remedy" json:"remedy" xml:"remedy"`
 }
 
@@ -215,9 +215,9 @@
 type DrainBadInputResponseBody struct {
 	// kind of error
 	Name string `form:"name" json:"name" xml:"name"`
-	// what is wrong
+	// error message
 	Message string `form:"message" json:"message" xml:"message"`
-	// what to do about it
+	// suggested remedy
 	Remedy string `form:"remedy" json:"remedy" xml:"remedy"`
 }
 
@@ -226,9 +226,9 @@
 type BundleNotFoundResponseBody struct {
 	// kind of error
 	Name string `form:"name" json:"name" xml:"name"`
-	// what is wrong
+	// error message
 	Message string `form:"message" json:"message" xml:"message"`
-	// what to do about it
+	// suggested remedy
 	Remedy string `form:"remedy" json:"remedy" xml:"remedy"`
 }
 
@@ -237,9 +237,9 @@
 type BundleBadInputResponseBody struct {
 	// kind of error
 	Name string `form:"name" json:"name" xml:"name"`
-	// what is wrong
+	// error message
 	Message string `form:"message" json:"message" xml:"message"`
-	// what to do about it
+	// suggested remedy
 	Remedy string `form:"remedy" json:"remedy" xml:"remedy"`
 }
 
@@ -248,9 +248,9 @@
 type VersionNotFoundResponseBody struct {
 	// kind of error
 	Name string `form:"name" json:"name" xml:"name"`
-	// what is wrong
+	// error message
 	Message string `form:"message" json:"message" xml:"message"`
-	// what to do about it
+	// suggested remedy
 	Remedy string `form:"remedy" json:"remedy" xml:"remedy"`
 }
 
@@ -259,9 +259,9 @@
 type VersionBadInputResponseBody struct {
 	// kind of error
 	Name string `form:"name" json:"name" xml:"name"`
-	// what is wrong
+	// error message
 	Message string `form:"message" json:"message" xml:"message"`
-	// what to do about it
+	// suggested remedy
 	Remedy string `form:"remedy" json:"remedy" xml:"remedy"`
 }
 
@@ -269,7 +269,7 @@
 type NodeStatusResponse struct {
 	// name of the node
 	Node string `form:"node" json:"node" xml:"node"`
-	// service of the target beside it; empty for an entry
+	// service of its target; empty for an entry
 	Service string `form:"service" json:"service" xml:"service"`
 	// zone of the node
 	Zone string `form:"zone" json:"zone" xml:"zone"`
@@ -277,27 +277,27 @@
 	Address string `form:"address" json:"address" xml:"address"`
 	// active, leaving, draining or unreachable
 	State string `form:"state" json:"state" xml:"state"`
-	// random name of this run of the process
+	// random id of this process instance
 	Incarnation string `form:"incarnation" json:"incarnation" xml:"incarnation"`
-	// bundle in force
+	// version of the active bundle
 	BundleVersion int64 `form:"bundle_version" json:"bundle_version" xml:"bundle_version"`
-	// digest of the bundle in force
+	// digest of the active bundle
 	BundleDigest string `form:"bundle_digest" json:"bundle_digest" xml:"bundle_digest"`
-	// calls now handed over to the target
+	// calls in progress at the target
 	InFlight int `form:"in_flight" json:"in_flight" xml:"in_flight"`
-	// calls now waiting for a slot
+	// calls waiting for a slot
 	Queued int `form:"queued" json:"queued" xml:"queued"`
-	// learned concurrency limit of the target
+	// current adaptive concurrency limit of the target
 	Limit int `form:"limit" json:"limit" xml:"limit"`
-	// calls admitted since start
+	// calls admitted since process start
 	Admitted uint64 `form:"admitted" json:"admitted" xml:"admitted"`
-	// calls refused as not run since start
+	// calls rejected before being run, since process start
 	Refused uint64 `form:"refused" json:"refused" xml:"refused"`
-	// refusals by importance level since start
+	// rejected calls by importance level since process start
 	ShedByLevel map[string]uint64 `form:"shed_by_level" json:"shed_by_level" xml:"shed_by_level"`
-	// releases refused for a bad signature, signer or digest
+	// bundles rejected for an invalid signature, signer or digest
 	BundlesRejected uint64 `form:"bundles_rejected" json:"bundles_rejected" xml:"bundles_rejected"`
-	// epoch of the voter set that this node votes in; 0 when it is no voter
+	// epoch of the voter set that this node belongs to; 0 if it is not a voter
 	VoterEpoch int64 `form:"voter_epoch" json:"voter_epoch" xml:"voter_epoch"`
 	// version of landingmastd
 	ProgramVersion string `form:"program_version" json:"program_version" xml:"program_version"`
@@ -315,41 +315,41 @@
 	Zone string `form:"zone" json:"zone" xml:"zone"`
 	// active, joining, leaving or ejected
 	State string `form:"state" json:"state" xml:"state"`
-	// calls of this node that are at the target
+	// calls from this node in progress at the target
 	InFlight int `form:"in_flight" json:"in_flight" xml:"in_flight"`
-	// moving share of calls that were not failures, 0 to 1
+	// moving average of the success rate, 0 to 1
 	SuccessRate float64 `form:"success_rate" json:"success_rate" xml:"success_rate"`
-	// moving mean of answer times, ms
+	// moving average of the response time, ms
 	LatencyMs float64 `form:"latency_ms" json:"latency_ms" xml:"latency_ms"`
-	// highest rank that the target still admits
+	// highest rank that the target admits
 	Cursor int `form:"cursor" json:"cursor" xml:"cursor"`
 }
 
 // DecisionResponse is used to define fields on response body types.
 type DecisionResponse struct {
-	// request id of the whole chain
+	// request id, shared by all calls of the chain
 	RequestID string `form:"request_id" json:"request_id" xml:"request_id"`
-	// id of this call in the chain
+	// id of the call within the chain
 	CallID string `form:"call_id" json:"call_id" xml:"call_id"`
-	// node that decided
+	// node that made the decision
 	Node string `form:"node" json:"node" xml:"node"`
-	// hops below the entry
+	// number of hops from the entry
 	Depth int `form:"depth" json:"depth" xml:"depth"`
 	// time of the decision, RFC 3339 with microseconds
 	At string `form:"at" json:"at" xml:"at"`
 	// admit, refuse, route, retry, no_retry, lose, claim or answer
 	Action string `form:"action" json:"action" xml:"action"`
-	// why, as a fixed word
+	// reason code
 	Reason string `form:"reason" json:"reason" xml:"reason"`
-	// service that is called
+	// called service
 	Service string `form:"service" json:"service" xml:"service"`
 	// request class
 	Class string `form:"class" json:"class" xml:"class"`
 	// importance level
 	Level string `form:"level" json:"level" xml:"level"`
-	// node that the call goes to, when there is one
+	// node that the call is sent to, if any
 	Peer string `form:"peer" json:"peer" xml:"peer"`
-	// values that the decision was made on
+	// values that the decision was based on
 	Numbers map[string]float64 `form:"numbers" json:"numbers" xml:"numbers"`
 }
 
--- a/gen/http/cli/landingmast/cli.go
+++ b/gen/http/cli/landingmast/cli.go
@@ -55,7 +55,7 @@
 		adminServicesFlags = flag.NewFlagSet("services", flag.ExitOnError)
 
 		adminExplainFlags         = flag.NewFlagSet("explain", flag.ExitOnError)
-		adminExplainRequestIDFlag = adminExplainFlags.String("request-id", "REQUIRED", "request id as the X-Request-Id header of the answer gave it")
+		adminExplainRequestIDFlag = adminExplainFlags.String("request-id", "REQUIRED", "request id from the X-Request-Id response header")
 		adminExplainLocalFlag     = adminExplainFlags.String("local", "", "")
 
 		adminDrainFlags = flag.NewFlagSet("drain", flag.ExitOnError)
@@ -261,16 +261,16 @@
 
 // adminUsage displays the usage of the admin command and its subcommands.
 func adminUsage() {
-	fmt.Fprintln(os.Stderr, `Operators' view of one node, and through it of its peers.`)
+	fmt.Fprintln(os.Stderr, `Inspection and control of a node and, through it, of its peers.`)
 	fmt.Fprintf(os.Stderr, "Usage:\n    %s [globalflags] admin COMMAND [flags]\n\n", os.Args[0])
 	fmt.Fprintln(os.Stderr, "COMMAND:")
-	fmt.Fprintln(os.Stderr, `    status: State of this node.`)
-	fmt.Fprintln(os.Stderr, `    nodes: State of every node that the bundle names, asked for through the peer port.`)
-	fmt.Fprintln(os.Stderr, `    services: Services and targets as this node's routing sees them.`)
-	fmt.Fprintln(os.Stderr, `    explain: Decision records of one request; over all nodes of the chain unless local is set.`)
-	fmt.Fprintln(os.Stderr, `    drain: Stop taking new work here; what is in flight goes on.`)
-	fmt.Fprintln(os.Stderr, `    bundle: Release in force on this node, as signed.`)
-	fmt.Fprintln(os.Stderr, `    version: Version of the program.`)
+	fmt.Fprintln(os.Stderr, `    status: Status of this node.`)
+	fmt.Fprintln(os.Stderr, `    nodes: Status of every node in the bundle, queried through the peer port.`)
+	fmt.Fprintln(os.Stderr, `    services: Services and targets in the routing table of this node.`)
+	fmt.Fprintln(os.Stderr, `    explain: Decision records of a request, from all nodes of the chain unless local is set.`)
+	fmt.Fprintln(os.Stderr, `    drain: Stop accepting new calls on this node; calls in progress continue.`)
+	fmt.Fprintln(os.Stderr, `    bundle: Signed bundle that is active on this node.`)
+	fmt.Fprintln(os.Stderr, `    version: Version of landingmastd.`)
 	fmt.Fprintln(os.Stderr)
 	fmt.Fprintln(os.Stderr, "Additional help:")
 	fmt.Fprintf(os.Stderr, "    %s admin COMMAND --help\n", os.Args[0])
@@ -282,7 +282,7 @@
 
 	// Description
 	fmt.Fprintln(os.Stderr)
-	fmt.Fprintln(os.Stderr, `State of this node.`)
+	fmt.Fprintln(os.Stderr, `Status of this node.`)
 
 	// Flags list
 
@@ -298,7 +298,7 @@
 
 	// Description
 	fmt.Fprintln(os.Stderr)
-	fmt.Fprintln(os.Stderr, `State of every node that the bundle names, asked for through the peer port.`)
+	fmt.Fprintln(os.Stderr, `Status of every node in the bundle, queried through the peer port.`)
 
 	// Flags list
 
@@ -314,7 +314,7 @@
 
 	// Description
 	fmt.Fprintln(os.Stderr)
-	fmt.Fprintln(os.Stderr, `Services and targets as this node's routing sees them.`)
+	fmt.Fprintln(os.Stderr, `Services and targets in the routing table of this node.`)
 
 	// Flags list
 
@@ -332,10 +332,10 @@
 
 	// Description
 	fmt.Fprintln(os.Stderr)
-	fmt.Fprintln(os.Stderr, `Decision records of one request; over all nodes of the chain unless local is set.`)
+	fmt.Fprintln(os.Stderr, `Decision records of a request, from all nodes of the chain unless local is set.`)
 
 	// Flags list
-	fmt.Fprintln(os.Stderr, `    -request-id STRING: request id as the X-Request-Id header of the answer gave it`)
+	fmt.Fprintln(os.Stderr, `    -request-id STRING: request id from the X-Request-Id response header`)
 	fmt.Fprintln(os.Stderr, `    -local BOOL: `)
 
 	fmt.Fprintln(os.Stderr)
@@ -350,7 +350,7 @@
 
 	// Description
 	fmt.Fprintln(os.Stderr)
-	fmt.Fprintln(os.Stderr, `Stop taking new work here; what is in flight goes on.`)
+	fmt.Fprintln(os.Stderr, `Stop accepting new calls on this node; calls in progress continue.`)
 
 	// Flags list
 
@@ -366,7 +366,7 @@
 
 	// Description
 	fmt.Fprintln(os.Stderr)
-	fmt.Fprintln(os.Stderr, `Release in force on this node, as signed.`)
+	fmt.Fprintln(os.Stderr, `Signed bundle that is active on this node.`)
 
 	// Flags list
 
@@ -382,7 +382,7 @@
 
 	// Description
 	fmt.Fprintln(os.Stderr)
-	fmt.Fprintln(os.Stderr, `Version of the program.`)
+	fmt.Fprintln(os.Stderr, `Version of landingmastd.`)
 
 	// Flags list
 
@@ -393,15 +393,15 @@
 
 // platformUsage displays the usage of the platform command and its subcommands.
 func platformUsage() {
-	fmt.Fprintln(os.Stderr, `The platform's key-value service: Consul's published HTTP protocol, as far as it is used.`)
+	fmt.Fprintln(os.Stderr, `The key-value service of the platform: the subset of Consul's HTTP API that landingmast uses.`)
 	fmt.Fprintf(os.Stderr, "Usage:\n    %s [globalflags] platform COMMAND [flags]\n\n", os.Args[0])
 	fmt.Fprintln(os.Stderr, "COMMAND:")
-	fmt.Fprintln(os.Stderr, `    get: Read one key; with index, wait until it changes past that index or the wait ends.`)
-	fmt.Fprintln(os.Stderr, `    put: Write one key; cas writes only at that index (0: only if absent), acquire and release only with the session.`)
+	fmt.Fprintln(os.Stderr, `    get: Read a key. With index, block until its index is higher or the wait time ends.`)
+	fmt.Fprintln(os.Stderr, `    put: Write a key. With cas, write only if the index matches (0: only if the key is absent); with acquire or release, only with that session.`)
 	fmt.Fprintln(os.Stderr, `    create-session: CreateSession implements create_session.`)
 	fmt.Fprintln(os.Stderr, `    renew-session: RenewSession implements renew_session.`)
 	fmt.Fprintln(os.Stderr, `    destroy-session: DestroySession implements destroy_session.`)
-	fmt.Fprintln(os.Stderr, `    catalog-nodes: The machine list; it may lag.`)
+	fmt.Fprintln(os.Stderr, `    catalog-nodes: The node catalog; it may be stale.`)
 	fmt.Fprintln(os.Stderr)
 	fmt.Fprintln(os.Stderr, "Additional help:")
 	fmt.Fprintf(os.Stderr, "    %s platform COMMAND --help\n", os.Args[0])
@@ -416,7 +416,7 @@
 
 	// Description
 	fmt.Fprintln(os.Stderr)
-	fmt.Fprintln(os.Stderr, `Read one key; with index, wait until it changes past that index or the wait ends.`)
+	fmt.Fprintln(os.Stderr, `Read a key. With index, block until its index is higher or the wait time ends.`)
 
 	// Flags list
 	fmt.Fprintln(os.Stderr, `    -key STRING: `)
@@ -440,7 +440,7 @@
 
 	// Description
 	fmt.Fprintln(os.Stderr)
-	fmt.Fprintln(os.Stderr, `Write one key; cas writes only at that index (0: only if absent), acquire and release only with the session.`)
+	fmt.Fprintln(os.Stderr, `Write a key. With cas, write only if the index matches (0: only if the key is absent); with acquire or release, only with that session.`)
 
 	// Flags list
 	fmt.Fprintln(os.Stderr, `    -key STRING: `)
@@ -515,7 +515,7 @@
 
 	// Description
 	fmt.Fprintln(os.Stderr)
-	fmt.Fprintln(os.Stderr, `The machine list; it may lag.`)
+	fmt.Fprintln(os.Stderr, `The node catalog; it may be stale.`)
 
 	// Flags list
 
--- a/gen/http/platform/client/types.go
+++ b/gen/http/platform/client/types.go
@@ -467,7 +467,7 @@
 	Value []byte `form:"Value,omitempty" json:"Value,omitempty" xml:"Value,omitempty"`
 	// session that holds the key
 	Session *string `form:"Session,omitempty" json:"Session,omitempty" xml:"Session,omitempty"`
-	// index of the last change, the argument of compare-and-swap
+	// index of the last change; argument of compare-and-swap
 	ModifyIndex *uint64 `form:"ModifyIndex,omitempty" json:"ModifyIndex,omitempty" xml:"ModifyIndex,omitempty"`
 	CreateIndex *uint64 `form:"CreateIndex,omitempty" json:"CreateIndex,omitempty" xml:"CreateIndex,omitempty"`
 }
@@ -483,7 +483,7 @@
 type CatalogNode struct {
 	Node    *string `form:"Node,omitempty" json:"Node,omitempty" xml:"Node,omitempty"`
 	Address *string `form:"Address,omitempty" json:"Address,omitempty" xml:"Address,omitempty"`
-	// state is live or leaving
+	// metadata; the value of state is live or leaving
 	Meta map[string]string `form:"Meta,omitempty" json:"Meta,omitempty" xml:"Meta,omitempty"`
 }
 
--- a/gen/http/platform/server/types.go
+++ b/gen/http/platform/server/types.go
@@ -479,7 +479,7 @@
 	Value []byte `form:"Value" json:"Value" xml:"Value"`
 	// session that holds the key
 	Session *string `form:"Session,omitempty" json:"Session,omitempty" xml:"Session,omitempty"`
-	// index of the last change, the argument of compare-and-swap
+	// index of the last change; argument of compare-and-swap
 	ModifyIndex uint64 `form:"ModifyIndex" json:"ModifyIndex" xml:"ModifyIndex"`
 	CreateIndex uint64 `form:"CreateIndex" json:"CreateIndex" xml:"CreateIndex"`
 }
@@ -495,7 +495,7 @@
 type CatalogNode struct {
 	Node    string `form:"Node" json:"Node" xml:"Node"`
 	Address string `form:"Address" json:"Address" xml:"Address"`
-	// state is live or leaving
+	// metadata; the value of state is live or leaving
 	Meta map[string]string `form:"Meta" json:"Meta" xml:"Meta"`
 }
 
--- a/gen/platform/client.go
+++ b/gen/platform/client.go
@@ -38,10 +38,10 @@
 
 // Get calls the "get" endpoint of the "platform" service.
 // Get may return the following errors:
-//   - "limited" (type *goa.ServiceError): rate limit reached; ask again later
-//   - "unavailable" (type *goa.ServiceError): the service is down
+//   - "limited" (type *goa.ServiceError): rate limit exceeded; retry later
+//   - "unavailable" (type *goa.ServiceError): service unavailable
 //   - "missing" (type *goa.ServiceError): no such key or session
-//   - "malformed" (type *goa.ServiceError): unusable request
+//   - "malformed" (type *goa.ServiceError): malformed request
 //   - error: internal error
 func (c *Client) Get(ctx context.Context, p *GetPayload) (res *GetResult, err error) {
 	var ires any
@@ -54,10 +54,10 @@
 
 // Put calls the "put" endpoint of the "platform" service.
 // Put may return the following errors:
-//   - "limited" (type *goa.ServiceError): rate limit reached; ask again later
-//   - "unavailable" (type *goa.ServiceError): the service is down
+//   - "limited" (type *goa.ServiceError): rate limit exceeded; retry later
+//   - "unavailable" (type *goa.ServiceError): service unavailable
 //   - "missing" (type *goa.ServiceError): no such key or session
-//   - "malformed" (type *goa.ServiceError): unusable request
+//   - "malformed" (type *goa.ServiceError): malformed request
 //   - error: internal error
 func (c *Client) Put(ctx context.Context, p *PutPayload, req io.ReadCloser) (res bool, err error) {
 	var ires any
@@ -70,10 +70,10 @@
 
 // CreateSession calls the "create_session" endpoint of the "platform" service.
 // CreateSession may return the following errors:
-//   - "limited" (type *goa.ServiceError): rate limit reached; ask again later
-//   - "unavailable" (type *goa.ServiceError): the service is down
+//   - "limited" (type *goa.ServiceError): rate limit exceeded; retry later
+//   - "unavailable" (type *goa.ServiceError): service unavailable
 //   - "missing" (type *goa.ServiceError): no such key or session
-//   - "malformed" (type *goa.ServiceError): unusable request
+//   - "malformed" (type *goa.ServiceError): malformed request
 //   - error: internal error
 func (c *Client) CreateSession(ctx context.Context, p *SessionRequest) (res *SessionEntry, err error) {
 	var ires any
@@ -86,10 +86,10 @@
 
 // RenewSession calls the "renew_session" endpoint of the "platform" service.
 // RenewSession may return the following errors:
-//   - "limited" (type *goa.ServiceError): rate limit reached; ask again later
-//   - "unavailable" (type *goa.ServiceError): the service is down
+//   - "limited" (type *goa.ServiceError): rate limit exceeded; retry later
+//   - "unavailable" (type *goa.ServiceError): service unavailable
 //   - "missing" (type *goa.ServiceError): no such key or session
-//   - "malformed" (type *goa.ServiceError): unusable request
+//   - "malformed" (type *goa.ServiceError): malformed request
 //   - error: internal error
 func (c *Client) RenewSession(ctx context.Context, p *RenewSessionPayload) (res []*SessionEntry, err error) {
 	var ires any
@@ -103,10 +103,10 @@
 // DestroySession calls the "destroy_session" endpoint of the "platform"
 // service.
 // DestroySession may return the following errors:
-//   - "limited" (type *goa.ServiceError): rate limit reached; ask again later
-//   - "unavailable" (type *goa.ServiceError): the service is down
+//   - "limited" (type *goa.ServiceError): rate limit exceeded; retry later
+//   - "unavailable" (type *goa.ServiceError): service unavailable
 //   - "missing" (type *goa.ServiceError): no such key or session
-//   - "malformed" (type *goa.ServiceError): unusable request
+//   - "malformed" (type *goa.ServiceError): malformed request
 //   - error: internal error
 func (c *Client) DestroySession(ctx context.Context, p *DestroySessionPayload) (res bool, err error) {
 	var ires any
@@ -119,10 +119,10 @@
 
 // CatalogNodes calls the "catalog_nodes" endpoint of the "platform" service.
 // CatalogNodes may return the following errors:
-//   - "limited" (type *goa.ServiceError): rate limit reached; ask again later
-//   - "unavailable" (type *goa.ServiceError): the service is down
+//   - "limited" (type *goa.ServiceError): rate limit exceeded; retry later
+//   - "unavailable" (type *goa.ServiceError): service unavailable
 //   - "missing" (type *goa.ServiceError): no such key or session
-//   - "malformed" (type *goa.ServiceError): unusable request
+//   - "malformed" (type *goa.ServiceError): malformed request
 //   - error: internal error
 func (c *Client) CatalogNodes(ctx context.Context) (res *CatalogNodesResult, err error) {
 	var ires any
--- a/gen/platform/service.go
+++ b/gen/platform/service.go
@@ -14,14 +14,14 @@
 	goa "goa.design/goa/v3/pkg"
 )
 
-// The platform's key-value service: Consul's published HTTP protocol, as far
-// as it is used.
+// The key-value service of the platform: the subset of Consul's HTTP API that
+// landingmast uses.
 type Service interface {
-	// Read one key; with index, wait until it changes past that index or the wait
+	// Read a key. With index, block until its index is higher or the wait time
 	// ends.
 	Get(context.Context, *GetPayload) (res *GetResult, err error)
-	// Write one key; cas writes only at that index (0: only if absent), acquire
-	// and release only with the session.
+	// Write a key. With cas, write only if the index matches (0: only if the key
+	// is absent); with acquire or release, only with that session.
 	Put(context.Context, *PutPayload, io.ReadCloser) (res bool, err error)
 	// CreateSession implements create_session.
 	CreateSession(context.Context, *SessionRequest) (res *SessionEntry, err error)
@@ -29,7 +29,7 @@
 	RenewSession(context.Context, *RenewSessionPayload) (res []*SessionEntry, err error)
 	// DestroySession implements destroy_session.
 	DestroySession(context.Context, *DestroySessionPayload) (res bool, err error)
-	// The machine list; it may lag.
+	// The node catalog; it may be stale.
 	CatalogNodes(context.Context) (res *CatalogNodesResult, err error)
 }
 
@@ -52,7 +52,7 @@
 type CatalogNode struct {
 	Node    string
 	Address string
-	// state is live or leaving
+	// metadata; the value of state is live or leaving
 	Meta map[string]string
 }
 
@@ -60,7 +60,7 @@
 // method.
 type CatalogNodesResult struct {
 	Nodes []*CatalogNode
-	// index of the answer
+	// index of the response
 	Index string
 }
 
@@ -73,16 +73,16 @@
 // GetPayload is the payload type of the platform service get method.
 type GetPayload struct {
 	Key string
-	// answer only when the key's index is higher
+	// respond only when the index of the key is higher
 	Index *uint64
-	// longest wait, e.g. 5s
+	// maximum wait time, e.g. 5s
 	Wait *string
 }
 
 // GetResult is the result type of the platform service get method.
 type GetResult struct {
 	Pairs []*KeyValuePair
-	// index of the answer
+	// index of the response
 	Index string
 }
 
@@ -92,7 +92,7 @@
 	Value []byte
 	// session that holds the key
 	Session *string
-	// index of the last change, the argument of compare-and-swap
+	// index of the last change; argument of compare-and-swap
 	ModifyIndex uint64
 	CreateIndex uint64
 }
