--- a/cmd/landingmast-lab/experiments.go
+++ b/cmd/landingmast-lab/experiments.go
@@ -17,16 +17,16 @@
 func registerExperiments(application *kingpin.Application) (string, func(context.Context) error) {
 	command := application.Command("experiments", "Run experiment files in virtual time and report the results.")
 	directory := command.Flag("directory", "Directory of the experiment files.").Default("experiments").String()
-	only := command.Flag("only", "Name of an experiment; may be repeated.").Strings()
-	variants := command.Flag("variant", "Variant to run; may be repeated. Default: all.").Strings()
+	experimentNames := command.Flag("only", "Name of an experiment; may be repeated.").Strings()
+	variantNames := command.Flag("variant", "Variant to run; may be repeated. Default: all.").Strings()
 	report := command.Flag("report", "Directory for the report and its plots.").String()
 	realProcesses := command.Flag("real", "Run landingmast as real processes, once with the first seed, with scaled rates and service times.").Bool()
 	port := command.Flag("first-port", "First of about 150 loopback ports; used with --real.").Default("27500").Int()
 	return command.FullCommand(), func(ctx context.Context) error {
 		if *realProcesses {
-			return runRealProcesses(ctx, *directory, *only, *port)
+			return runRealProcesses(ctx, *directory, *experimentNames, *port)
 		}
-		return runExperiments(*directory, *only, *variants, *report)
+		return runExperiments(*directory, *experimentNames, *variantNames, *report)
 	}
 }
 
@@ -68,12 +68,12 @@
 	return nil
 }
 
-func runExperiments(directory string, only, names []string, outputDirectory string) error {
-	experiments, err := loadExperiments(directory, only)
+func runExperiments(directory string, experimentNames, variantNames []string, outputDirectory string) error {
+	experiments, err := loadExperiments(directory, experimentNames)
 	if err != nil {
 		return err
 	}
-	variants, err := selectVariants(names)
+	variants, err := selectVariants(variantNames)
 	if err != nil {
 		return err
 	}
@@ -91,8 +91,8 @@
 	return writeReport(outputDirectory, reports)
 }
 
-func runRealProcesses(ctx context.Context, directory string, only []string, port int) error {
-	experiments, err := loadExperiments(directory, only)
+func runRealProcesses(ctx context.Context, directory string, experimentNames []string, port int) error {
+	experiments, err := loadExperiments(directory, experimentNames)
 	if err != nil {
 		return err
 	}
@@ -116,17 +116,17 @@
 }
 
 // loadExperiments reads the experiments in a directory, or only the named ones.
-func loadExperiments(directory string, only []string) ([]*experiment.Experiment, error) {
+func loadExperiments(directory string, names []string) ([]*experiment.Experiment, error) {
 	experiments, err := experiment.LoadAll(directory)
-	if err != nil || len(only) == 0 {
+	if err != nil || len(names) == 0 {
 		return experiments, err
 	}
-	return selectExperiments(experiments, only)
+	return selectExperiments(experiments, names)
 }
 
-func selectExperiments(experiments []*experiment.Experiment, only []string) ([]*experiment.Experiment, error) {
+func selectExperiments(experiments []*experiment.Experiment, names []string) ([]*experiment.Experiment, error) {
 	var chosen []*experiment.Experiment
-	for _, name := range only {
+	for _, name := range names {
 		found := false
 		for _, candidate := range experiments {
 			if candidate.Name == name {
--- a/cmd/landingmast-lab/faults.go
+++ b/cmd/landingmast-lab/faults.go
@@ -22,14 +22,14 @@
 	rate := command.Flag("rate", "Requests per second.").Default("120").Float64()
 	pause := command.Flag("pause", "Mean time between two faults.").Default("700ms").Duration()
 	port := command.Flag("first-port", "First of about 150 loopback ports.").Default("24000").Int()
-	first := command.Flag("seed", "Seed of the first schedule.").Default("1").Uint64()
+	firstSeed := command.Flag("seed", "Seed of the first schedule.").Default("1").Uint64()
 	kinds := command.Flag("kind", "Fault to inject; may be repeated. Default: all.").Strings()
 	return command.FullCommand(), func(ctx context.Context) error {
-		return runFaults(ctx, *schedules, *first, *port, *kinds, faults.Options{Duration: *duration, Rate: *rate, Pause: *pause})
+		return runFaults(ctx, *schedules, *firstSeed, *port, *kinds, faults.Options{Duration: *duration, Rate: *rate, Pause: *pause})
 	}
 }
 
-func runFaults(ctx context.Context, schedules int, first uint64, port int, names []string, options faults.Options) error {
+func runFaults(ctx context.Context, schedules int, firstSeed uint64, port int, names []string, options faults.Options) error {
 	options.Kinds = faults.Kinds
 	if len(names) > 0 {
 		options.Kinds = nil
@@ -49,7 +49,7 @@
 	for number := range schedules {
 		meshes := []*deployment.Deployment{deployment.CoreArchive(), deployment.ExpenseClaims()}
 		mesh := meshes[number%len(meshes)]
-		options.Seed = first + uint64(number)
+		options.Seed = firstSeed + uint64(number)
 		options.Cluster = cluster.Options{
 			Deployment: mesh, Daemon: siblingBinary("landingmastd"), Lab: siblingBinary("landingmast-lab"), FirstPort: port,
 			Directory: filepath.Join(directory, fmt.Sprintf("seed-%d", options.Seed)),
--- a/cmd/landingmastd/main.go
+++ b/cmd/landingmastd/main.go
@@ -1,5 +1,5 @@
-// Command landingmastd runs a landingmast node: the proxy beside one
-// target or, without a target, an entry for external callers.
+// Command landingmastd runs a landingmast node: the proxy beside one target or,
+// without a target, an entry for external callers.
 package main
 
 import (
@@ -65,7 +65,7 @@
 		}
 	}
 	if checkOnly {
-		fmt.Println("settings are usable")
+		fmt.Println("settings are valid")
 		return nil
 	}
 	instance, err := node.New(settings, os.Stderr)
--- a/cmd/landingmastd/sidecar.go
+++ b/cmd/landingmastd/sidecar.go
@@ -63,7 +63,7 @@
 		return err
 	}
 	if checkOnly {
-		fmt.Println("settings are usable")
+		fmt.Println("settings are valid")
 		return nil
 	}
 	source, err := clock.NewSystem()
