--- a/internal/mesh/lab/check/check.go
+++ b/internal/mesh/lab/check/check.go
@@ -106,7 +106,7 @@
 
 // countRetries returns the number of retries of a request and the limit of its
 // classes. No call occurs twice in a call chain of the lab, and a retry at one hop
-// repeats the calls below it, so the most frequent call gives the number.
+// repeats the calls below it, so the most frequent call determines the number.
 func countRetries(d *deployment.Deployment, calls map[string]int) (retries, limit int) {
 	for _, count := range calls {
 		retries = max(retries, count-1)
