--- a/internal/mesh/config/settings_test.go
+++ b/internal/mesh/config/settings_test.go
@@ -21,19 +21,19 @@
   - {name: op, public_key: "O2onvM62pC1io6jQKm8Nc2UyFXcd4kOmOsBIoYtZ2ik="}
 `
 
-func TestExampleIsUsableAndHasDefaults(t *testing.T) {
+func TestParseAppliesDefaults(t *testing.T) {
 	g := NewWithT(t)
 	settings, err := Parse([]byte(example))
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(settings.Target.Connections).To(Equal(DefaultConnections))
 	g.Expect(settings.Log.Level).To(Equal("info"))
-	ring, err := settings.Keyring()
+	keyring, err := settings.Keyring()
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(ring).To(HaveKey("op"))
+	g.Expect(keyring).To(HaveKey("op"))
 }
 
-func TestBadSettingsNameKeyAndRemedy(t *testing.T) {
-	for name, one := range map[string]struct{ from, to, key string }{
+func TestParseErrorsNameKeyAndRemedy(t *testing.T) {
+	for name, tc := range map[string]struct{ from, to, key string }{
 		"unknown key":   {"zone: a", "zone: a\nzonne: b", "zonne"},
 		"wrong unit":    {"timeout: 500ms", "timeout: 500", "500"},
 		"address":       {"127.0.0.1:9003", "127.0.0.1", "listen.admin"},
@@ -49,11 +49,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			text := strings.Replace(example, one.from, one.to, 1)
+			text := strings.Replace(example, tc.from, tc.to, 1)
 			g.Expect(text).NotTo(Equal(example))
 			_, err := Parse([]byte(text))
 			g.Expect(failure.Is(err, failure.BadInput)).To(BeTrue())
-			g.Expect(err.Error()).To(ContainSubstring(one.key))
+			g.Expect(err.Error()).To(ContainSubstring(tc.key))
 			g.Expect(err.Error()).To(ContainSubstring("remedy"))
 		})
 	}
@@ -63,7 +63,7 @@
 	f.Add([]byte(example))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		if _, err := Parse(data); err != nil && failure.KindOf(err) != failure.BadInput {
-			t.Fatalf("kind of %v", err)
+			t.Fatalf("error kind %v, want %v: %v", failure.KindOf(err), failure.BadInput, err)
 		}
 	})
 }
