--- a/internal/mesh/claims/manager.go
+++ b/internal/mesh/claims/manager.go
@@ -27,7 +27,7 @@
 	Vote(ctx context.Context, address string, vote *wire.Vote) (*claim.Reply, error)
 	Seal(ctx context.Context, address string, request *wire.SealRequest) (*wire.SealReply, error)
 	Install(ctx context.Context, address string, request *wire.InstallRequest) (*wire.SealReply, error)
-	Notify(ctx context.Context, address string, notice *wire.VoterSetNotice) error
+	NotifyVoterSet(ctx context.Context, address string, notice *wire.VoterSetNotice) error
 	Incarnation(ctx context.Context, address string) (string, error)
 }
 
--- a/internal/mesh/claims/reconfigure.go
+++ b/internal/mesh/claims/reconfigure.go
@@ -306,7 +306,7 @@
 		if node.Name == m.options.Self.Node {
 			continue
 		}
-		group.Go(func() { _ = m.options.Peers.Notify(ctx, node.Address, &wire.VoterSetNotice{Body: body}) })
+		group.Go(func() { _ = m.options.Peers.NotifyVoterSet(ctx, node.Address, &wire.VoterSetNotice{Body: body}) })
 	}
 	group.Wait()
 }
--- a/internal/mesh/node/peer.go
+++ b/internal/mesh/node/peer.go
@@ -15,8 +15,8 @@
 // peerHandler answers the control messages of other nodes.
 type peerHandler struct{ node *Node }
 
-// Tell implements control.Handler.
-func (h *peerHandler) Tell(message *wire.Tell) (*wire.Tell, error) {
+// ExchangeVersions implements control.Handler.
+func (h *peerHandler) ExchangeVersions(message *wire.Tell) (*wire.Tell, error) {
 	spread := h.node.spread
 	if spread.states[message.Topic] == nil {
 		return nil, failure.New(failure.BadInput, "run versions that are at most one release apart", "topic %q is unknown", message.Topic)
@@ -103,8 +103,8 @@
 	return h.node.claims.HandleInstall(request), nil
 }
 
-// VoterSet implements control.Handler.
-func (h *peerHandler) VoterSet(notice *wire.VoterSetNotice) error {
+// NotifyVoterSet implements control.Handler.
+func (h *peerHandler) NotifyVoterSet(notice *wire.VoterSetNotice) error {
 	if err := h.voter(); err != nil {
 		return err
 	}
--- a/internal/mesh/node/spread.go
+++ b/internal/mesh/node/spread.go
@@ -127,7 +127,7 @@
 	if address == "" {
 		return
 	}
-	reply, err := s.node.peers.Tell(ctx, address, &wire.Tell{From: s.node.settings.Node, Incarnation: s.node.incarnation, Topic: topic, Version: action.Version})
+	reply, err := s.node.peers.ExchangeVersions(ctx, address, &wire.Tell{From: s.node.settings.Node, Incarnation: s.node.incarnation, Topic: topic, Version: action.Version})
 	if err != nil {
 		return
 	}
