--- a/internal/mesh/claims/manager.go
+++ b/internal/mesh/claims/manager.go
@@ -1,6 +1,6 @@
-// Package claims drives the claim protocol of internal/mesh/core/claim for the
-// service beside a node: it asks the voters, answers as a voter, and changes the
-// voter set through the platform when nodes come and go.
+// Package claims runs the claim protocol of internal/mesh/core/claim for the service of a node.
+// A Manager proposes claims to the voters, acts as a voter itself, and reconfigures the voter set
+// through the platform when nodes join or leave.
 package claims
 
 import (
@@ -22,7 +22,7 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Peers sends claim messages to other nodes. Errors mean that no answer came.
+// Peers sends claim messages to other nodes. An error means that no reply was received.
 type Peers interface {
 	Vote(ctx context.Context, address string, vote *wire.Vote) (*claim.Reply, error)
 	Seal(ctx context.Context, address string, request *wire.SealRequest) (*wire.SealReply, error)
@@ -31,152 +31,151 @@
 	Incarnation(ctx context.Context, address string) (string, error)
 }
 
-// Bounds of the manager.
 const (
-	maxKeys          = 100_000
-	maxAnswerBytes   = 8 << 20
-	maxOneAnswer     = 64 << 10
-	voteTimeout      = 300 * time.Millisecond
-	claimTimeout     = time.Second
-	roundPause       = 4 * time.Millisecond
-	reconcileEvery   = time.Second     // while the voter set is out of step
-	probeEvery       = 3 * time.Second // in quiet times: one node of the service is asked
-	transferTimeout  = 2 * time.Second
-	reconcileAtStart = 50 * time.Millisecond
+	maxKeys             = 100_000
+	maxTotalAnswerBytes = 8 << 20
+	maxAnswerBytes      = 64 << 10
+	voteTimeout         = 300 * time.Millisecond
+	claimTimeout        = time.Second
+	maxRoundBackoff     = 4 * time.Millisecond
+	reconcileInterval   = time.Second     // while the voter set is out of date
+	probeInterval       = 3 * time.Second // of one random node, while the voter set is up to date
+	activationTimeout   = 2 * time.Second
+	reconcileJitter     = 50 * time.Millisecond // also the delay of the first run
 )
 
-// Options are what a manager is made of.
+// Options configures a Manager.
 type Options struct {
 	Mesh    string
 	Self    claim.Executor
-	Store   platform.Store // nil: voter sets cannot change
+	Store   platform.Store // nil: the voter set cannot be changed
 	Peers   Peers
 	Metrics *telemetry.Metrics
 	Log     *logrus.Entry
 }
 
-// Manager is the claim protocol of one node. It is safe for concurrent use.
+// Manager runs the claim protocol of one node. It is safe for concurrent use.
 type Manager struct {
 	options  Options
 	attempts atomic.Uint64
 
-	mutex   sync.Mutex
-	table   *claim.Table
-	voter   *claim.Voter
-	set     *claim.VoterSet // newest known
-	service string
-	nodes   []bundle.Node // of the service
-	wake    chan struct{}
+	mu       sync.Mutex
+	table    *claim.Table
+	voter    *claim.Voter
+	voterSet *claim.VoterSet // highest epoch known
+	service  string
+	nodes    []bundle.Node // of the service
+	wake     chan struct{}
 }
 
 var _ dataplane.Claims = (*Manager)(nil)
 
-// New makes the manager of a node that has just started, without memory.
+// New returns a Manager without claims or voter set. Claims aren't persisted across restarts.
 func New(options Options) *Manager {
 	return &Manager{
-		options: options, table: claim.NewTable(maxKeys, maxAnswerBytes, maxOneAnswer), voter: claim.NewVoter(maxKeys),
+		options: options, table: claim.NewTable(maxKeys, maxTotalAnswerBytes, maxAnswerBytes), voter: claim.NewVoter(maxKeys),
 		wake: make(chan struct{}, 1),
 	}
 }
 
-// SetService tells the manager which service the node serves and its nodes.
+// SetService sets the service of the node and the nodes of that service.
 func (m *Manager) SetService(service string, nodes []bundle.Node) {
-	m.mutex.Lock()
-	defer m.mutex.Unlock()
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	m.service, m.nodes = service, nodes
-	m.poke()
+	m.wakeReconciler()
 }
 
-func (m *Manager) poke() {
+func (m *Manager) wakeReconciler() {
 	select {
 	case m.wake <- struct{}{}:
 	default:
 	}
 }
 
-// VoterEpoch gives the epoch that the node votes in; 0 when it does not vote.
+// VoterEpoch returns the epoch that the node votes in, or 0 if it isn't a voter.
 func (m *Manager) VoterEpoch() int64 {
-	m.mutex.Lock()
-	defer m.mutex.Unlock()
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	return m.voter.Epoch()
 }
 
 // Lookup implements dataplane.Claims.
 func (m *Manager) Lookup(key string) (claim.Phase, *claim.Answer) {
-	m.mutex.Lock()
-	defer m.mutex.Unlock()
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	return m.table.Peek(key)
 }
 
 // NotStarted implements dataplane.Claims.
 func (m *Manager) NotStarted(key string) {
-	m.mutex.Lock()
-	defer m.mutex.Unlock()
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	m.table.NotStarted(key)
 }
 
 // Lose implements dataplane.Claims.
 func (m *Manager) Lose(key string) {
-	m.mutex.Lock()
-	defer m.mutex.Unlock()
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	m.table.Lose(key)
 }
 
 // Complete implements dataplane.Claims.
 func (m *Manager) Complete(key string, answer *claim.Answer) {
-	m.mutex.Lock()
-	defer m.mutex.Unlock()
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	m.table.Complete(key, answer)
 }
 
 // Begin implements dataplane.Claims.
 func (m *Manager) Begin(ctx context.Context, key string) dataplane.Claimed {
-	m.mutex.Lock()
+	m.mu.Lock()
 	phase, answer, full := m.table.Begin(key)
-	set, service := m.set, m.service
-	m.mutex.Unlock()
+	set, service := m.voterSet, m.service
+	m.mu.Unlock()
 	switch {
 	case full:
-		return m.result(claimed(outcome.NotRun, outcome.ReasonClaimsFull))
+		return m.countResult(claimResult(outcome.NotRun, outcome.ReasonClaimsFull))
 	case phase == claim.PhaseDone && answer != nil:
-		return m.result(dataplane.Claimed{Kept: answer, Reason: outcome.ReasonKept})
+		return m.countResult(dataplane.Claimed{Kept: answer, Reason: outcome.ReasonKept})
 	case phase == claim.PhaseDone:
-		return m.result(claimed(outcome.Unknown, outcome.ReasonAnswerNotKept))
+		return m.countResult(claimResult(outcome.Unknown, outcome.ReasonAnswerNotKept))
 	case phase == claim.PhaseUnknown:
-		return m.result(claimed(outcome.Unknown, outcome.ReasonExecutorLost))
+		return m.countResult(claimResult(outcome.Unknown, outcome.ReasonExecutorLost))
 	case phase != claim.PhaseAbsent:
-		return m.result(claimed(outcome.Unknown, outcome.ReasonInProgress))
+		return m.countResult(claimResult(outcome.Unknown, outcome.ReasonInProgress))
 	}
-	return m.result(m.claim(ctx, key, service, set))
+	return m.countResult(m.claimKey(ctx, key, service, set))
 }
 
-func claimed(how outcome.Outcome, reason outcome.Reason) dataplane.Claimed {
-	return dataplane.Claimed{Outcome: how, Reason: reason}
+func claimResult(result outcome.Outcome, reason outcome.Reason) dataplane.Claimed {
+	return dataplane.Claimed{Outcome: result, Reason: reason}
 }
 
-func (m *Manager) result(result dataplane.Claimed) dataplane.Claimed {
+func (m *Manager) countResult(result dataplane.Claimed) dataplane.Claimed {
 	m.options.Metrics.Claims.WithLabelValues(string(result.Reason)).Inc()
 	return result
 }
 
-// claim has the voters choose the key's executor and grants the key if that is
-// this node [Run]. In every other case the key is given up here.
-func (m *Manager) claim(ctx context.Context, key, service string, set *claim.VoterSet) dataplane.Claimed {
+// claimKey has the voters choose the executor of the key and grants the key if this node is
+// chosen [Run]. Otherwise it releases the key locally.
+func (m *Manager) claimKey(ctx context.Context, key, service string, set *claim.VoterSet) dataplane.Claimed {
 	started := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
-	executor, refusal, rounds := m.choose(ctx, key, service, set)
+	executor, refusal, messages := m.runProposal(ctx, key, service, set)
 	numbers := []explain.Number{
 		{Name: "claim_ms", Value: float64(time.Since(started)) / float64(time.Millisecond)},
-		{Name: "messages", Value: float64(rounds)},
+		{Name: "messages", Value: float64(messages)},
 	}
-	m.mutex.Lock()
-	defer m.mutex.Unlock()
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	if executor == m.options.Self && ctx.Err() == nil && m.table.Grant(key) {
 		return dataplane.Claimed{Run: true, Reason: outcome.ReasonGranted, Executor: executor.Node, Numbers: numbers}
 	}
 	m.table.GiveUp(key)
-	result := claimed(outcome.NotRun, outcome.ReasonNoQuorum)
+	result := claimResult(outcome.NotRun, outcome.ReasonNoQuorum)
 	result.Numbers = numbers
 	switch {
 	case executor == m.options.Self, executor.Zero():
@@ -184,9 +183,9 @@
 			result.Reason = outcome.ReasonClaimsFull
 		}
 		if refusal == claim.RefusedEpoch || refusal == claim.RefusedNotVoter {
-			m.poke()
+			m.wakeReconciler()
 		}
-	case executor.Node == m.options.Self.Node: // an earlier run of this node, whose memory is gone
+	case executor.Node == m.options.Self.Node: // a previous incarnation of this node, whose claims are lost
 		result.Outcome, result.Reason = outcome.Unknown, outcome.ReasonExecutorLost
 	default:
 		result.Outcome, result.Reason, result.Executor = outcome.Unknown, outcome.ReasonElsewhere, executor.Node
@@ -194,24 +193,25 @@
 	return result
 }
 
-// choose runs one proposal. The zero executor means that no majority went along.
-func (m *Manager) choose(ctx context.Context, key, service string, set *claim.VoterSet) (claim.Executor, claim.Refusal, int) {
+// runProposal runs one proposal. It returns the zero executor if no majority accepted it, and the
+// number of messages sent.
+func (m *Manager) runProposal(ctx context.Context, key, service string, set *claim.VoterSet) (claim.Executor, claim.Refusal, int) {
 	if set == nil || !set.Active || len(set.Members) == 0 {
 		return claim.Executor{}, claim.RefusedEpoch, 0
 	}
 	proposal := claim.NewProposal(key, set.Epoch, len(set.Members), m.options.Self, set.Owner(key) == m.options.Self, m.attempts.Add(1))
 	messages := 0
 	for {
-		step := m.round(ctx, proposal, service, set, &messages)
+		step := m.runRound(ctx, proposal, service, set, &messages)
 		switch step {
 		case claim.StepChosen:
 			return proposal.Chosen(), claim.RefusedNone, messages
 		case claim.StepFailed, claim.StepWait:
 			return claim.Executor{}, proposal.Refusal(), messages
 		}
-		if proposal.Request().Prepare { // lost to another ballot: let the other finish
+		if proposal.Request().Prepare { // preempted by a higher ballot: back off
 			select {
-			case <-time.After(rand.N(roundPause)):
+			case <-time.After(rand.N(maxRoundBackoff)):
 			case <-ctx.Done():
 				return claim.Executor{}, proposal.Refusal(), messages
 			}
@@ -219,14 +219,15 @@
 	}
 }
 
-// round sends the proposal's request to all voters and feeds the replies until
-// it takes a step. Late replies go to the round's own channel and are dropped.
-func (m *Manager) round(ctx context.Context, proposal *claim.Proposal, service string, set *claim.VoterSet, messages *int) claim.Step {
+// runRound sends the current request of the proposal to all voters and processes replies until the
+// proposal advances. Later replies are discarded; the channel is buffered so that their senders
+// don't block.
+func (m *Manager) runRound(ctx context.Context, proposal *claim.Proposal, service string, set *claim.VoterSet, messages *int) claim.Step {
 	request := proposal.Request()
 	replies := make(chan *claim.Reply, len(set.Members))
 	for _, member := range set.Members {
 		*messages++
-		go func() { replies <- m.ask(ctx, service, member, request) }()
+		go func() { replies <- m.requestVote(ctx, service, member, request) }()
 	}
 	for range set.Members {
 		step := claim.StepWait
@@ -242,13 +243,13 @@
 	return claim.StepFailed
 }
 
-// ask sends a request to one voter; nil when no answer came.
-func (m *Manager) ask(ctx context.Context, service string, member claim.Executor, request claim.Request) *claim.Reply {
+// requestVote sends a request to one voter. It returns nil if no reply was received.
+func (m *Manager) requestVote(ctx context.Context, service string, member claim.Executor, request claim.Request) *claim.Reply {
 	if member == m.options.Self {
 		reply := m.HandleVote(&wire.Vote{Service: service, Voter: member.Incarnation, Request: request})
 		return &reply
 	}
-	address := m.address(member.Node)
+	address := m.nodeAddress(member.Node)
 	if address == "" {
 		return nil
 	}
@@ -261,9 +262,9 @@
 	return reply
 }
 
-func (m *Manager) address(node string) string {
-	m.mutex.Lock()
-	defer m.mutex.Unlock()
+func (m *Manager) nodeAddress(node string) string {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	for _, known := range m.nodes {
 		if known.Name == node {
 			return known.Address
@@ -272,20 +273,20 @@
 	return ""
 }
 
-// HandleVote answers as a voter [Promise] [Accept].
+// HandleVote handles a prepare or accept request as a voter [Promise] [Accept].
 func (m *Manager) HandleVote(vote *wire.Vote) claim.Reply {
-	m.mutex.Lock()
-	defer m.mutex.Unlock()
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	if vote.Voter != m.options.Self.Incarnation || vote.Service != m.service {
 		return claim.Reply{Refusal: claim.RefusedNotVoter}
 	}
 	return m.voter.Handle(vote.Request)
 }
 
-// HandleSeal ends this voter's part in an epoch [Seal].
+// HandleSeal makes this voter stop voting in an epoch and returns its claims [Seal].
 func (m *Manager) HandleSeal(request *wire.SealRequest) *wire.SealReply {
-	m.mutex.Lock()
-	defer m.mutex.Unlock()
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	if request.Voter != m.options.Self.Incarnation || request.Service != m.service {
 		return &wire.SealReply{Refusal: string(claim.RefusedNotVoter)}
 	}
@@ -293,10 +294,10 @@
 	return &wire.SealReply{Refusal: string(refusal), Installed: installed, Entries: entries}
 }
 
-// HandleInstall makes this voter active in an epoch [Install].
+// HandleInstall stores the transferred claims and activates this voter in an epoch [Install].
 func (m *Manager) HandleInstall(request *wire.InstallRequest) *wire.SealReply {
-	m.mutex.Lock()
-	defer m.mutex.Unlock()
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	if request.Voter != m.options.Self.Incarnation || request.Service != m.service {
 		return &wire.SealReply{Refusal: string(claim.RefusedNotVoter)}
 	}
@@ -305,24 +306,25 @@
 	return &wire.SealReply{Refusal: string(refusal)}
 }
 
-// HandleNotice takes a voter set that another node has made active.
+// HandleNotice handles the notification that another node has activated a voter set.
 func (m *Manager) HandleNotice(notice *wire.VoterSetNotice) error {
 	set := &claim.VoterSet{}
 	if err := json.Unmarshal(notice.Body, set); err != nil {
 		return err
 	}
-	m.learn(set)
+	m.observeVoterSet(set)
 	return nil
 }
 
-// learn keeps the newest voter set; an active one wins over the same pending.
-func (m *Manager) learn(set *claim.VoterSet) {
-	m.mutex.Lock()
-	defer m.mutex.Unlock()
+// observeVoterSet stores the set if its epoch is higher than that of the known set. Within an
+// epoch an active set replaces a pending one.
+func (m *Manager) observeVoterSet(set *claim.VoterSet) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	if set.Service != m.service {
 		return
 	}
-	if m.set == nil || set.Epoch > m.set.Epoch || (set.Epoch == m.set.Epoch && set.Active) {
-		m.set = set
+	if m.voterSet == nil || set.Epoch > m.voterSet.Epoch || (set.Epoch == m.voterSet.Epoch && set.Active) {
+		m.voterSet = set
 	}
 }
--- a/internal/mesh/claims/reconfigure.go
+++ b/internal/mesh/claims/reconfigure.go
@@ -16,11 +16,11 @@
 	"github.com/landingmast/landingmast/internal/mesh/wire"
 )
 
-// Run keeps the voter set of the service in step with its nodes until ctx ends.
-// Only a node that is missing from the set, or that sees a member gone, talks to
-// the platform; in quiet times none does.
+// Run reconciles the voter set with the live nodes of the service until ctx is done. Only a node
+// that is missing from the set or fails to reach a member accesses the platform, so that an
+// unchanged service causes no platform load.
 func (m *Manager) Run(ctx context.Context) {
-	timer := time.NewTimer(reconcileAtStart)
+	timer := time.NewTimer(reconcileJitter)
 	defer timer.Stop()
 	for {
 		select {
@@ -28,66 +28,66 @@
 			return
 		case <-timer.C:
 		case <-m.wake:
-			time.Sleep(rand.N(reconcileAtStart))
+			time.Sleep(rand.N(reconcileJitter))
 		}
-		pause := reconcileEvery
+		interval := reconcileInterval
 		if m.reconcile(ctx) {
-			pause = probeEvery
+			interval = probeInterval
 		}
-		timer.Reset(pause/2 + rand.N(pause))
+		timer.Reset(interval/2 + rand.N(interval))
 	}
 }
 
 func (m *Manager) snapshot() (service string, nodes []bundle.Node, set *claim.VoterSet) {
-	m.mutex.Lock()
-	defer m.mutex.Unlock()
-	return m.service, m.nodes, m.set
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.service, m.nodes, m.voterSet
 }
 
-// reconcile looks for members that are gone and nodes that are missing, and
-// changes the voter set if that is safe. It tells whether nothing was amiss.
-func (m *Manager) reconcile(ctx context.Context) (quiet bool) {
+// reconcile compares the voter set with the live nodes and changes the set if that is safe. It
+// reports whether the set was already up to date.
+func (m *Manager) reconcile(ctx context.Context) (inSync bool) {
 	service, nodes, set := m.snapshot()
-	if service == "" || m.options.Store == nil || m.quiet(ctx, nodes, set) {
+	if service == "" || m.options.Store == nil || m.inSync(ctx, nodes, set) {
 		return true
 	}
-	m.change(ctx, service, nodes, set)
+	m.updateVoterSet(ctx, service, nodes, set)
 	return false
 }
 
-func (m *Manager) change(ctx context.Context, service string, nodes []bundle.Node, set *claim.VoterSet) {
-	alive := m.alive(ctx, nodes)
+func (m *Manager) updateVoterSet(ctx context.Context, service string, nodes []bundle.Node, set *claim.VoterSet) {
+	alive := m.liveExecutors(ctx, nodes)
 	if set != nil && set.Active && sameMembers(set.Members, alive) && m.VoterEpoch() == set.Epoch {
 		return
 	}
-	record, index, err := m.read(ctx, service)
+	record, index, err := m.readVoterSet(ctx, service)
 	if err != nil {
-		return // the platform is down or slow: go on with the set in force
+		return // platform unavailable: keep the current set
 	}
 	if record != nil {
-		m.learn(record)
+		m.observeVoterSet(record)
 	}
 	if record != nil && !record.Active {
-		m.finish(ctx, record, index)
+		m.activate(ctx, record, index)
 		return
 	}
 	next := claim.Plan(service, record, alive, len(nodes))
 	if next == nil {
 		return
 	}
-	if err := m.write(ctx, next, index); err != nil {
+	if err := m.writeVoterSet(ctx, next, index); err != nil {
 		return
 	}
 	m.options.Log.WithField("epoch", next.Epoch).WithField("members", len(next.Members)).Info("voter set proposed")
-	record, index, err = m.read(ctx, service)
+	record, index, err = m.readVoterSet(ctx, service)
 	if err == nil && record != nil && !record.Active {
-		m.finish(ctx, record, index)
+		m.activate(ctx, record, index)
 	}
 }
 
-// quiet probes one random node of the service and tells whether nothing has to be
-// looked at: this node votes, and the probed one is the member that it should be.
-func (m *Manager) quiet(ctx context.Context, nodes []bundle.Node, set *claim.VoterSet) bool {
+// inSync reports whether this node is a voter of the active set and one randomly probed node of
+// the service is a member with its current incarnation.
+func (m *Manager) inSync(ctx context.Context, nodes []bundle.Node, set *claim.VoterSet) bool {
 	if set == nil || !set.Active || m.VoterEpoch() != set.Epoch || !set.Contains(m.options.Self) {
 		return false
 	}
@@ -101,18 +101,18 @@
 	return err == nil && set.Contains(claim.Executor{Node: probed.Name, Incarnation: incarnation})
 }
 
-func sameMembers(left, right []claim.Executor) bool {
-	return reflect.DeepEqual(sorted(left), sorted(right))
+func sameMembers(a, b []claim.Executor) bool {
+	return reflect.DeepEqual(sortedByNode(a), sortedByNode(b))
 }
 
-func sorted(executors []claim.Executor) []claim.Executor {
+func sortedByNode(executors []claim.Executor) []claim.Executor {
 	list := append([]claim.Executor(nil), executors...)
 	sort.Slice(list, func(i, j int) bool { return list[i].Node < list[j].Node })
 	return list
 }
 
-// alive gives the executors of the service that answer now, sorted by node.
-func (m *Manager) alive(ctx context.Context, nodes []bundle.Node) []claim.Executor {
+// liveExecutors returns the executors of the service that respond, sorted by node.
+func (m *Manager) liveExecutors(ctx context.Context, nodes []bundle.Node) []claim.Executor {
 	ctx, cancel := context.WithTimeout(ctx, voteTimeout)
 	defer cancel()
 	var mutex sync.Mutex
@@ -133,36 +133,36 @@
 		})
 	}
 	group.Wait()
-	return sorted(alive)
+	return sortedByNode(alive)
 }
 
-func (m *Manager) read(ctx context.Context, service string) (*claim.VoterSet, uint64, error) {
+func (m *Manager) readVoterSet(ctx context.Context, service string) (*claim.VoterSet, uint64, error) {
 	entry, err := m.options.Store.Get(ctx, platform.VotersKey(m.options.Mesh, service))
-	m.count("get_voters", err)
+	m.countPlatformRequest("get_voters", err)
 	if err != nil || entry.Index == 0 {
 		return nil, 0, err
 	}
 	set := &claim.VoterSet{}
 	if err := json.Unmarshal(entry.Value, set); err != nil {
-		return nil, 0, failure.Wrap(err, failure.Internal, "restore the key in the platform's service", "voter set of %s cannot be read", service)
+		return nil, 0, failure.Wrap(err, failure.Internal, "restore the key in the platform's key-value service", "cannot decode voter set of %s", service)
 	}
 	return set, entry.Index, nil
 }
 
-func (m *Manager) write(ctx context.Context, set *claim.VoterSet, index uint64) error {
+func (m *Manager) writeVoterSet(ctx context.Context, set *claim.VoterSet, index uint64) error {
 	value, err := json.Marshal(set)
 	if err != nil {
-		return failure.Wrap(err, failure.Internal, "report this", "voter set cannot be written")
+		return failure.Wrap(err, failure.Internal, "report this as a bug", "cannot encode voter set")
 	}
 	written, err := m.options.Store.CompareAndSwap(ctx, platform.VotersKey(m.options.Mesh, set.Service), value, index)
-	m.count("put_voters", err)
+	m.countPlatformRequest("put_voters", err)
 	if err == nil && !written {
-		return failure.New(failure.Conflict, "read it again", "voter set of %s was changed by another node", set.Service)
+		return failure.New(failure.Conflict, "read the voter set again", "voter set of %s was changed by another node", set.Service)
 	}
 	return err
 }
 
-func (m *Manager) count(request string, err error) {
+func (m *Manager) countPlatformRequest(request string, err error) {
 	result := "ok"
 	if err != nil {
 		result = string(failure.KindOf(err))
@@ -170,12 +170,11 @@
 	m.options.Metrics.PlatformRequests.WithLabelValues(request, result).Inc()
 }
 
-// finish brings a pending voter set into force: seal a majority of the old
-// voters, carry their claims over, install them at a majority of the new ones,
-// and only then mark the set active [Seal] [Carry] [Install] [Activate]. Any
-// node may do it, also several at once and again after one was killed.
-func (m *Manager) finish(ctx context.Context, set *claim.VoterSet, index uint64) {
-	ctx, cancel := context.WithTimeout(ctx, transferTimeout)
+// activate makes a pending voter set active: it seals a majority of the previous voters, transfers
+// their claims to a majority of the new voters, and then marks the set active in the platform
+// [Seal] [Carry] [Install] [Activate]. It is idempotent and may run on several nodes at once.
+func (m *Manager) activate(ctx context.Context, set *claim.VoterSet, index uint64) {
+	ctx, cancel := context.WithTimeout(ctx, activationTimeout)
 	defer cancel()
 	carried, sealed := m.sealPrevious(ctx, set)
 	if !sealed {
@@ -186,22 +185,22 @@
 	}
 	active := *set
 	active.Active = true
-	if err := m.write(ctx, &active, index); err != nil && !failure.Is(err, failure.Conflict) {
+	if err := m.writeVoterSet(ctx, &active, index); err != nil && !failure.Is(err, failure.Conflict) {
 		if !failure.Is(err, failure.Uncertain) {
 			return
 		}
-		record, _, readErr := m.read(ctx, set.Service)
+		record, _, readErr := m.readVoterSet(ctx, set.Service)
 		if readErr != nil || record == nil || record.Epoch != set.Epoch || !record.Active {
 			return
 		}
 	}
-	m.learn(&active)
+	m.observeVoterSet(&active)
 	m.options.Log.WithField("epoch", active.Epoch).WithField("members", len(active.Members)).WithField("claims", len(carried)).Info("voter set active")
-	m.announce(ctx, &active)
+	m.notifyNodes(ctx, &active)
 }
 
-// sealPrevious gives the claims of the previous epoch once a majority of its
-// voters is sealed, or one voter tells that it has them installed already.
+// sealPrevious seals the voters of the previous epoch and returns their merged claims. It succeeds
+// if a majority is sealed or any voter has already installed the claims of the new epoch.
 func (m *Manager) sealPrevious(ctx context.Context, set *claim.VoterSet) ([]claim.Entry, bool) {
 	if len(set.Previous) == 0 {
 		return nil, true
@@ -262,14 +261,14 @@
 	if member == m.options.Self {
 		return m.HandleSeal(request), nil
 	}
-	return m.options.Peers.Seal(ctx, m.address(member.Node), request)
+	return m.options.Peers.Seal(ctx, m.nodeAddress(member.Node), request)
 }
 
 func (m *Manager) install(ctx context.Context, member claim.Executor, request *wire.InstallRequest) (*wire.SealReply, error) {
 	if member == m.options.Self {
 		return m.HandleInstall(request), nil
 	}
-	return m.options.Peers.Install(ctx, m.address(member.Node), request)
+	return m.options.Peers.Install(ctx, m.nodeAddress(member.Node), request)
 }
 
 func (m *Manager) installAll(ctx context.Context, set *claim.VoterSet, carried []claim.Entry) int {
@@ -294,8 +293,9 @@
 	return installed
 }
 
-// announce tells the nodes of the service; those that miss it read the platform.
-func (m *Manager) announce(ctx context.Context, set *claim.VoterSet) {
+// notifyNodes sends the active set to the other nodes of the service. A node that misses the
+// notification reads the set from the platform.
+func (m *Manager) notifyNodes(ctx context.Context, set *claim.VoterSet) {
 	body, err := json.Marshal(set)
 	if err != nil {
 		return
