--- a/internal/mesh/node/admin.go
+++ b/internal/mesh/node/admin.go
@@ -23,8 +23,8 @@
 
 var _ admin.Service = (*adminService)(nil)
 
-// adminHandler serves the admin API, /metrics, /healthz (the process lives),
-// /readyz (it has a bundle and takes work) and profiles below /debug/pprof.
+// adminHandler serves the admin API, /metrics, /healthz (the process is running), /readyz (it has
+// a bundle and accepts calls) and profiles under /debug/pprof.
 func (n *Node) adminHandler() http.Handler {
 	mux := goahttp.NewMuxer()
 	endpoints := admin.NewEndpoints(&adminService{n})
@@ -39,9 +39,9 @@
 }
 
 func (n *Node) serveReady(w http.ResponseWriter, _ *http.Request) {
-	n.mutex.Lock()
-	ready := n.installed != nil && n.readyToTake && n.drainedBy == ""
-	n.mutex.Unlock()
+	n.mu.Lock()
+	ready := n.installed != nil && n.bootstrapped && n.drainReason == ""
+	n.mu.Unlock()
 	if !ready {
 		http.Error(w, "not ready: no bundle, or draining", http.StatusServiceUnavailable)
 		return
@@ -55,21 +55,21 @@
 }
 
 func (n *Node) status() *admin.NodeStatus {
-	limit, active, queued, _ := n.plane.GateState()
+	limit, active, queued, _ := n.dataPlane.GateState()
 	status := &admin.NodeStatus{
 		Node: n.settings.Node, Zone: n.settings.Zone, Address: n.settings.Listen.Peers, State: "active", Incarnation: n.incarnation,
 		InFlight: active, Queued: queued, Limit: limit, ShedByLevel: map[string]uint64{}, ProgramVersion: Version,
 	}
-	n.mutex.Lock()
+	n.mu.Lock()
 	if n.installed != nil {
 		status.BundleVersion = n.installed.Bundle.Version
 		status.BundleDigest = shortDigest(n.installed.Release.Digest)
 		_, status.Service = n.installed.Bundle.Node(n.settings.Node)
 	}
-	if n.drainedBy != "" {
+	if n.drainReason != "" {
 		status.State = "draining"
 	}
-	n.mutex.Unlock()
+	n.mu.Unlock()
 	if n.claims != nil {
 		status.VoterEpoch = n.claims.VoterEpoch()
 	}
@@ -80,14 +80,14 @@
 func shortDigest(digest []byte) string {
 	const hexDigits = "0123456789abcdef"
 	var text strings.Builder
-	for _, octet := range digest[:min(len(digest), 6)] {
-		text.WriteByte(hexDigits[octet>>4])
-		text.WriteByte(hexDigits[octet&15])
+	for _, b := range digest[:min(len(digest), 6)] {
+		text.WriteByte(hexDigits[b>>4])
+		text.WriteByte(hexDigits[b&15])
 	}
 	return text.String()
 }
 
-// fillCounters reads the counters of the status out of the metrics.
+// fillCounters sets the counters of the status from the metrics.
 func (n *Node) fillCounters(status *admin.NodeStatus) {
 	families, err := n.metrics.Registry.Gather()
 	if err != nil {
@@ -98,12 +98,12 @@
 			value := uint64(metric.GetCounter().GetValue())
 			switch family.GetName() {
 			case "landingmast_calls_total":
-				if label(metric, "outcome") == "answered" {
+				if labelValue(metric, "outcome") == "answered" {
 					status.Admitted += value
 				}
 			case "landingmast_shed_total":
 				status.Refused += value
-				status.ShedByLevel[label(metric, "level")] += value
+				status.ShedByLevel[labelValue(metric, "level")] += value
 			case "landingmast_bundles_rejected_total":
 				status.BundlesRejected += value
 			}
@@ -111,7 +111,7 @@
 	}
 }
 
-func label(metric *dto.Metric, name string) string {
+func labelValue(metric *dto.Metric, name string) string {
 	for _, pair := range metric.GetLabel() {
 		if pair.GetName() == name {
 			return pair.GetValue()
@@ -120,17 +120,17 @@
 	return ""
 }
 
-const peerAnswerTimeout = 2 * time.Second
+const peerQueryTimeout = 2 * time.Second
 
 // Nodes implements admin.Service.
 func (s *adminService) Nodes(ctx context.Context) ([]*admin.NodeStatus, error) {
-	installed := s.node.current()
+	installed := s.node.currentBundle()
 	if installed == nil {
 		return []*admin.NodeStatus{s.node.status()}, nil
 	}
 	nodes := installed.Bundle.Nodes()
 	statuses := make([]*admin.NodeStatus, len(nodes))
-	ctx, cancel := context.WithTimeout(ctx, peerAnswerTimeout)
+	ctx, cancel := context.WithTimeout(ctx, peerQueryTimeout)
 	defer cancel()
 	var group sync.WaitGroup
 	for index, node := range nodes {
@@ -146,21 +146,21 @@
 	}
 	_, service := installed.Node(node.Name)
 	status := &admin.NodeStatus{Node: node.Name, Service: service, Zone: node.Zone, Address: node.Address, State: "unreachable", ShedByLevel: map[string]uint64{}}
-	body, err := s.node.peers.Status(ctx, node.Address)
+	body, err := s.node.controlClient.Status(ctx, node.Address)
 	if err != nil {
 		return status
 	}
-	answered := &admin.NodeStatus{}
-	if json.Unmarshal(body, answered) != nil {
+	remote := &admin.NodeStatus{}
+	if json.Unmarshal(body, remote) != nil {
 		return status
 	}
-	return answered
+	return remote
 }
 
 // Services implements admin.Service.
 func (s *adminService) Services(context.Context) ([]*admin.ServiceStatus, error) {
 	var services []*admin.ServiceStatus
-	for name, states := range s.node.plane.Routes() {
+	for name, states := range s.node.dataPlane.Routes() {
 		service := &admin.ServiceStatus{Service: name, Targets: []*admin.EndpointStatus{}}
 		for _, state := range states {
 			cursor := -1
@@ -178,28 +178,28 @@
 	return services, nil
 }
 
-// Explain implements admin.Service. It follows the chain: the entry is named by
-// the request id, every further node by a record of a node before it.
+// Explain implements admin.Service. It collects the records of all nodes along the call chain: the
+// request id contains the name of the entry, and each record names the next peer.
 func (s *adminService) Explain(ctx context.Context, payload *admin.ExplainPayload) ([]*admin.Decision, error) {
 	decisions := s.node.localDecisions(payload.RequestID)
 	if !payload.Local {
-		decisions = s.follow(ctx, payload.RequestID, decisions)
+		decisions = s.followCallChain(ctx, payload.RequestID, decisions)
 	}
 	if len(decisions) == 0 {
-		return nil, notFound("no record of request "+payload.RequestID, "nodes remember their last requests only; look at the counters instead")
+		return nil, notFound("no record of request "+payload.RequestID, "nodes keep only the records of recent requests; use the metrics for older ones")
 	}
 	sort.SliceStable(decisions, func(i, j int) bool { return decisions[i].At < decisions[j].At })
 	return decisions, nil
 }
 
-func (s *adminService) follow(ctx context.Context, requestID string, decisions []*admin.Decision) []*admin.Decision {
-	installed := s.node.current()
+func (s *adminService) followCallChain(ctx context.Context, requestID string, decisions []*admin.Decision) []*admin.Decision {
+	installed := s.node.currentBundle()
 	if installed == nil {
 		return decisions
 	}
-	ctx, cancel := context.WithTimeout(ctx, peerAnswerTimeout)
+	ctx, cancel := context.WithTimeout(ctx, peerQueryTimeout)
 	defer cancel()
-	asked := map[string]bool{s.node.settings.Node: true}
+	queried := map[string]bool{s.node.settings.Node: true}
 	var pending []string
 	if dash := strings.LastIndexByte(requestID, '-'); dash > 0 {
 		pending = append(pending, requestID[:dash])
@@ -211,27 +211,27 @@
 		name := pending[0]
 		pending = pending[1:]
 		node, _ := installed.Bundle.Node(name)
-		if node == nil || asked[name] {
+		if node == nil || queried[name] {
 			continue
 		}
-		asked[name] = true
-		body, err := s.node.peers.Explain(ctx, node.Address, requestID)
+		queried[name] = true
+		body, err := s.node.controlClient.Explain(ctx, node.Address, requestID)
 		if err != nil {
 			continue
 		}
-		var more []*admin.Decision
-		if json.Unmarshal(body, &more) != nil {
+		var remote []*admin.Decision
+		if json.Unmarshal(body, &remote) != nil {
 			continue
 		}
-		for _, decision := range more {
+		for _, decision := range remote {
 			pending = append(pending, decision.Peer)
 		}
-		decisions = append(decisions, more...)
+		decisions = append(decisions, remote...)
 	}
 	return decisions
 }
 
-const recordTime = "2006-01-02T15:04:05.000000Z07:00"
+const decisionTimeFormat = "2006-01-02T15:04:05.000000Z07:00"
 
 func (n *Node) localDecisions(requestID string) []*admin.Decision {
 	records := n.recorder.Get(requestID)
@@ -242,7 +242,7 @@
 			numbers[number.Name] = number.Value
 		}
 		decisions = append(decisions, &admin.Decision{
-			RequestID: requestID, CallID: record.CallID, Node: n.settings.Node, Depth: record.Depth, At: record.At.UTC().Format(recordTime),
+			RequestID: requestID, CallID: record.CallID, Node: n.settings.Node, Depth: record.Depth, At: record.At.UTC().Format(decisionTimeFormat),
 			Action: string(record.Action), Reason: record.Reason, Service: record.Service, Class: record.Class, Level: record.Level,
 			Peer: record.Peer, Numbers: numbers,
 		})
@@ -256,15 +256,15 @@
 
 // Drain implements admin.Service.
 func (s *adminService) Drain(context.Context) (*admin.NodeStatus, error) {
-	s.node.drain("drained by an operator")
+	s.node.drain("requested by an operator")
 	return s.node.status(), nil
 }
 
 // Bundle implements admin.Service.
 func (s *adminService) Bundle(context.Context) (*admin.BundleResult, error) {
-	installed := s.node.current()
+	installed := s.node.currentBundle()
 	if installed == nil {
-		return nil, notFound("no bundle is in force here", "roll a bundle")
+		return nil, notFound("no bundle is in force on this node", "roll a bundle")
 	}
 	data, err := json.Marshal(installed.Release)
 	if err != nil {
--- a/internal/mesh/node/mesh_test.go
+++ b/internal/mesh/node/mesh_test.go
@@ -34,8 +34,8 @@
 	RunSpecs(t, "Node")
 }
 
-// mesh is a small mesh in this process: two entries, service "front" with two
-// targets and "back" with three, all over real sockets and mutual TLS.
+// mesh runs a mesh in this process over real sockets and mutual TLS: two entries, service "front"
+// with two targets and service "back" with three.
 type mesh struct {
 	directory string
 	store     *standin.Platform
@@ -51,8 +51,8 @@
 	back      http.HandlerFunc
 }
 
-// nextPort is below the range from which the system takes the ports of outgoing
-// connections, so that none of them is in the way of a listener.
+// nextPort counts up from firstPort. Ports from that range are below the ephemeral port range, so
+// that outgoing connections don't occupy them.
 var nextPort atomic.Int64
 
 const firstPort = 14000
@@ -106,10 +106,10 @@
 
 func (m *mesh) add(name, zone string, target http.HandlerFunc) {
 	settings := &config.Settings{Node: name, Mesh: "test", Zone: zone, Listen: config.Listen{Peers: freeAddress(), Admin: freeAddress()}, Log: config.Log{Level: "error", Format: "text"}}
-	described := bundle.Node{Name: name, Address: settings.Listen.Peers, Zone: zone, State: bundle.Active}
+	member := bundle.Node{Name: name, Address: settings.Listen.Peers, Zone: zone, State: bundle.Active}
 	if target == nil {
 		settings.Listen.Callers = freeAddress()
-		m.bundle.Entries = append(m.bundle.Entries, described)
+		m.bundle.Entries = append(m.bundle.Entries, member)
 	} else {
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			r.Header.Set(headerNode, name)
@@ -122,7 +122,7 @@
 		if name[:4] == "back" {
 			service = &m.bundle.Services[1]
 		}
-		service.Targets = append(service.Targets, described)
+		service.Targets = append(service.Targets, member)
 	}
 	m.settings[name] = settings
 }
@@ -157,13 +157,13 @@
 }
 
 func (m *mesh) startNode(name string) {
-	made, err := node.New(m.settings[name], GinkgoWriter)
+	n, err := node.New(m.settings[name], GinkgoWriter)
 	Expect(err).NotTo(HaveOccurred())
 	ctx, cancel := context.WithCancel(context.Background())
 	m.running[name] = cancel
 	stopped := make(chan error, 1)
 	m.stopped[name] = stopped
-	m.group.Go(func() { stopped <- made.Run(ctx, context.Background()) })
+	m.group.Go(func() { stopped <- n.Run(ctx, context.Background()) })
 }
 
 func (m *mesh) waitReady(name string) {
@@ -177,7 +177,7 @@
 	}, "10s", "10ms").Should(Equal(http.StatusOK))
 }
 
-// waitVoters waits until the front service's voter set is active everywhere.
+// waitVoters waits until all nodes of service "front" are voters.
 func (m *mesh) waitVoters() {
 	for _, name := range []string{"front-1", "front-2"} {
 		Eventually(func() int64 {
@@ -208,7 +208,7 @@
 	return adminapi.New(m.settings[name].Listen.Admin)
 }
 
-// send sends a request to an entry and gives the answer with its body.
+// send sends a request to an entry and returns the response and its body.
 func (m *mesh) send(entry, method, path string, body io.Reader, header http.Header) (*http.Response, string, error) {
 	request, err := http.NewRequest(method, "http://"+m.settings[entry].Listen.Callers+path, body)
 	Expect(err).NotTo(HaveOccurred())
@@ -225,11 +225,11 @@
 	return response, string(data), err
 }
 
-// headerNode tells a target's handler beside which node it stands.
+// headerNode passes the name of the target's node to the handler.
 const headerNode = "X-Test-Node"
 
-// call calls a service from a target, as a back end does: through its own node,
-// passing on nothing but the one id header.
+// call sends a request from a target to a service through the egress of the target's node. Like a
+// real back end, it forwards only the X-Request-Id header.
 func (m *mesh) call(r *http.Request, service, path string) (*http.Response, error) {
 	egress := m.settings[r.Header.Get(headerNode)].Listen.Egress
 	request, err := http.NewRequestWithContext(r.Context(), http.MethodGet, "http://"+egress+path, nil)
--- a/internal/mesh/node/node.go
+++ b/internal/mesh/node/node.go
@@ -1,5 +1,5 @@
-// Package node puts one landingmastd together: data plane, claims, bundle
-// dissemination, admin API, listeners, start and planned stop.
+// Package node assembles a landingmastd process from the data plane, the claim protocol, bundle
+// dissemination and the admin API, and controls its startup and graceful shutdown.
 package node
 
 import (
@@ -30,38 +30,39 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Version is the version of the program; the build may set it.
+// Version is the program version, overridable at link time.
 var Version = "0.1.0"
 
-// Node is one running landingmastd.
+// Node is a landingmastd node.
 type Node struct {
-	settings    *config.Settings
-	keyring     bundle.Keyring
-	incarnation string
-	started     time.Time
-	log         *logrus.Entry
-	metrics     *telemetry.Metrics
-	recorder    *explain.Recorder
-	store       platform.Store // nil without a platform
-	peers       *control.Client
-	transport   *http.Transport
-	claims      *claims.Manager // nil for an entry
-	plane       *dataplane.Plane
-	spread      *spread
-	servers     []*servers.Server
-	listeners   []net.Listener
-	callers     net.Listener // of an entry; one of listeners
-	background  sync.WaitGroup
+	settings       *config.Settings
+	keyring        bundle.Keyring
+	incarnation    string
+	startTime      time.Time
+	log            *logrus.Entry
+	metrics        *telemetry.Metrics
+	recorder       *explain.Recorder
+	store          platform.Store // nil if no platform is configured
+	controlClient  *control.Client
+	transport      *http.Transport
+	claims         *claims.Manager // nil for an entry (a node without a target)
+	dataPlane      *dataplane.Plane
+	disseminator   *disseminator
+	servers        []*servers.Server
+	listeners      []net.Listener
+	callerListener net.Listener // listener for external callers, also in listeners; nil if not an entry
+	background     sync.WaitGroup
 
-	mutex       sync.Mutex
-	installed   *bundle.Installed
-	previous    *bundle.Release // in force before; base of deltas
-	machines    machineList
-	drainedBy   string // why the node takes no new work; empty: it does
-	readyToTake bool
+	mu           sync.Mutex
+	installed    *bundle.Installed
+	previous     *bundle.Release // release before installed, the base of delta replies
+	machines     machineList
+	drainReason  string // empty while the node accepts new calls
+	bootstrapped bool
 }
 
-// New makes a node from checked settings. Log lines go to output.
+// New returns a node with open listeners. The settings must be valid; log lines are written to
+// output.
 func New(settings *config.Settings, output io.Writer) (*Node, error) {
 	keyring, err := settings.Keyring()
 	if err != nil {
@@ -72,7 +73,7 @@
 		return nil, err
 	}
 	n := &Node{
-		settings: settings, keyring: keyring, incarnation: strconv.FormatUint(rand.Uint64(), 36), started: time.Now(),
+		settings: settings, keyring: keyring, incarnation: strconv.FormatUint(rand.Uint64(), 36), startTime: time.Now(),
 		log: telemetry.NewLog(settings.Log, settings.Node, output), metrics: telemetry.NewMetrics(),
 		recorder: explain.NewRecorder(explain.DefaultRequests),
 	}
@@ -80,17 +81,17 @@
 		n.store = platform.NewConsul(settings.Platform.Address, time.Duration(settings.Platform.Timeout))
 	}
 	n.transport = peerTransport(identity)
-	n.peers = control.NewClient(n.transport, n.metrics)
+	n.controlClient = control.NewClient(n.transport, n.metrics)
 	options := dataplane.Options{Node: settings.Node, Zone: settings.Zone, Metrics: n.metrics, Recorder: n.recorder, Peers: n.transport}
 	if settings.Target != nil {
 		n.claims = claims.New(claims.Options{
-			Mesh: settings.Mesh, Self: claim.Executor{Node: settings.Node, Incarnation: n.incarnation}, Store: n.store, Peers: n.peers,
+			Mesh: settings.Mesh, Self: claim.Executor{Node: settings.Node, Incarnation: n.incarnation}, Store: n.store, Peers: n.controlClient,
 			Metrics: n.metrics, Log: n.log,
 		})
 		options.Target, options.Connections, options.Claims = settings.Target.Address, settings.Target.Connections, n.claims
 	}
-	n.plane = dataplane.New(options)
-	n.spread = newSpread(n)
+	n.dataPlane = dataplane.New(options)
+	n.disseminator = newDisseminator(n)
 	return n, n.listen(identity)
 }
 
@@ -99,48 +100,47 @@
 	return dataplane.PeerTransport(dialer.DialContext)
 }
 
-// Bounds of the HTTP servers.
 const (
-	headerTimeout = 10 * time.Second
-	idleTimeout   = 2 * time.Minute
-	maxHeader     = 64 << 10
-	drainLimit    = 10 * time.Minute // the longest deadline that a class may have
-	drainPoll     = 10 * time.Millisecond
+	readHeaderTimeout = 10 * time.Second
+	idleTimeout       = 2 * time.Minute
+	maxHeaderBytes    = 64 << 10
+	drainTimeout      = 10 * time.Minute // maximum deadline of a class
+	drainPollInterval = 10 * time.Millisecond
 )
 
-// listen opens every listener before anything is served, so that an unusable
-// address is refused at start.
+// listen opens all listeners before any is served, so that an address that cannot be bound fails
+// the start.
 func (n *Node) listen(identity *security.Identity) error {
-	served := []struct {
+	endpoints := []struct {
 		key     string
 		address string
 		handler http.Handler
 		tls     *tls.Config
 	}{
 		{"listen.admin", n.settings.Listen.Admin, n.adminHandler(), nil},
-		{"listen.peers", n.settings.Listen.Peers, n.plane.Ingress(control.NewServer(&peerHandler{n}, n.metrics)), identity.Server()},
-		{"listen.egress", n.settings.Listen.Egress, n.plane.Egress(), nil},
-		{"listen.callers", n.settings.Listen.Callers, n.plane.Entry(), nil},
+		{"listen.peers", n.settings.Listen.Peers, n.dataPlane.Ingress(control.NewServer(&peerHandler{n}, n.metrics)), identity.Server()},
+		{"listen.egress", n.settings.Listen.Egress, n.dataPlane.Egress(), nil},
+		{"listen.callers", n.settings.Listen.Callers, n.dataPlane.Entry(), nil},
 	}
-	for _, one := range served {
-		if one.address == "" {
+	for _, endpoint := range endpoints {
+		if endpoint.address == "" {
 			continue
 		}
-		listener, err := net.Listen("tcp", one.address)
+		listener, err := net.Listen("tcp", endpoint.address)
 		if err != nil {
 			n.closeListeners()
-			return failure.Wrap(err, failure.BadInput, "name an address of this machine that is free", "settings: %s: %s", one.key, one.address)
+			return failure.Wrap(err, failure.BadInput, "configure a free address of this host", "settings: %s: cannot listen on %s", endpoint.key, endpoint.address)
 		}
-		if one.key == "listen.callers" {
-			n.callers = listener
+		if endpoint.key == "listen.callers" {
+			n.callerListener = listener
 		}
-		if one.tls != nil {
-			listener = tls.NewListener(listener, one.tls)
+		if endpoint.tls != nil {
+			listener = tls.NewListener(listener, endpoint.tls)
 		}
 		n.listeners = append(n.listeners, listener)
 		n.servers = append(n.servers, servers.New(listener, &http.Server{
-			Handler: one.handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeader,
-			ErrorLog: log.New(serverLog{n.log}, "", 0),
+			Handler: endpoint.handler, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
+			ErrorLog: log.New(httpErrorLog{n.log}, "", 0),
 		}))
 	}
 	return nil
@@ -152,9 +152,9 @@
 	}
 }
 
-// Run serves until ctx ends, then drains: new work is refused, what is in
-// flight is finished, and only then does Run return. hurry ends the wait.
-func (n *Node) Run(ctx, hurry context.Context) error {
+// Run serves until ctx is done, then shuts down gracefully: it refuses new calls and returns after
+// the calls in flight have completed. Cancelling force ends that wait.
+func (n *Node) Run(ctx, force context.Context) error {
 	failed := make(chan error, len(n.servers))
 	for _, server := range n.servers {
 		go func() { failed <- server.Run() }()
@@ -162,75 +162,74 @@
 	background, stop := context.WithCancel(context.Background())
 	defer n.background.Wait()
 	defer stop()
-	n.background.Go(func() { n.spread.run(background) })
+	n.background.Go(func() { n.disseminator.run(background) })
 	if n.claims != nil {
 		n.background.Go(func() { n.claims.Run(background) })
 	}
 	n.log.WithField("version", Version).WithField("incarnation", n.incarnation).Info("started")
 	select {
 	case err := <-failed:
-		return failure.Wrap(err, failure.Internal, "look at the machine", "a listener stopped")
+		return failure.Wrap(err, failure.Internal, "check the network of the host and restart the node", "server failed")
 	case <-ctx.Done():
 	}
-	n.stop(hurry)
+	n.stop(force)
 	return nil
 }
 
-// stop is the planned stop. New connections of callers are refused first; calls
-// that come on open connections are still served by an entry and refused as not
-// run beside a target, each with the request to close the connection. Ports stay
-// open until nothing is in flight, because calls that are still running need the
-// egress port and their peers.
-func (n *Node) stop(hurry context.Context) {
+// stop shuts the node down gracefully. It first closes the listener for external callers. On open
+// connections, an entry still serves calls and a node with a target refuses them as not run; both
+// ask the sender to close the connection. The other ports stay open until no calls are in flight,
+// because running calls need the egress port and the peers.
+func (n *Node) stop(force context.Context) {
 	n.drain("stopping")
-	n.plane.CloseConnections()
-	if n.callers != nil {
-		_ = n.callers.Close()
+	n.dataPlane.CloseConnections()
+	if n.callerListener != nil {
+		_ = n.callerListener.Close()
 	}
-	wait, cancel := context.WithTimeout(hurry, drainLimit)
+	drainCtx, cancel := context.WithTimeout(force, drainTimeout)
 	defer cancel()
-	for began := time.Now(); wait.Err() == nil && n.awaits(began) != drain.Nothing; {
-		time.Sleep(drainPoll)
+	for began := time.Now(); drainCtx.Err() == nil && n.drainPending(began) != drain.Nothing; {
+		time.Sleep(drainPollInterval)
 	}
-	n.log.WithField("in_flight", n.plane.InFlight()).Info("closing connections")
-	servers.Close(wait, n.servers, func() int64 { return int64(n.plane.InFlight()) })
-	n.plane.Close()
-	n.log.WithField("in_flight", n.plane.InFlight()).Info("stopped")
+	n.log.WithField("in_flight", n.dataPlane.InFlight()).Info("closing connections")
+	servers.Close(drainCtx, n.servers, func() int64 { return int64(n.dataPlane.InFlight()) })
+	n.dataPlane.Close()
+	n.log.WithField("in_flight", n.dataPlane.InFlight()).Info("stopped")
 }
 
-// awaits is what a stop that began at a time waits for.
-func (n *Node) awaits(began time.Time) drain.Awaits {
-	return drain.For(drain.State{InFlight: n.plane.InFlight(), Began: time.Since(began), Kept: n.plane.SinceKept()})
+// drainPending returns what a shutdown that started at began still waits for.
+func (n *Node) drainPending(began time.Time) drain.Awaits {
+	return drain.For(drain.State{InFlight: n.dataPlane.InFlight(), Began: time.Since(began), Kept: n.dataPlane.SinceKept()})
 }
 
-// drain makes the node refuse new work; the first reason stays.
+// drain makes the node refuse new calls. Only the first call has an effect.
 func (n *Node) drain(reason string) {
-	n.mutex.Lock()
-	defer n.mutex.Unlock()
-	n.beginDrain(reason)
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.drainLocked(reason)
 }
 
-// beginDrain is drain with the mutex held.
-func (n *Node) beginDrain(reason string) {
-	if n.drainedBy != "" {
+// drainLocked is drain for callers that hold n.mu.
+func (n *Node) drainLocked(reason string) {
+	if n.drainReason != "" {
 		return
 	}
-	n.drainedBy = reason
-	n.plane.Drain()
+	n.drainReason = reason
+	n.dataPlane.Drain()
 	n.log.WithField("reason", reason).Info("draining")
 }
 
-// install checks a release and puts it in force. An older or equal version
-// changes nothing.
+// install verifies a release and applies its bundle. It ignores versions that aren't newer than
+// the installed one.
 func (n *Node) install(release *bundle.Release) error {
-	n.mutex.Lock()
-	defer n.mutex.Unlock()
+	n.mu.Lock()
+	defer n.mu.Unlock()
 	if n.installed != nil && release.Version <= n.installed.Release.Version {
 		return nil
 	}
 	opened, err := bundle.Open(release, n.keyring, n.installed)
 	if err == nil && opened.Bundle.Mesh != n.settings.Mesh {
-		err = failure.New(failure.Untrusted, "roll it in the mesh that it names", "release %d is for mesh %q", release.Version, opened.Bundle.Mesh)
+		err = failure.New(failure.Untrusted, "roll the release in the mesh that it names", "release %d is for mesh %q", release.Version, opened.Bundle.Mesh)
 	}
 	if err != nil {
 		if !failure.Is(err, failure.Missing) {
@@ -245,40 +244,41 @@
 	n.installed = opened
 	n.metrics.BundleVersion.Set(float64(opened.Bundle.Version))
 	n.log.WithField("bundle_version", opened.Bundle.Version).WithField("signer", release.Signer).Info("bundle in force")
-	n.apply()
+	n.applyLocked()
 	return nil
 }
 
-// apply brings bundle and machine list into the data plane. The mutex is held.
-func (n *Node) apply() {
+// applyLocked applies the installed bundle and the machine list to the data plane, the claims and
+// the dissemination. The caller holds n.mu.
+func (n *Node) applyLocked() {
 	if n.installed == nil {
 		return
 	}
 	installed := n.installed.Bundle
-	n.plane.SetBundle(installed, n.machines.leaving)
+	n.dataPlane.SetBundle(installed, n.machines.leaving)
 	self, service := installed.Node(n.settings.Node)
 	if n.claims != nil && service != "" {
 		n.claims.SetService(service, installed.Service(service).Targets)
 	}
-	n.spread.setPeers(installed, n.settings.Node)
+	n.disseminator.setPeers(installed, n.settings.Node)
 	if self == nil {
 		return
 	}
 	switch {
 	case self.State == bundle.Leaving:
-		n.beginDrain("leaving by bundle")
+		n.drainLocked("marked as leaving in the bundle")
 	case n.machines.leaving[self.Name]:
-		n.beginDrain("leaving by machine list")
+		n.drainLocked("marked as leaving in the machine list")
 	}
 }
 
-func (n *Node) current() *bundle.Installed {
-	n.mutex.Lock()
-	defer n.mutex.Unlock()
+func (n *Node) currentBundle() *bundle.Installed {
+	n.mu.Lock()
+	defer n.mu.Unlock()
 	return n.installed
 }
 
-// Addresses gives the addresses listened on, for tests that use port 0.
+// Addresses returns the listen addresses, for tests that use port 0.
 func (n *Node) Addresses() []string {
 	addresses := make([]string, 0, len(n.listeners))
 	for _, listener := range n.listeners {
--- a/internal/mesh/node/node_test.go
+++ b/internal/mesh/node/node_test.go
@@ -80,7 +80,7 @@
 		}
 	})
 
-	It("refuses strangers on the peer port", func() {
+	It("rejects connections to the peer port without a client certificate", func() {
 		client := &http.Client{Transport: &http.Transport{TLSClientConfig: &tls.Config{InsecureSkipVerify: true}}}
 		_, err := client.Get("https://" + m.settings["front-1"].Listen.Peers + "/")
 		Expect(err).To(HaveOccurred())
@@ -90,7 +90,7 @@
 		}
 	})
 
-	It("streams both ways without waiting for the end", func() {
+	It("streams request and response bodies concurrently", func() {
 		m.front = func(w http.ResponseWriter, r *http.Request) {
 			Expect(http.NewResponseController(w).EnableFullDuplex()).To(Succeed())
 			lines := bufio.NewScanner(r.Body)
@@ -113,9 +113,9 @@
 		_ = writer.Close()
 	})
 
-	DescribeTable("a truncated answer reaches the caller as an error", func(announce bool) {
+	DescribeTable("propagates a truncated response to the caller as an error", func(contentLength bool) {
 		m.front = func(w http.ResponseWriter, r *http.Request) {
-			if announce {
+			if contentLength {
 				w.Header().Set("Content-Length", "100000")
 			}
 			_, _ = w.Write(make([]byte, 60000))
@@ -124,9 +124,9 @@
 		_, body, err := m.send("entry-1", "GET", "/x", nil, nil)
 		Expect(err).To(HaveOccurred())
 		Expect(len(body)).To(BeNumerically("<", 100000))
-	}, Entry("with its length announced", true), Entry("in chunks", false))
+	}, Entry("with Content-Length", true), Entry("with chunked encoding", false))
 
-	It("never sends a request twice by itself when a reused connection breaks", func() {
+	It("does not resend an at-most-once request when a reused connection breaks", func() {
 		var received atomic.Int64
 		m.front = func(w http.ResponseWriter, r *http.Request) {
 			_, _ = io.Copy(io.Discard, r.Body)
@@ -136,7 +136,7 @@
 			}
 		}
 		m.waitVoters()
-		for range 20 { // warm connections everywhere
+		for range 20 { // establish reusable connections between all nodes
 			_, _, err := m.send("entry-1", "GET", "/warm", nil, nil)
 			Expect(err).NotTo(HaveOccurred())
 		}
@@ -149,7 +149,7 @@
 		Expect(received.Load()).To(Equal(int64(10)))
 	})
 
-	It("tries a repeatable request again, up to the retries of its class", func() {
+	It("retries a repeatable request up to the limit of its class", func() {
 		var received atomic.Int64
 		m.front = func(w http.ResponseWriter, r *http.Request) {
 			received.Add(1)
@@ -162,7 +162,7 @@
 		Expect(received.Load()).To(BeNumerically(">=", 2))
 	})
 
-	It("runs a key once however often and wherever it is sent", func() {
+	It("executes an idempotency key once across concurrent requests to several entries", func() {
 		var runs atomic.Int64
 		m.front = func(w http.ResponseWriter, r *http.Request) {
 			runs.Add(1)
@@ -188,7 +188,7 @@
 		Expect(response.Header.Get("Landingmast-Reason")).To(Equal("kept_answer"))
 	})
 
-	It("takes a target's declared refusal as not run, unless the target has gone deeper", func() {
+	It("reports a declared refusal of a target as not run unless the target made calls", func() {
 		m.front = func(w http.ResponseWriter, r *http.Request) {
 			if r.URL.Path == "/deeper" {
 				response, err := m.call(r, "back", "/x")
@@ -208,16 +208,16 @@
 		Expect(response.StatusCode).To(Equal(http.StatusServiceUnavailable))
 	})
 
-	It("serves a chain of eight calls below the entry and refuses a deeper one", func() {
+	It("serves a call chain of the maximum depth and refuses a deeper one", func() {
 		other := map[string]string{"front": "back", "back": "front"}
 		hop := func(w http.ResponseWriter, r *http.Request) {
-			left, err := strconv.Atoi(strings.TrimPrefix(r.URL.Path, "/"))
+			remaining, err := strconv.Atoi(strings.TrimPrefix(r.URL.Path, "/"))
 			Expect(err).NotTo(HaveOccurred())
-			if left == 0 {
+			if remaining == 0 {
 				_, _ = fmt.Fprint(w, "bottom")
 				return
 			}
-			response, err := m.call(r, other[r.Host], fmt.Sprint("/", left-1))
+			response, err := m.call(r, other[r.Host], fmt.Sprint("/", remaining-1))
 			Expect(err).NotTo(HaveOccurred())
 			defer response.Body.Close()
 			w.WriteHeader(response.StatusCode)
@@ -229,18 +229,18 @@
 		Expect(body).To(Equal("bottom"))
 		decisions, err := m.admin("entry-2").Explain(context.Background(), response.Header.Get("X-Request-Id"))
 		Expect(err).NotTo(HaveOccurred())
-		most := 0
+		maxDepth := 0
 		for _, decision := range decisions {
-			most = max(most, decision.Depth)
+			maxDepth = max(maxDepth, decision.Depth)
 		}
-		Expect(most).To(Equal(8))
+		Expect(maxDepth).To(Equal(8))
 		response, body, err = m.send("entry-1", "GET", "/9", nil, nil)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(response.StatusCode).To(Equal(http.StatusLoopDetected))
 		Expect(body).To(ContainSubstring("too_deep"))
 	})
 
-	It("refuses what no class allows and names the remedy", func() {
+	It("refuses requests that match no class and names the remedy", func() {
 		response, body, err := m.send("entry-1", "POST", "/once", nil, nil)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(response.StatusCode).To(Equal(http.StatusBadRequest))
@@ -253,7 +253,7 @@
 		Expect(response.StatusCode).To(Equal(http.StatusNotFound))
 	})
 
-	It("gives a drained target no new work", func() {
+	It("routes no new calls to a draining target", func() {
 		var seen sync.Map
 		m.front = func(w http.ResponseWriter, r *http.Request) { seen.Store(r.Host+r.Header.Get("X-Request-Id"), true) }
 		_, err := m.admin("front-1").Drain(context.Background())
@@ -269,7 +269,7 @@
 		Expect(status.Admitted).To(BeZero())
 	})
 
-	It("puts a rolled bundle in force everywhere and refuses forged ones", func() {
+	It("installs a rolled bundle on all nodes and rejects forged releases", func() {
 		next := *m.bundle
 		next.Version = 2
 		m.roll(&next)
@@ -284,7 +284,7 @@
 		forged.Version = 3
 		release, err := bundle.Sign(&forged, "op", m.private)
 		Expect(err).NotTo(HaveOccurred())
-		release.Signer = "stranger"
+		release.Signer = "unknown"
 		_, err = roll.Roll(context.Background(), platform.NewConsul(m.storeAddr, time.Second), release)
 		Expect(err).NotTo(HaveOccurred())
 		Eventually(func() uint64 {
@@ -295,7 +295,7 @@
 		}, "10s", "50ms").Should(BeNumerically(">", 0))
 	})
 
-	It("takes no bundle on one peer's word after a restart without memory", func() {
+	It("does not install a bundle from a single peer after a restart", func() {
 		m.store.SetFaults(standin.Faults{Down: true})
 		for name := range m.settings {
 			if name != "entry-1" {
@@ -303,7 +303,7 @@
 				Eventually(m.stopped[name], "5s").Should(Receive(BeNil()))
 			}
 		}
-		m.startNode("front-1") // one of its six seeds is there: no majority
+		m.startNode("front-1") // one of its six seed peers is running: no majority
 		peer := m.settings["entry-1"]
 		identity, err := security.LoadIdentity(peer.TLS.Certificate, peer.TLS.Key, peer.TLS.Authorities)
 		Expect(err).NotTo(HaveOccurred())
@@ -319,7 +319,7 @@
 		m.waitReady("front-1")
 	})
 
-	It("tells the loser of two operators who won", func() {
+	It("names the winning signer to an operator whose roll conflicts", func() {
 		next := *m.bundle
 		next.Version = 2
 		m.roll(&next)
@@ -330,7 +330,7 @@
 		Expect(err.Error()).To(ContainSubstring("signed by op"))
 	})
 
-	It("cuts nothing in flight on a planned stop", func() {
+	It("completes requests in flight on a graceful shutdown", func() {
 		started := make(chan struct{}, 1)
 		m.front = func(w http.ResponseWriter, r *http.Request) {
 			if r.URL.Path == "/slow" {
@@ -353,7 +353,7 @@
 		Eventually(m.stopped["front-1"], "5s").Should(Receive(BeNil()))
 	})
 
-	It("asks to close the connections of callers whose answers come during a planned stop", func() {
+	It("sets Connection: close on responses sent during a graceful shutdown", func() {
 		started := make(chan struct{}, 1)
 		m.front = func(w http.ResponseWriter, r *http.Request) {
 			started <- struct{}{}
@@ -373,9 +373,9 @@
 		Expect(<-closes).To(BeTrue())
 	})
 
-	// The head of a stream has gone out when the stop begins, so that its connection cannot be
-	// announced to close: it stays open until its caller has had time to use it and be told.
-	It("serves the next request behind a stream that outlasts a planned stop's grace", func() {
+	// The headers of the stream are sent before the shutdown and can't carry Connection: close.
+	// Closing its connection right after the stream would lose the next request of the caller.
+	It("serves the next request on the connection of a stream that outlasts the drain grace period", func() {
 		started, end := make(chan struct{}, 1), make(chan struct{})
 		m.front = func(w http.ResponseWriter, r *http.Request) {
 			if r.URL.Path == "/next" {
--- a/internal/mesh/node/peer.go
+++ b/internal/mesh/node/peer.go
@@ -12,30 +12,30 @@
 	"github.com/sirupsen/logrus"
 )
 
-// peerHandler answers the control messages of other nodes.
+// peerHandler handles control requests from other nodes.
 type peerHandler struct{ node *Node }
 
 // ExchangeVersions implements control.Handler.
 func (h *peerHandler) ExchangeVersions(message *wire.Tell) (*wire.Tell, error) {
-	spread := h.node.spread
-	if spread.states[message.Topic] == nil {
-		return nil, failure.New(failure.BadInput, "run versions that are at most one release apart", "topic %q is unknown", message.Topic)
+	d := h.node.disseminator
+	if d.states[message.Topic] == nil {
+		return nil, failure.New(failure.BadInput, "run program versions that are at most one release apart", "unknown topic %q", message.Topic)
 	}
-	reply := &wire.Tell{From: h.node.settings.Node, Incarnation: h.node.incarnation, Topic: message.Topic, Version: spread.version(message.Topic)}
+	reply := &wire.Tell{From: h.node.settings.Node, Incarnation: h.node.incarnation, Topic: message.Topic, Version: d.version(message.Topic)}
 	if message.Version > reply.Version {
-		spread.heard(context.Background(), message.Topic, message.From, message.Version)
+		d.handleVersion(context.Background(), message.Topic, message.From, message.Version)
 	}
 	return reply, nil
 }
 
-// FetchBundle implements control.Handler. The release is a delta when the asker
-// has the version just before.
+// FetchBundle implements control.Handler. It returns a delta if the sender has the previous
+// version.
 func (h *peerHandler) FetchBundle(request *wire.Fetch) (*bundle.Release, error) {
-	h.node.mutex.Lock()
+	h.node.mu.Lock()
 	installed, previous := h.node.installed, h.node.previous
-	h.node.mutex.Unlock()
+	h.node.mu.Unlock()
 	if installed == nil {
-		return nil, failure.New(failure.Missing, "ask another node", "no bundle is in force here")
+		return nil, failure.New(failure.Missing, "ask another node", "no bundle is in force on this node")
 	}
 	if previous != nil && previous.Version == request.Have {
 		return installed.Release.Delta(previous), nil
@@ -45,8 +45,8 @@
 
 // FetchMachines implements control.Handler.
 func (h *peerHandler) FetchMachines(*wire.Fetch) (*wire.Machines, error) {
-	h.node.mutex.Lock()
-	defer h.node.mutex.Unlock()
+	h.node.mu.Lock()
+	defer h.node.mu.Unlock()
 	machines := &wire.Machines{Version: h.node.machines.version}
 	for name := range h.node.machines.leaving {
 		machines.Leaving = append(machines.Leaving, name)
@@ -71,16 +71,16 @@
 	return &wire.Query{Name: h.node.incarnation}, nil
 }
 
-func (h *peerHandler) voter() error {
+func (h *peerHandler) requireVoter() error {
 	if h.node.claims == nil {
-		return failure.New(failure.BadInput, "ask a node with a target", "an entry is no voter")
+		return failure.New(failure.BadInput, "send the request to a node with a target", "a node without a target is not a voter")
 	}
 	return nil
 }
 
 // Vote implements control.Handler.
 func (h *peerHandler) Vote(vote *wire.Vote) (*claim.Reply, error) {
-	if err := h.voter(); err != nil {
+	if err := h.requireVoter(); err != nil {
 		return nil, err
 	}
 	reply := h.node.claims.HandleVote(vote)
@@ -89,7 +89,7 @@
 
 // Seal implements control.Handler.
 func (h *peerHandler) Seal(request *wire.SealRequest) (*wire.SealReply, error) {
-	if err := h.voter(); err != nil {
+	if err := h.requireVoter(); err != nil {
 		return nil, err
 	}
 	return h.node.claims.HandleSeal(request), nil
@@ -97,7 +97,7 @@
 
 // Install implements control.Handler.
 func (h *peerHandler) Install(request *wire.InstallRequest) (*wire.SealReply, error) {
-	if err := h.voter(); err != nil {
+	if err := h.requireVoter(); err != nil {
 		return nil, err
 	}
 	return h.node.claims.HandleInstall(request), nil
@@ -105,22 +105,22 @@
 
 // NotifyVoterSet implements control.Handler.
 func (h *peerHandler) NotifyVoterSet(notice *wire.VoterSetNotice) error {
-	if err := h.voter(); err != nil {
+	if err := h.requireVoter(); err != nil {
 		return err
 	}
 	return h.node.claims.HandleNotice(notice)
 }
 
-// serverLog takes what net/http says: a panic is a fault of the program, the rest (failed
-// handshakes, callers that hang up) is about single connections.
-type serverLog struct{ log *logrus.Entry }
+// httpErrorLog logs the error messages of net/http servers. Panics are logged as errors; all other
+// messages concern single connections, such as failed TLS handshakes, and are logged at debug level.
+type httpErrorLog struct{ log *logrus.Entry }
 
 // Write implements io.Writer.
-func (s serverLog) Write(line []byte) (int, error) {
+func (l httpErrorLog) Write(line []byte) (int, error) {
 	level := logrus.DebugLevel
 	if bytes.HasPrefix(line, []byte("http: panic")) {
 		level = logrus.ErrorLevel
 	}
-	s.log.Log(level, string(line))
+	l.log.Log(level, string(line))
 	return len(line), nil
 }
--- a/internal/mesh/node/spread.go
+++ b/internal/mesh/node/spread.go
@@ -14,19 +14,19 @@
 	"github.com/landingmast/landingmast/internal/mesh/wire"
 )
 
-// machineList is what is known of the platform's machine list.
+// machineList is the newest known version of the platform's machine list.
 type machineList struct {
 	version int64
 	leaving map[string]bool
 }
 
-// spread drives the dissemination of the bundle and of the machine list.
-type spread struct {
+// disseminator runs the dissemination protocol for the bundle and the machine list.
+type disseminator struct {
 	node      *Node
-	mutex     sync.Mutex
+	mu        sync.Mutex
 	states    map[wire.Topic]*dissemination.State
 	addresses map[string]string
-	group     sync.WaitGroup
+	wg        sync.WaitGroup
 	reading   map[wire.Topic]bool
 }
 
@@ -36,199 +36,198 @@
 func (globalRandom) ExpFloat64() float64 { return rand.ExpFloat64() }
 func (globalRandom) Float64() float64    { return rand.Float64() }
 
-const spreadTick = 75 * time.Millisecond
+const tickInterval = 75 * time.Millisecond
 
-func newSpread(node *Node) *spread {
-	s := &spread{node: node, states: map[wire.Topic]*dissemination.State{}, addresses: map[string]string{}, reading: map[wire.Topic]bool{}}
+func newDisseminator(node *Node) *disseminator {
+	d := &disseminator{node: node, states: map[wire.Topic]*dissemination.State{}, addresses: map[string]string{}, reading: map[wire.Topic]bool{}}
 	for _, topic := range []wire.Topic{wire.TopicBundle, wire.TopicMachines} {
-		s.states[topic] = dissemination.New(dissemination.DefaultConfig(), globalRandom{})
+		d.states[topic] = dissemination.New(dissemination.DefaultConfig(), globalRandom{})
 	}
-	return s
+	return d
 }
 
-func (s *spread) now() time.Duration { return time.Since(s.node.started) }
+func (d *disseminator) now() time.Duration { return time.Since(d.node.startTime) }
 
-// setPeers sets the nodes to talk to. It is called with the node's mutex held.
-func (s *spread) setPeers(installed *bundle.Bundle, self string) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	clear(s.addresses)
+// setPeers sets the peers to exchange versions with. The caller holds the mutex of the node.
+func (d *disseminator) setPeers(installed *bundle.Bundle, self string) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	clear(d.addresses)
 	var peers []string
 	for _, node := range installed.Nodes() {
 		if node.Name != self {
-			s.addresses[node.Name] = node.Address
+			d.addresses[node.Name] = node.Address
 			peers = append(peers, node.Name)
 		}
 	}
 	sort.Strings(peers)
-	for _, state := range s.states {
+	for _, state := range d.states {
 		state.SetPeers(peers)
 	}
 }
 
-// run ticks until ctx ends. A node without memory first learns the version in
-// force: from the platform, or from a majority of its seed peers.
-func (s *spread) run(ctx context.Context) {
-	s.bootstrap(ctx)
-	ticker := time.NewTicker(spreadTick)
+// run bootstraps the node and then drives the protocol until ctx is done.
+func (d *disseminator) run(ctx context.Context) {
+	d.bootstrap(ctx)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
-	defer s.group.Wait()
+	defer d.wg.Wait()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			for topic := range s.states {
-				s.do(ctx, topic, s.step(topic, (*dissemination.State).Tick))
+			for topic := range d.states {
+				d.execute(ctx, topic, d.step(topic, (*dissemination.State).Tick))
 			}
 		}
 	}
 }
 
-func (s *spread) step(topic wire.Topic, step func(*dissemination.State, time.Duration) []dissemination.Action) []dissemination.Action {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	return step(s.states[topic], s.now())
+func (d *disseminator) step(topic wire.Topic, transition func(*dissemination.State, time.Duration) []dissemination.Action) []dissemination.Action {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return transition(d.states[topic], d.now())
 }
 
-func (s *spread) installed(topic wire.Topic, version int64) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	s.states[topic].Installed(s.now(), version)
+func (d *disseminator) markInstalled(topic wire.Topic, version int64) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.states[topic].Installed(d.now(), version)
 }
 
-func (s *spread) version(topic wire.Topic) int64 {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	return s.states[topic].Version()
+func (d *disseminator) version(topic wire.Topic) int64 {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.states[topic].Version()
 }
 
-func (s *spread) do(ctx context.Context, topic wire.Topic, actions []dissemination.Action) {
+func (d *disseminator) execute(ctx context.Context, topic wire.Topic, actions []dissemination.Action) {
 	for _, action := range actions {
 		switch action.Kind {
 		case dissemination.ReadPlatform:
-			s.group.Go(func() { s.readPlatform(ctx, topic) })
+			d.wg.Go(func() { d.readPlatform(ctx, topic) })
 		case dissemination.Tell:
-			s.group.Go(func() { s.tell(ctx, topic, action) })
+			d.wg.Go(func() { d.exchangeVersions(ctx, topic, action) })
 		case dissemination.Fetch:
-			s.group.Go(func() { s.fetch(ctx, topic, s.address(action.Peer)) })
+			d.wg.Go(func() { d.fetch(ctx, topic, d.peerAddress(action.Peer)) })
 		}
 	}
 }
 
-func (s *spread) address(peer string) string {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	return s.addresses[peer]
+func (d *disseminator) peerAddress(peer string) string {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.addresses[peer]
 }
 
-func (s *spread) tell(ctx context.Context, topic wire.Topic, action dissemination.Action) {
-	address := s.address(action.Peer)
+func (d *disseminator) exchangeVersions(ctx context.Context, topic wire.Topic, action dissemination.Action) {
+	address := d.peerAddress(action.Peer)
 	if address == "" {
 		return
 	}
-	reply, err := s.node.peers.ExchangeVersions(ctx, address, &wire.Tell{From: s.node.settings.Node, Incarnation: s.node.incarnation, Topic: topic, Version: action.Version})
+	reply, err := d.node.controlClient.ExchangeVersions(ctx, address, &wire.Tell{From: d.node.settings.Node, Incarnation: d.node.incarnation, Topic: topic, Version: action.Version})
 	if err != nil {
 		return
 	}
-	s.heard(ctx, topic, action.Peer, reply.Version)
+	d.handleVersion(ctx, topic, action.Peer, reply.Version)
 }
 
-func (s *spread) heard(ctx context.Context, topic wire.Topic, peer string, version int64) {
-	actions := s.step(topic, func(state *dissemination.State, now time.Duration) []dissemination.Action {
+func (d *disseminator) handleVersion(ctx context.Context, topic wire.Topic, peer string, version int64) {
+	actions := d.step(topic, func(state *dissemination.State, now time.Duration) []dissemination.Action {
 		return state.Heard(now, peer, version)
 	})
-	s.do(ctx, topic, actions)
+	d.execute(ctx, topic, actions)
 }
 
-func (s *spread) fetch(ctx context.Context, topic wire.Topic, address string) {
+func (d *disseminator) fetch(ctx context.Context, topic wire.Topic, address string) {
 	if address == "" {
 		return
 	}
 	if topic == wire.TopicMachines {
-		if machines, err := s.node.peers.FetchMachines(ctx, address); err == nil {
-			s.takeMachines(machines)
+		if machines, err := d.node.controlClient.FetchMachines(ctx, address); err == nil {
+			d.updateMachines(machines)
 		}
 		return
 	}
-	release, err := s.node.peers.FetchBundle(ctx, address, s.version(topic))
+	release, err := d.node.controlClient.FetchBundle(ctx, address, d.version(topic))
 	if err != nil {
 		return
 	}
-	if err := s.take(release); failure.Is(err, failure.Missing) {
-		if release, err = s.node.peers.FetchBundle(ctx, address, 0); err == nil {
-			_ = s.take(release)
+	if err := d.installRelease(release); failure.Is(err, failure.Missing) {
+		if release, err = d.node.controlClient.FetchBundle(ctx, address, 0); err == nil {
+			_ = d.installRelease(release)
 		}
 	}
 }
 
-func (s *spread) take(release *bundle.Release) error {
-	if err := s.node.install(release); err != nil {
+func (d *disseminator) installRelease(release *bundle.Release) error {
+	if err := d.node.install(release); err != nil {
 		return err
 	}
-	if installed := s.node.current(); installed != nil {
-		s.installed(wire.TopicBundle, installed.Release.Version)
+	if installed := d.node.currentBundle(); installed != nil {
+		d.markInstalled(wire.TopicBundle, installed.Release.Version)
 	}
 	return nil
 }
 
-func (s *spread) takeMachines(machines *wire.Machines) {
-	n := s.node
-	n.mutex.Lock()
+func (d *disseminator) updateMachines(machines *wire.Machines) {
+	n := d.node
+	n.mu.Lock()
 	if machines.Version > n.machines.version {
 		leaving := map[string]bool{}
 		for _, name := range machines.Leaving {
 			leaving[name] = true
 		}
 		n.machines = machineList{version: machines.Version, leaving: leaving}
-		n.apply()
+		n.applyLocked()
 	}
 	version := n.machines.version
-	n.mutex.Unlock()
-	s.installed(wire.TopicMachines, version)
+	n.mu.Unlock()
+	d.markInstalled(wire.TopicMachines, version)
 }
 
-// readPlatform reads a topic from the platform; one read of a topic at a time.
-func (s *spread) readPlatform(ctx context.Context, topic wire.Topic) {
-	if s.node.store == nil || !s.beginReading(topic) {
+// readPlatform reads a topic from the platform unless a read of that topic is in progress.
+func (d *disseminator) readPlatform(ctx context.Context, topic wire.Topic) {
+	if d.node.store == nil || !d.beginRead(topic) {
 		return
 	}
-	defer s.endReading(topic)
+	defer d.endRead(topic)
 	if topic == wire.TopicMachines {
-		s.readMachines(ctx)
+		d.readMachines(ctx)
 		return
 	}
-	_, _ = s.readRelease(ctx)
+	_, _ = d.readRelease(ctx)
 }
 
-func (s *spread) beginReading(topic wire.Topic) bool {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	if s.reading[topic] {
+func (d *disseminator) beginRead(topic wire.Topic) bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.reading[topic] {
 		return false
 	}
-	s.reading[topic] = true
+	d.reading[topic] = true
 	return true
 }
 
-func (s *spread) endReading(topic wire.Topic) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	s.reading[topic] = false
+func (d *disseminator) endRead(topic wire.Topic) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.reading[topic] = false
 }
 
-func (s *spread) count(request string, err error) {
+func (d *disseminator) countPlatformRequest(request string, err error) {
 	result := "ok"
 	if err != nil {
 		result = string(failure.KindOf(err))
 	}
-	s.node.metrics.PlatformRequests.WithLabelValues(request, result).Inc()
+	d.node.metrics.PlatformRequests.WithLabelValues(request, result).Inc()
 }
 
-// readRelease reads the release in force; it tells whether the platform answered.
-func (s *spread) readRelease(ctx context.Context) (answered bool, err error) {
-	entry, err := s.node.store.Get(ctx, platform.ReleaseKey(s.node.settings.Mesh))
-	s.count("get_release", err)
+// readRelease reads and installs the release in force. It reports whether the platform answered.
+func (d *disseminator) readRelease(ctx context.Context) (answered bool, err error) {
+	entry, err := d.node.store.Get(ctx, platform.ReleaseKey(d.node.settings.Mesh))
+	d.countPlatformRequest("get_release", err)
 	if err != nil {
 		return false, err
 	}
@@ -237,15 +236,15 @@
 	}
 	record, err := platform.DecodeReleaseRecord(entry.Value)
 	if err != nil {
-		s.node.metrics.BundlesRejected.Inc()
+		d.node.metrics.BundlesRejected.Inc()
 		return true, err
 	}
-	return true, s.take(record.Release)
+	return true, d.installRelease(record.Release)
 }
 
-func (s *spread) readMachines(ctx context.Context) {
-	list, index, err := s.node.store.Machines(ctx)
-	s.count("machines", err)
+func (d *disseminator) readMachines(ctx context.Context) {
+	list, index, err := d.node.store.Machines(ctx)
+	d.countPlatformRequest("machines", err)
 	if err != nil {
 		return
 	}
@@ -255,45 +254,45 @@
 			machines.Leaving = append(machines.Leaving, machine.Node)
 		}
 	}
-	s.takeMachines(machines)
+	d.updateMachines(machines)
 }
 
-// bootstrap waits until the version in force is known. A node that was cut off
-// may still hold an old version, so one peer's word is not enough: the platform
-// or a majority of the seeds has to answer, and the highest version counts.
-func (s *spread) bootstrap(ctx context.Context) {
+// bootstrap waits until the release in force is known, either from the platform or as the highest
+// version of a majority of the seed peers. A single peer isn't sufficient, because it may have been
+// partitioned and hold an old version.
+func (d *disseminator) bootstrap(ctx context.Context) {
 	for ctx.Err() == nil {
-		if s.node.store != nil {
-			answered, err := s.readRelease(ctx)
-			if answered && err == nil && s.node.current() != nil {
+		if d.node.store != nil {
+			answered, err := d.readRelease(ctx)
+			if answered && err == nil && d.node.currentBundle() != nil {
 				break
 			}
 		}
-		if s.askSeeds(ctx) {
+		if d.fetchFromSeeds(ctx) {
 			break
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(bootstrapPause/2 + rand.N(bootstrapPause)):
+		case <-time.After(bootstrapRetryInterval/2 + rand.N(bootstrapRetryInterval)):
 		}
 	}
-	s.node.mutex.Lock()
-	s.node.readyToTake = true
-	s.node.mutex.Unlock()
+	d.node.mu.Lock()
+	d.node.bootstrapped = true
+	d.node.mu.Unlock()
 }
 
-const bootstrapPause = 200 * time.Millisecond
+const bootstrapRetryInterval = 200 * time.Millisecond
 
-// askSeeds takes the highest release of the seeds; true when a majority answered
-// and one of them had a release.
-func (s *spread) askSeeds(ctx context.Context) bool {
-	seeds := s.node.settings.Peers
+// fetchFromSeeds installs the highest release of the seed peers. It fails unless a majority of them
+// returned a release.
+func (d *disseminator) fetchFromSeeds(ctx context.Context) bool {
+	seeds := d.node.settings.Peers
 	releases := make(chan *bundle.Release, len(seeds))
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
 	for _, seed := range seeds {
-		s.group.Go(func() {
-			release, err := s.node.peers.FetchBundle(ctx, seed, 0)
+		d.wg.Go(func() {
+			release, err := d.node.controlClient.FetchBundle(ctx, seed, 0)
 			if err != nil {
 				release = nil
 			}
@@ -315,5 +314,5 @@
 	if best == nil || answered < len(seeds)/2+1 {
 		return false
 	}
-	return s.take(best) == nil
+	return d.installRelease(best) == nil
 }
