--- a/internal/mesh/wire/call.go
+++ b/internal/mesh/wire/call.go
@@ -1,15 +1,14 @@
-// Package wire holds the messages between nodes of the mesh mode: those that travel
-// with a call and those of control (bundles, claims, machines). docs/mesh/PROTOCOL.md
-// lists them.
+// Package wire defines the messages that mesh nodes exchange: call metadata and
+// control messages (bundles, claims, machines). docs/mesh/PROTOCOL.md lists them.
 package wire
 
 import "github.com/landingmast/landingmast/internal/codec"
 
-// ProtocolVersion is the version of the node protocol that this program speaks.
+// ProtocolVersion is the version of the node-to-node protocol implemented here.
 const ProtocolVersion = 1
 
-// Names of the headers between nodes. Callers cannot set them: entries and
-// egress ports strip every header with the prefix.
+// Header names used between nodes. Entry and egress ports strip every header with
+// HeaderPrefix, so callers cannot set them.
 const (
 	HeaderPrefix = "Landingmast-"
 	HeaderCall   = "Landingmast-Call"
@@ -17,7 +16,7 @@
 	TrailerEnd   = "Landingmast-End"
 )
 
-// Names of the headers towards callers and targets.
+// Header names exposed to callers and targets.
 const (
 	HeaderRequestID = "X-Request-Id"
 	HeaderOutcome   = "Landingmast-Outcome"
@@ -25,7 +24,7 @@
 	HeaderDeadline  = "X-Request-Deadline-Ms"
 )
 
-// Call is the context of one call from node to node.
+// Call is the metadata of a call between two nodes.
 type Call struct {
 	Protocol   int    `avro:"protocol"`
 	RequestID  string `avro:"request_id"`
@@ -36,32 +35,32 @@
 	Level      int    `avro:"level"`
 	Rank       int    `avro:"rank"`
 	Depth      int    `avro:"depth"`
-	Remaining  int64  `avro:"remaining_us"` // until the deadline, microseconds
-	Credits    int    `avro:"credits"`      // lent with this call
+	Remaining  int64  `avro:"remaining_us"` // time until the deadline, in microseconds
+	Credits    int    `avro:"credits"`      // retry credits lent with this call
 	AtMostOnce bool   `avro:"at_most_once"`
 	Key        string `avro:"key"`
 	From       string `avro:"from"`
 }
 
-// Result is the head of the answer to a call.
+// Result is the header of a response to a call.
 type Result struct {
 	Outcome       string `avro:"outcome"`
 	Reason        string `avro:"reason"`
-	Status        int    `avro:"status"`         // of the target's answer
-	ContentLength int64  `avro:"content_length"` // of the target's answer; -1 unknown
-	Cursor        int    `avro:"cursor"`         // highest rank admitted here; -1 unknown
-	PathCursor    int    `avro:"path_cursor"`    // lowest cursor met below, for this class; -1 unknown
-	Executor      string `avro:"executor"`       // node to ask instead, for a key that is claimed there
-	RetryAfter    int64  `avro:"retry_after"`    // milliseconds
+	Status        int    `avro:"status"`         // status code of the target's response
+	ContentLength int64  `avro:"content_length"` // of the target's response; -1 if unknown
+	Cursor        int    `avro:"cursor"`         // highest rank admitted by this node; -1 if unknown
+	PathCursor    int    `avro:"path_cursor"`    // lowest cursor downstream for this class; -1 if unknown
+	Executor      string `avro:"executor"`       // node holding the claim on the key, to be called instead
+	RetryAfter    int64  `avro:"retry_after"`    // in milliseconds
 }
 
-// End closes the answer to a call.
+// End is the trailer of a response to a call.
 type End struct {
 	CallID  string `avro:"call_id"`
-	Unspent int    `avro:"unspent"` // retry credits given back
-	Length  int64  `avro:"length"`  // bytes of the body
+	Unspent int    `avro:"unspent"` // retry credits returned to the caller
+	Length  int64  `avro:"length"`  // body length in bytes
 	Digest  int64  `avro:"digest"`  // xxhash64 of the body
-	Broken  bool   `avro:"broken"`  // the target's answer broke off
+	Broken  bool   `avro:"broken"`  // the target's response was truncated
 }
 
 const (
@@ -83,7 +82,7 @@
 {"name":"digest","type":"long"},{"name":"broken","type":"boolean","default":false}]}`
 )
 
-// Codecs of the messages that travel with calls.
+// Codecs of the call metadata.
 var (
 	CallCodec   = codec.New[Call](codec.MaxHeader, callSchema)
 	ResultCodec = codec.New[Result](codec.MaxHeader, resultSchema)
--- a/internal/mesh/wire/control.go
+++ b/internal/mesh/wire/control.go
@@ -6,17 +6,17 @@
 	"github.com/landingmast/landingmast/internal/mesh/core/claim"
 )
 
-// Topic names one of the documents that are spread to every node.
+// Topic identifies a document that is replicated to every node.
 type Topic string
 
-// The topics.
+// Replicated documents.
 const (
-	TopicBundle   Topic = "bundle"   // the signed release
-	TopicMachines Topic = "machines" // the machines that the platform's list calls leaving
+	TopicBundle   Topic = "bundle"   // signed release
+	TopicMachines Topic = "machines" // machines marked as leaving in the platform's machine list
 )
 
-// Tell says which version of a topic the sender has; the answer says the same
-// of the receiver.
+// Tell announces the sender's version of a topic. The response carries the
+// receiver's version.
 type Tell struct {
 	From        string `avro:"from"`
 	Incarnation string `avro:"incarnation"`
@@ -24,50 +24,51 @@
 	Version     int64  `avro:"version"`
 }
 
-// Fetch asks for a topic's document, as a delta to the version if possible.
+// Fetch requests a topic's document, as a delta from version Have if possible.
 type Fetch struct {
 	Topic Topic `avro:"topic"`
 	Have  int64 `avro:"have"`
 }
 
-// Machines is the part of the machine list that matters: who is leaving.
+// Machines is the subset of the machine list that nodes use: the leaving machines.
 type Machines struct {
 	Version int64    `avro:"version"`
 	Leaving []string `avro:"leaving"`
 }
 
-// Query asks for something by name: the status (empty) or the records of a request.
+// Query carries one name: the request ID of an explain request or the incarnation in an
+// identity reply. It is empty in status requests and acknowledgements.
 type Query struct {
 	Name string `avro:"name"`
 }
 
-// JSON carries an admin document from peer to peer; its type is the admin API's.
+// JSON carries an admin API document between peers.
 type JSON struct {
 	Body []byte `avro:"body"`
 }
 
-// Vote carries a claim request to a voter of a service.
+// Vote sends a claim request to a voter of a service.
 type Vote struct {
 	Service string        `avro:"service"`
-	Voter   string        `avro:"voter"` // incarnation that is meant
+	Voter   string        `avro:"voter"` // incarnation the request is addressed to
 	Request claim.Request `avro:"request"`
 }
 
-// SealRequest asks a voter to end its part in an epoch.
+// SealRequest asks a voter to stop accepting votes in an epoch.
 type SealRequest struct {
 	Service string `avro:"service"`
 	Epoch   int64  `avro:"epoch"`
 	Voter   string `avro:"voter"`
 }
 
-// SealReply gives what the voter holds.
+// SealReply returns a voter's claims; it also answers InstallRequest.
 type SealReply struct {
 	Refusal   string        `avro:"refusal"`
 	Installed bool          `avro:"installed"`
 	Entries   []claim.Entry `avro:"entries"`
 }
 
-// InstallRequest makes a voter active in an epoch, with the claims carried over.
+// InstallRequest activates a voter in an epoch with the claims of the previous one.
 type InstallRequest struct {
 	Service string        `avro:"service"`
 	Epoch   int64         `avro:"epoch"`
@@ -75,16 +76,16 @@
 	Entries []claim.Entry `avro:"entries"`
 }
 
-// VoterSetNotice tells a node of a voter set; JSON of claim.VoterSet.
+// VoterSetNotice announces the active voter set; Body is a JSON claim.VoterSet.
 type VoterSetNotice struct {
 	Body []byte `avro:"body"`
 }
 
 const (
-	ballotFields = `{"type":"record","name":"Ballot","fields":[{"name":"epoch","type":"long"},{"name":"round","type":"long"},{"name":"proposer","type":"string"}]}`
-	executor     = `{"type":"record","name":"Executor","fields":[{"name":"node","type":"string"},{"name":"incarnation","type":"string"}]}`
-	entryRecord  = `{"type":"record","name":"Entry","fields":[{"name":"key","type":"string"},{"name":"promised","type":` + ballotFields +
-		`},{"name":"accepted","type":"Ballot"},{"name":"executor","type":` + executor + `}]}`
+	ballotRecord   = `{"type":"record","name":"Ballot","fields":[{"name":"epoch","type":"long"},{"name":"round","type":"long"},{"name":"proposer","type":"string"}]}`
+	executorRecord = `{"type":"record","name":"Executor","fields":[{"name":"node","type":"string"},{"name":"incarnation","type":"string"}]}`
+	entryRecord    = `{"type":"record","name":"Entry","fields":[{"name":"key","type":"string"},{"name":"promised","type":` + ballotRecord +
+		`},{"name":"accepted","type":"Ballot"},{"name":"executor","type":` + executorRecord + `}]}`
 
 	tellSchema     = `{"type":"record","name":"Tell","fields":[{"name":"from","type":"string"},{"name":"incarnation","type":"string"},{"name":"topic","type":"string"},{"name":"version","type":"long"}]}`
 	fetchSchema    = `{"type":"record","name":"Fetch","fields":[{"name":"topic","type":"string"},{"name":"have","type":"long"}]}`
@@ -96,17 +97,17 @@
 {"name":"base","type":"long","default":0},{"name":"sections","type":{"type":"array","items":{"type":"record","name":"Section","fields":[{"name":"name","type":"string"},{"name":"body","type":"bytes"}]}}},
 {"name":"removed","type":{"type":"array","items":"string"}}]}`
 	voteSchema = `{"type":"record","name":"Vote","fields":[{"name":"service","type":"string"},{"name":"voter","type":"string"},
-{"name":"request","type":{"type":"record","name":"Request","fields":[{"name":"prepare","type":"boolean"},{"name":"key","type":"string"},{"name":"ballot","type":` + ballotFields +
-		`},{"name":"executor","type":` + executor + `}]}}]}`
-	replySchema = `{"type":"record","name":"Reply","fields":[{"name":"refusal","type":"string"},{"name":"promised","type":` + ballotFields +
-		`},{"name":"accepted","type":"Ballot"},{"name":"executor","type":` + executor + `},{"name":"epoch","type":"long"}]}`
+{"name":"request","type":{"type":"record","name":"Request","fields":[{"name":"prepare","type":"boolean"},{"name":"key","type":"string"},{"name":"ballot","type":` + ballotRecord +
+		`},{"name":"executor","type":` + executorRecord + `}]}}]}`
+	replySchema = `{"type":"record","name":"Reply","fields":[{"name":"refusal","type":"string"},{"name":"promised","type":` + ballotRecord +
+		`},{"name":"accepted","type":"Ballot"},{"name":"executor","type":` + executorRecord + `},{"name":"epoch","type":"long"}]}`
 	sealSchema      = `{"type":"record","name":"SealRequest","fields":[{"name":"service","type":"string"},{"name":"epoch","type":"long"},{"name":"voter","type":"string"}]}`
 	sealReplySchema = `{"type":"record","name":"SealReply","fields":[{"name":"refusal","type":"string"},{"name":"installed","type":"boolean"},{"name":"entries","type":{"type":"array","items":` + entryRecord + `}}]}`
 	installSchema   = `{"type":"record","name":"InstallRequest","fields":[{"name":"service","type":"string"},{"name":"epoch","type":"long"},{"name":"voter","type":"string"},{"name":"entries","type":{"type":"array","items":` + entryRecord + `}}]}`
 	noticeSchema    = `{"type":"record","name":"VoterSetNotice","fields":[{"name":"body","type":"bytes"}]}`
 )
 
-// Sizes that bound control messages, in bytes.
+// Size limits of control messages, in bytes.
 const (
 	maxSmallMessage = 16 << 10
 	maxLargeMessage = 32 << 20
--- a/internal/mesh/wire/wire_test.go
+++ b/internal/mesh/wire/wire_test.go
@@ -9,7 +9,7 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestMessagesRoundTrip(t *testing.T) {
+func TestMessageRoundTrip(t *testing.T) {
 	g := NewWithT(t)
 	call := &Call{Protocol: 1, RequestID: "r", CallID: "c", Service: "s", Rank: 70, Remaining: 5, Credits: 3, AtMostOnce: true, Key: "k"}
 	header, err := CallCodec.EncodeHeader(call)
