--- a/internal/mesh/platform/consul.go
+++ b/internal/mesh/platform/consul.go
@@ -17,8 +17,8 @@
 	goa "goa.design/goa/v3/pkg"
 )
 
-// Consul speaks the published HTTP protocol through the client that goa made
-// from design/platform.go.
+// Consul implements Store over Consul's HTTP API, using the client that goa
+// generates from design/platform.go.
 type Consul struct {
 	client  *api.Client
 	timeout time.Duration
@@ -26,9 +26,9 @@
 
 var _ Store = (*Consul)(nil)
 
-// NewConsul makes the adapter to the service at IP:port.
+// NewConsul returns a Store for the Consul agent at address, given as IP:port.
 func NewConsul(address string, timeout time.Duration) *Consul {
-	transport := plainErrors{&http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2, IdleConnTimeout: time.Minute}}}
+	transport := errorNormalizer{&http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2, IdleConnTimeout: time.Minute}}}
 	raw := httpclient.NewClient("http", address, transport, goahttp.RequestEncoder, goahttp.ResponseDecoder, false)
 	return &Consul{
 		client:  api.NewClient(raw.Get(), raw.Put(), raw.CreateSession(), raw.RenewSession(), raw.DestroySession(), raw.CatalogNodes()),
@@ -36,22 +36,22 @@
 	}
 }
 
-// plainErrors gives errors the body that the generated client reads. The service
-// itself answers them with plain text or nothing; only the status counts.
-type plainErrors struct{ client *http.Client }
+// errorNormalizer replaces the body of error responses by the JSON that the generated
+// client decodes. Consul itself returns plain text or no body.
+type errorNormalizer struct{ client *http.Client }
 
-var errorNames = map[int]string{
+var errorNameByStatus = map[int]string{
 	http.StatusTooManyRequests: "limited", http.StatusNotFound: "missing", http.StatusBadRequest: "malformed",
 	http.StatusInternalServerError: "unavailable", http.StatusServiceUnavailable: "unavailable",
 }
 
 // Do implements goahttp.Doer.
-func (p plainErrors) Do(request *http.Request) (*http.Response, error) {
-	response, err := p.client.Do(request)
+func (e errorNormalizer) Do(request *http.Request) (*http.Response, error) {
+	response, err := e.client.Do(request)
 	if err != nil {
 		return nil, err
 	}
-	name, isError := errorNames[response.StatusCode]
+	name, isError := errorNameByStatus[response.StatusCode]
 	if !isError {
 		return response, nil
 	}
@@ -76,10 +76,10 @@
 	defer cancel()
 	result, err := c.client.Get(ctx, &api.GetPayload{Key: key})
 	if err != nil {
-		if isNamed(err, "missing") {
+		if hasErrorName(err, "missing") {
 			return Entry{}, nil
 		}
-		return Entry{}, readError(err)
+		return Entry{}, classifyReadError(err)
 	}
 	if len(result.Pairs) == 0 {
 		return Entry{}, nil
@@ -94,7 +94,7 @@
 	payload := &api.PutPayload{Key: key, Cas: &index}
 	written, err := c.client.Put(ctx, payload, io.NopCloser(bytes.NewReader(value)))
 	if err != nil {
-		return false, writeError(err)
+		return false, classifyWriteError(err)
 	}
 	return written, nil
 }
@@ -105,11 +105,11 @@
 	defer cancel()
 	result, err := c.client.CatalogNodes(ctx)
 	if err != nil {
-		return nil, 0, readError(err)
+		return nil, 0, classifyReadError(err)
 	}
 	index, err := strconv.ParseUint(result.Index, 10, 64)
 	if err != nil {
-		return nil, 0, failure.Wrap(err, failure.Unavailable, "look at the platform's service", "machine list has an unusable index %q", result.Index)
+		return nil, 0, failure.Wrap(err, failure.Unavailable, "check the platform's service", "machine list has an invalid index %q", result.Index)
 	}
 	machines := make([]Machine, 0, len(result.Nodes))
 	for _, node := range result.Nodes {
@@ -118,34 +118,34 @@
 	return machines, index, nil
 }
 
-func isNamed(err error, name string) bool {
+func hasErrorName(err error, name string) bool {
 	var named *goa.ServiceError
 	return errors.As(err, &named) && named.Name == name
 }
 
 const (
-	outageRemedy = "nothing now: nodes go on with what they have; look at the platform's service if it lasts"
-	doubtRemedy  = "read the key again to see whether the change took effect"
+	outageRemedy    = "none needed: nodes keep using their current data; check the platform's service if the outage persists"
+	uncertainRemedy = "read the key again to check whether the write took effect"
 )
 
-func readError(err error) error {
+func classifyReadError(err error) error {
 	switch {
-	case isNamed(err, "limited"):
-		return failure.Wrap(err, failure.Limited, "ask again later", "platform limits requests")
-	case isNamed(err, "missing"):
-		return failure.Wrap(err, failure.Missing, "create it again", "platform has no such key or session")
-	case isNamed(err, "malformed"):
-		return failure.Wrap(err, failure.BadInput, "report this", "platform refused the request")
+	case hasErrorName(err, "limited"):
+		return failure.Wrap(err, failure.Limited, "retry later", "platform rate limit exceeded")
+	case hasErrorName(err, "missing"):
+		return failure.Wrap(err, failure.Missing, "create the key or session again", "key or session not found in the platform")
+	case hasErrorName(err, "malformed"):
+		return failure.Wrap(err, failure.BadInput, "report this as a bug", "platform rejected the request as malformed")
 	default:
-		return failure.Wrap(err, failure.Unavailable, outageRemedy, "platform cannot be reached")
+		return failure.Wrap(err, failure.Unavailable, outageRemedy, "platform is unreachable")
 	}
 }
 
-// writeError tells apart the refusals that came before any effect from answers
-// that were lost.
-func writeError(err error) error {
-	if isNamed(err, "limited") || isNamed(err, "malformed") || isNamed(err, "missing") {
-		return readError(err)
+// classifyWriteError distinguishes writes that were rejected before taking effect from
+// writes whose result is unknown.
+func classifyWriteError(err error) error {
+	if hasErrorName(err, "limited") || hasErrorName(err, "malformed") || hasErrorName(err, "missing") {
+		return classifyReadError(err)
 	}
-	return failure.Wrap(err, failure.Uncertain, doubtRemedy, "answer of the platform was lost")
+	return failure.Wrap(err, failure.Uncertain, uncertainRemedy, "no response from the platform; the write may have taken effect")
 }
--- a/internal/mesh/platform/consul_test.go
+++ b/internal/mesh/platform/consul_test.go
@@ -12,7 +12,7 @@
 	. "github.com/onsi/gomega"
 )
 
-func start(t *testing.T) (*standin.Platform, platform.Store) {
+func newStore(t *testing.T) (*standin.Platform, platform.Store) {
 	service := standin.NewPlatform()
 	server := httptest.NewServer(service.Handler())
 	t.Cleanup(server.Close)
@@ -21,7 +21,7 @@
 
 func TestCompareAndSwap(t *testing.T) {
 	g := NewWithT(t)
-	_, store := start(t)
+	_, store := newStore(t)
 	ctx := context.Background()
 	entry, err := store.Get(ctx, "landingmast/m/x")
 	g.Expect(err).NotTo(HaveOccurred())
@@ -34,9 +34,9 @@
 	g.Expect(store.CompareAndSwap(ctx, "landingmast/m/x", []byte("two"), entry.Index)).To(BeTrue())
 }
 
-func TestFaultsHaveTheirKinds(t *testing.T) {
+func TestErrorKinds(t *testing.T) {
 	g := NewWithT(t)
-	service, store := start(t)
+	service, store := newStore(t)
 	ctx := context.Background()
 	service.SetFaults(standin.Faults{LoseAnswers: true})
 	_, err := store.CompareAndSwap(ctx, "k", []byte("one"), 0)
@@ -44,7 +44,7 @@
 	service.SetFaults(standin.Faults{})
 	entry, err := store.Get(ctx, "k")
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(string(entry.Value)).To(Equal("one")) // it had taken effect
+	g.Expect(string(entry.Value)).To(Equal("one")) // the write took effect although its response was lost
 
 	service.SetFaults(standin.Faults{Down: true})
 	_, err = store.Get(ctx, "k")
@@ -55,9 +55,9 @@
 	g.Expect(failure.Is(err, failure.Limited)).To(BeTrue())
 }
 
-func TestTheMachineListLags(t *testing.T) {
+func TestMachines(t *testing.T) {
 	g := NewWithT(t)
-	service, store := start(t)
+	service, store := newStore(t)
 	service.SetMachine("n-1", "live")
 	service.SetMachine("n-2", "leaving")
 	machines, index, err := store.Machines(context.Background())
@@ -70,7 +70,7 @@
 	g.Expect(machines).To(BeEmpty())
 }
 
-func TestABrokenRecordIsRefused(t *testing.T) {
+func TestDecodeReleaseRecordRejectsMalformedData(t *testing.T) {
 	g := NewWithT(t)
 	for _, data := range [][]byte{nil, []byte("{}"), {0x1f, 0x8b, 0, 0}} {
 		_, err := platform.DecodeReleaseRecord(data)
--- a/internal/mesh/platform/platform.go
+++ b/internal/mesh/platform/platform.go
@@ -1,37 +1,37 @@
-// Package platform is the port to the platform's key-value service and machine
-// list, with the adapter to Consul's published HTTP protocol.
+// Package platform defines access to the platform's key-value store and machine list,
+// and implements it over Consul's HTTP API.
 package platform
 
 import (
 	"context"
 )
 
-// Entry is one key with its value and the index that compare-and-swap takes.
+// Entry is the value of a key with the index to pass to CompareAndSwap.
 type Entry struct {
 	Value []byte
-	Index uint64 // 0: the key is absent
+	Index uint64 // 0 if the key does not exist
 }
 
-// Machine is one machine of the lagging machine list.
+// Machine is an entry of the machine list, which is eventually consistent.
 type Machine struct {
 	Node    string
 	Leaving bool
 }
 
-// Store is what landingmast needs of the platform. Errors are of kind
+// Store is the subset of the platform's API that landingmast uses. Errors are of kind
 // Unavailable, Limited, Uncertain (the write may have taken effect) or BadInput.
 type Store interface {
-	// Get reads a key; an absent key has index 0.
+	// Get reads a key. A key that does not exist has index 0.
 	Get(ctx context.Context, key string) (Entry, error)
-	// CompareAndSwap writes the key if its index still is the given one; false
-	// tells that another write came first.
+	// CompareAndSwap writes the key if its index equals the given one. It returns
+	// false if the key was modified concurrently.
 	CompareAndSwap(ctx context.Context, key string, value []byte, index uint64) (bool, error)
-	// Machines reads the machine list and its index. It may lag.
+	// Machines reads the machine list and its index. The list may be stale.
 	Machines(ctx context.Context) ([]Machine, uint64, error)
 }
 
-// ReleaseKey is where the release in force of a mesh stands.
+// ReleaseKey returns the key of a mesh's current release.
 func ReleaseKey(mesh string) string { return "landingmast/" + mesh + "/release" }
 
-// VotersKey is where the voter set of a service stands.
+// VotersKey returns the key of a service's voter set.
 func VotersKey(mesh, service string) string { return "landingmast/" + mesh + "/voters/" + service }
--- a/internal/mesh/platform/record.go
+++ b/internal/mesh/platform/record.go
@@ -11,13 +11,13 @@
 	"github.com/landingmast/landingmast/internal/mesh/core/bundle"
 )
 
-// ReleaseRecord is what stands under ReleaseKey.
+// ReleaseRecord is the value stored under ReleaseKey.
 type ReleaseRecord struct {
 	Release *bundle.Release `json:"release"`
 	History []HistoryEntry  `json:"history"` // newest first
 }
 
-// HistoryEntry is one line of the history of a mesh's bundles.
+// HistoryEntry describes one rolled release of a mesh.
 type HistoryEntry struct {
 	Version  int64     `json:"version"`
 	Signer   string    `json:"signer"`
@@ -26,38 +26,38 @@
 	RolledAt time.Time `json:"rolled_at"`
 }
 
-// MaxRecord bounds an unpacked record, in bytes.
+// MaxRecord is the maximum size of a decompressed record, in bytes.
 const MaxRecord = 16 << 20
 
-// Encode writes the record as compressed JSON: at thousands of targets the plain
-// text would be larger than the 512 KB that the published protocol allows.
+// Encode returns the record as gzip-compressed JSON. With thousands of targets the
+// uncompressed JSON exceeds Consul's limit of 512 KB per value.
 func (r *ReleaseRecord) Encode() ([]byte, error) {
-	var packed bytes.Buffer
-	writer := gzip.NewWriter(&packed)
+	var compressed bytes.Buffer
+	writer := gzip.NewWriter(&compressed)
 	if err := json.NewEncoder(writer).Encode(r); err != nil {
-		return nil, failure.Wrap(err, failure.Internal, "report this", "release cannot be written")
+		return nil, failure.Wrap(err, failure.Internal, "report this as a bug", "cannot encode the release record")
 	}
 	if err := writer.Close(); err != nil {
-		return nil, failure.Wrap(err, failure.Internal, "report this", "release cannot be written")
+		return nil, failure.Wrap(err, failure.Internal, "report this as a bug", "cannot encode the release record")
 	}
-	return packed.Bytes(), nil
+	return compressed.Bytes(), nil
 }
 
-// DecodeReleaseRecord reads a record.
+// DecodeReleaseRecord decodes a record written by Encode.
 func DecodeReleaseRecord(data []byte) (*ReleaseRecord, error) {
-	broken := func(err error) error {
-		return failure.Wrap(err, failure.BadInput, "roll a bundle again, or restore the key in the platform's service", "release in the platform cannot be read")
+	decodeError := func(err error) error {
+		return failure.Wrap(err, failure.BadInput, "roll a bundle again, or restore the key in the platform's service", "stored release record is malformed")
 	}
 	reader, err := gzip.NewReader(bytes.NewReader(data))
 	if err != nil {
-		return nil, broken(err)
+		return nil, decodeError(err)
 	}
 	record := &ReleaseRecord{}
 	if err := json.NewDecoder(io.LimitReader(reader, MaxRecord)).Decode(record); err != nil {
-		return nil, broken(err)
+		return nil, decodeError(err)
 	}
 	if record.Release == nil {
-		return nil, broken(io.ErrUnexpectedEOF)
+		return nil, decodeError(io.ErrUnexpectedEOF)
 	}
 	return record, nil
 }
