--- a/internal/mesh/security/security.go
+++ b/internal/mesh/security/security.go
@@ -1,5 +1,5 @@
-// Package security makes and loads the keys of landingmast: certificates for
-// mutual TLS between nodes and Ed25519 keys of the operators who sign bundles.
+// Package security generates and loads the certificates for mutual TLS between nodes
+// and the Ed25519 keys that operators sign bundles with.
 package security
 
 import (
@@ -19,66 +19,68 @@
 	"github.com/landingmast/landingmast/internal/failure"
 )
 
-// PeerName is the name that every node certificate carries; the node's own name
-// is the common name.
+// PeerName is the DNS name in every node certificate. The common name is the node's
+// own name.
 const PeerName = "peer.landingmast"
 
-// Validity of what is made here.
+// Validity periods of issued certificates.
 const (
 	authorityValidity = 10 * 365 * 24 * time.Hour
 	nodeValidity      = 90 * 24 * time.Hour
-	clockSlack        = time.Hour
+	clockSkew         = time.Hour // backdates NotBefore for peers with a slow clock
 )
 
-// Pair is a certificate and its key, both PEM.
+// Pair is a certificate and its private key, PEM-encoded.
 type Pair struct {
 	Certificate []byte
 	Key         []byte
 }
 
-// NewAuthority makes a certificate authority for the nodes of a mesh.
+// NewAuthority generates a self-signed certificate authority for a mesh.
 func NewAuthority(mesh string) (Pair, error) {
 	template := &x509.Certificate{
 		Subject: pkix.Name{CommonName: "landingmast authority " + mesh}, IsCA: true, BasicConstraintsValid: true,
-		KeyUsage: x509.KeyUsageCertSign, NotBefore: time.Now().Add(-clockSlack), NotAfter: time.Now().Add(authorityValidity),
+		KeyUsage: x509.KeyUsageCertSign, NotBefore: time.Now().Add(-clockSkew), NotAfter: time.Now().Add(authorityValidity),
 	}
-	return issue(template, nil)
+	return issueCertificate(template, nil)
 }
 
-// NewNode makes the certificate of a node, signed by the authority.
+// NewNode generates a node's key and issues its certificate.
 func NewNode(authority Pair, node string) (Pair, error) {
 	template := &x509.Certificate{
 		Subject: pkix.Name{CommonName: node}, DNSNames: []string{PeerName}, KeyUsage: x509.KeyUsageDigitalSignature,
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth, x509.ExtKeyUsageServerAuth},
-		NotBefore:   time.Now().Add(-clockSlack), NotAfter: time.Now().Add(nodeValidity),
+		NotBefore:   time.Now().Add(-clockSkew), NotAfter: time.Now().Add(nodeValidity),
 	}
-	return issue(template, &authority)
+	return issueCertificate(template, &authority)
 }
 
-func issue(template *x509.Certificate, authority *Pair) (Pair, error) {
+// issueCertificate generates a key and signs its certificate with authority, or with the
+// key itself if authority is nil.
+func issueCertificate(template *x509.Certificate, authority *Pair) (Pair, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return Pair{}, failure.Wrap(err, failure.Internal, "try again", "key cannot be made")
+		return Pair{}, failure.Wrap(err, failure.Internal, "try again", "cannot generate a key")
 	}
 	template.SerialNumber, err = rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), 120))
 	if err != nil {
-		return Pair{}, failure.Wrap(err, failure.Internal, "try again", "serial number cannot be made")
+		return Pair{}, failure.Wrap(err, failure.Internal, "try again", "cannot generate a serial number")
 	}
 	parent, signer := template, any(key)
 	if authority != nil {
 		loaded, err := tls.X509KeyPair(authority.Certificate, authority.Key)
 		if err != nil {
-			return Pair{}, failure.Wrap(err, failure.BadInput, "name the files that `landingmast keys authority` wrote", "authority cannot be read")
+			return Pair{}, failure.Wrap(err, failure.BadInput, "use the files written by `landingmast keys authority`", "cannot parse the authority's certificate and key")
 		}
 		parent, signer = loaded.Leaf, loaded.PrivateKey
 	}
 	certificate, err := x509.CreateCertificate(rand.Reader, template, parent, &key.PublicKey, signer)
 	if err != nil {
-		return Pair{}, failure.Wrap(err, failure.Internal, "try again", "certificate cannot be made")
+		return Pair{}, failure.Wrap(err, failure.Internal, "try again", "cannot create the certificate")
 	}
 	private, err := x509.MarshalPKCS8PrivateKey(key)
 	if err != nil {
-		return Pair{}, failure.Wrap(err, failure.Internal, "try again", "key cannot be written")
+		return Pair{}, failure.Wrap(err, failure.Internal, "try again", "cannot encode the private key")
 	}
 	return Pair{
 		Certificate: pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: certificate}),
@@ -86,53 +88,55 @@
 	}, nil
 }
 
-// NewSigner makes the key of an operator; the private key is PEM.
+// NewSigner generates an operator's signing key. The private key is PEM-encoded PKCS #8.
 func NewSigner() (private []byte, public ed25519.PublicKey, err error) {
 	public, key, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
-		return nil, nil, failure.Wrap(err, failure.Internal, "try again", "key cannot be made")
+		return nil, nil, failure.Wrap(err, failure.Internal, "try again", "cannot generate a key")
 	}
 	encoded, err := x509.MarshalPKCS8PrivateKey(key)
 	if err != nil {
-		return nil, nil, failure.Wrap(err, failure.Internal, "try again", "key cannot be written")
+		return nil, nil, failure.Wrap(err, failure.Internal, "try again", "cannot encode the private key")
 	}
 	return pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: encoded}), public, nil
 }
 
-// ReadSigner reads an operator's private key.
+// ReadSigner parses an operator's PEM-encoded private key.
 func ReadSigner(data []byte) (ed25519.PrivateKey, error) {
 	block, _ := pem.Decode(data)
 	if block == nil {
-		return nil, failure.New(failure.BadInput, "name the file that `landingmast keys signer` wrote", "signer's key is not PEM")
+		return nil, failure.New(failure.BadInput, "use the file written by `landingmast keys signer`", "signing key is not PEM-encoded")
 	}
 	parsed, err := x509.ParsePKCS8PrivateKey(block.Bytes)
 	if err != nil {
-		return nil, failure.Wrap(err, failure.BadInput, "name the file that `landingmast keys signer` wrote", "signer's key cannot be read")
+		return nil, failure.Wrap(err, failure.BadInput, "use the file written by `landingmast keys signer`", "cannot parse the signing key")
 	}
 	key, isSigner := parsed.(ed25519.PrivateKey)
 	if !isSigner {
-		return nil, failure.New(failure.BadInput, "name the file that `landingmast keys signer` wrote", "signer's key is not Ed25519")
+		return nil, failure.New(failure.BadInput, "use the file written by `landingmast keys signer`", "signing key is not an Ed25519 key")
 	}
 	return key, nil
 }
 
-// Identity holds a node's keys. It reads the files again when they change, at
-// most every few seconds, so that keys rotate without a restart.
+// Identity holds a node's certificate, private key and trusted authorities. It reloads
+// the files when their modification times change, so that keys can be rotated without a
+// restart.
 type Identity struct {
 	certificateFile string
 	keyFile         string
 	authorityFile   string
 
 	mutex       sync.Mutex
-	checked     time.Time
-	stamp       [3]time.Time
+	lastCheck   time.Time
+	modTimes    [3]time.Time
 	certificate *tls.Certificate
 	authorities *x509.CertPool
 }
 
+// reloadInterval is the minimum time between checks of the files.
 const reloadInterval = 5 * time.Second
 
-// LoadIdentity reads a node's keys.
+// LoadIdentity loads a node's identity from PEM files.
 func LoadIdentity(certificateFile, keyFile, authorityFile string) (*Identity, error) {
 	identity := &Identity{certificateFile: certificateFile, keyFile: keyFile, authorityFile: authorityFile}
 	if err := identity.load(); err != nil {
@@ -144,45 +148,46 @@
 func (i *Identity) load() error {
 	certificate, err := tls.LoadX509KeyPair(i.certificateFile, i.keyFile)
 	if err != nil {
-		return failure.Wrap(err, failure.BadInput, "make them with `landingmast keys node`", "settings: tls.certificate and tls.key")
+		return failure.Wrap(err, failure.BadInput, "create the files with `landingmast keys node`", "settings: tls.certificate and tls.key")
 	}
 	data, err := os.ReadFile(i.authorityFile)
 	if err != nil {
-		return failure.Wrap(err, failure.BadInput, "name the certificate of the mesh's authority", "settings: tls.authorities")
+		return failure.Wrap(err, failure.BadInput, "set it to the certificate file of the mesh's authority", "settings: tls.authorities")
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(data) {
-		return failure.New(failure.BadInput, "name the certificate of the mesh's authority", "settings: tls.authorities: %s holds no certificate", i.authorityFile)
+		return failure.New(failure.BadInput, "set it to the certificate file of the mesh's authority", "settings: tls.authorities: no certificate in %s", i.authorityFile)
 	}
-	i.certificate, i.authorities, i.stamp, i.checked = &certificate, pool, i.stamps(), time.Now()
+	i.certificate, i.authorities, i.modTimes, i.lastCheck = &certificate, pool, i.readModTimes(), time.Now()
 	return nil
 }
 
-func (i *Identity) stamps() [3]time.Time {
-	var stamps [3]time.Time
+func (i *Identity) readModTimes() [3]time.Time {
+	var modTimes [3]time.Time
 	for index, file := range []string{i.certificateFile, i.keyFile, i.authorityFile} {
 		if info, err := os.Stat(file); err == nil {
-			stamps[index] = info.ModTime()
+			modTimes[index] = info.ModTime()
 		}
 	}
-	return stamps
+	return modTimes
 }
 
-// current gives the keys in force. Files that cannot be read leave the old keys
-// in force.
+// current returns the certificate and the trusted authorities. If reloading fails, the
+// previous ones remain in use.
 func (i *Identity) current() (*tls.Certificate, *x509.CertPool) {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
-	if time.Since(i.checked) > reloadInterval {
-		i.checked = time.Now()
-		if i.stamps() != i.stamp {
+	if time.Since(i.lastCheck) > reloadInterval {
+		i.lastCheck = time.Now()
+		if i.readModTimes() != i.modTimes {
 			_ = i.load()
 		}
 	}
 	return i.certificate, i.authorities
 }
 
-// Server gives the TLS configuration of the peer port: it refuses strangers.
+// Server returns the TLS configuration of the peer port, which requires a client
+// certificate issued by a trusted authority.
 func (i *Identity) Server() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
@@ -197,11 +202,11 @@
 	}
 }
 
-// Client gives the TLS configuration towards peers.
+// Client returns the TLS configuration for connections to peers.
 func (i *Identity) Client() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13, NextProtos: []string{"http/1.1"}, ServerName: PeerName,
-		InsecureSkipVerify: true, //nolint:gosec // VerifyConnection checks against authorities that may have been reloaded.
+		InsecureSkipVerify: true, //nolint:gosec // VerifyConnection verifies against the reloaded authorities.
 		VerifyConnection:   i.verifyServer,
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
 			certificate, _ := i.current()
@@ -213,7 +218,7 @@
 func (i *Identity) verifyServer(state tls.ConnectionState) error {
 	_, authorities := i.current()
 	if len(state.PeerCertificates) == 0 {
-		return failure.New(failure.Untrusted, "connect to peer ports only", "peer shows no certificate")
+		return failure.New(failure.Untrusted, "connect to peer ports only", "peer presented no certificate")
 	}
 	intermediates := x509.NewCertPool()
 	for _, certificate := range state.PeerCertificates[1:] {
@@ -221,7 +226,7 @@
 	}
 	_, err := state.PeerCertificates[0].Verify(x509.VerifyOptions{Roots: authorities, Intermediates: intermediates, DNSName: PeerName})
 	if err != nil {
-		return failure.Wrap(err, failure.Untrusted, "issue the node's certificate with the mesh's authority", "certificate of a peer does not check")
+		return failure.Wrap(err, failure.Untrusted, "issue the node's certificate with the mesh's authority", "verification of the peer's certificate failed")
 	}
 	return nil
 }
--- a/internal/mesh/security/security_test.go
+++ b/internal/mesh/security/security_test.go
@@ -13,8 +13,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// files writes the keys of a node into a folder.
-func files(g *WithT, folder string, authority Pair, node string) *Identity {
+// newTestIdentity issues a node's certificate, writes its files into folder and loads them.
+func newTestIdentity(g *WithT, folder string, authority Pair, node string) *Identity {
 	pair, err := NewNode(authority, node)
 	g.Expect(err).NotTo(HaveOccurred())
 	for name, data := range map[string][]byte{node + ".crt": pair.Certificate, node + ".key": pair.Key, node + "-authority.crt": authority.Certificate} {
@@ -25,77 +25,77 @@
 	return identity
 }
 
-// meet has a client connect to a server and gives what each side says.
-func meet(server, client *tls.Config) (serverErr, clientErr error) {
-	left, right := net.Pipe()
-	defer left.Close()
-	defer right.Close()
+// handshake connects a client to a server and returns the error of each side.
+func handshake(server, client *tls.Config) (serverErr, clientErr error) {
+	serverConn, clientConn := net.Pipe()
+	defer serverConn.Close()
+	defer clientConn.Close()
 	deadline := time.Now().Add(5 * time.Second)
-	_ = left.SetDeadline(deadline)
-	_ = right.SetDeadline(deadline)
+	_ = serverConn.SetDeadline(deadline)
+	_ = clientConn.SetDeadline(deadline)
 	done := make(chan error, 1)
 	go func() {
-		served := tls.Server(left, server)
-		err := served.Handshake()
+		tlsServer := tls.Server(serverConn, server)
+		err := tlsServer.Handshake()
 		if err == nil {
-			_, err = served.Write([]byte("x"))
+			_, err = tlsServer.Write([]byte("x"))
 		}
-		_ = left.Close()
+		_ = serverConn.Close()
 		done <- err
 	}()
-	connected := tls.Client(right, client)
-	clientErr = connected.Handshake()
+	tlsClient := tls.Client(clientConn, client)
+	clientErr = tlsClient.Handshake()
 	if clientErr == nil {
-		_, clientErr = connected.Read(make([]byte, 1))
+		_, clientErr = tlsClient.Read(make([]byte, 1))
 	}
-	_ = right.Close()
+	_ = clientConn.Close()
 	return <-done, clientErr
 }
 
-func TestOnlyNodesOfTheMeshMeet(t *testing.T) {
+func TestMutualTLSRejectsUntrustedPeers(t *testing.T) {
 	g := NewWithT(t)
 	folder := t.TempDir()
 	authority, err := NewAuthority("m")
 	g.Expect(err).NotTo(HaveOccurred())
 	other, err := NewAuthority("other")
 	g.Expect(err).NotTo(HaveOccurred())
-	one, two, stranger := files(g, folder, authority, "one"), files(g, folder, authority, "two"), files(g, folder, other, "stranger")
-	serverErr, clientErr := meet(one.Server(), two.Client())
+	one, two, untrusted := newTestIdentity(g, folder, authority, "one"), newTestIdentity(g, folder, authority, "two"), newTestIdentity(g, folder, other, "stranger")
+	serverErr, clientErr := handshake(one.Server(), two.Client())
 	g.Expect(serverErr).NotTo(HaveOccurred())
 	g.Expect(clientErr).NotTo(HaveOccurred())
-	serverErr, _ = meet(one.Server(), stranger.Client())
+	serverErr, _ = handshake(one.Server(), untrusted.Client())
 	g.Expect(serverErr).To(HaveOccurred())
-	_, clientErr = meet(stranger.Server(), two.Client())
+	_, clientErr = handshake(untrusted.Server(), two.Client())
 	g.Expect(clientErr).To(HaveOccurred())
-	serverErr, _ = meet(one.Server(), &tls.Config{InsecureSkipVerify: true})
+	serverErr, _ = handshake(one.Server(), &tls.Config{InsecureSkipVerify: true})
 	g.Expect(serverErr).To(HaveOccurred())
 }
 
-func TestKeysRotateWithoutARestart(t *testing.T) {
+func TestKeyRotationWithoutRestart(t *testing.T) {
 	g := NewWithT(t)
 	folder := t.TempDir()
 	old, err := NewAuthority("m")
 	g.Expect(err).NotTo(HaveOccurred())
 	renewed, err := NewAuthority("m")
 	g.Expect(err).NotTo(HaveOccurred())
-	server, client := files(g, folder, old, "server"), files(g, folder, renewed, "client")
-	serverErr, _ := meet(server.Server(), client.Client())
+	server, client := newTestIdentity(g, folder, old, "server"), newTestIdentity(g, folder, renewed, "client")
+	serverErr, _ := handshake(server.Server(), client.Client())
 	g.Expect(serverErr).To(HaveOccurred())
 
-	// Both sides trust both authorities for a while.
+	// During a rotation both sides trust both authorities.
 	both := append(append([]byte(nil), old.Certificate...), renewed.Certificate...)
 	for _, node := range []string{"server", "client"} {
 		path := filepath.Join(folder, node+"-authority.crt")
 		g.Expect(os.WriteFile(path, both, 0o600)).To(Succeed())
 		g.Expect(os.Chtimes(path, time.Now(), time.Now().Add(time.Minute))).To(Succeed())
 	}
-	server.checked, client.checked = time.Time{}, time.Time{}
-	serverErr, clientErr := meet(server.Server(), client.Client())
+	server.lastCheck, client.lastCheck = time.Time{}, time.Time{}
+	serverErr, clientErr := handshake(server.Server(), client.Client())
 	g.Expect(serverErr).NotTo(HaveOccurred())
 	g.Expect(clientErr).NotTo(HaveOccurred())
 }
 
-func TestSignersKeysAreRead(t *testing.T) {
+func TestReadSigner(t *testing.T) {
 	g := NewWithT(t)
 	private, public, err := NewSigner()
 	g.Expect(err).NotTo(HaveOccurred())
