--- a/internal/mesh/roll/roll.go
+++ b/internal/mesh/roll/roll.go
@@ -1,5 +1,5 @@
-// Package roll puts a signed release in the platform's service as the next of
-// the mesh's one sequence of versions.
+// Package roll publishes signed releases to the platform's key-value store. The versions
+// of a mesh form a single sequence.
 package roll
 
 import (
@@ -15,13 +15,13 @@
 )
 
 const (
-	historyLength = 50
-	lostRetries   = 10
-	lostPause     = 300 * time.Millisecond
+	historyLength  = 50 // entries kept in the release record
+	verifyAttempts = 10
+	verifyInterval = 300 * time.Millisecond
 )
 
-// Read gives the release in force in the platform and its index; a nil record
-// when none was rolled.
+// Read returns the current release record and its index, or a nil record if the mesh has
+// no release.
 func Read(ctx context.Context, store platform.Store, mesh string) (*platform.ReleaseRecord, uint64, error) {
 	entry, err := store.Get(ctx, platform.ReleaseKey(mesh))
 	if err != nil || entry.Index == 0 {
@@ -34,10 +34,10 @@
 	return record, entry.Index, nil
 }
 
-// Roll writes the release if its version is the next one. Each roll has an id of
-// its own: when the answer to the write is lost, the record is read again, and
-// the id tells whether the write that stands there is this one. Of two operators
-// one wins; the other gets an error of kind Conflict that names the winner.
+// Roll publishes the release if its version is the next in the sequence. Every roll has a
+// unique ID, by which a write whose response was lost is found in the stored record. If
+// another operator has published the version first, Roll returns an error of kind Conflict
+// that names that release.
 func Roll(ctx context.Context, store platform.Store, release *bundle.Release) (*platform.HistoryEntry, error) {
 	stamped := *release
 	stamped.RollID = strconv.FormatUint(rand.Uint64(), 36)
@@ -45,7 +45,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := checkNext(record, &stamped); err != nil {
+	if err := checkVersion(record, &stamped); err != nil {
 		return nil, err
 	}
 	entry := platform.HistoryEntry{
@@ -67,10 +67,10 @@
 	if err == nil && written {
 		return &entry, nil
 	}
-	return settle(ctx, store, &stamped, entry, err)
+	return resolveUncertainWrite(ctx, store, &stamped, entry, err)
 }
 
-func checkNext(record *platform.ReleaseRecord, release *bundle.Release) error {
+func checkVersion(record *platform.ReleaseRecord, release *bundle.Release) error {
 	current := int64(0)
 	if record != nil {
 		current = record.Release.Version
@@ -79,48 +79,50 @@
 		return nil
 	}
 	if record != nil && release.Version <= current {
-		return conflict(record, release)
+		return conflictError(record, release)
 	}
-	return failure.New(failure.BadInput, "set version to "+strconv.FormatInt(current+1, 10)+" and sign again", "version %d does not follow version %d", release.Version, current)
+	return failure.New(failure.BadInput, "set version to "+strconv.FormatInt(current+1, 10)+" and sign the bundle again", "version %d does not follow version %d", release.Version, current)
 }
 
-func conflict(record *platform.ReleaseRecord, release *bundle.Release) error {
-	winner := record.Release
-	return failure.New(failure.Conflict, "look at `landingmast bundle diff`, take over the change, set version to "+strconv.FormatInt(winner.Version+1, 10)+" and sign again",
-		"version %d stands already: signed by %s, rolled as %s", winner.Version, winner.Signer, winner.RollID)
+func conflictError(record *platform.ReleaseRecord, release *bundle.Release) error {
+	current := record.Release
+	return failure.New(failure.Conflict, "compare with `landingmast bundle diff`, merge the change, set version to "+strconv.FormatInt(current.Version+1, 10)+" and sign the bundle again",
+		"version %d already exists: signed by %s, roll ID %s", current.Version, current.Signer, current.RollID)
 }
 
-// settle finds out what became of a write that was refused or whose answer was lost.
-func settle(ctx context.Context, store platform.Store, release *bundle.Release, entry platform.HistoryEntry, lost error) (*platform.HistoryEntry, error) {
-	for range lostRetries {
+// resolveUncertainWrite reads the record back to determine the result of a write that was
+// rejected or whose response was lost.
+func resolveUncertainWrite(ctx context.Context, store platform.Store, release *bundle.Release, entry platform.HistoryEntry, writeErr error) (*platform.HistoryEntry, error) {
+	for range verifyAttempts {
 		record, _, err := Read(ctx, store, release.Mesh)
 		if err == nil {
-			return judge(record, release, entry, lost)
+			return writeResult(record, release, entry, writeErr)
 		}
-		lost = err
+		writeErr = err
 		select {
 		case <-ctx.Done():
 			return nil, ctx.Err()
-		case <-time.After(lostPause):
+		case <-time.After(verifyInterval):
 		}
 	}
-	return nil, failure.Wrap(lost, failure.Uncertain, "run `landingmast bundle history` once the platform answers: version "+
-		strconv.FormatInt(release.Version, 10)+" with roll id "+release.RollID+" is this one", "it is not known whether the release was rolled")
+	return nil, failure.Wrap(writeErr, failure.Uncertain, "run `landingmast bundle history` once the platform is reachable: the release took effect if version "+
+		strconv.FormatInt(release.Version, 10)+" has roll ID "+release.RollID, "cannot determine whether the release was published")
 }
 
-func judge(record *platform.ReleaseRecord, release *bundle.Release, entry platform.HistoryEntry, lost error) (*platform.HistoryEntry, error) {
+// writeResult derives the result of a write from the record read afterwards.
+func writeResult(record *platform.ReleaseRecord, release *bundle.Release, entry platform.HistoryEntry, writeErr error) (*platform.HistoryEntry, error) {
 	if record != nil {
-		for _, line := range record.History {
-			if line.RollID == release.RollID {
+		for _, published := range record.History {
+			if published.RollID == release.RollID {
 				return &entry, nil
 			}
 		}
 		if record.Release.Version >= release.Version {
-			return nil, conflict(record, release)
+			return nil, conflictError(record, release)
 		}
 	}
-	if lost != nil {
-		return nil, failure.Wrap(lost, failure.Unavailable, "roll it again", "release was not rolled")
+	if writeErr != nil {
+		return nil, failure.Wrap(writeErr, failure.Unavailable, "roll the release again", "release was not published")
 	}
-	return nil, failure.New(failure.Conflict, "roll it again", "another change came first")
+	return nil, failure.New(failure.Conflict, "roll the release again", "the release record was modified concurrently")
 }
