--- a/internal/mesh/adminapi/adminapi.go
+++ b/internal/mesh/adminapi/adminapi.go
@@ -1,5 +1,5 @@
-// Package adminapi is the client of the nodes' admin API, over the client that
-// goa made from design/admin.go.
+// Package adminapi is a client of the nodes' admin API, based on the client that goa
+// generates from design/admin.go.
 package adminapi
 
 import (
@@ -20,20 +20,20 @@
 	goahttp "goa.design/goa/v3/http"
 )
 
-// Client talks to the admin address of one node.
+// Client accesses the admin API of one node.
 type Client struct {
 	address string
 	client  *admin.Client
 }
 
-// New makes a client of the node at IP:port.
+// New returns a client of the node with the given admin address, IP:port.
 func New(address string) *Client {
 	raw := httpclient.NewClient("http", address, http.DefaultClient, goahttp.RequestEncoder, goahttp.ResponseDecoder, false)
 	return &Client{address: address, client: admin.NewClient(raw.Status(), raw.Nodes(), raw.Services(), raw.Explain(), raw.Drain(), raw.Bundle(), raw.Version())}
 }
 
-// explainError gives an error its kind.
-func (c *Client) typed(err error) error {
+// classifyError converts an error of the generated client to a failure with a kind.
+func (c *Client) classifyError(err error) error {
 	if err == nil {
 		return nil
 	}
@@ -45,75 +45,76 @@
 		}
 		return failure.New(kind, problem.Remedy, "%s", problem.Message)
 	}
-	return failure.Wrap(err, failure.Unavailable, "name the admin address of a running node with --admin", "node at %s does not answer", c.address)
+	return failure.Wrap(err, failure.Unavailable, "set --admin to the admin address of a running node", "no response from the node at %s", c.address)
 }
 
-// Status gives the state of the node.
+// Status returns the state of the node.
 func (c *Client) Status(ctx context.Context) (*admin.NodeStatus, error) {
 	status, err := c.client.Status(ctx)
-	return status, c.typed(err)
+	return status, c.classifyError(err)
 }
 
-// Nodes gives the state of every node that the bundle names.
+// Nodes returns the state of every node in the bundle.
 func (c *Client) Nodes(ctx context.Context) ([]*admin.NodeStatus, error) {
 	nodes, err := c.client.Nodes(ctx)
-	return nodes, c.typed(err)
+	return nodes, c.classifyError(err)
 }
 
-// Services gives services and targets as the node's routing sees them.
+// Services returns the services and targets in the node's routing table.
 func (c *Client) Services(ctx context.Context) ([]*admin.ServiceStatus, error) {
 	services, err := c.client.Services(ctx)
-	return services, c.typed(err)
+	return services, c.classifyError(err)
 }
 
-// Explain gives the decisions about a request at every hop, oldest first.
+// Explain returns the decisions about a request at every hop, oldest first.
 func (c *Client) Explain(ctx context.Context, requestID string) ([]*admin.Decision, error) {
 	decisions, err := c.client.Explain(ctx, &admin.ExplainPayload{RequestID: requestID})
-	return decisions, c.typed(err)
+	return decisions, c.classifyError(err)
 }
 
-// Drain has the node refuse new work.
+// Drain makes the node refuse new work.
 func (c *Client) Drain(ctx context.Context) (*admin.NodeStatus, error) {
 	status, err := c.client.Drain(ctx)
-	return status, c.typed(err)
+	return status, c.classifyError(err)
 }
 
-// Version gives the version of the node's program.
+// Version returns the version of the node's program.
 func (c *Client) Version(ctx context.Context) (string, error) {
 	version, err := c.client.Version(ctx)
-	return version, c.typed(err)
+	return version, c.classifyError(err)
 }
 
-// DecisionLine writes a decision on one line.
+// DecisionLine formats a decision as a single line.
 func DecisionLine(decision *admin.Decision) string {
 	names := make([]string, 0, len(decision.Numbers))
 	for name := range decision.Numbers {
 		names = append(names, name)
 	}
 	sort.Strings(names)
-	var numbers strings.Builder
+	var values strings.Builder
 	for _, name := range names {
-		fmt.Fprintf(&numbers, " %s=%.4g", name, decision.Numbers[name])
+		fmt.Fprintf(&values, " %s=%.4g", name, decision.Numbers[name])
 	}
-	at := decision.At
-	if start := strings.IndexByte(at, 'T'); start >= 0 {
-		at = strings.TrimSuffix(at[start+1:], "Z")
+	timestamp := decision.At
+	if start := strings.IndexByte(timestamp, 'T'); start >= 0 {
+		timestamp = strings.TrimSuffix(timestamp[start+1:], "Z")
 	}
-	line := fmt.Sprintf("%s depth %d %-16s %-8s %-18s %s", at, decision.Depth, decision.Node, decision.Action, decision.Reason, decision.Service)
+	line := fmt.Sprintf("%s depth %d %-16s %-8s %-18s %s", timestamp, decision.Depth, decision.Node, decision.Action, decision.Reason, decision.Service)
 	if decision.Peer != "" && decision.Peer != decision.Node {
 		line += " -> " + decision.Peer
 	}
-	return line + numbers.String()
+	return line + values.String()
 }
 
-// Sample is one value of a node's metrics.
+// Sample is the value of one time series.
 type Sample struct {
 	Name   string
 	Labels map[string]string
 	Value  float64
 }
 
-// ParseMetrics reads counters and gauges out of the Prometheus text format.
+// ParseMetrics returns the counters and gauges of a Prometheus text exposition. It returns
+// nil if the text is malformed.
 func ParseMetrics(source io.Reader) []Sample {
 	parser := expfmt.NewTextParser(model.UTF8Validation)
 	families, err := parser.TextToMetricFamilies(source)
@@ -123,7 +124,7 @@
 	var samples []Sample
 	for name, family := range families {
 		for _, metric := range family.GetMetric() {
-			sample := Sample{Name: name, Labels: labels(metric)}
+			sample := Sample{Name: name, Labels: metricLabels(metric)}
 			switch {
 			case metric.Counter != nil:
 				sample.Value = metric.Counter.GetValue()
@@ -138,10 +139,10 @@
 	return samples
 }
 
-func labels(metric *dto.Metric) map[string]string {
-	found := map[string]string{}
+func metricLabels(metric *dto.Metric) map[string]string {
+	labels := map[string]string{}
 	for _, pair := range metric.GetLabel() {
-		found[pair.GetName()] = pair.GetValue()
+		labels[pair.GetName()] = pair.GetValue()
 	}
-	return found
+	return labels
 }
