--- a/internal/mesh/explain/explain.go
+++ b/internal/mesh/explain/explain.go
@@ -1,6 +1,5 @@
-// Package explain keeps the decisions of the last requests in memory, so that
-// an operator can ask why a request was admitted, refused, retried or sent
-// where it went.
+// Package explain records the admission, routing and retry decisions of recent requests
+// in memory, so that an operator can query them by request ID.
 package explain
 
 import (
@@ -8,28 +7,28 @@
 	"time"
 )
 
-// Action names a kind of decision.
+// Action is the type of a decision.
 type Action string
 
-// The actions.
+// Decision types.
 const (
 	Admit   Action = "admit"
 	Refuse  Action = "refuse"
 	Route   Action = "route"
 	Retry   Action = "retry"
 	NoRetry Action = "no_retry"
-	Lose    Action = "lose" // a call that was handed over got no answer
+	Lose    Action = "lose" // a call that was sent got no response
 	Claim   Action = "claim"
 	Answer  Action = "answer"
 )
 
-// Number is one value that a decision was made on.
+// Number is a named input value of a decision.
 type Number struct {
 	Name  string
 	Value float64
 }
 
-// Decision is one decision about one call.
+// Decision is a decision about one call.
 type Decision struct {
 	CallID  string
 	Depth   int
@@ -43,61 +42,61 @@
 	Numbers []Number
 }
 
-type trail struct {
+type requestTrace struct {
 	requestID string
 	decisions []Decision
 }
 
-// Recorder keeps the decisions of the last requests in a ring. It is safe for
-// concurrent use.
+// Recorder keeps the decisions of the most recent requests in a ring buffer. It is safe
+// for concurrent use.
 type Recorder struct {
 	mutex sync.Mutex
-	ring  []trail
+	ring  []requestTrace
 	next  int
 	index map[string]int
 }
 
-// Bounds of the recorder.
+// Limits of the recorder.
 const (
-	// DefaultRequests is the number of requests that a node remembers.
+	// DefaultRequests is the number of requests that a node keeps.
 	DefaultRequests = 4096
-	// maxDecisions bounds the decisions of one request.
+	// maxDecisions is the maximum number of decisions kept for a request.
 	maxDecisions = 64
 )
 
-// NewRecorder makes a recorder for the last so many requests.
+// NewRecorder returns a recorder that keeps the decisions of the given number of requests.
 func NewRecorder(requests int) *Recorder {
-	return &Recorder{ring: make([]trail, requests), index: make(map[string]int, requests)}
+	return &Recorder{ring: make([]requestTrace, requests), index: make(map[string]int, requests)}
 }
 
-// Add records a decision.
+// Add records a decision. A new request evicts the oldest one when the ring is full.
 func (r *Recorder) Add(requestID string, decision Decision) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	place, known := r.index[requestID]
+	slot, known := r.index[requestID]
 	if !known {
-		place = r.next
+		slot = r.next
 		r.next = (r.next + 1) % len(r.ring)
-		old := &r.ring[place]
+		old := &r.ring[slot]
 		if old.requestID != "" {
 			delete(r.index, old.requestID)
 		}
-		r.ring[place] = trail{requestID: requestID, decisions: old.decisions[:0]}
-		r.index[requestID] = place
+		r.ring[slot] = requestTrace{requestID: requestID, decisions: old.decisions[:0]}
+		r.index[requestID] = slot
 	}
-	slot := &r.ring[place]
-	if len(slot.decisions) < maxDecisions {
-		slot.decisions = append(slot.decisions, decision)
+	trace := &r.ring[slot]
+	if len(trace.decisions) < maxDecisions {
+		trace.decisions = append(trace.decisions, decision)
 	}
 }
 
-// Get gives the decisions of a request, oldest first.
+// Get returns the decisions of a request, oldest first.
 func (r *Recorder) Get(requestID string) []Decision {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	place, known := r.index[requestID]
+	slot, known := r.index[requestID]
 	if !known {
 		return nil
 	}
-	return append([]Decision(nil), r.ring[place].decisions...)
+	return append([]Decision(nil), r.ring[slot].decisions...)
 }
--- a/internal/mesh/explain/explain_test.go
+++ b/internal/mesh/explain/explain_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestTheOldestRequestGivesWay(t *testing.T) {
+func TestRecorderEvictsOldestRequest(t *testing.T) {
 	g := NewWithT(t)
 	recorder := NewRecorder(3)
 	for number := range 5 {
@@ -19,7 +19,7 @@
 	g.Expect(recorder.Get("4")).To(HaveLen(2))
 }
 
-func TestOneRequestCannotFillTheMemory(t *testing.T) {
+func TestRecorderLimitsDecisionsPerRequest(t *testing.T) {
 	g := NewWithT(t)
 	recorder := NewRecorder(2)
 	for range 1000 {
