--- a/internal/mesh/telemetry/telemetry.go
+++ b/internal/mesh/telemetry/telemetry.go
@@ -1,5 +1,5 @@
-// Package telemetry holds the metrics and the log of a node. Counters come
-// first; the log has lines only for changes of state.
+// Package telemetry defines the metrics and the logger of a node. Per-call events are
+// counted; only state changes are logged.
 package telemetry
 
 import (
@@ -10,15 +10,15 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Metrics are the counters and gauges of one node.
+// Metrics holds the metrics of one node. Comments list the labels and units.
 type Metrics struct {
 	Registry         *prometheus.Registry
 	Calls            *prometheus.CounterVec   // side, service, class, outcome, reason
 	Retries          *prometheus.CounterVec   // service, class
 	Lost             *prometheus.CounterVec   // service, reason, connection
 	Shed             *prometheus.CounterVec   // level, reason
-	Added            *prometheus.HistogramVec // side: time spent in the node, s
-	QueueWait        prometheus.Histogram     // s
+	Added            *prometheus.HistogramVec // side; time spent in the node, in seconds
+	QueueWait        prometheus.Histogram     // in seconds
 	Limit            prometheus.Gauge
 	Active           prometheus.Gauge
 	Queued           prometheus.Gauge
@@ -35,7 +35,7 @@
 
 const namespace = "landingmast"
 
-// NewMetrics makes and registers the metrics.
+// NewMetrics creates the metrics and registers them in a new registry.
 func NewMetrics() *Metrics {
 	counter := func(name, help string) prometheus.Counter {
 		return prometheus.NewCounter(prometheus.CounterOpts{Namespace: namespace, Name: name, Help: help})
@@ -75,11 +75,10 @@
 	return m
 }
 
-// timestampFormat has milliseconds: what a stop and a lost call did to each other is shorter
-// than a second.
+// timestampFormat includes milliseconds, to order a node's stop and the calls lost to it.
 const timestampFormat = "2006-01-02T15:04:05.000Z07:00"
 
-// NewLog makes the log of a node.
+// NewLog returns the logger of a node. An unknown level selects info.
 func NewLog(settings config.Log, node string, output io.Writer) *logrus.Entry {
 	log := logrus.New()
 	log.SetOutput(output)
