--- a/internal/logquery/logquery.go
+++ b/internal/logquery/logquery.go
@@ -1,5 +1,5 @@
-// Package logquery reads the log lines of sidecar nodes: the story of one request
-// over several processes, and the usual questions over many lines.
+// Package logquery analyzes the event logs of sidecar nodes: it traces a single request
+// across nodes and summarizes losses, refusals, slow runs and configuration changes.
 package logquery
 
 import (
@@ -17,7 +17,7 @@
 	"github.com/landingmast/landingmast/internal/failure"
 )
 
-// Line is one log line.
+// Line is a parsed log line.
 type Line struct {
 	Time   time.Time
 	Node   string
@@ -25,25 +25,25 @@
 	Fields map[string]any
 }
 
-// text gives a field as text.
-func (l Line) text(name string) string {
+// field returns a field formatted as text, or "" if it is missing.
+func (l Line) field(name string) string {
 	if value, present := l.Fields[name]; present {
 		return fmt.Sprint(value)
 	}
 	return ""
 }
 
+// number returns a numeric field, or 0 if it is missing or not a number.
 func (l Line) number(name string) float64 {
 	value, _ := l.Fields[name].(float64)
 	return value
 }
 
-const maxLine = 1 << 20
+const maxLineBytes = 1 << 20
 
-// Read reads the lines of files and, in folders, of all files. Lines of other
-// programs, and anything that stands before the JSON on a line, are passed over;
-// unread is the number of lines that hold no event.
-func Read(paths []string) (lines []Line, unread int, err error) {
+// Read returns the events in the given files and directory trees, sorted by time. Text
+// before the JSON object on a line is ignored; skipped counts the lines without an event.
+func Read(paths []string) (lines []Line, skipped int, err error) {
 	for _, path := range paths {
 		err := filepath.Walk(path, func(name string, info os.FileInfo, err error) error {
 			if err != nil || info.IsDir() {
@@ -54,30 +54,30 @@
 				return err
 			}
 			defer file.Close()
-			found, missed, err := readLines(file)
-			lines, unread = append(lines, found...), unread+missed
+			fileLines, fileSkipped, err := readLines(file)
+			lines, skipped = append(lines, fileLines...), skipped+fileSkipped
 			return err
 		})
 		if err != nil {
-			return nil, 0, failure.Wrap(err, failure.BadInput, "name readable log files or folders", "logs %s", path)
+			return nil, 0, failure.Wrap(err, failure.BadInput, "specify readable log files or directories", "logs %s", path)
 		}
 	}
 	sort.SliceStable(lines, func(a, b int) bool { return lines[a].Time.Before(lines[b].Time) })
-	return lines, unread, nil
+	return lines, skipped, nil
 }
 
-func readLines(source io.Reader) (lines []Line, unread int, err error) {
+func readLines(source io.Reader) (lines []Line, skipped int, err error) {
 	scanner := bufio.NewScanner(source)
-	scanner.Buffer(make([]byte, 64<<10), maxLine)
+	scanner.Buffer(make([]byte, 64<<10), maxLineBytes)
 	for scanner.Scan() {
 		line, ok := parse(scanner.Bytes())
 		if !ok {
-			unread++
+			skipped++
 			continue
 		}
 		lines = append(lines, line)
 	}
-	return lines, unread, scanner.Err()
+	return lines, skipped, scanner.Err()
 }
 
 func parse(text []byte) (Line, bool) {
@@ -90,8 +90,8 @@
 		return Line{}, false
 	}
 	line := Line{Fields: fields}
-	line.Kind, line.Node = line.text("msg"), line.text("node")
-	at, err := time.Parse(time.RFC3339Nano, line.text("time"))
+	line.Kind, line.Node = line.field("msg"), line.field("node")
+	at, err := time.Parse(time.RFC3339Nano, line.field("time"))
 	if err != nil || line.Kind == "" {
 		return Line{}, false
 	}
@@ -99,94 +99,94 @@
 	return line, true
 }
 
-// Story writes what the lines tell of one request and of the calls made for it.
-// The error is a failure of kind Missing when they tell nothing.
+// Story writes the events of a request and of its nested calls, indented by call depth.
+// It returns a failure of kind Missing if there are none.
 func Story(output io.Writer, lines []Line, id string) error {
-	told := 0
+	matched := 0
 	for _, line := range lines {
-		request := line.text("request")
+		request := line.field("request")
 		if request != id && !strings.HasPrefix(request, id+".") {
 			continue
 		}
-		told++
+		matched++
 		depth := strings.Count(strings.TrimPrefix(request, id), ".")
-		fmt.Fprintf(output, "%s %s%-18s %s\n", line.Time.Format("15:04:05.000"), strings.Repeat("  ", depth), line.Node, tell(line))
+		fmt.Fprintf(output, "%s %s%-18s %s\n", line.Time.Format("15:04:05.000"), strings.Repeat("  ", depth), line.Node, describe(line))
 	}
-	if told == 0 {
-		return failure.New(failure.Missing, "look for `omitted` lines at its time, and for the request in the other nodes' logs", "no line is about request %s", id)
+	if matched == 0 {
+		return failure.New(failure.Missing, "check the other nodes' logs, and `omitted` lines from the time of the request", "no log line for request %s", id)
 	}
 	return nil
 }
 
-// tell gives an event about a request in words.
-func tell(line Line) string {
+// describe formats a request's event as text.
+func describe(line Line) string {
 	switch line.Kind {
 	case "request":
-		return tellRequest(line)
+		return describeRequest(line)
 	case "run":
 		return fmt.Sprintf("run at %s of %s: %s/%s status %s, waited %.1f ms, took %.1f of %.1f ms left, %s running and %s waiting on %s slots, importance %s",
-			line.text("instance"), line.text("service"), line.text("outcome"), line.text("reason"), line.text("status"), line.number("wait_ms"),
-			line.number("took_ms"), line.number("left_ms"), line.text("running"), line.text("waiting"), line.text("slots"), line.text("importance"))
+			line.field("instance"), line.field("service"), line.field("outcome"), line.field("reason"), line.field("status"), line.number("wait_ms"),
+			line.number("took_ms"), line.number("left_ms"), line.field("running"), line.field("waiting"), line.field("slots"), line.field("importance"))
 	case "settle":
-		return fmt.Sprintf("%s asked what became of it: %s/%s", line.text("from"), line.text("outcome"), line.text("reason"))
+		return fmt.Sprintf("%s asked what became of it: %s/%s", line.field("from"), line.field("outcome"), line.field("reason"))
 	}
 	return line.Kind
 }
 
-func tellRequest(line Line) string {
-	words := fmt.Sprintf("%s to %s by version %s: status %s, reason %s, took %.1f of %.1f ms", line.text("route"), line.text("service"),
-		line.text("version"), line.text("status"), line.text("reason"), line.number("took_ms"), line.number("hold_ms"))
-	if tenant := line.text("tenant"); tenant != "" {
-		words += ", of tenant " + tenant
+func describeRequest(line Line) string {
+	description := fmt.Sprintf("%s to %s by version %s: status %s, reason %s, took %.1f of %.1f ms", line.field("route"), line.field("service"),
+		line.field("version"), line.field("status"), line.field("reason"), line.number("took_ms"), line.number("hold_ms"))
+	if tenant := line.field("tenant"); tenant != "" {
+		description += ", of tenant " + tenant
 	}
-	if line.text("decisive") != "" {
-		words += fmt.Sprintf(", %.2f of the route let in because %s is at %.2f of its slots", line.number("share"), line.text("decisive"), line.number("occupancy"))
+	if line.field("decisive") != "" {
+		description += fmt.Sprintf(", %.2f of the route let in because %s is at %.2f of its slots", line.number("share"), line.field("decisive"), line.number("occupancy"))
 	}
 	if fits := line.number("fits"); fits > 0 {
-		words += fmt.Sprintf(", %.0f of the route were in flight here and %.1f fit", line.number("in_flight"), fits)
+		description += fmt.Sprintf(", %.0f of the route were in flight here and %.1f fit", line.number("in_flight"), fits)
 	}
 	if after := line.number("retry_after_ms"); after > 0 {
-		words += fmt.Sprintf(", told to come back after %.0f ms", after)
+		description += fmt.Sprintf(", told to come back after %.0f ms", after)
 	}
 	sends, _ := line.Fields["sends"].([]any)
-	for _, one := range sends {
-		send, _ := one.(map[string]any)
-		words += fmt.Sprintf("; sent to %v: %v/%v after %.1f ms, target at %.2f of its slots", send["node"], send["outcome"], send["reason"], send["took_ms"], send["occupancy"])
+	for _, entry := range sends {
+		send, _ := entry.(map[string]any)
+		description += fmt.Sprintf("; sent to %v: %v/%v after %.1f ms, target at %.2f of its slots", send["node"], send["outcome"], send["reason"], send["took_ms"], send["occupancy"])
 	}
-	return words
+	return description
 }
 
-// Count is a row of a summary.
+// Count is the number of lines in one group of a summary.
 type Count struct {
 	What  string
 	Lines int
 }
 
-// Refused counts the requests that ended without a target's answer, by node,
-// service and reason, most first.
+// Refused counts the requests that got no response from a target, by node, service and
+// reason, in descending order.
 func Refused(lines []Line) []Count {
 	counts := map[string]int{}
 	for _, line := range lines {
-		if line.Kind == "request" && line.text("reason") != "none" {
-			counts[fmt.Sprintf("%s %s %s", line.Node, line.text("service"), line.text("reason"))]++
+		if line.Kind == "request" && line.field("reason") != "none" {
+			counts[fmt.Sprintf("%s %s %s", line.Node, line.field("service"), line.field("reason"))]++
 		}
 	}
-	return sorted(counts)
+	return sortedCounts(counts)
 }
 
-// Versions gives which node had which configuration when.
+// Versions lists the configuration changes of the nodes.
 func Versions(lines []Line) []string {
 	var rows []string
 	for _, line := range lines {
 		if line.Kind == "configuration" {
-			rows = append(rows, fmt.Sprintf("%s %s %s (before %s) from %s", line.Time.Format("15:04:05.000"), line.Node, line.text("version"), line.text("before"), line.text("source")))
+			rows = append(rows, fmt.Sprintf("%s %s %s (before %s) from %s", line.Time.Format("15:04:05.000"), line.Node, line.field("version"), line.field("before"), line.field("source")))
 		}
 	}
 	return rows
 }
 
-// Slowest gives the runs that took longest, slowest first.
-func Slowest(lines []Line, most int) []string {
+// Slowest lists up to limit runs with the longest duration, in descending order.
+func Slowest(lines []Line, limit int) []string {
 	var runs []Line
 	for _, line := range lines {
 		if line.Kind == "run" {
@@ -195,24 +195,24 @@
 	}
 	sort.SliceStable(runs, func(a, b int) bool { return runs[a].number("took_ms") > runs[b].number("took_ms") })
 	var rows []string
-	for _, line := range runs[:min(most, len(runs))] {
-		rows = append(rows, fmt.Sprintf("%8.1f ms, %8.1f of them waiting: %s at %s, request %s", line.number("took_ms"), line.number("wait_ms"), line.text("service"), line.Node, line.text("request")))
+	for _, line := range runs[:min(limit, len(runs))] {
+		rows = append(rows, fmt.Sprintf("%8.1f ms, %8.1f of them waiting: %s at %s, request %s", line.number("took_ms"), line.number("wait_ms"), line.field("service"), line.Node, line.field("request")))
 	}
 	return rows
 }
 
-// Omitted counts the lines that were left out, by node and kind.
+// Omitted counts the log lines that nodes suppressed, by node and kind.
 func Omitted(lines []Line) []Count {
 	counts := map[string]int{}
 	for _, line := range lines {
 		if line.Kind == "omitted" {
-			counts[line.Node+" "+line.text("of")] += int(line.number("lines"))
+			counts[line.Node+" "+line.field("of")] += int(line.number("lines"))
 		}
 	}
-	return sorted(counts)
+	return sortedCounts(counts)
 }
 
-func sorted(counts map[string]int) []Count {
+func sortedCounts(counts map[string]int) []Count {
 	rows := make([]Count, 0, len(counts))
 	for what, lines := range counts {
 		rows = append(rows, Count{What: what, Lines: lines})
--- a/internal/logquery/lost.go
+++ b/internal/logquery/lost.go
@@ -8,47 +8,48 @@
 	"time"
 )
 
-// Loss is a client's request that was not answered in time, and what it comes from.
+// Loss is a client request that was not answered successfully in time, with its cause.
 type Loss struct {
 	At      time.Time
 	Ended   string // refused, failed or late
-	Service string // where the cause lies: the request's own, or one further down its chain
+	Service string // service causing the loss: the request's own or one downstream
 	Reason  string
 }
 
-// Lost gives the losses in the order of their ends. The cause of one that failed is that
-// of the call below it that failed last, as far down as the lines go. Lines that were
-// left out are not there: Omitted tells how many.
+// Lost returns the losses in the order in which the requests ended. The cause of a failed
+// request is found by following its last failed call downstream as far as it was logged.
+// Lines that nodes suppressed are not considered; Omitted counts them.
 func Lost(lines []Line) []Loss {
-	below := map[string][]Line{}
+	callsByParent := map[string][]Line{}
 	for _, line := range lines {
-		if line.Kind == "request" && line.text("parent") != "" {
-			below[line.text("parent")] = append(below[line.text("parent")], line)
+		if line.Kind == "request" && line.field("parent") != "" {
+			callsByParent[line.field("parent")] = append(callsByParent[line.field("parent")], line)
 		}
 	}
 	waits := longestWaits(lines)
 	var losses []Loss
 	for _, line := range lines {
-		if line.Kind != "request" || line.text("parent") != "" || line.text("route") == "" {
+		if line.Kind != "request" || line.field("parent") != "" || line.field("route") == "" {
 			continue
 		}
-		loss := Loss{At: line.Time, Ended: endOf(line)}
+		loss := Loss{At: line.Time, Ended: classifyLoss(line)}
 		switch loss.Ended {
 		case "":
 			continue
 		case "late":
-			loss.Service, loss.Reason = lateBy(line, waits)
+			loss.Service, loss.Reason = findDelay(line, waits)
 		default:
-			loss.Service, loss.Reason = causeOf(line, below)
+			loss.Service, loss.Reason = findCause(line, callsByParent)
 		}
 		losses = append(losses, loss)
 	}
 	return losses
 }
 
-// endOf tells how a client's request was lost; empty: it was not, or its client left.
-func endOf(line Line) string {
-	status, reason := line.number("status"), line.text("reason")
+// classifyLoss returns how a client request was lost. It returns "" if the request succeeded
+// or was cancelled by the client.
+func classifyLoss(line Line) string {
+	status, reason := line.number("status"), line.field("reason")
 	objective := line.number("objective_ms")
 	switch {
 	case status == 0:
@@ -63,106 +64,107 @@
 	return ""
 }
 
-// tenantReasons are the reasons that lie with a tenant's limit, not with a service.
+// tenantReasons are the refusal reasons caused by a tenant's limits, not by a service.
 var tenantReasons = map[string]bool{"over_quota": true, "no_allowance": true}
 
-// causeOf follows a request that ended badly down to the call that made it do so.
-func causeOf(line Line, below map[string][]Line) (service, reason string) {
+// findCause follows an unsuccessful request downstream to the call that caused its failure.
+func findCause(line Line, callsByParent map[string][]Line) (service, reason string) {
 	for {
-		if reason = line.text("reason"); reason != "none" {
-			if decisive := line.text("decisive"); reason == "overload" && decisive != "" {
+		if reason = line.field("reason"); reason != "none" {
+			if decisive := line.field("decisive"); reason == "overload" && decisive != "" {
 				return decisive, reason
 			}
-			if tenant := line.text("tenant"); tenant != "" && tenantReasons[reason] {
+			if tenant := line.field("tenant"); tenant != "" && tenantReasons[reason] {
 				return "tenant " + tenant, reason
 			}
-			return line.text("service"), reason
+			return line.field("service"), reason
 		}
-		var worst *Line
-		for _, call := range below[line.text("request")] {
-			if call.number("status") < 400 && call.text("reason") == "none" {
+		var cause *Line
+		for _, call := range callsByParent[line.field("request")] {
+			if call.number("status") < 400 && call.field("reason") == "none" {
 				continue
 			}
-			if worst == nil || outweighs(call, *worst) {
-				worst = &call
+			if cause == nil || isLikelierCause(call, *cause) {
+				cause = &call
 			}
 		}
-		if worst == nil {
-			return line.text("service"), "status " + line.text("status")
+		if cause == nil {
+			return line.field("service"), "status " + line.field("status")
 		}
-		line = *worst
+		line = *cause
 	}
 }
 
-// outweighs tells whether a bad call, rather than one before it, made the request above
-// them fail. A call that was cancelled is a consequence.
-func outweighs(call, before Line) bool {
-	if cancelled := call.text("reason") == "cancelled"; cancelled != (before.text("reason") == "cancelled") {
+// isLikelierCause reports whether call rather than other caused their parent to fail. A
+// cancelled call is a consequence of another failure; otherwise the later call is the cause.
+func isLikelierCause(call, other Line) bool {
+	if cancelled := call.field("reason") == "cancelled"; cancelled != (other.field("reason") == "cancelled") {
 		return !cancelled
 	}
-	return !call.Time.Before(before.Time)
+	return !call.Time.Before(other.Time)
 }
 
-// longestWaits gives, by request, the run below it that waited longest for a slot.
+// longestWaits maps each client request to the run with the longest wait for a slot, among
+// the request's own run and those of its nested calls.
 func longestWaits(lines []Line) map[string]Line {
 	longest := map[string]Line{}
 	for _, line := range lines {
 		if line.Kind != "run" {
 			continue
 		}
-		start, _, _ := strings.Cut(line.text("request"), ".")
-		if known, present := longest[start]; !present || line.number("wait_ms") > known.number("wait_ms") {
-			longest[start] = line
+		root, _, _ := strings.Cut(line.field("request"), ".")
+		if known, present := longest[root]; !present || line.number("wait_ms") > known.number("wait_ms") {
+			longest[root] = line
 		}
 	}
 	return longest
 }
 
-// waitThatCounts is the wait for a slot, in ms, from which it is named as the reason.
-const waitThatCounts = 50
+// minReportedWaitMS is the shortest wait for a slot reported as the cause of a late request.
+const minReportedWaitMS = 50
 
-// lateBy tells where a late request lost its time.
-func lateBy(line Line, waits map[string]Line) (service, reason string) {
-	start, _, _ := strings.Cut(line.text("request"), ".")
-	if run, present := waits[start]; present && run.number("wait_ms") >= waitThatCounts {
-		return run.text("service"), "waited"
+// findDelay returns the main cause of a late request.
+func findDelay(line Line, waits map[string]Line) (service, reason string) {
+	root, _, _ := strings.Cut(line.field("request"), ".")
+	if run, present := waits[root]; present && run.number("wait_ms") >= minReportedWaitMS {
+		return run.field("service"), "waited"
 	}
 	if sends, _ := line.Fields["sends"].([]any); len(sends) > 1 {
-		return line.text("service"), "sent again"
+		return line.field("service"), "sent again"
 	}
-	return line.text("service"), "took long"
+	return line.field("service"), "took long"
 }
 
-// LostByCause counts losses by how they ended, service and reason, most first.
+// LostByCause counts losses by type, service and reason, in descending order.
 func LostByCause(losses []Loss) []Count {
 	counts := map[string]int{}
 	for _, loss := range losses {
 		counts[fmt.Sprintf("%-8s %s %s", loss.Ended, loss.Service, loss.Reason)]++
 	}
-	return sorted(counts)
+	return sortedCounts(counts)
 }
 
-// LostBySecond gives a row for each second with losses: how many were refused, failed
-// and late, and the cause of most of them.
+// LostBySecond returns a row for each second with losses: the number of refused, failed and
+// late requests, and the most frequent cause.
 func LostBySecond(losses []Loss) []string {
 	seconds := map[int64][]Loss{}
 	for _, loss := range losses {
 		seconds[loss.At.Unix()] = append(seconds[loss.At.Unix()], loss)
 	}
-	order := make([]int64, 0, len(seconds))
+	ordered := make([]int64, 0, len(seconds))
 	for second := range seconds {
-		order = append(order, second)
+		ordered = append(ordered, second)
 	}
-	sort.Slice(order, func(a, b int) bool { return order[a] < order[b] })
-	rows := make([]string, 0, len(order))
-	for _, second := range order {
+	sort.Slice(ordered, func(a, b int) bool { return ordered[a] < ordered[b] })
+	rows := make([]string, 0, len(ordered))
+	for _, second := range ordered {
 		ended := map[string]int{}
 		for _, loss := range seconds[second] {
 			ended[loss.Ended]++
 		}
-		most := LostByCause(seconds[second])[0]
+		topCause := LostByCause(seconds[second])[0]
 		rows = append(rows, fmt.Sprintf("%s refused %4d failed %4d late %4d; most: %4d %s", time.Unix(second, 0).UTC().Format("15:04:05"),
-			ended["refused"], ended["failed"], ended["late"], most.Lines, strings.Join(strings.Fields(most.What), " ")))
+			ended["refused"], ended["failed"], ended["late"], topCause.Lines, strings.Join(strings.Fields(topCause.What), " ")))
 	}
 	return rows
 }
--- a/internal/logquery/lost_test.go
+++ b/internal/logquery/lost_test.go
@@ -7,54 +7,54 @@
 	. "github.com/onsi/gomega"
 )
 
-func line(kind, second string, fields map[string]any) Line {
+func newLine(kind, second string, fields map[string]any) Line {
 	at, _ := time.Parse("15:04:05", second)
 	fields["msg"] = kind
 	return Line{Time: at, Kind: kind, Fields: fields}
 }
 
-// ended is the end of a request: its id, the id above it, service, status and reason.
-func ended(second, id, parent, service string, status float64, reason string) Line {
+// newRequestLine returns the event of a completed request; parent is empty for a client request.
+func newRequestLine(second, id, parent, service string, status float64, reason string) Line {
 	fields := map[string]any{"request": id, "service": service, "route": "r", "status": status, "reason": reason}
 	if parent != "" {
 		fields["parent"] = parent
 	}
-	return line("request", second, fields)
+	return newLine("request", second, fields)
 }
 
-func TestALossIsTracedToItsCause(t *testing.T) {
+func TestLossCause(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
 		lines []Line
-		want  []Loss // without their times
+		want  []Loss // At is not compared
 	}{
-		{"refused at the door for a service further down", []Line{
-			line("request", "10:00:00", map[string]any{"request": "a", "route": "r", "service": "front", "status": 503.0, "reason": "overload", "decisive": "deep"}),
+		{"refused at entry because a downstream service is overloaded", []Line{
+			newLine("request", "10:00:00", map[string]any{"request": "a", "route": "r", "service": "front", "status": 503.0, "reason": "overload", "decisive": "deep"}),
 		}, []Loss{{Ended: "refused", Service: "deep", Reason: "overload"}}},
-		{"a call two levels down was lost", []Line{
-			ended("10:00:00", "a.1.1", "a.1", "deep", 502, "lost"),
-			ended("10:00:00", "a.1", "a", "middle", 500, "none"),
-			ended("10:00:00", "a", "", "front", 500, "none"),
+		{"nested call lost", []Line{
+			newRequestLine("10:00:00", "a.1.1", "a.1", "deep", 502, "lost"),
+			newRequestLine("10:00:00", "a.1", "a", "middle", 500, "none"),
+			newRequestLine("10:00:00", "a", "", "front", 500, "none"),
 		}, []Loss{{Ended: "failed", Service: "deep", Reason: "lost"}}},
-		{"the last of two bad calls counts", []Line{
-			ended("10:00:00", "a.1", "a", "one", 503, "too_long"),
-			ended("10:00:01", "a.2", "a", "two", 504, "timeout"),
-			ended("10:00:01", "a", "", "front", 500, "none"),
+		{"last of two failed calls", []Line{
+			newRequestLine("10:00:00", "a.1", "a", "one", 503, "too_long"),
+			newRequestLine("10:00:01", "a.2", "a", "two", 504, "timeout"),
+			newRequestLine("10:00:01", "a", "", "front", 500, "none"),
 		}, []Loss{{Ended: "failed", Service: "two", Reason: "timeout"}}},
-		{"a call that was cancelled since another one failed", []Line{
-			ended("10:00:00", "a.1", "a", "one", 502, "lost"),
-			ended("10:00:01", "a.2", "a", "two", 0, "cancelled"),
-			ended("10:00:01", "a", "", "front", 500, "none"),
+		{"call cancelled after another call failed", []Line{
+			newRequestLine("10:00:00", "a.1", "a", "one", 502, "lost"),
+			newRequestLine("10:00:01", "a.2", "a", "two", 0, "cancelled"),
+			newRequestLine("10:00:01", "a", "", "front", 500, "none"),
 		}, []Loss{{Ended: "failed", Service: "one", Reason: "lost"}}},
-		{"the lines below were left out", []Line{ended("10:00:00", "a", "", "front", 500, "none")}, []Loss{{Ended: "failed", Service: "front", Reason: "status 500"}}},
-		{"late after a wait", []Line{
-			line("run", "10:00:00", map[string]any{"request": "a.1", "service": "deep", "wait_ms": 300.0}),
-			line("request", "10:00:01", map[string]any{"request": "a", "route": "r", "service": "front", "status": 200.0, "reason": "none", "took_ms": 900.0, "objective_ms": 800.0}),
+		{"nested calls not logged", []Line{newRequestLine("10:00:00", "a", "", "front", 500, "none")}, []Loss{{Ended: "failed", Service: "front", Reason: "status 500"}}},
+		{"late after waiting for a slot", []Line{
+			newLine("run", "10:00:00", map[string]any{"request": "a.1", "service": "deep", "wait_ms": 300.0}),
+			newLine("request", "10:00:01", map[string]any{"request": "a", "route": "r", "service": "front", "status": 200.0, "reason": "none", "took_ms": 900.0, "objective_ms": 800.0}),
 		}, []Loss{{Ended: "late", Service: "deep", Reason: "waited"}}},
-		{"in time, left and without a route", []Line{
-			line("request", "10:00:01", map[string]any{"request": "a", "route": "r", "service": "front", "status": 200.0, "reason": "none", "took_ms": 700.0, "objective_ms": 800.0}),
-			ended("10:00:01", "b", "", "front", 0, "cancelled"),
-			line("request", "10:00:01", map[string]any{"request": "c", "status": 404.0, "reason": "no_route"}),
+		{"in time, cancelled by the client, without a route", []Line{
+			newLine("request", "10:00:01", map[string]any{"request": "a", "route": "r", "service": "front", "status": 200.0, "reason": "none", "took_ms": 700.0, "objective_ms": 800.0}),
+			newRequestLine("10:00:01", "b", "", "front", 0, "cancelled"),
+			newLine("request", "10:00:01", map[string]any{"request": "c", "status": 404.0, "reason": "no_route"}),
 		}, nil},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -69,12 +69,12 @@
 	}
 }
 
-func TestLossesAreCountedByCauseAndSecond(t *testing.T) {
+func TestLossCounts(t *testing.T) {
 	g := NewWithT(t)
 	losses := Lost([]Line{
-		ended("10:00:00", "a", "", "front", 503, "too_long"),
-		ended("10:00:01", "b", "", "front", 503, "too_long"),
-		ended("10:00:01", "c", "", "front", 502, "lost"),
+		newRequestLine("10:00:00", "a", "", "front", 503, "too_long"),
+		newRequestLine("10:00:01", "b", "", "front", 503, "too_long"),
+		newRequestLine("10:00:01", "c", "", "front", 502, "lost"),
 	})
 	g.Expect(LostByCause(losses)).To(Equal([]Count{{What: "refused  front too_long", Lines: 2}, {What: "failed   front lost", Lines: 1}}))
 	rows := LostBySecond(losses)
