--- a/internal/operator/bundle.go
+++ b/internal/operator/bundle.go
@@ -16,42 +16,42 @@
 	"github.com/landingmast/landingmast/internal/mesh/security"
 )
 
-func (s *shell) registerBundle() {
-	group := s.application.Command("bundle", "Check, sign, roll and follow bundles.")
-	s.registerBundleFiles(group)
-	s.registerBundlePlatform(group)
-	status := group.Command("status", "Which nodes have which bundle in force.")
-	s.add(status, s.bundleStatus)
+func (c *cli) registerBundle() {
+	group := c.application.Command("bundle", "Check, sign, roll and inspect bundles.")
+	c.registerBundleFiles(group)
+	c.registerBundlePlatform(group)
+	status := group.Command("status", "Show the bundle version installed on each node.")
+	c.add(status, c.bundleStatus)
 }
 
-func (s *shell) registerBundleFiles(group *kingpin.CmdClause) {
-	check := group.Command("check", "Check a bundle file against the schema.")
-	checkFile := check.Arg("file", "Bundle, YAML.").Required().String()
-	s.add(check, func(context.Context) error { return s.bundleCheck(*checkFile) })
+func (c *cli) registerBundleFiles(group *kingpin.CmdClause) {
+	check := group.Command("check", "Validate a bundle file.")
+	checkFile := check.Arg("file", "Bundle file in YAML.").Required().String()
+	c.add(check, func(context.Context) error { return c.bundleCheck(*checkFile) })
 
 	sign := group.Command("sign", "Sign a bundle file.")
-	signFile := sign.Arg("file", "Bundle, YAML.").Required().String()
-	signer := sign.Flag("signer", "Name of the signer, as the nodes' settings have it.").Required().String()
-	key := sign.Flag("key", "Signer's private key, PEM.").Required().String()
-	target := sign.Flag("to", "File for the signed release.").Required().String()
-	s.add(sign, func(context.Context) error { return s.bundleSign(*signFile, *signer, *key, *target) })
+	signFile := sign.Arg("file", "Bundle file in YAML.").Required().String()
+	signer := sign.Flag("signer", "Name of the signer in the nodes' settings.").Required().String()
+	key := sign.Flag("key", "PEM file with the signer's private key.").Required().String()
+	outputFile := sign.Flag("to", "Output file for the signed release.").Required().String()
+	c.add(sign, func(context.Context) error { return c.bundleSign(*signFile, *signer, *key, *outputFile) })
 }
 
-func (s *shell) registerBundlePlatform(group *kingpin.CmdClause) {
-	address := group.Flag("platform", "Address of the platform's service, IP:port.").Envar("LANDINGMAST_PLATFORM").Default("127.0.0.1:8500").String()
+func (c *cli) registerBundlePlatform(group *kingpin.CmdClause) {
+	address := group.Flag("platform", "Address of the platform's key-value service, IP:port.").Envar("LANDINGMAST_PLATFORM").Default("127.0.0.1:8500").String()
 	store := func() platform.Store { return platform.NewConsul(*address, platformTimeout) }
 
-	rollCommand := group.Command("roll", "Put a signed release in force as the next version.")
-	file := rollCommand.Arg("file", "Signed release, as `bundle sign` wrote it.").Required().String()
-	s.add(rollCommand, func(ctx context.Context) error { return s.bundleRoll(ctx, store(), *file) })
+	rollCommand := group.Command("roll", "Publish a signed release as the next version.")
+	file := rollCommand.Arg("file", "Signed release written by `bundle sign`.").Required().String()
+	c.add(rollCommand, func(ctx context.Context) error { return c.bundleRoll(ctx, store(), *file) })
 
-	diff := group.Command("diff", "Compare a bundle file with the release in the platform.")
-	diffFile := diff.Arg("file", "Bundle, YAML.").Required().String()
-	s.add(diff, func(ctx context.Context) error { return s.bundleDiff(ctx, store(), *diffFile) })
+	diff := group.Command("diff", "Compare a bundle file with the current release in the platform.")
+	diffFile := diff.Arg("file", "Bundle file in YAML.").Required().String()
+	c.add(diff, func(ctx context.Context) error { return c.bundleDiff(ctx, store(), *diffFile) })
 
-	history := group.Command("history", "Versions that were rolled, newest first.")
+	history := group.Command("history", "List the rolled versions, newest first.")
 	mesh := history.Arg("mesh", "Name of the mesh.").Required().String()
-	s.add(history, func(ctx context.Context) error { return s.bundleHistory(ctx, store(), *mesh) })
+	c.add(history, func(ctx context.Context) error { return c.bundleHistory(ctx, store(), *mesh) })
 }
 
 const platformTimeout = 2 * time.Second
@@ -59,7 +59,7 @@
 func readFile(path string) ([]byte, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return nil, failure.Wrap(err, failure.BadInput, "name a readable file", "file %s", path)
+		return nil, failure.Wrap(err, failure.BadInput, "specify a readable file", "file %s", path)
 	}
 	return data, nil
 }
@@ -76,7 +76,7 @@
 	return parsed, nil
 }
 
-func (s *shell) bundleCheck(path string) error {
+func (c *cli) bundleCheck(path string) error {
 	parsed, err := readBundle(path)
 	if err != nil {
 		return err
@@ -84,12 +84,12 @@
 	summary := map[string]any{
 		"mesh": parsed.Mesh, "version": parsed.Version, "services": len(parsed.Services), "classes": len(parsed.Classes), "nodes": len(parsed.Nodes()),
 	}
-	return s.print(summary, func(table *tabwriter.Writer) {
-		row(table, "usable: mesh", parsed.Mesh, "version", parsed.Version, "services", len(parsed.Services), "classes", len(parsed.Classes), "nodes", len(parsed.Nodes()))
+	return c.print(summary, func(table *tabwriter.Writer) {
+		writeRow(table, "usable: mesh", parsed.Mesh, "version", parsed.Version, "services", len(parsed.Services), "classes", len(parsed.Classes), "nodes", len(parsed.Nodes()))
 	})
 }
 
-func (s *shell) bundleSign(path, signer, keyFile, target string) error {
+func (c *cli) bundleSign(path, signer, keyFile, outputFile string) error {
 	parsed, err := readBundle(path)
 	if err != nil {
 		return err
@@ -108,36 +108,36 @@
 	}
 	encoded, err := json.Marshal(release)
 	if err != nil {
-		return failure.Wrap(err, failure.Internal, "report this", "release cannot be written")
+		return failure.Wrap(err, failure.Internal, "report this as a bug", "cannot encode the release")
 	}
-	if err := os.WriteFile(target, encoded, 0o644); err != nil {
-		return failure.Wrap(err, failure.BadInput, "name a file that can be written", "file %s", target)
+	if err := os.WriteFile(outputFile, encoded, 0o644); err != nil {
+		return failure.Wrap(err, failure.BadInput, "specify a writable file", "file %s", outputFile)
 	}
-	return s.print(release, func(table *tabwriter.Writer) {
-		row(table, "signed", target, "version", release.Version, "digest", hex.EncodeToString(release.Digest[:6]))
+	return c.print(release, func(table *tabwriter.Writer) {
+		writeRow(table, "signed", outputFile, "version", release.Version, "digest", hex.EncodeToString(release.Digest[:6]))
 	})
 }
 
-func (s *shell) bundleRoll(ctx context.Context, store platform.Store, path string) error {
+func (c *cli) bundleRoll(ctx context.Context, store platform.Store, path string) error {
 	data, err := readFile(path)
 	if err != nil {
 		return err
 	}
 	release := &bundle.Release{}
 	if err := json.Unmarshal(data, release); err != nil || len(release.Sections) == 0 {
-		return failure.New(failure.BadInput, "name a file that `landingmast bundle sign` wrote", "file %s is no signed release", path)
+		return failure.New(failure.BadInput, "specify a file written by `landingmast bundle sign`", "file %s is not a signed release", path)
 	}
 	entry, err := roll.Roll(ctx, store, release)
 	if err != nil {
 		return err
 	}
-	return s.print(entry, func(table *tabwriter.Writer) {
-		row(table, "rolled version", entry.Version, "signer", entry.Signer, "roll id", entry.RollID)
+	return c.print(entry, func(table *tabwriter.Writer) {
+		writeRow(table, "rolled version", entry.Version, "signer", entry.Signer, "roll id", entry.RollID)
 	})
 }
 
-// bundleDiff names the sections that differ.
-func (s *shell) bundleDiff(ctx context.Context, store platform.Store, path string) error {
+// bundleDiff prints the sections that differ between a file and the current release.
+func (c *cli) bundleDiff(ctx context.Context, store platform.Store, path string) error {
 	parsed, err := readBundle(path)
 	if err != nil {
 		return err
@@ -147,7 +147,7 @@
 		return err
 	}
 	if record == nil {
-		return failure.New(failure.Missing, "roll a first version", "no release of mesh %s was rolled", parsed.Mesh)
+		return failure.New(failure.Missing, "roll the first version", "mesh %s has no release", parsed.Mesh)
 	}
 	sections, err := bundle.Split(parsed)
 	if err != nil {
@@ -156,20 +156,21 @@
 	file := &bundle.Release{Mesh: parsed.Mesh, Version: parsed.Version, Sections: sections}
 	delta := file.Delta(record.Release)
 	changes := sectionChanges(record.Release, delta)
-	return s.print(changes, func(table *tabwriter.Writer) {
-		row(table, "from version", record.Release.Version, "to version", parsed.Version)
+	return c.print(changes, func(table *tabwriter.Writer) {
+		writeRow(table, "from version", record.Release.Version, "to version", parsed.Version)
 		for _, change := range changes {
-			row(table, change.Change, change.Section)
+			writeRow(table, change.Change, change.Section)
 			if change.Before != "" {
-				row(table, "", "- "+change.Before)
+				writeRow(table, "", "- "+change.Before)
 			}
 			if change.After != "" {
-				row(table, "", "+ "+change.After)
+				writeRow(table, "", "+ "+change.After)
 			}
 		}
 	})
 }
 
+// sectionChange is a difference in one section of a bundle.
 type sectionChange struct {
 	Change  string `json:"change"`
 	Section string `json:"section"`
@@ -196,42 +197,42 @@
 	return changes
 }
 
-func (s *shell) bundleHistory(ctx context.Context, store platform.Store, mesh string) error {
+func (c *cli) bundleHistory(ctx context.Context, store platform.Store, mesh string) error {
 	record, _, err := roll.Read(ctx, store, mesh)
 	if err != nil {
 		return err
 	}
 	if record == nil {
-		return failure.New(failure.Missing, "roll a first version", "no release of mesh %s was rolled", mesh)
+		return failure.New(failure.Missing, "roll the first version", "mesh %s has no release", mesh)
 	}
-	return s.print(record.History, func(table *tabwriter.Writer) {
-		row(table, "VERSION", "ROLLED AT", "SIGNER", "ROLL ID", "DIGEST")
+	return c.print(record.History, func(table *tabwriter.Writer) {
+		writeRow(table, "VERSION", "ROLLED AT", "SIGNER", "ROLL ID", "DIGEST")
 		for _, entry := range record.History {
-			row(table, entry.Version, entry.RolledAt.Format(time.RFC3339), entry.Signer, entry.RollID, entry.Digest[:min(len(entry.Digest), 12)])
+			writeRow(table, entry.Version, entry.RolledAt.Format(time.RFC3339), entry.Signer, entry.RollID, entry.Digest[:min(len(entry.Digest), 12)])
 		}
 	})
 }
 
-func (s *shell) bundleStatus(ctx context.Context) error {
-	nodes, err := s.client().Nodes(ctx)
+func (c *cli) bundleStatus(ctx context.Context) error {
+	nodes, err := c.client().Nodes(ctx)
 	if err != nil {
 		return err
 	}
-	newest := int64(0)
+	latest := int64(0)
 	for _, node := range nodes {
-		newest = max(newest, node.BundleVersion)
+		latest = max(latest, node.BundleVersion)
 	}
-	behind := 0
+	outdated := 0
 	for _, node := range nodes {
-		if node.BundleVersion != newest {
-			behind++
+		if node.BundleVersion != latest {
+			outdated++
 		}
 	}
-	return s.print(nodes, func(table *tabwriter.Writer) {
-		row(table, "newest version", newest, "in force on", len(nodes)-behind, "of", len(nodes), "nodes")
-		row(table, "NODE", "STATE", "BUNDLE", "DIGEST", "REFUSED")
+	return c.print(nodes, func(table *tabwriter.Writer) {
+		writeRow(table, "newest version", latest, "in force on", len(nodes)-outdated, "of", len(nodes), "nodes")
+		writeRow(table, "NODE", "STATE", "BUNDLE", "DIGEST", "REFUSED")
 		for _, node := range nodes {
-			row(table, node.Node, node.State, node.BundleVersion, dash(node.BundleDigest), node.BundlesRejected)
+			writeRow(table, node.Node, node.State, node.BundleVersion, orDash(node.BundleDigest), node.BundlesRejected)
 		}
 	})
 }
--- a/internal/operator/held.go
+++ b/internal/operator/held.go
@@ -18,50 +18,50 @@
 	"github.com/landingmast/landingmast/internal/wire"
 )
 
-// Stores tells the commands how to reach the store of sidecar nodes.
+// Stores configures access to the metadata store of sidecar nodes.
 type Stores struct {
 	Open     func(address string) store.Store
-	CrashKey string    // of what is kept about requests that end targets
-	Input    io.Reader // where questions are answered
+	CrashKey string    // key of the crash evidence
+	Input    io.Reader // source of answers to confirmation prompts
 }
 
-// Bounds of a lift.
+// Limits of store access.
 const (
-	storeCall = 2 * time.Second // of one call
-	liftTries = 5               // nodes may write between the read and the write
+	storeTimeout = 2 * time.Second // timeout of one call
+	liftAttempts = 5               // a lift is retried when a node modifies the key concurrently
 )
 
-// heldRequest is a request that is held back, for the output.
+// heldRequest is the printed form of a held-back request.
 type heldRequest struct {
 	Digest  string    `json:"digest"`
 	Service string    `json:"service"`
 	Route   string    `json:"route"`
 	Since   time.Time `json:"since"`
-	Targets []string  `json:"targets"` // that ended with it
+	Targets []string  `json:"targets"` // targets that crashed while running it
 }
 
-// registerHeld registers `landingmast held`: requests that are held back.
-func (s *shell) registerHeld() {
-	group := s.application.Command("held", "Requests that sidecar nodes hold back since targets ended with them.")
-	address := group.Flag("store", "Address of the nodes' store, IP:port.").Required().String()
+// registerHeld registers `landingmast held`, which lists and lifts held-back requests.
+func (c *cli) registerHeld() {
+	group := c.application.Command("held", "Manage requests that sidecar nodes hold back because targets crashed while running them.")
+	address := group.Flag("store", "Address of the metadata store, IP:port.").Required().String()
 
-	list := group.Command("list", "List them.")
-	s.add(list, func(ctx context.Context) error { return s.heldList(ctx, *address) })
+	list := group.Command("list", "List held-back requests.")
+	c.add(list, func(ctx context.Context) error { return c.heldList(ctx, *address) })
 
-	lift := group.Command("lift", "Have a request sent again, at all nodes.")
-	digest := lift.Arg("digest", "Digest of the request, as list shows it.").Required().String()
-	sure := lift.Flag("yes", "Do not ask.").Bool()
-	s.add(lift, func(ctx context.Context) error { return s.heldLift(ctx, *address, *digest, *sure) })
+	lift := group.Command("lift", "Stop holding back a request on all nodes.")
+	digest := lift.Arg("digest", "Digest of the request, from `held list`.").Required().String()
+	yes := lift.Flag("yes", "Skip the confirmation prompt.").Bool()
+	c.add(lift, func(ctx context.Context) error { return c.heldLift(ctx, *address, *digest, *yes) })
 }
 
-// readHeld reads what the store keeps.
-func (s *shell) readHeld(ctx context.Context, address string) (*crashes.Ledger, int64, error) {
-	ctx, cancel := context.WithTimeout(ctx, storeCall)
+// readHeld reads the crash evidence from the store, with its revision.
+func (c *cli) readHeld(ctx context.Context, address string) (*crashes.Ledger, int64, error) {
+	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	ledger := crashes.New(crashes.DefaultConfig())
-	item, _, err := s.stores.Open(address).Get(ctx, s.stores.CrashKey)
+	item, _, err := c.stores.Open(address).Get(ctx, c.stores.CrashKey)
 	if err != nil {
-		return nil, 0, failure.Wrap(err, failure.Unavailable, "name the store's address with --store, or try again", "store at %s", address)
+		return nil, 0, failure.Wrap(err, failure.Unavailable, "check the address given with --store, or try again", "store at %s", address)
 	}
 	if item == nil {
 		return ledger, 0, nil
@@ -74,85 +74,86 @@
 	return ledger, item.Revision, nil
 }
 
-func (s *shell) heldList(ctx context.Context, address string) error {
-	ledger, _, err := s.readHeld(ctx, address)
+func (c *cli) heldList(ctx context.Context, address string) error {
+	ledger, _, err := c.readHeld(ctx, address)
 	if err != nil {
 		return err
 	}
 	held := []heldRequest{}
 	for content, evidence := range ledger.Held() {
-		held = append(held, describe(content, evidence))
+		held = append(held, newHeldRequest(content, evidence))
 	}
 	slices.SortFunc(held, func(a, b heldRequest) int { return cmp.Or(a.Since.Compare(b.Since), cmp.Compare(a.Digest, b.Digest)) })
-	return s.print(held, func(table *tabwriter.Writer) {
-		row(table, "DIGEST", "SERVICE", "ROUTE", "SINCE", "TARGETS THAT ENDED")
-		for _, one := range held {
-			row(table, one.Digest, one.Service, one.Route, one.Since.Format(time.RFC3339), strings.Join(one.Targets, " "))
+	return c.print(held, func(table *tabwriter.Writer) {
+		writeRow(table, "DIGEST", "SERVICE", "ROUTE", "SINCE", "TARGETS THAT ENDED")
+		for _, request := range held {
+			writeRow(table, request.Digest, request.Service, request.Route, request.Since.Format(time.RFC3339), strings.Join(request.Targets, " "))
 		}
 	})
 }
 
-func describe(content crashes.Content, evidence []crashes.Evidence) heldRequest {
-	one := heldRequest{Digest: content.String(), Service: evidence[0].Service, Route: evidence[0].Route}
+// newHeldRequest summarizes the evidence against a request, except what was cleared.
+func newHeldRequest(content crashes.Content, evidence []crashes.Evidence) heldRequest {
+	held := heldRequest{Digest: content.String(), Service: evidence[0].Service, Route: evidence[0].Route}
 	for _, e := range evidence {
 		if e.Cleared {
 			continue
 		}
 		at := time.UnixMilli(e.At).UTC()
-		if one.Since.Before(at) {
-			one.Since = at
+		if held.Since.Before(at) {
+			held.Since = at
 		}
-		one.Targets = append(one.Targets, e.Instance)
+		held.Targets = append(held.Targets, e.Instance)
 	}
-	slices.Sort(one.Targets)
-	one.Targets = slices.Compact(one.Targets)
-	return one
+	slices.Sort(held.Targets)
+	held.Targets = slices.Compact(held.Targets)
+	return held
 }
 
-func (s *shell) heldLift(ctx context.Context, address, digest string, sure bool) error {
+func (c *cli) heldLift(ctx context.Context, address, digest string, confirmed bool) error {
 	content, err := crashes.ParseContent(digest)
 	if err != nil {
-		return failure.Wrap(err, failure.BadInput, "copy the digest that `landingmast held list` shows", "digest")
+		return failure.Wrap(err, failure.BadInput, "use a digest printed by `landingmast held list`", "digest")
 	}
-	for range liftTries {
-		ledger, revision, err := s.readHeld(ctx, address)
+	for range liftAttempts {
+		ledger, revision, err := c.readHeld(ctx, address)
 		if err != nil {
 			return err
 		}
 		evidence, held := ledger.Held()[content]
 		if !held {
-			return failure.New(failure.Missing, "see `landingmast held list`", "no request with the digest %s is held back", digest)
+			return failure.New(failure.Missing, "list the digests with `landingmast held list`", "no held-back request has digest %s", digest)
 		}
-		if !sure && !s.confirmed(describe(content, evidence)) {
-			return failure.New(failure.BadInput, "answer yes, or give --yes", "nothing was lifted")
+		if !confirmed && !c.confirm(newHeldRequest(content, evidence)) {
+			return failure.New(failure.BadInput, "answer yes, or use --yes", "nothing was lifted")
 		}
-		sure = true
+		confirmed = true
 		ledger.Lift(content)
-		err = s.writeHeld(ctx, address, ledger, revision)
+		err = c.writeHeld(ctx, address, ledger, revision)
 		if !errors.Is(err, store.ErrConflict) {
 			return err
 		}
 	}
-	return failure.New(failure.Conflict, "try again", "nodes wrote at the same time")
+	return failure.New(failure.Conflict, "try again", "nodes modified the held-back requests concurrently")
 }
 
-// confirmed asks whether a request is to be sent again.
-func (s *shell) confirmed(one heldRequest) bool {
-	_, _ = fmt.Fprintf(s.output, "%d targets of %s ended with this request of route %s: %s\nHave it sent again at all nodes? (yes) ", len(one.Targets), one.Service, one.Route, strings.Join(one.Targets, " "))
-	answer, err := bufio.NewReader(s.stores.Input).ReadString('\n')
+// confirm prompts the operator to confirm that a request may be sent to targets again.
+func (c *cli) confirm(held heldRequest) bool {
+	_, _ = fmt.Fprintf(c.output, "%d targets of %s crashed while running this request of route %s: %s\nStop holding it back on all nodes? (yes) ", len(held.Targets), held.Service, held.Route, strings.Join(held.Targets, " "))
+	answer, err := bufio.NewReader(c.stores.Input).ReadString('\n')
 	return (err == nil || err == io.EOF) && strings.TrimSpace(answer) == "yes"
 }
 
-func (s *shell) writeHeld(ctx context.Context, address string, ledger *crashes.Ledger, revision int64) error {
+func (c *cli) writeHeld(ctx context.Context, address string, ledger *crashes.Ledger, revision int64) error {
 	value, err := wire.CrashesCodec.Encode(&wire.Crashes{Forward: []string{}, Evidence: wire.CrashForms(ledger.Lasting())})
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, storeCall)
+	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	_, err = s.stores.Open(address).Put(ctx, store.Write{Key: s.stores.CrashKey, Value: value, IfRevision: &revision})
+	_, err = c.stores.Open(address).Put(ctx, store.Write{Key: c.stores.CrashKey, Value: value, IfRevision: &revision})
 	if err == nil || errors.Is(err, store.ErrConflict) {
 		return err
 	}
-	return failure.Wrap(err, failure.Uncertain, "look with `landingmast held list` whether it is still there", "store at %s", address)
+	return failure.Wrap(err, failure.Uncertain, "check with `landingmast held list` whether it is still listed", "store at %s", address)
 }
--- a/internal/operator/keys.go
+++ b/internal/operator/keys.go
@@ -10,37 +10,37 @@
 	"github.com/landingmast/landingmast/internal/mesh/security"
 )
 
-func (s *shell) registerKeys() {
-	group := s.application.Command("keys", "Make keys.")
+func (c *cli) registerKeys() {
+	group := c.application.Command("keys", "Generate keys and certificates.")
 
-	authority := group.Command("authority", "Make the certificate authority of a mesh's nodes.")
+	authority := group.Command("authority", "Generate the certificate authority of a mesh.")
 	mesh := authority.Arg("mesh", "Name of the mesh.").Required().String()
-	authorityTo := authority.Flag("to", "Prefix of the files: PREFIX.crt and PREFIX.key.").Required().String()
-	s.add(authority, func(context.Context) error {
+	authorityTo := authority.Flag("to", "Prefix of the output files: PREFIX.crt and PREFIX.key.").Required().String()
+	c.add(authority, func(context.Context) error {
 		pair, err := security.NewAuthority(*mesh)
 		if err != nil {
 			return err
 		}
-		return s.writePair(*authorityTo, pair)
+		return c.writePair(*authorityTo, pair)
 	})
 
-	node := group.Command("node", "Issue the certificate of a node.")
+	node := group.Command("node", "Issue a node certificate.")
 	name := node.Arg("node", "Name of the node.").Required().String()
-	from := node.Flag("authority", "Prefix of the authority's files.").Required().String()
-	nodeTo := node.Flag("to", "Prefix of the files: PREFIX.crt and PREFIX.key.").Required().String()
-	s.add(node, func(context.Context) error { return s.keysNode(*name, *from, *nodeTo) })
+	authorityPrefix := node.Flag("authority", "Prefix of the authority's files: PREFIX.crt and PREFIX.key.").Required().String()
+	nodeTo := node.Flag("to", "Prefix of the output files: PREFIX.crt and PREFIX.key.").Required().String()
+	c.add(node, func(context.Context) error { return c.keysNode(*name, *authorityPrefix, *nodeTo) })
 
-	signer := group.Command("signer", "Make an operator's key and print its public part for the settings.")
-	signerTo := signer.Flag("to", "File for the private key.").Required().String()
-	s.add(signer, func(context.Context) error { return s.keysSigner(*signerTo) })
+	signer := group.Command("signer", "Generate an operator's signing key and print the public key for the settings.")
+	signerTo := signer.Flag("to", "Output file for the private key.").Required().String()
+	c.add(signer, func(context.Context) error { return c.keysSigner(*signerTo) })
 }
 
-func (s *shell) keysNode(name, from, target string) error {
-	certificate, err := readFile(from + ".crt")
+func (c *cli) keysNode(name, authorityPrefix, outputPrefix string) error {
+	certificate, err := readFile(authorityPrefix + ".crt")
 	if err != nil {
 		return err
 	}
-	key, err := readFile(from + ".key")
+	key, err := readFile(authorityPrefix + ".key")
 	if err != nil {
 		return err
 	}
@@ -48,33 +48,34 @@
 	if err != nil {
 		return err
 	}
-	return s.writePair(target, pair)
+	return c.writePair(outputPrefix, pair)
 }
 
-func (s *shell) writePair(prefix string, pair security.Pair) error {
+func (c *cli) writePair(prefix string, pair security.Pair) error {
 	if err := writePrivate(prefix+".key", pair.Key); err != nil {
 		return err
 	}
 	if err := os.WriteFile(prefix+".crt", pair.Certificate, 0o644); err != nil {
-		return failure.Wrap(err, failure.BadInput, "name a place that can be written", "file %s", prefix+".crt")
+		return failure.Wrap(err, failure.BadInput, "specify a writable path", "file %s", prefix+".crt")
 	}
-	return s.print([]string{prefix + ".crt", prefix + ".key"}, func(table *tabwriter.Writer) { row(table, "wrote", prefix+".crt", prefix+".key") })
+	return c.print([]string{prefix + ".crt", prefix + ".key"}, func(table *tabwriter.Writer) { writeRow(table, "wrote", prefix+".crt", prefix+".key") })
 }
 
-// writePrivate never replaces a key: the old one may still be in use.
+// writePrivate writes a private key with mode 0600. It never overwrites a file, since the
+// existing key may be in use.
 func writePrivate(path string, data []byte) error {
 	file, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o600)
 	if err != nil {
-		return failure.Wrap(err, failure.BadInput, "name a new file; keys are never replaced in place", "file %s", path)
+		return failure.Wrap(err, failure.BadInput, "specify a new file; existing keys are never overwritten", "file %s", path)
 	}
 	defer file.Close()
 	if _, err := file.Write(data); err != nil {
-		return failure.Wrap(err, failure.Internal, "look at the disk", "file %s", path)
+		return failure.Wrap(err, failure.Internal, "check the disk", "file %s", path)
 	}
 	return nil
 }
 
-func (s *shell) keysSigner(path string) error {
+func (c *cli) keysSigner(path string) error {
 	private, public, err := security.NewSigner()
 	if err != nil {
 		return err
@@ -83,8 +84,8 @@
 		return err
 	}
 	encoded := base64.StdEncoding.EncodeToString(public)
-	return s.print(map[string]string{"file": path, "public_key": encoded}, func(table *tabwriter.Writer) {
-		row(table, "wrote", path)
-		row(table, "public_key:", encoded)
+	return c.print(map[string]string{"file": path, "public_key": encoded}, func(table *tabwriter.Writer) {
+		writeRow(table, "wrote", path)
+		writeRow(table, "public_key:", encoded)
 	})
 }
--- a/internal/operator/logs.go
+++ b/internal/operator/logs.go
@@ -8,59 +8,60 @@
 	"github.com/landingmast/landingmast/internal/logquery"
 )
 
-const mostRows = 20
+// slowestRows is the number of runs listed by `logs slowest`.
+const slowestRows = 20
 
-// registerStory registers `landingmast story`: one request over several logs.
-func (s *shell) registerStory() {
-	command := s.application.Command("story", "Tell what sidecar nodes decided about one request, from their log files.")
-	id := command.Arg("request", "Id of the request, as its client sent it.").Required().String()
-	paths := command.Flag("logs", "Log files or folders; several times.").Required().Strings()
-	s.add(command, func(context.Context) error {
+// registerStory registers `landingmast story`, which traces a request across nodes.
+func (c *cli) registerStory() {
+	command := c.application.Command("story", "Trace a request across sidecar nodes from their log files.")
+	id := command.Arg("request", "Request ID as sent by the client.").Required().String()
+	paths := command.Flag("logs", "Log file or directory; repeatable.").Required().Strings()
+	c.add(command, func(context.Context) error {
 		lines, _, err := logquery.Read(*paths)
 		if err != nil {
 			return err
 		}
-		return logquery.Story(s.output, lines, *id)
+		return logquery.Story(c.output, lines, *id)
 	})
 }
 
-// registerLogs registers `landingmast logs`: the usual questions over log files.
-func (s *shell) registerLogs() {
-	command := s.application.Command("logs", "Answer the usual questions over log files of sidecar nodes.")
-	question := command.Arg("question", "lost, refused, slowest, versions or omitted.").Required().Enum("lost", "refused", "slowest", "versions", "omitted")
-	paths := command.Flag("logs", "Log files or folders; several times.").Required().Strings()
-	s.add(command, func(context.Context) error {
-		lines, unread, err := logquery.Read(*paths)
+// registerLogs registers `landingmast logs`, which summarizes log files.
+func (c *cli) registerLogs() {
+	command := c.application.Command("logs", "Summarize log files of sidecar nodes.")
+	summary := command.Arg("question", "Summary to print: lost, refused, slowest, versions or omitted.").Required().Enum("lost", "refused", "slowest", "versions", "omitted")
+	paths := command.Flag("logs", "Log file or directory; repeatable.").Required().Strings()
+	c.add(command, func(context.Context) error {
+		lines, skipped, err := logquery.Read(*paths)
 		if err != nil {
 			return err
 		}
-		switch *question {
+		switch *summary {
 		case "lost":
 			losses := logquery.Lost(lines)
-			counts(s.output, logquery.LostByCause(losses))
-			printRows(s.output, logquery.LostBySecond(losses))
+			printCounts(c.output, logquery.LostByCause(losses))
+			printRows(c.output, logquery.LostBySecond(losses))
 		case "refused":
-			counts(s.output, logquery.Refused(lines))
+			printCounts(c.output, logquery.Refused(lines))
 		case "omitted":
-			counts(s.output, logquery.Omitted(lines))
+			printCounts(c.output, logquery.Omitted(lines))
 		case "versions":
-			printRows(s.output, logquery.Versions(lines))
+			printRows(c.output, logquery.Versions(lines))
 		case "slowest":
-			printRows(s.output, logquery.Slowest(lines, mostRows))
+			printRows(c.output, logquery.Slowest(lines, slowestRows))
 		}
-		_, err = fmt.Fprintf(s.output, "%d lines read, %d passed over\n", len(lines), unread)
+		_, err = fmt.Fprintf(c.output, "%d lines read, %d skipped\n", len(lines), skipped)
 		return err
 	})
 }
 
-func counts(output io.Writer, counted []logquery.Count) {
-	for _, row := range counted {
+func printCounts(output io.Writer, counts []logquery.Count) {
+	for _, row := range counts {
 		_, _ = fmt.Fprintf(output, "%7d %s\n", row.Lines, row.What)
 	}
 }
 
-func printRows(output io.Writer, texts []string) {
-	for _, text := range texts {
-		_, _ = fmt.Fprintln(output, text)
+func printRows(output io.Writer, rows []string) {
+	for _, row := range rows {
+		_, _ = fmt.Fprintln(output, row)
 	}
 }
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -1,4 +1,4 @@
-// Package operator holds the commands of the operators' command line.
+// Package operator implements the commands of the operators' command-line tool.
 package operator
 
 import (
@@ -13,17 +13,17 @@
 	"github.com/landingmast/landingmast/internal/mesh/adminapi"
 )
 
-// Command runs one command.
+// Command executes a parsed command.
 type Command func(ctx context.Context) error
 
-// Formats of the output.
+// Output formats.
 const (
 	formatTable = "table"
 	formatJSON  = "json"
 )
 
-// shell is what the commands share.
-type shell struct {
+// cli holds the state shared by all commands.
+type cli struct {
 	application *kingpin.Application
 	output      io.Writer
 	format      *string
@@ -32,43 +32,43 @@
 	commands    map[string]Command
 }
 
-// Register adds the commands to the application; the result maps their full
-// names to what runs them.
+// Register adds the commands to the application and returns them by full command name.
 func Register(application *kingpin.Application, output io.Writer, stores Stores) map[string]Command {
-	s := &shell{application: application, output: output, stores: stores, commands: map[string]Command{}}
-	s.format = application.Flag("output", "table for people, json for programs.").Short('o').Default(formatTable).Enum(formatTable, formatJSON)
-	s.admin = application.Flag("admin", "Admin address of any node, IP:port.").Envar("LANDINGMAST_ADMIN").Default("127.0.0.1:8300").String()
-	s.registerNodes()
-	s.registerBundle()
-	s.registerKeys()
-	s.registerStory()
-	s.registerLogs()
-	s.registerHeld()
-	return s.commands
+	c := &cli{application: application, output: output, stores: stores, commands: map[string]Command{}}
+	c.format = application.Flag("output", "Output format: table or json.").Short('o').Default(formatTable).Enum(formatTable, formatJSON)
+	c.admin = application.Flag("admin", "Admin address of any node, IP:port.").Envar("LANDINGMAST_ADMIN").Default("127.0.0.1:8300").String()
+	c.registerNodes()
+	c.registerBundle()
+	c.registerKeys()
+	c.registerStory()
+	c.registerLogs()
+	c.registerHeld()
+	return c.commands
 }
 
-func (s *shell) client() *adminapi.Client { return adminapi.New(*s.admin) }
+func (c *cli) client() *adminapi.Client { return adminapi.New(*c.admin) }
 
-// print writes a value as JSON, or hands it to the human output.
-func (s *shell) print(value any, human func(*tabwriter.Writer)) error {
-	if *s.format == formatJSON {
-		encoder := json.NewEncoder(s.output)
+// print writes value as JSON, or calls writeTable if the output format is table.
+func (c *cli) print(value any, writeTable func(*tabwriter.Writer)) error {
+	if *c.format == formatJSON {
+		encoder := json.NewEncoder(c.output)
 		encoder.SetIndent("", "  ")
 		return encoder.Encode(value)
 	}
-	table := tabwriter.NewWriter(s.output, 0, 0, 2, ' ', 0)
-	human(table)
+	table := tabwriter.NewWriter(c.output, 0, 0, 2, ' ', 0)
+	writeTable(table)
 	if err := table.Flush(); err != nil {
-		return failure.Wrap(err, failure.Internal, "look at the terminal or the pipe", "output cannot be written")
+		return failure.Wrap(err, failure.Internal, "check the terminal or the pipe", "cannot write the output")
 	}
 	return nil
 }
 
-func (s *shell) add(command *kingpin.CmdClause, run Command) {
-	s.commands[command.FullCommand()] = run
+func (c *cli) add(command *kingpin.CmdClause, run Command) {
+	c.commands[command.FullCommand()] = run
 }
 
-func row(table io.Writer, cells ...any) {
+// writeRow writes tab-separated cells.
+func writeRow(table io.Writer, cells ...any) {
 	for index, cell := range cells {
 		if index > 0 {
 			fmt.Fprint(table, "\t")
