--- a/internal/testbed/client/client.go
+++ b/internal/testbed/client/client.go
@@ -1,8 +1,6 @@
-// Package client is a stand-in of the clients on the machines of a deployment: it sends
-// requests at the rates of the routes, repeats what may be repeated, leaves early when a test
-// wants that, and counts how requests end. It owns the connections of the clients and the
-// tally; it relies on being given a machine for each request, and reports every request and
-// answer to the judge. Only tests import it.
+// Package client simulates the clients of a deployment. It sends requests at the configured
+// route rates, retries where that is safe, optionally abandons requests early, and counts the
+// outcomes. Every request and response is reported to the judge. Only tests import it.
 package client
 
 import (
@@ -21,38 +19,40 @@
 	"github.com/landingmast/landingmast/internal/testbed/judge"
 )
 
-// Origin is the machine where clients send a request.
+// Origin is the machine from which clients send a request.
 type Origin struct {
 	IP       string
-	Outbound string // address of its node for requests
-	Service  string // of its target
+	Outbound string // outbound address of its node
+	Service  string // service of its target
 }
 
-// Clients send requests to the nodes of a deployment.
+// Clients generates load on the nodes of a deployment.
 type Clients struct {
 	Judge *judge.Judge
 	Tally *Tally
-	// Dialer returns the function with which a host opens connections.
+	// Dialer returns the dial function of a host.
 	Dialer func(from string) func(ctx context.Context, network, to string) (net.Conn, error)
-	// Any returns a machine whose clients get work.
-	Any func() Origin
-	// Caller picks the tenant of a request and its key; empty where clients have none.
-	Caller func() (tenant, key string)
+	// PickOrigin returns a machine that is in rotation.
+	PickOrigin func() Origin
+	// PickCredentials returns the tenant and API key of a request; both are empty without tenants.
+	PickCredentials func() (tenant, key string)
 
-	burst  atomic.Int64 // factor on the rates; 0: 1
-	giveUp atomic.Int64 // nanoseconds after which some clients leave; 0: none does
+	rateFactor   atomic.Int64 // multiplier of the route rates; 0 means 1
+	abandonAfter atomic.Int64 // nanoseconds after which some clients disconnect; 0 disables this
 }
 
-// SetBurst multiplies the rates of the routes; 0 and 1 leave them as they are.
-func (c *Clients) SetBurst(factor int64) { c.burst.Store(factor) }
+// SetBurst multiplies the route rates by factor; 0 and 1 leave them unchanged.
+func (c *Clients) SetBurst(factor int64) { c.rateFactor.Store(factor) }
 
-// SetGiveUp makes one client in giveUpOneIn leave after a time; 0: none does.
-func (c *Clients) SetGiveUp(after time.Duration) { c.giveUp.Store(int64(after)) }
+// SetGiveUp makes one in abandonOneIn clients disconnect after the given time; 0 disables
+// this.
+func (c *Clients) SetGiveUp(after time.Duration) { c.abandonAfter.Store(int64(after)) }
 
-// KeyScheme is the prefix of the header that carries a key.
+// KeyScheme is the Authorization scheme of API keys.
 const KeyScheme = "Bearer "
 
-// Load sends requests at the rates of the routes for a span and returns when all have ended.
+// Load sends requests at the route rates for the given time and returns when all have
+// completed.
 func (c *Clients) Load(ctx context.Context, routes []deployment.Route, span time.Duration) {
 	var requests sync.WaitGroup
 	var senders sync.WaitGroup
@@ -63,8 +63,8 @@
 		senders.Go(func() {
 			end := time.Now().Add(span)
 			for time.Now().Before(end) && ctx.Err() == nil {
-				time.Sleep(time.Duration(rand.ExpFloat64() / route.PerSecond / float64(max(c.burst.Load(), 1)) * float64(time.Second)))
-				origin := c.Any()
+				time.Sleep(time.Duration(rand.ExpFloat64() / route.PerSecond / float64(max(c.rateFactor.Load(), 1)) * float64(time.Second)))
+				origin := c.PickOrigin()
 				requests.Go(func() { c.request(ctx, origin, route) })
 			}
 		})
@@ -73,14 +73,14 @@
 	requests.Wait()
 }
 
-// request sends a request and repeats it once, unless it is unsafe and may have run.
+// request sends a request and retries it once, unless it is unsafe and may have been executed.
 func (c *Clients) request(ctx context.Context, origin Origin, route deployment.Route) {
 	began := time.Now()
 	deadline := began.Add(route.Deadline)
 	c.Tally.count(c.Tally.Asked, route.Prefix)
-	tenant, key := c.Caller()
-	uri := route.Prefix + path()
-	for try := range 2 {
+	tenant, key := c.PickCredentials()
+	uri := route.Prefix + randomPathSuffix()
+	for attempt := range 2 {
 		status, retryAfter := c.Attempt(ctx, origin, route, uri, tenant, key, deadline)
 		if status == http.StatusOK {
 			c.Tally.count(c.Tally.Served, route.Prefix)
@@ -90,41 +90,41 @@
 			return
 		}
 		notRun := status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
-		if try > 0 || (route.Kind == deployment.Unsafe && !notRun) {
+		if attempt > 0 || (route.Kind == deployment.Unsafe && !notRun) {
 			return
 		}
 		if status == 0 {
-			origin = c.Any()
+			origin = c.PickOrigin()
 		}
-		left := time.Until(deadline)
-		if wait := min(retryAfter, left/3); wait > 0 {
+		remaining := time.Until(deadline)
+		if wait := min(retryAfter, remaining/3); wait > 0 {
 			time.Sleep(wait)
 		}
 	}
 }
 
-// path returns the last part of a request's path: the same one for half of the requests, a
-// random one for each of the others.
-func path() string {
+// randomPathSuffix returns a fixed suffix for half of the requests and a random one for the
+// others.
+func randomPathSuffix() string {
 	if rand.IntN(2) == 0 {
 		return "x"
 	}
 	return strconv.FormatUint(rand.Uint64(), 16)
 }
 
-// giveUpOneIn is the number of clients of which one leaves early.
-const giveUpOneIn = 3
+// abandonOneIn is the inverse of the share of clients that disconnect early.
+const abandonOneIn = 3
 
-// Attempt sends a request once. The status is 0 when no whole answer came; retryAfter is 0 when
-// the answer has none.
+// Attempt sends a request once. The status is 0 when no complete response arrived; retryAfter
+// is 0 when the response has no Retry-After header.
 func (c *Clients) Attempt(ctx context.Context, origin Origin, route deployment.Route, uri, tenant, key string, deadline time.Time) (status int, retryAfter time.Duration) {
-	id := newID()
+	id := newRequestID()
 	c.Judge.Expect(id, origin.IP, uri, route.Service, origin.Service, route.Kind == deployment.Unsafe, route.MaxAttempts)
-	leaves := deadline
-	if after := time.Duration(c.giveUp.Load()); after > 0 && rand.IntN(giveUpOneIn) == 0 {
-		leaves = time.Now().Add(after)
+	clientDeadline := deadline
+	if after := time.Duration(c.abandonAfter.Load()); after > 0 && rand.IntN(abandonOneIn) == 0 {
+		clientDeadline = time.Now().Add(after)
 	}
-	ctx, cancel := context.WithDeadline(ctx, leaves)
+	ctx, cancel := context.WithDeadline(ctx, clientDeadline)
 	defer cancel()
 	c.Judge.Signed(id, tenant, key)
 	status, header, content, err := c.roundTrip(ctx, origin, route, id, uri, key, deadline)
@@ -144,13 +144,13 @@
 	return status, retryAfter
 }
 
-// roundTrip sends a request on a connection of its own and reads the whole answer.
+// roundTrip sends a request on a new connection and reads the complete response.
 func (c *Clients) roundTrip(ctx context.Context, origin Origin, route deployment.Route, id, uri, key string, deadline time.Time) (int, http.Header, []byte, error) {
-	request, err := requestOf(ctx, origin, route, id, uri, deadline)
+	request, err := newRequest(ctx, origin, route, id, uri, deadline)
 	if err != nil {
 		return 0, nil, nil, err
 	}
-	sign(request, key)
+	setAuthHeaders(request, key)
 	transport := &http.Transport{DisableKeepAlives: true, DialContext: c.Dialer(origin.IP)}
 	response, err := transport.RoundTrip(request)
 	if err != nil {
@@ -161,23 +161,22 @@
 	return response.StatusCode, response.Header, content, err
 }
 
-func newID() string { return strconv.FormatUint(rand.Uint64(), 16) }
+func newRequestID() string { return strconv.FormatUint(rand.Uint64(), 16) }
 
-// BodyOf returns the body of clients' requests on a route.
-func BodyOf(route deployment.Route) string {
+// RequestBody returns the request body that clients send on a route.
+func RequestBody(route deployment.Route) string {
 	if route.Kind == deployment.Unsafe {
 		return strings.Repeat("b", max(route.Body, 1))
 	}
 	return ""
 }
 
-// requestOf makes a client's request.
-func requestOf(ctx context.Context, origin Origin, route deployment.Route, id, uri string, deadline time.Time) (*http.Request, error) {
+func newRequest(ctx context.Context, origin Origin, route deployment.Route, id, uri string, deadline time.Time) (*http.Request, error) {
 	method := http.MethodGet
 	if route.Kind == deployment.Unsafe {
 		method = http.MethodPost
 	}
-	request, err := http.NewRequestWithContext(ctx, method, "http://"+origin.Outbound+uri, strings.NewReader(BodyOf(route)))
+	request, err := http.NewRequestWithContext(ctx, method, "http://"+origin.Outbound+uri, strings.NewReader(RequestBody(route)))
 	if err != nil {
 		return nil, err
 	}
@@ -187,8 +186,8 @@
 	return request, nil
 }
 
-// sign adds the key, and headers that claim a tenant, which nodes have to take out.
-func sign(request *http.Request, key string) {
+// setAuthHeaders sets the API key and forged tenant headers, which nodes must strip.
+func setAuthHeaders(request *http.Request, key string) {
 	if key == "" {
 		return
 	}
@@ -197,16 +196,16 @@
 	request.Header["x_tenant"] = []string{"claimed"}
 }
 
-// SendHarmful sends a harmful request and repeats it once at another machine.
+// SendHarmful sends a request that crashes its target and retries it once on another machine.
 func (c *Clients) SendHarmful(ctx context.Context, origin Origin, route deployment.Route, path string) {
 	deadline := time.Now().Add(route.Deadline)
 	for range 2 {
-		tenant, key := c.Caller()
+		tenant, key := c.PickCredentials()
 		status, retryAfter := c.Attempt(ctx, origin, route, path, tenant, key, deadline)
 		if status == http.StatusOK || route.Kind == deployment.Unsafe && status != http.StatusServiceUnavailable {
 			return
 		}
 		time.Sleep(min(retryAfter, time.Until(deadline)/3))
-		origin = c.Any()
+		origin = c.PickOrigin()
 	}
 }
--- a/internal/testbed/client/keep.go
+++ b/internal/testbed/client/keep.go
@@ -11,35 +11,35 @@
 	"github.com/landingmast/landingmast/internal/testbed/deployment"
 )
 
-// Pauses of Keep.
+// Intervals of Keep.
 const (
-	keptPause   = 5 * time.Millisecond  // between requests of a connection
-	reopenPause = 50 * time.Millisecond // before the next connection
+	requestInterval = 5 * time.Millisecond  // between requests on a connection
+	reconnectDelay  = 50 * time.Millisecond // before a new connection is opened
 )
 
-// Keep sends requests one after the other on an open connection, and opens one to another
-// machine when it ends, until ctx is done.
+// Keep sends sequential requests on a persistent connection until ctx is done. When the
+// connection closes, it connects to another machine.
 func (c *Clients) Keep(ctx context.Context, route deployment.Route) {
 	for ctx.Err() == nil {
-		origin := c.Any()
+		origin := c.PickOrigin()
 		if conn, err := c.Dialer(origin.IP)(ctx, "tcp", origin.Outbound); err == nil {
 			reader := bufio.NewReader(conn)
-			for ctx.Err() == nil && c.keptRequest(conn, reader, origin, route) {
-				time.Sleep(keptPause)
+			for ctx.Err() == nil && c.sendOnConn(conn, reader, origin, route) {
+				time.Sleep(requestInterval)
 			}
 			_ = conn.Close()
 		}
-		time.Sleep(reopenPause)
+		time.Sleep(reconnectDelay)
 	}
 }
 
-// keptRequest sends a request on an open connection and reports whether another one can follow.
-// It does without net/http's client, which repeats requests by itself.
-func (c *Clients) keptRequest(conn net.Conn, reader *bufio.Reader, origin Origin, route deployment.Route) bool {
+// sendOnConn sends a request on an open connection and reports whether the connection can be
+// reused. It avoids http.Transport, which retries requests by itself.
+func (c *Clients) sendOnConn(conn net.Conn, reader *bufio.Reader, origin Origin, route deployment.Route) bool {
 	deadline := time.Now().Add(route.Deadline)
-	id, uri := newID(), route.Prefix+path()
+	id, uri := newRequestID(), route.Prefix+randomPathSuffix()
 	c.Judge.Expect(id, origin.IP, uri, route.Service, origin.Service, route.Kind == deployment.Unsafe, route.MaxAttempts)
-	request, err := requestOf(context.Background(), origin, route, id, uri, deadline)
+	request, err := newRequest(context.Background(), origin, route, id, uri, deadline)
 	if err != nil {
 		return false
 	}
--- a/internal/testbed/client/tally.go
+++ b/internal/testbed/client/tally.go
@@ -2,17 +2,17 @@
 
 import "sync"
 
-// Tally counts requests and answers of clients. Its methods are safe for concurrent use; the
-// fields may be read once the clients have ended.
+// Tally counts client requests and responses. Its methods are safe for concurrent use; the
+// fields may be read only after the clients have finished.
 type Tally struct {
 	mu     sync.Mutex
-	Asked  map[string]int // requests by route prefix
-	Served map[string]int // by route prefix
-	InTime map[string]int // served within the objective, by route prefix
-	Status map[int]int    // answers by status; 0: no whole answer
+	Asked  map[string]int // requests sent, by route prefix
+	Served map[string]int // successful responses, by route prefix
+	InTime map[string]int // successful responses within the objective, by route prefix
+	Status map[int]int    // attempts by response status; 0: no complete response
 }
 
-// NewTally makes an empty tally.
+// NewTally returns an empty tally.
 func NewTally() *Tally {
 	return &Tally{Asked: map[string]int{}, Served: map[string]int{}, InTime: map[string]int{}, Status: map[int]int{}}
 }
@@ -29,7 +29,7 @@
 	t.Status[status]++
 }
 
-// Share returns the served share of a route's requests; 1 when none was sent.
+// Share returns the fraction of a route's requests that were served, or 1 if none was sent.
 func (t *Tally) Share(prefix string) float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -39,7 +39,7 @@
 	return float64(t.Served[prefix]) / float64(t.Asked[prefix])
 }
 
-// Clear sets all counts to 0.
+// Clear resets the request and status counts.
 func (t *Tally) Clear() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -48,17 +48,17 @@
 	clear(t.Status)
 }
 
-// Sums returns how many requests of all routes were served and how many were sent.
-func (t *Tally) Sums() (served, asked int) {
+// Sums returns the requests served and sent on all routes.
+func (t *Tally) Sums() (served, sent int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for prefix := range t.Asked {
-		served, asked = served+t.Served[prefix], asked+t.Asked[prefix]
+		served, sent = served+t.Served[prefix], sent+t.Asked[prefix]
 	}
-	return served, asked
+	return served, sent
 }
 
-// ClearServed sets the counts of requests to 0 and keeps those of answers by status.
+// ClearServed resets the request counts and keeps the status counts.
 func (t *Tally) ClearServed() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/testbed/mesh.go
+++ b/internal/testbed/mesh.go
@@ -91,7 +91,7 @@
 		Tally: client.NewTally(), env: env,
 	}
 	m.Store.ReadsPerSecond = plan.ReadsPerSecond
-	m.Clients = &client.Clients{Judge: m.Judge, Tally: m.Tally, Dialer: env.Network.Dialer, Caller: m.caller, Any: func() client.Origin { return m.Any().origin() }}
+	m.Clients = &client.Clients{Judge: m.Judge, Tally: m.Tally, Dialer: env.Network.Dialer, PickCredentials: m.caller, PickOrigin: func() client.Origin { return m.Any().origin() }}
 	m.server = &http.Server{Handler: m.Store}
 	m.place()
 	for _, tenant := range plan.Tenants {
@@ -156,7 +156,7 @@
 
 // AddHarmful makes the requests with a path on a route end their targets.
 func (m *Mesh) AddHarmful(route deployment.Route, path string) {
-	body := client.BodyOf(route)
+	body := client.RequestBody(route)
 	m.Judge.ExpectHarmful(path, body)
 	m.Harmful.Add(path, body)
 }
