--- a/internal/testbed/deployment/configuration.go
+++ b/internal/testbed/deployment/configuration.go
@@ -5,8 +5,7 @@
 	"strconv"
 )
 
-// Configuration returns the configuration of the deployment in the form that the platform's
-// store has.
+// Configuration returns the deployment's configuration as stored in the metadata store.
 func (p Plan) Configuration(version int) []byte {
 	services := []map[string]any{}
 	for _, name := range p.ServiceNames() {
@@ -19,19 +18,19 @@
 			"max_attempts": route.MaxAttempts, "timeout": route.Timeout.String(), "slo": route.Objective.String(), "public": route.Public,
 		})
 	}
-	data, _ := json.Marshal(map[string]any{ // of strings and finite numbers: it does not fail
-		"version": "r" + strconv.Itoa(version), "services": services, "tenants": tenantForms(p.Tenants),
+	data, _ := json.Marshal(map[string]any{ // cannot fail: only strings and finite numbers
+		"version": "r" + strconv.Itoa(version), "services": services, "tenants": tenantEntries(p.Tenants),
 		"limits":        map[string]any{"max_header_bytes": 16384, "max_body_bytes": 1 << 26, "header_timeout": "3000ms", "idle_timeout": "15000ms"},
 		"virtual_hosts": []map[string]any{{"host": Host, "path_routes": routes}},
 	})
 	return data
 }
 
-// tenantForms returns the tenants as the configuration has them.
-func tenantForms(tenants []Tenant) []map[string]any {
-	forms := []map[string]any{}
+// tenantEntries returns the tenants in the configuration format.
+func tenantEntries(tenants []Tenant) []map[string]any {
+	entries := []map[string]any{}
 	for _, tenant := range tenants {
-		forms = append(forms, map[string]any{"name": tenant.Name, "api_keys": tenant.Keys, "priority": 1, "rate_per_s": tenant.Rate, "burst": tenant.Burst})
+		entries = append(entries, map[string]any{"name": tenant.Name, "api_keys": tenant.Keys, "priority": 1, "rate_per_s": tenant.Rate, "burst": tenant.Burst})
 	}
-	return forms
+	return entries
 }
--- a/internal/testbed/deployment/deployment.go
+++ b/internal/testbed/deployment/deployment.go
@@ -1,6 +1,6 @@
-// Package deployment describes the deployments that tests play: zones, services and their
-// targets, routes and what clients send on them, tenants. It owns nothing that runs; it writes
-// the configuration that the platform's store has of a deployment. Only tests import it.
+// Package deployment describes the deployments that tests simulate: zones, services and
+// targets, routes with their client load, and tenants. It also generates the configuration
+// stored in the metadata store. Only tests import it.
 package deployment
 
 import (
@@ -13,28 +13,28 @@
 	"github.com/landingmast/landingmast/internal/testbed/target"
 )
 
-// Host is the host name of all routes.
+// Host is the virtual host of all routes.
 const Host = "mesh.example"
 
-// Kinds of routes.
+// Route kinds.
 const (
 	Safe   = "safe"
-	Unsafe = "unsafe" // a request may run at most once
+	Unsafe = "unsafe" // executed at most once
 )
 
-// Route is a route and the requests that clients send on it.
+// Route is a route and its client load.
 type Route struct {
-	Prefix      string        // of the path
+	Prefix      string        // path prefix
 	Kind        string        // Safe or Unsafe
-	Service     string        // that runs its requests
+	Service     string        // service that handles the requests
 	Priority    int           // 0 is the most important
-	MaxAttempts int           // targets that a request may reach
-	Timeout     time.Duration // of one request at the node
-	Objective   time.Duration // within which an answer counts as in time
-	Deadline    time.Duration // of the clients
-	PerSecond   float64       // requests of all clients; 0: only targets call it
-	Body        int           // bytes that clients send
-	Public      bool          // needs no key
+	MaxAttempts int           // maximum number of targets tried per request
+	Timeout     time.Duration // per request, enforced by the node
+	Objective   time.Duration // latency objective
+	Deadline    time.Duration // client deadline
+	PerSecond   float64       // request rate of all clients; 0: only targets call the route
+	Body        int           // request body size in bytes
+	Public      bool          // requires no API key
 }
 
 // Plan describes a deployment.
@@ -42,31 +42,31 @@
 	Zones    []string
 	Services map[string]Service
 	Routes   []Route
-	Tenants  []Tenant      // none: clients send no keys
-	Delay    time.Duration // one way between zones; a fifth of it within a zone
-	Output   io.Writer     // takes the logs of the nodes; nil: dropped
-	// ReadsPerSecond limits the reading calls that the store serves to all nodes; 0: no limit.
+	Tenants  []Tenant      // empty: clients send no API keys
+	Delay    time.Duration // one-way latency between zones; within a zone it is a fifth of this
+	Output   io.Writer     // destination of the node logs; nil discards them
+	// ReadsPerSecond limits the read requests served by the store; 0 means no limit.
 	ReadsPerSecond int
 }
 
 // Service describes the targets of a service.
 type Service struct {
 	Targets int
-	Slots   int       // of each target
-	Speeds  []float64 // factors on the time of work, for the targets in turn; none: 1
+	Slots   int       // concurrent requests per target
+	Speeds  []float64 // multipliers of the service time, assigned to targets round-robin; empty means 1
 	Works   []target.Work
 }
 
-// Tenant is a tenant with its keys, its limit and its part of the load.
+// Tenant is a tenant with its API keys, rate limit and share of the load.
 type Tenant struct {
 	Name  string
 	Keys  []string
-	Rate  float64 // requests a second over all nodes; 0: no limit
-	Burst float64 // requests beyond the rate
-	Share float64 // weight of its part of the clients' requests
+	Rate  float64 // requests per second across all nodes; 0 means no limit
+	Burst float64 // burst size of the rate limit
+	Share float64 // weight in the distribution of client requests
 }
 
-// Tenants returns count tenants with two keys each and the same limit.
+// Tenants returns count tenants with two API keys each and the same rate limit.
 func Tenants(count int, rate, burst float64) []Tenant {
 	tenants := make([]Tenant, count)
 	for index := range tenants {
@@ -76,10 +76,10 @@
 	return tenants
 }
 
-// ServiceNames returns the names of the services, sorted.
+// ServiceNames returns the service names in sorted order.
 func (p Plan) ServiceNames() []string { return slices.Sorted(maps.Keys(p.Services)) }
 
-// Targets returns the number of targets of all services.
+// Targets returns the total number of targets.
 func (p Plan) Targets() (count int) {
 	for _, service := range p.Services {
 		count += service.Targets
--- a/internal/testbed/deployment/examples.go
+++ b/internal/testbed/deployment/examples.go
@@ -6,8 +6,8 @@
 	"github.com/landingmast/landingmast/internal/testbed/target"
 )
 
-// ThreeDeep is a small deployment: front calls middle, middle calls deep twice, and
-// orders, which may run at most once, call deep.
+// ThreeDeep returns a small three-tier deployment: front calls middle, middle calls deep
+// twice, and the unsafe order route calls deep once.
 func ThreeDeep() Plan {
 	return Plan{
 		Zones: []string{"a", "b"}, Delay: time.Millisecond,
@@ -25,12 +25,12 @@
 	}
 }
 
-// calmLoad is the part of the load of ThreeDeep that WithSpares has: its tests last longer, and
-// what counts in them is which requests end targets, not how many come.
-const calmLoad = 0.25
+// reducedLoad scales the request rates of ThreeDeep in WithSpares, whose tests run longer
+// and depend on which requests crash targets rather than on the request rate.
+const reducedLoad = 0.25
 
-// WithSpares is ThreeDeep with targets enough to lose some of each service and three targets
-// at most for a request. Requests to /front/chain call /deep/harmful.
+// WithSpares returns ThreeDeep with enough targets to lose some of each service and up to
+// three attempts per request. Requests to /front/chain call /deep/harmful.
 func WithSpares() Plan {
 	plan := ThreeDeep()
 	for _, name := range []string{"front", "middle", "deep"} {
@@ -43,7 +43,7 @@
 	plan.Services["front"] = front
 	for index := range plan.Routes {
 		plan.Routes[index].MaxAttempts = 3
-		plan.Routes[index].PerSecond *= calmLoad
+		plan.Routes[index].PerSecond *= reducedLoad
 	}
 	return plan
 }
