--- a/internal/testbed/memnet/conn.go
+++ b/internal/testbed/memnet/conn.go
@@ -9,38 +9,38 @@
 	"time"
 )
 
-// conn is one end of a connection; it implements net.Conn.
+// conn is one end of a connection. It implements net.Conn.
 type conn struct {
-	network     *Network
-	in, out     *pipe
-	local       address
-	remote      address
-	host, other string // by IP
-	peer        *conn
-	mu          sync.Mutex
-	closed      bool
-	broken      error     // a reset
-	deadline    time.Time // of reads
+	network        *Network
+	in, out        *pipe
+	local          address
+	remote         address
+	host, peerHost string // IP addresses
+	peer           *conn
+	mu             sync.Mutex
+	closed         bool
+	resetErr       error     // set when the connection is reset
+	deadline       time.Time // read deadline
 }
 
 // Read implements net.Conn.
-func (c *conn) Read(piece []byte) (int, error) {
+func (c *conn) Read(buf []byte) (int, error) {
 	for {
-		changed := c.in.changes() // before anything is checked, so that no change is missed
+		changed := c.in.changeSignal() // taken before the checks so that no change is missed
 		c.mu.Lock()
-		closed, broken, deadline := c.closed, c.broken, c.deadline
+		closed, resetErr, deadline := c.closed, c.resetErr, c.deadline
 		c.mu.Unlock()
 		switch {
 		case closed:
 			return 0, net.ErrClosed
-		case broken != nil:
-			return 0, broken
+		case resetErr != nil:
+			return 0, resetErr
 		case !deadline.IsZero() && !time.Now().Before(deadline):
 			return 0, os.ErrDeadlineExceeded
-		case len(piece) == 0:
+		case len(buf) == 0:
 			return 0, nil
 		}
-		count, next, err := c.in.read(piece)
+		count, next, err := c.in.read(buf)
 		if err != nil || count > 0 {
 			return count, err
 		}
@@ -48,7 +48,7 @@
 	}
 }
 
-// earliest returns the earlier of two times; zero means none.
+// earliest returns the earlier of two times; a zero time means no deadline.
 func earliest(a, b time.Time) time.Time {
 	if a.IsZero() || (!b.IsZero() && b.Before(a)) {
 		return b
@@ -56,7 +56,7 @@
 	return a
 }
 
-// await returns when changed is closed or the time has come; a zero time never comes.
+// await blocks until changed is closed or the deadline passes; a zero time means no deadline.
 func await(changed <-chan struct{}, until time.Time) {
 	if until.IsZero() {
 		<-changed
@@ -71,18 +71,18 @@
 }
 
 // Write implements net.Conn.
-func (c *conn) Write(piece []byte) (int, error) {
+func (c *conn) Write(buf []byte) (int, error) {
 	c.mu.Lock()
-	closed, broken := c.closed, c.broken
+	closed, resetErr := c.closed, c.resetErr
 	c.mu.Unlock()
 	switch {
 	case closed:
 		return 0, net.ErrClosed
-	case broken != nil:
-		return 0, broken
+	case resetErr != nil:
+		return 0, resetErr
 	}
-	c.out.push(append([]byte(nil), piece...), nil, c.network.delay(c.host, c.other))
-	return len(piece), nil
+	c.out.push(append([]byte(nil), buf...), nil, c.network.delay(c.host, c.peerHost))
+	return len(buf), nil
 }
 
 // Close implements net.Conn.
@@ -95,26 +95,26 @@
 	c.closed = true
 	c.mu.Unlock()
 	c.in.wake()
-	c.out.push(nil, io.EOF, c.network.delay(c.host, c.other))
-	c.forget()
+	c.out.push(nil, io.EOF, c.network.delay(c.host, c.peerHost))
+	c.unregister()
 	return nil
 }
 
-// forget removes the end from the network.
-func (c *conn) forget() {
+// unregister removes the endpoint from the network.
+func (c *conn) unregister() {
 	c.network.mu.Lock()
 	defer c.network.mu.Unlock()
 	delete(c.network.conns, c)
 }
 
-// reset makes both ends fail with ECONNRESET.
+// reset makes both endpoints fail with ECONNRESET.
 func (c *conn) reset() {
 	for _, end := range []*conn{c, c.peer} {
 		end.mu.Lock()
-		end.broken = syscall.ECONNRESET
+		end.resetErr = syscall.ECONNRESET
 		end.mu.Unlock()
-		end.in.breakOff(syscall.ECONNRESET)
-		end.forget()
+		end.in.abort(syscall.ECONNRESET)
+		end.unregister()
 	}
 }
 
@@ -124,7 +124,7 @@
 // RemoteAddr implements net.Conn.
 func (c *conn) RemoteAddr() net.Addr { return c.remote }
 
-// SetDeadline implements net.Conn; writes never wait.
+// SetDeadline implements net.Conn. Writes never block.
 func (c *conn) SetDeadline(at time.Time) error { return c.SetReadDeadline(at) }
 
 // SetReadDeadline implements net.Conn.
@@ -136,5 +136,5 @@
 	return nil
 }
 
-// SetWriteDeadline implements net.Conn; writes never wait.
+// SetWriteDeadline implements net.Conn. Writes never block.
 func (c *conn) SetWriteDeadline(time.Time) error { return nil }
--- a/internal/testbed/memnet/memnet.go
+++ b/internal/testbed/memnet/memnet.go
@@ -1,7 +1,6 @@
-// Package memnet is a network in memory: listeners, connections, delay, cuts, resets and hosts
-// that fall silent. It owns all connections between the hosts of a deployment; it relies on
-// nothing but the clock, which is virtual in a bubble of testing/synctest, so that whole fleets of
-// real nodes run in a test. Only tests import it.
+// Package memnet is an in-memory network with latency, one-way partitions, connection resets
+// and isolated hosts. Its only dependency is the clock, so whole deployments can run under the
+// fake clock of a testing/synctest bubble. Only tests import it.
 package memnet
 
 import (
@@ -13,24 +12,24 @@
 	"time"
 )
 
-// Network joins hosts, named by their IP. It is safe for concurrent use.
+// Network connects hosts identified by IP address. It is safe for concurrent use.
 type Network struct {
-	delay     func(from, to string) time.Duration
-	mu        sync.Mutex
-	listeners map[string]*listener // by IP:port
-	cut       map[direction]bool   // nothing passes
-	dark      map[string]bool      // hosts that neither send nor receive
-	conns     map[*conn]bool
-	nextPort  int
-	closed    bool
+	delay        func(from, to string) time.Duration
+	mu           sync.Mutex
+	listeners    map[string]*listener // by IP:port
+	blockedLinks map[direction]bool   // links that deliver nothing
+	isolated     map[string]bool      // hosts that neither send nor receive
+	conns        map[*conn]bool
+	nextPort     int
+	closed       bool
 }
 
-// direction is the way from one host to another, by IP.
+// direction is a one-way link between two hosts, by IP.
 type direction struct{ from, to string }
 
-// New makes a network; delay returns the time one way between two hosts.
+// New returns a network. delay returns the one-way latency between two hosts.
 func New(delay func(from, to string) time.Duration) *Network {
-	return &Network{delay: delay, listeners: map[string]*listener{}, cut: map[direction]bool{}, dark: map[string]bool{}, conns: map[*conn]bool{}, nextPort: 30000}
+	return &Network{delay: delay, listeners: map[string]*listener{}, blockedLinks: map[direction]bool{}, isolated: map[string]bool{}, conns: map[*conn]bool{}, nextPort: 30000}
 }
 
 // address is an IP:port.
@@ -51,10 +50,11 @@
 	once    sync.Once
 }
 
-// backlog is the number of connections that wait to be accepted; more are refused.
+// backlog is the maximum number of connections waiting to be accepted; further ones are
+// refused.
 const backlog = 1024
 
-// Listen opens a listener at an IP:port; a second one there fails with EADDRINUSE.
+// Listen listens on an IP:port. It fails with EADDRINUSE if the address is taken.
 func (n *Network) Listen(at string) (net.Listener, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -90,15 +90,15 @@
 // Addr implements net.Listener.
 func (l *listener) Addr() net.Addr { return address(l.address) }
 
-// Dialer returns the function with which a host opens connections.
+// Dialer returns the dial function of a host.
 func (n *Network) Dialer(from string) func(ctx context.Context, network, to string) (net.Conn, error) {
 	return func(ctx context.Context, _, to string) (net.Conn, error) { return n.dial(ctx, from, to) }
 }
 
-// dialPoll is how often a dial that hangs checks whether both directions are open again.
-const dialPoll = 20 * time.Millisecond
+// dialPollInterval is how often a blocked dial checks whether the link is open.
+const dialPollInterval = 20 * time.Millisecond
 
-// dial opens a connection. It waits while a direction is blocked, as TCP does.
+// dial opens a connection. Like TCP, it blocks while the link is down in either direction.
 func (n *Network) dial(ctx context.Context, from, to string) (net.Conn, error) {
 	host, _, err := net.SplitHostPort(to)
 	if err != nil {
@@ -108,7 +108,7 @@
 		if n.isClosed() {
 			return nil, net.ErrClosed
 		}
-		if err := sleep(ctx, dialPoll); err != nil {
+		if err := sleep(ctx, dialPollInterval); err != nil {
 			return nil, &net.OpError{Op: "dial", Net: "tcp", Addr: address(to), Err: err}
 		}
 	}
@@ -123,16 +123,16 @@
 	}
 	n.nextPort++
 	local := address(net.JoinHostPort(from, strconv.Itoa(n.nextPort)))
-	near, far := n.pair(from, host, local, address(to))
+	client, server := n.pair(from, host, local, address(to))
 	select {
-	case l.accept <- far:
-		return near, nil
+	case l.accept <- server:
+		return client, nil
 	default:
 		return nil, &net.OpError{Op: "dial", Net: "tcp", Addr: address(to), Err: syscall.ECONNREFUSED}
 	}
 }
 
-// sleep returns after a span, or earlier with the error of ctx.
+// sleep waits for the given time or until ctx is done.
 func sleep(ctx context.Context, span time.Duration) error {
 	timer := time.NewTimer(span)
 	defer timer.Stop()
@@ -144,15 +144,15 @@
 	}
 }
 
-// pair makes both ends of a connection. mu is held.
-func (n *Network) pair(from, to string, local, remote address) (near, far *conn) {
-	there := newPipe(n, from, to)
-	back := newPipe(n, to, from)
-	near = &conn{network: n, in: back, out: there, local: local, remote: remote, host: from, other: to}
-	far = &conn{network: n, in: there, out: back, local: remote, remote: local, host: to, other: from}
-	near.peer, far.peer = far, near
-	n.conns[near], n.conns[far] = true, true
-	return near, far
+// pair creates both endpoints of a connection. The caller holds mu.
+func (n *Network) pair(from, to string, local, remote address) (client, server *conn) {
+	forward := newPipe(n, from, to)
+	backward := newPipe(n, to, from)
+	client = &conn{network: n, in: backward, out: forward, local: local, remote: remote, host: from, peerHost: to}
+	server = &conn{network: n, in: forward, out: backward, local: remote, remote: local, host: to, peerHost: from}
+	client.peer, server.peer = server, client
+	n.conns[client], n.conns[server] = true, true
+	return client, server
 }
 
 func (n *Network) isClosed() bool {
@@ -161,41 +161,42 @@
 	return n.closed
 }
 
-// blocked reports whether nothing passes from one host to another.
+// blocked reports whether traffic from one host to another is held back.
 func (n *Network) blocked(from, to string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.cut[direction{from, to}] || (from != to && (n.dark[from] || n.dark[to]))
+	return n.blockedLinks[direction{from, to}] || (from != to && (n.isolated[from] || n.isolated[to]))
 }
 
-// Cut blocks the direction from one host to another, or opens it again; neither host sees an
-// error.
+// Cut blocks or unblocks the link from one host to another. Neither host gets an error; data
+// in flight is delivered once the link is unblocked.
 func (n *Network) Cut(from, to string, cut bool) {
 	n.mu.Lock()
-	n.cut[direction{from, to}] = cut
+	n.blockedLinks[direction{from, to}] = cut
 	n.mu.Unlock()
 	n.wakeAll()
 }
 
-// Dark blocks all directions from and to a host, as if it were suspended, or opens them again.
+// Dark isolates a host from all others, as if it were suspended, or reconnects it.
 func (n *Network) Dark(host string, dark bool) {
 	n.mu.Lock()
-	n.dark[host] = dark
+	n.isolated[host] = dark
 	n.mu.Unlock()
 	n.wakeAll()
 }
 
-// Reset resets the connections of a host for which choose is true; a nil choose resets all.
+// Reset resets the connections of a host for which choose returns true; a nil choose selects
+// all.
 func (n *Network) Reset(host string, choose func() bool) {
-	for _, end := range n.of(host) {
+	for _, end := range n.connsOf(host) {
 		if choose == nil || choose() {
 			end.reset()
 		}
 	}
 }
 
-// of returns the ends of connections at a host; an empty host means all hosts.
-func (n *Network) of(host string) []*conn {
+// connsOf returns the connection endpoints on a host; an empty host selects all.
+func (n *Network) connsOf(host string) []*conn {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	var found []*conn
@@ -207,9 +208,9 @@
 	return found
 }
 
-// wakeAll makes all readers check again what has arrived.
+// wakeAll notifies all blocked readers.
 func (n *Network) wakeAll() {
-	for _, end := range n.of("") {
+	for _, end := range n.connsOf("") {
 		end.in.wake()
 	}
 }
@@ -226,7 +227,7 @@
 	for _, l := range closing {
 		_ = l.Close()
 	}
-	for _, end := range n.of("") {
+	for _, end := range n.connsOf("") {
 		end.reset()
 	}
 }
--- a/internal/testbed/memnet/pipe.go
+++ b/internal/testbed/memnet/pipe.go
@@ -5,85 +5,85 @@
 	"time"
 )
 
-// segment is a piece of data on its way, or the end of the direction.
+// segment is data in flight or the end of the stream.
 type segment struct {
-	at   time.Time // when it arrives
-	data []byte
-	end  error // io.EOF or a reset, instead of data
+	arrival time.Time // arrival time
+	data    []byte
+	err     error // io.EOF or a reset error; data is nil
 }
 
 // pipe is one direction of a connection.
 type pipe struct {
-	network  *Network
-	from, to string
-	mu       sync.Mutex
-	segments []segment
-	last     time.Time     // arrival of the last segment
-	changed  chan struct{} // closed by the next change
+	network     *Network
+	from, to    string
+	mu          sync.Mutex
+	segments    []segment
+	lastArrival time.Time     // arrival time of the last segment
+	changed     chan struct{} // closed on the next change
 }
 
 func newPipe(network *Network, from, to string) *pipe {
 	return &pipe{network: network, from: from, to: to, changed: make(chan struct{})}
 }
 
-// wake makes the reader check again what has arrived.
+// wake notifies a blocked reader.
 func (p *pipe) wake() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.wakeLocked()
 }
 
-// wakeLocked does what wake does; mu is held.
+// wakeLocked is wake with mu held.
 func (p *pipe) wakeLocked() {
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
 
-// push adds data, or the end, that arrives after a delay and never before what was pushed earlier.
+// push adds data or the end of the stream. It arrives after delay, in the order of the calls.
 func (p *pipe) push(data []byte, end error, delay time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	at := time.Now().Add(delay)
-	if at.Before(p.last) {
-		at = p.last
+	if at.Before(p.lastArrival) {
+		at = p.lastArrival
 	}
-	p.last = at
-	p.segments = append(p.segments, segment{at: at, data: data, end: end})
+	p.lastArrival = at
+	p.segments = append(p.segments, segment{arrival: at, data: data, err: end})
 	p.wakeLocked()
 }
 
-// breakOff drops what is on its way and makes the reader fail at once.
-func (p *pipe) breakOff(err error) {
+// abort discards the data in flight and makes reads fail immediately.
+func (p *pipe) abort(err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.segments = []segment{{end: err}}
+	p.segments = []segment{{err: err}}
 	p.wakeLocked()
 }
 
-// changes returns the channel that the next change closes.
-func (p *pipe) changes() <-chan struct{} {
+// changeSignal returns the channel that is closed on the next change.
+func (p *pipe) changeSignal() <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.changed
 }
 
-// read copies what has arrived, or returns the time when the next segment arrives; zero: there is
-// none that can pass.
-func (p *pipe) read(piece []byte) (count int, next time.Time, err error) {
+// read copies data that has arrived. If there is none, it returns the arrival time of the next
+// segment, or zero if no segment is deliverable.
+func (p *pipe) read(buf []byte) (count int, next time.Time, err error) {
 	blocked := p.network.blocked(p.from, p.to)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.segments) == 0 || blocked && p.segments[0].end == nil {
+	if len(p.segments) == 0 || blocked && p.segments[0].err == nil {
 		return 0, time.Time{}, nil
 	}
 	first := &p.segments[0]
-	if time.Now().Before(first.at) {
-		return 0, first.at, nil
+	if time.Now().Before(first.arrival) {
+		return 0, first.arrival, nil
 	}
-	if first.end != nil {
-		return 0, time.Time{}, first.end
+	if first.err != nil {
+		return 0, time.Time{}, first.err
 	}
-	count = copy(piece, first.data)
+	count = copy(buf, first.data)
 	first.data = first.data[count:]
 	if len(first.data) == 0 {
 		p.segments = p.segments[1:]
