--- a/internal/testbed/store/store.go
+++ b/internal/testbed/store/store.go
@@ -1,7 +1,6 @@
-// Package store is a stand-in of the platform's metadata store: keys with revisions, leases,
-// transactions and watches, in memory and over HTTP, with the faults that a test sets. It
-// owns all that it stores and counts the calls that it gets; it relies on nothing but the
-// clock, which is virtual in a bubble of testing/synctest. Only tests import it.
+// Package store is an in-memory fake of the platform's metadata store: versioned keys, leases,
+// transactions and watches over HTTP, with fault injection and call counters. It uses the real
+// clock or the fake clock of a testing/synctest bubble. Only tests import it.
 package store
 
 import (
@@ -15,45 +14,45 @@
 	"time"
 )
 
-// Store is a stand-in of the platform's metadata store.
+// Store is a fake metadata store. It implements http.Handler.
 type Store struct {
-	mu        sync.Mutex
-	revision  int64
-	compacted int64 // history up to this revision is gone
-	items     map[string]*record
-	events    []record
-	leases    map[int64]*lease
-	nextLease int64
-	changed   chan struct{} // closed by the next event
-	deaf      bool          // watches see no events
-	cutting   chan struct{} // closed to cut the watches
-
-	// Down makes the store answer every call with 503.
+	mu           sync.Mutex
+	revision     int64
+	compacted    int64 // events up to this revision are discarded
+	items        map[string]*record
+	events       []record
+	leases       map[int64]*lease
+	nextLease    int64
+	changed      chan struct{} // closed on the next event
+	eventsHidden bool          // watches return no events
+	watchAbort   chan struct{} // closed to abort the open watches
+
+	// Down makes every call fail with 503.
 	Down bool
-	// Slow delays every answer.
+	// Slow delays every response.
 	Slow time.Duration
-	// Refuse holds the IPs of the machines whose calls are answered with 429.
+	// Refuse holds the client IPs whose calls fail with 429.
 	Refuse map[string]bool
-	// LoseWrites makes the store carry writes out without answering them.
+	// LoseWrites makes the store commit transactions and close the connection without a response.
 	LoseWrites bool
-	// ReadsPerSecond limits the reading calls that are served in a second; 0: no limit.
+	// ReadsPerSecond limits the read requests served per second; 0 means no limit.
 	ReadsPerSecond int
-	// Calls counts all calls by path, Limited those that exceeded ReadsPerSecond.
+	// Calls counts calls by path; Limited counts reads rejected by ReadsPerSecond.
 	Calls   map[string]int
 	Limited int
 
-	second int64
-	reads  int // in the second
+	readWindow int64
+	reads      int // reads in the current window
 }
 
-// record is the value of a key, or an event of a watch.
+// record is a stored item or a watch event.
 type record struct {
 	Key      string `json:"key"`
 	Value    string `json:"value,omitempty"`
 	Revision int64  `json:"revision"`
 	Created  int64  `json:"made,omitempty"`
 	Lease    int64  `json:"lease,omitempty"`
-	Gone     bool   `json:"gone,omitempty"`
+	Deleted  bool   `json:"gone,omitempty"`
 }
 
 type lease struct {
@@ -61,51 +60,51 @@
 	expires time.Time
 }
 
-// New makes an empty store.
+// New returns an empty store.
 func New() *Store {
 	return &Store{
-		items: map[string]*record{}, leases: map[int64]*lease{}, changed: make(chan struct{}), cutting: make(chan struct{}),
+		items: map[string]*record{}, leases: map[int64]*lease{}, changed: make(chan struct{}), watchAbort: make(chan struct{}),
 		Refuse: map[string]bool{}, Calls: map[string]int{},
 	}
 }
 
-// Set runs a change of the exported fields, which calls read concurrently.
+// Set calls change with the lock held, so that it can modify the exported fields.
 func (s *Store) Set(change func(s *Store)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change(s)
 }
 
-// Write sets a key without a lease, as an operator does.
+// Write sets a key without a lease, like an operator's write.
 func (s *Store) Write(key string, value []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.put(key, base64.StdEncoding.EncodeToString(value), 0)
 }
 
-// Deafen hides all events from the watches until Compact.
-func (s *Store) Deafen() { s.Set(func(s *Store) { s.deaf = true }) }
+// Deafen hides all events from watches until Compact is called.
+func (s *Store) Deafen() { s.Set(func(s *Store) { s.eventsHidden = true }) }
 
-// Compact drops the history of events and closes the connections of all watches.
+// Compact discards the event history and aborts all watches.
 func (s *Store) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.deaf = false
+	s.eventsHidden = false
 	s.compacted = s.revision
 	s.events = nil
-	close(s.cutting)
-	s.cutting = make(chan struct{})
+	close(s.watchAbort)
+	s.watchAbort = make(chan struct{})
 }
 
-// CutWatches closes the connections of all watches.
+// CutWatches aborts the connections of all watches.
 func (s *Store) CutWatches() {
 	s.Set(func(s *Store) {
-		close(s.cutting)
-		s.cutting = make(chan struct{})
+		close(s.watchAbort)
+		s.watchAbort = make(chan struct{})
 	})
 }
 
-// put sets a key; mu is held.
+// put sets a key. The caller holds mu.
 func (s *Store) put(key, value string, lease int64) {
 	s.revision++
 	created := s.revision
@@ -114,37 +113,37 @@
 	}
 	item := record{Key: key, Value: value, Revision: s.revision, Created: created, Lease: lease}
 	s.items[key] = &item
-	s.announce(item)
+	s.appendEvent(item)
 }
 
-// remove deletes a key; mu is held.
+// remove deletes a key. The caller holds mu.
 func (s *Store) remove(key string) {
 	if s.items[key] == nil {
 		return
 	}
 	s.revision++
 	delete(s.items, key)
-	s.announce(record{Key: key, Revision: s.revision, Gone: true})
+	s.appendEvent(record{Key: key, Revision: s.revision, Deleted: true})
 }
 
-// announce adds an event to the history and wakes the watches; mu is held.
-func (s *Store) announce(event record) {
+// appendEvent adds an event to the history and notifies watches. The caller holds mu.
+func (s *Store) appendEvent(event record) {
 	s.events = append(s.events, event)
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// expire ends leases that have run out; mu is held.
-func (s *Store) expire() {
+// expireLeases ends expired leases. The caller holds mu.
+func (s *Store) expireLeases() {
 	for id, granted := range s.leases {
 		if time.Now().After(granted.expires) {
-			s.end(id)
+			s.endLease(id)
 		}
 	}
 }
 
-// end ends a lease and removes its keys; mu is held.
-func (s *Store) end(id int64) {
+// endLease ends a lease and deletes its keys. The caller holds mu.
+func (s *Store) endLease(id int64) {
 	delete(s.leases, id)
 	for key, item := range s.items {
 		if item.Lease == id {
@@ -153,23 +152,23 @@
 	}
 }
 
-// EndLeases ends every lease, as a store does that was down for longer than their time.
+// EndLeases ends all leases, as after an outage longer than their TTL.
 func (s *Store) EndLeases() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id := range s.leases {
-		s.end(id)
+		s.endLease(id)
 	}
 }
 
 // ServeHTTP implements http.Handler.
 func (s *Store) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
-	s.Calls[pathOf(r)]++
+	s.Calls[callKey(r)]++
 	slow, down := s.Slow, s.Down
 	host, _, _ := strings.Cut(r.RemoteAddr, ":")
-	refused := s.Refuse[host] || s.tooMany(r)
-	s.expire()
+	refused := s.Refuse[host] || s.exceedsReadLimit(r)
+	s.expireLeases()
 	s.mu.Unlock()
 	time.Sleep(slow)
 	switch {
@@ -178,52 +177,53 @@
 	case refused:
 		w.WriteHeader(http.StatusTooManyRequests)
 	case r.URL.Path == "/-/kv-key":
-		s.key(w, r)
+		s.serveKey(w, r)
 	case r.URL.Path == "/-/kv-range":
-		s.list(w, r)
+		s.serveRange(w, r)
 	case r.URL.Path == "/-/kv-watch":
-		s.watch(w, r)
+		s.serveWatch(w, r)
 	case r.URL.Path == "/-/kv-txn":
-		s.txn(w, r)
+		s.serveTxn(w, r)
 	case r.URL.Path == "/-/kv-lease":
-		s.grant(w, r)
+		s.serveLeaseGrant(w, r)
 	case strings.HasPrefix(r.URL.Path, "/-/kv-keep/"):
-		s.keep(w, r)
+		s.serveLeaseRenewal(w, r)
 	case strings.HasPrefix(r.URL.Path, "/-/kv-lease-end/"):
 		s.mu.Lock()
-		s.end(leaseOf(r))
+		s.endLease(leaseID(r))
 		s.mu.Unlock()
 	default:
 		w.WriteHeader(http.StatusNotFound)
 	}
 }
 
-// Keys of Calls for the calls that cost a tenth.
+// Keys of Calls for the calls that Cost weights at a tenth.
 const (
-	keeps  = "/-/kv-keep"
-	stales = "stale reads"
+	renewalCalls   = "/-/kv-keep"
+	staleReadCalls = "stale reads"
 )
 
-func stale(r *http.Request) bool { return r.URL.Query().Get("stale") == "1" }
+func isStaleRead(r *http.Request) bool { return r.URL.Query().Get("stale") == "1" }
 
-// pathOf returns the key of Calls by which a call is counted.
-func pathOf(r *http.Request) string {
+// callKey returns the key of Calls under which a request is counted.
+func callKey(r *http.Request) string {
 	switch {
-	case stale(r):
-		return stales
-	case strings.HasPrefix(r.URL.Path, keeps+"/"):
-		return keeps
+	case isStaleRead(r):
+		return staleReadCalls
+	case strings.HasPrefix(r.URL.Path, renewalCalls+"/"):
+		return renewalCalls
 	}
 	return r.URL.Path
 }
 
-// tooMany counts a reading call and reports whether it exceeds ReadsPerSecond; mu is held.
-func (s *Store) tooMany(r *http.Request) bool {
-	if r.Method != http.MethodGet || s.ReadsPerSecond == 0 || stale(r) {
+// exceedsReadLimit counts a read request and reports whether it exceeds ReadsPerSecond. The
+// caller holds mu.
+func (s *Store) exceedsReadLimit(r *http.Request) bool {
+	if r.Method != http.MethodGet || s.ReadsPerSecond == 0 || isStaleRead(r) {
 		return false
 	}
-	if now := time.Now().Unix(); now != s.second {
-		s.second, s.reads = now, 0
+	if now := time.Now().Unix(); now != s.readWindow {
+		s.readWindow, s.reads = now, 0
 	}
 	s.reads++
 	if s.reads <= s.ReadsPerSecond {
@@ -233,38 +233,39 @@
 	return true
 }
 
-// leaseOf returns the id of the lease at the end of the path; 0, which is no lease, if it is
+// leaseID returns the lease ID at the end of the path, or 0, which is never granted, if it is
 // malformed.
-func leaseOf(r *http.Request) int64 {
+func leaseID(r *http.Request) int64 {
 	id, _ := strconv.ParseInt(r.URL.Path[strings.LastIndexByte(r.URL.Path, '/')+1:], 10, 64)
 	return id
 }
 
-// write sends an answer; an error means that the client is gone.
-func write(w http.ResponseWriter, status int, body any) {
+// writeJSON sends a JSON response. Encoding errors mean that the client has disconnected and
+// are ignored.
+func writeJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(body)
 }
 
-func (s *Store) key(w http.ResponseWriter, r *http.Request) {
+func (s *Store) serveKey(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	item := s.items[r.URL.Query().Get("key")]
 	if item == nil {
-		write(w, http.StatusNotFound, map[string]any{"at": s.revision})
+		writeJSON(w, http.StatusNotFound, map[string]any{"at": s.revision})
 		return
 	}
-	write(w, http.StatusOK, struct {
+	writeJSON(w, http.StatusOK, struct {
 		record
 		At int64 `json:"at"`
 	}{*item, s.revision})
 }
 
-// pageItems is the largest number of items in one answer to a range, as in the platform's store.
-const pageItems = 500
+// maxRangeItems is the maximum number of items per range response, as in the platform's store.
+const maxRangeItems = 500
 
-func (s *Store) list(w http.ResponseWriter, r *http.Request) {
+func (s *Store) serveRange(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	query := r.URL.Query()
@@ -275,14 +276,14 @@
 		}
 	}
 	sort.Slice(found, func(a, b int) bool { return found[a].Key < found[b].Key })
-	more := len(found) > pageItems
+	more := len(found) > maxRangeItems
 	if more {
-		found = found[:pageItems]
+		found = found[:maxRangeItems]
 	}
-	write(w, http.StatusOK, map[string]any{"items": found, "more": more, "at": s.revision})
+	writeJSON(w, http.StatusOK, map[string]any{"items": found, "more": more, "at": s.revision})
 }
 
-func (s *Store) watch(w http.ResponseWriter, r *http.Request) {
+func (s *Store) serveWatch(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	after, _ := strconv.ParseInt(query.Get("after"), 10, 64)
 	wait, _ := strconv.Atoi(query.Get("wait_ms"))
@@ -295,19 +296,19 @@
 			w.WriteHeader(http.StatusGone)
 			return
 		}
-		found := s.after(after, query.Get("path_prefix"))
-		at, changed, cutting := s.revision, s.changed, s.cutting
+		found := s.eventsAfter(after, query.Get("path_prefix"))
+		at, changed, watchAbort := s.revision, s.changed, s.watchAbort
 		s.mu.Unlock()
 		if len(found) > 0 {
-			write(w, http.StatusOK, map[string]any{"events": found, "at": at})
+			writeJSON(w, http.StatusOK, map[string]any{"events": found, "at": at})
 			return
 		}
 		select {
 		case <-changed:
-		case <-cutting:
+		case <-watchAbort:
 			panic(http.ErrAbortHandler)
 		case <-timer.C:
-			write(w, http.StatusOK, map[string]any{"events": found, "at": at})
+			writeJSON(w, http.StatusOK, map[string]any{"events": found, "at": at})
 			return
 		case <-r.Context().Done():
 			return
@@ -315,10 +316,11 @@
 	}
 }
 
-// after returns the events of keys with a prefix after a revision; mu is held.
-func (s *Store) after(revision int64, prefix string) []record {
+// eventsAfter returns the events after a revision whose keys have the given prefix. The caller
+// holds mu.
+func (s *Store) eventsAfter(revision int64, prefix string) []record {
 	found := []record{}
-	if s.deaf {
+	if s.eventsHidden {
 		return found
 	}
 	for _, event := range s.events {
@@ -342,7 +344,7 @@
 	Remove []string `json:"remove"`
 }
 
-func (s *Store) txn(w http.ResponseWriter, r *http.Request) {
+func (s *Store) serveTxn(w http.ResponseWriter, r *http.Request) {
 	var change txn
 	if err := json.NewDecoder(r.Body).Decode(&change); err != nil {
 		w.WriteHeader(http.StatusBadRequest)
@@ -360,7 +362,7 @@
 		holds = holds && revision == condition.Revision
 	}
 	if !holds {
-		write(w, http.StatusPreconditionFailed, map[string]any{"items": found})
+		writeJSON(w, http.StatusPreconditionFailed, map[string]any{"items": found})
 		return
 	}
 	for _, put := range change.Put {
@@ -378,18 +380,18 @@
 	if s.LoseWrites {
 		panic(http.ErrAbortHandler)
 	}
-	write(w, http.StatusOK, map[string]any{"revision": s.revision})
+	writeJSON(w, http.StatusOK, map[string]any{"revision": s.revision})
 }
 
-func (s *Store) grant(w http.ResponseWriter, r *http.Request) {
-	var asked struct {
+func (s *Store) serveLeaseGrant(w http.ResponseWriter, r *http.Request) {
+	var req struct {
 		TTL string `json:"ttl_time"`
 	}
-	if err := json.NewDecoder(r.Body).Decode(&asked); err != nil {
+	if err := json.NewDecoder(r.Body).Decode(&req); err != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	ttl, err := time.ParseDuration(asked.TTL)
+	ttl, err := time.ParseDuration(req.TTL)
 	if err != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
@@ -398,19 +400,19 @@
 	defer s.mu.Unlock()
 	s.nextLease++
 	s.leases[s.nextLease] = &lease{ttl: ttl, expires: time.Now().Add(ttl)}
-	write(w, http.StatusOK, map[string]any{"lease": s.nextLease, "ttl_time": asked.TTL})
+	writeJSON(w, http.StatusOK, map[string]any{"lease": s.nextLease, "ttl_time": req.TTL})
 }
 
-func (s *Store) keep(w http.ResponseWriter, r *http.Request) {
+func (s *Store) serveLeaseRenewal(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	renewed := s.leases[leaseOf(r)]
+	renewed := s.leases[leaseID(r)]
 	if renewed == nil {
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
 	renewed.expires = time.Now().Add(renewed.ttl)
-	write(w, http.StatusOK, map[string]any{"ttl_time": renewed.ttl.String()})
+	writeJSON(w, http.StatusOK, map[string]any{"ttl_time": renewed.ttl.String()})
 }
 
 // Count returns the number of keys with a prefix.
@@ -425,7 +427,7 @@
 	return count
 }
 
-// Revoke removes keys without ending their leases, so that those who wrote them get no error.
+// Revoke deletes keys without ending their leases, so that the lease holders see no error.
 func (s *Store) Revoke(keys []string) {
 	s.Set(func(s *Store) {
 		for _, key := range keys {
@@ -434,12 +436,12 @@
 	})
 }
 
-// Cost sums up Calls: a renewal and a stale read count as a tenth of a call.
+// Cost returns the weighted number of calls: a lease renewal or stale read counts as a tenth.
 func (s *Store) Cost() (calls float64) {
 	s.Set(func(s *Store) {
 		for path, count := range s.Calls {
 			weight := 1.0
-			if path == keeps || path == stales {
+			if path == renewalCalls || path == staleReadCalls {
 				weight = 0.1
 			}
 			calls += weight * float64(count)
@@ -448,7 +450,7 @@
 	return calls
 }
 
-// ExtendLeases lengthens all leases, as a store does that counts no time while it is down.
+// ExtendLeases extends all leases, as a store does whose lease timers pause during an outage.
 func (s *Store) ExtendLeases(span time.Duration) {
 	s.Set(func(s *Store) {
 		for _, granted := range s.leases {
@@ -457,7 +459,7 @@
 	})
 }
 
-// Writes returns the number of transactions that were called for.
+// Writes returns the number of transaction requests received.
 func (s *Store) Writes() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
