--- a/internal/testbed/trouble/day.go
+++ b/internal/testbed/trouble/day.go
@@ -11,54 +11,52 @@
 	"github.com/landingmast/landingmast/internal/testbed/target"
 )
 
-// Day is a random deployment and random troubles in it, drawn from a seed. A seed always draws
-// the same day; two plays of it can differ, since the runtime chooses which goroutine runs
-// first.
+// Day is a random deployment with a random fault schedule, generated from a seed. A seed
+// always generates the same scenario; runs of it can differ in goroutine scheduling.
 type Day struct {
 	Seed     uint64
 	Plan     deployment.Plan
-	Troubles []Timed
-	Harmful  []harmfulPlan
-	Span     time.Duration // of the clients' requests
+	Faults   []ScheduledFault
+	Harmful  []harmfulRequest
+	Duration time.Duration // how long clients send requests
 }
 
-// harmfulPlan is a request that ends its targets and is sent again and again.
-type harmfulPlan struct {
-	route  int  // index in the plan
-	call   bool // it reaches its targets as a call that a harmless request makes
-	every  time.Duration
-	atOnce int // clients that send it at a time
+// harmfulRequest is a request that crashes its targets and is sent repeatedly.
+type harmfulRequest struct {
+	route       int  // index in Plan.Routes
+	viaCall     bool // sent by a target as a downstream call instead of by the client
+	interval    time.Duration
+	concurrency int // simultaneous clients
 }
 
-// Timed is a trouble and when it begins, counted from the begin of the day.
-type Timed struct {
-	At time.Duration
+// ScheduledFault is a fault with its start time, relative to the start of the scenario.
+type ScheduledFault struct {
+	Start time.Duration
 	Kind
 }
 
-// daySpan is the length of a day.
-const daySpan = 14 * time.Second
+const scenarioDuration = 14 * time.Second
 
-// Draw draws the day of a seed.
+// Draw generates the scenario of a seed.
 func Draw(seed uint64) Day {
 	random := rand.New(rand.NewPCG(seed, 7))
-	day := Day{Seed: seed, Plan: drawPlan(random), Span: daySpan}
+	day := Day{Seed: seed, Plan: drawPlan(random), Duration: scenarioDuration}
 	all := All()
 	for range 2 + random.IntN(5) {
-		day.Troubles = append(day.Troubles, Timed{
-			At: time.Duration(random.Int64N(int64(daySpan * 3 / 4))), Kind: all[random.IntN(len(all))],
+		day.Faults = append(day.Faults, ScheduledFault{
+			Start: time.Duration(random.Int64N(int64(scenarioDuration * 3 / 4))), Kind: all[random.IntN(len(all))],
 		})
 	}
 	day.drawHarmful(rand.New(rand.NewPCG(seed, 8)))
 	return day
 }
 
-// drawHarmful draws up to three harmful requests: none in two of five days.
+// drawHarmful generates zero to three harmful requests; two of five scenarios have none.
 func (d *Day) drawHarmful(random *rand.Rand) {
 	for range max(random.IntN(5)-1, 0) {
-		d.Harmful = append(d.Harmful, harmfulPlan{
-			route: random.IntN(len(d.Plan.Routes)), call: random.IntN(3) == 0,
-			every: time.Duration(500+random.IntN(4000)) * time.Millisecond, atOnce: 1 + random.IntN(3),
+		d.Harmful = append(d.Harmful, harmfulRequest{
+			route: random.IntN(len(d.Plan.Routes)), viaCall: random.IntN(3) == 0,
+			interval: time.Duration(500+random.IntN(4000)) * time.Millisecond, concurrency: 1 + random.IntN(3),
 		})
 	}
 	// Requests to /s0/chain make the harmful call to the deepest service.
@@ -68,25 +66,25 @@
 	d.Plan.Services["s0"] = first
 }
 
-// sendHarm sends a harmful request again and again for a span.
-func sendHarm(m *testbed.Mesh, number int, plan harmfulPlan, span time.Duration) {
-	route := m.Plan.Routes[plan.route]
+// sendHarmful repeatedly sends a harmful request for the given time.
+func sendHarmful(m *testbed.Mesh, number int, req harmfulRequest, span time.Duration) {
+	route := m.Plan.Routes[req.route]
 	path := fmt.Sprintf("%sharmful-%d", route.Prefix, number)
 	harmful, sent := path, path
-	if deepest := len(m.Plan.Services) - 1; plan.call && deepest > 0 {
+	if deepest := len(m.Plan.Services) - 1; req.viaCall && deepest > 0 {
 		route = m.Plan.Routes[0]
 		harmful, sent = fmt.Sprintf("/s%d/harmful-call", deepest), "/s0/chain"
 	}
 	m.AddHarmful(route, harmful)
-	for end := time.Now().Add(span); time.Now().Before(end); time.Sleep(plan.every) {
-		for range plan.atOnce {
+	for end := time.Now().Add(span); time.Now().Before(end); time.Sleep(req.interval) {
+		for range req.concurrency {
 			m.Go(func() { m.SendHarmful(m.Any(), route, sent) })
 		}
 	}
 }
 
-// drawPlan draws a deployment: one to six zones, one to six targets a service, chains of one to
-// four services.
+// drawPlan generates a deployment with one to six zones and a chain of one to four services
+// with one to six targets each.
 func drawPlan(random *rand.Rand) deployment.Plan {
 	plan := deployment.Plan{Delay: time.Duration(1+random.IntN(4)) * 500 * time.Microsecond, Services: map[string]deployment.Service{}}
 	for zone := range 1 + random.IntN(6) {
@@ -116,31 +114,31 @@
 	return plan
 }
 
-// Play plays the troubles of the day, one at a time, and its harmful requests beside the
-// clients' requests. It returns when all have ended.
+// Play runs the client load with the scheduled faults, one at a time, and the harmful
+// requests. It returns when all have completed.
 func (d Day) Play(mesh *testbed.Mesh) {
-	var troubles sync.WaitGroup
-	turn := make(chan struct{}, 1) // of a trouble; waiting for a mutex would stop virtual time
-	for index, timed := range d.Troubles {
-		troubles.Go(func() {
-			time.Sleep(timed.At)
-			turn <- struct{}{}
-			defer func() { <-turn }()
-			timed.Play(mesh, rand.New(rand.NewPCG(d.Seed, uint64(index))))
+	var group sync.WaitGroup
+	semaphore := make(chan struct{}, 1) // a mutex is not durably blocking in synctest and would stall the fake clock
+	for index, fault := range d.Faults {
+		group.Go(func() {
+			time.Sleep(fault.Start)
+			semaphore <- struct{}{}
+			defer func() { <-semaphore }()
+			fault.Play(mesh, rand.New(rand.NewPCG(d.Seed, uint64(index))))
 		})
 	}
 	for number, harmful := range d.Harmful {
-		troubles.Go(func() { sendHarm(mesh, number, harmful, d.Span) })
+		group.Go(func() { sendHarmful(mesh, number, harmful, d.Duration) })
 	}
-	mesh.Load(d.Span)
-	troubles.Wait()
+	mesh.Load(d.Duration)
+	group.Wait()
 }
 
-// Describe returns the deployment and the troubles of the day on one line.
+// Describe returns a one-line summary of the deployment and its faults.
 func (d Day) Describe() string {
 	text := fmt.Sprintf("%d targets in %d services, %d zones:", d.Plan.Targets(), len(d.Plan.Services), len(d.Plan.Zones))
-	for _, timed := range d.Troubles {
-		text += fmt.Sprintf(" %s at %.1fs;", timed.Name, timed.At.Seconds())
+	for _, fault := range d.Faults {
+		text += fmt.Sprintf(" %s at %.1fs;", fault.Name, fault.Start.Seconds())
 	}
 	return text + fmt.Sprintf(" %d harmful requests", len(d.Harmful))
 }
--- a/internal/testbed/trouble/trouble.go
+++ b/internal/testbed/trouble/trouble.go
@@ -1,7 +1,6 @@
-// Package trouble has the kinds of trouble that a deployment in memory can meet, and draws days of
-// random troubles in random deployments from seeds. It owns what a seed draws, which stays the
-// same, so that a seed that showed a fault can be played again. It relies on a deployment that
-// runs. Only tests import it.
+// Package trouble defines the faults that tests inject into a simulated deployment and
+// generates random scenarios from seeds. The scenario of a seed must stay the same so that
+// failures can be reproduced. Only tests import it.
 package trouble
 
 import (
@@ -15,17 +14,17 @@
 	"github.com/landingmast/landingmast/internal/testbed/target"
 )
 
-// Kind is one kind of trouble that a deployment can meet.
+// Kind is a type of fault.
 type Kind struct {
 	Name string
-	// Least is the share of requests that must still be served when the trouble comes alone; 0
-	// where only rules are checked.
+	// Least is the minimum fraction of requests that must be served when this is the only fault; 0
+	// if only the invariants are checked.
 	Least float64
-	// Play causes the trouble and ends it before it returns.
+	// Play injects the fault and reverts it before returning.
 	Play func(mesh *testbed.Mesh, random *rand.Rand)
 }
 
-// Faulty gives faults to a random share of the targets for a span.
+// Faulty injects target faults into a random share of the targets for the given time.
 func Faulty(faults target.Faults, share float64, span time.Duration) func(*testbed.Mesh, *rand.Rand) {
 	return func(mesh *testbed.Mesh, random *rand.Rand) {
 		chosen := mesh.Some(random, share)
@@ -39,8 +38,8 @@
 	}
 }
 
-// storeFault sets a fault of the store for a span.
-func storeFault(begin, end func(s *store.Store), span time.Duration) func(*testbed.Mesh, *rand.Rand) {
+// withStoreFault injects a fault into the metadata store for the given time.
+func withStoreFault(begin, end func(s *store.Store), span time.Duration) func(*testbed.Mesh, *rand.Rand) {
 	return func(mesh *testbed.Mesh, _ *rand.Rand) {
 		mesh.Store.Set(begin)
 		mesh.Judge.StoreTrouble(span)
@@ -48,7 +47,7 @@
 	}
 }
 
-// NewRoute writes a configuration with one more route, which nobody uses.
+// NewRoute publishes a configuration with an additional, unused route.
 func NewRoute(mesh *testbed.Mesh, random *rand.Rand) {
 	mesh.Configure(func(routes []deployment.Route) []deployment.Route {
 		added := routes[random.IntN(len(routes))]
@@ -57,8 +56,7 @@
 	})
 }
 
-// All returns every kind of trouble that a deployment in memory can meet. The names are those
-// that the platform has for them, where it has one.
+// All returns all types of faults. The platform's names are used where it has one.
 func All() []Kind {
 	return []Kind{
 		{"node_kill", 0.97, func(mesh *testbed.Mesh, random *rand.Rand) { testbed.KillAndRestart(mesh.Some(random, 0.1)) }},
@@ -123,9 +121,9 @@
 			target.Drain(testbed.DrainBound + time.Second)
 			_ = target.Start()
 		}},
-		{"platform_down", 0.99, storeFault(func(s *store.Store) { s.Down = true }, func(s *store.Store) { s.Down = false }, 4*time.Second)},
-		{"platform_slow", 0.99, storeFault(func(s *store.Store) { s.Slow = 300 * time.Millisecond }, func(s *store.Store) { s.Slow = 0 }, 4*time.Second)},
-		{"platform_lost", 0.99, storeFault(func(s *store.Store) { s.LoseWrites = true }, func(s *store.Store) { s.LoseWrites = false }, 4*time.Second)},
+		{"platform_down", 0.99, withStoreFault(func(s *store.Store) { s.Down = true }, func(s *store.Store) { s.Down = false }, 4*time.Second)},
+		{"platform_slow", 0.99, withStoreFault(func(s *store.Store) { s.Slow = 300 * time.Millisecond }, func(s *store.Store) { s.Slow = 0 }, 4*time.Second)},
+		{"platform_lost", 0.99, withStoreFault(func(s *store.Store) { s.LoseWrites = true }, func(s *store.Store) { s.LoseWrites = false }, 4*time.Second)},
 		{"platform_down lapse", 0.99, func(mesh *testbed.Mesh, _ *rand.Rand) {
 			mesh.Store.Set(func(s *store.Store) { s.Down = true })
 			mesh.Judge.StoreTrouble(2 * time.Second)
@@ -154,7 +152,8 @@
 			time.Sleep(3 * time.Second)
 			mesh.Clients.SetBurst(0)
 		}},
-		// Clients that leave are not served; what is checked is that nothing runs for them.
+		// Abandoned requests are not served; the judge checks that none is executed after the client
+		// has left.
 		{"give_up", 0, func(mesh *testbed.Mesh, _ *rand.Rand) {
 			mesh.Clients.SetGiveUp(20 * time.Millisecond)
 			time.Sleep(4 * time.Second)
@@ -175,7 +174,8 @@
 	}
 }
 
-// CutFromOthers cuts machines from all others, in silence, for a span.
+// CutFromOthers partitions machines from all others for the given time without resetting
+// connections.
 func CutFromOthers(mesh *testbed.Mesh, chosen []*testbed.Machine, span time.Duration) {
 	set := func(cut bool) {
 		for _, machine := range chosen {
