--- a/internal/testbed/clock.go
+++ b/internal/testbed/clock.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// machineClock is the clock of a machine that may be suspended. Timers go on during a
-// suspension, but a suspended machine sends and receives nothing.
+// machineClock is the clock of a machine that can be suspended. Timers still fire during a
+// suspension, but the machine sends and receives nothing.
 type machineClock struct {
 	started time.Time
 
-	mu    sync.Mutex
-	slept time.Duration // in all suspensions that are over
-	since time.Time     // begin of the suspension; zero: the machine runs
+	mu             sync.Mutex
+	suspendedTotal time.Duration // total of the completed suspensions
+	suspendedAt    time.Time     // start of the current suspension; zero while running
 }
 
 func newMachineClock() *machineClock { return &machineClock{started: time.Now()} }
@@ -21,21 +21,21 @@
 func (c *machineClock) Steady() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.bootLocked() - c.slept
+	return c.bootLocked() - c.suspendedTotal
 }
 
-// Boot implements clock.Source. It stands still during a suspension, for goroutines of the node
-// that would not run then.
+// Boot implements clock.Source. It is frozen during a suspension because the node's
+// goroutines, which keep running in the simulation, must not see time advance.
 func (c *machineClock) Boot() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.bootLocked()
 }
 
-// bootLocked returns what Boot does; mu is held.
+// bootLocked is Boot with mu held.
 func (c *machineClock) bootLocked() time.Duration {
-	if !c.since.IsZero() {
-		return c.since.Sub(c.started)
+	if !c.suspendedAt.IsZero() {
+		return c.suspendedAt.Sub(c.started)
 	}
 	return time.Since(c.started)
 }
@@ -43,27 +43,27 @@
 func (c *machineClock) suspend() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.since = time.Now()
+	c.suspendedAt = time.Now()
 }
 
-func (c *machineClock) wake() {
+func (c *machineClock) resume() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.slept += time.Since(c.since)
-	c.since = time.Time{}
+	c.suspendedTotal += time.Since(c.suspendedAt)
+	c.suspendedAt = time.Time{}
 }
 
-// Suspend suspends machines for a span. Their clients get no new work meanwhile.
+// Suspend suspends machines for the given time and takes them out of rotation meanwhile.
 func (m *Mesh) Suspend(machines []*Machine, span time.Duration) {
 	for _, machine := range machines {
-		machine.out.Store(true)
+		machine.outOfRotation.Store(true)
 		machine.clock.suspend()
 		m.Network.Dark(machine.IP, true)
 	}
-	m.HarmedFor(machines, span)
+	m.ReportDisturbance(machines, span)
 	for _, machine := range machines {
 		m.Network.Dark(machine.IP, false)
-		machine.clock.wake()
-		machine.out.Store(false)
+		machine.clock.resume()
+		machine.outOfRotation.Store(false)
 	}
 }
--- a/internal/testbed/machine.go
+++ b/internal/testbed/machine.go
@@ -13,24 +13,24 @@
 	"github.com/landingmast/landingmast/internal/testbed/target"
 )
 
-// Machine is a machine of a deployment: a node and a target.
+// Machine is a simulated host with a node and a target.
 type Machine struct {
 	mesh   *Mesh
 	IP     string
 	Zone   string
 	Target *target.Target
 
-	out     atomic.Bool        // its clients get no new work
-	mu      sync.Mutex         // of node, stop, hurry and stopped
-	stop    context.CancelFunc // asks the node in this process to stop
-	hurry   context.CancelFunc // cuts its stop short
-	stopped chan struct{}      // closed when it has ended
-	first   bool               // the node starts for the first time
-	node    *sidecar.Node
-	clock   *machineClock
+	outOfRotation atomic.Bool        // clients send no new requests from this machine
+	mu            sync.Mutex         // guards stop, abort, stopped and node
+	stop          context.CancelFunc // starts a graceful shutdown of an in-process node
+	abort         context.CancelFunc // aborts the graceful shutdown
+	stopped       chan struct{}      // closed when the node has stopped
+	firstStart    bool               // the node has not been started before
+	node          *sidecar.Node
+	clock         *machineClock
 }
 
-// Ports of every machine.
+// Ports of nodes and targets.
 const (
 	portTarget   = "8001"
 	portOutbound = "8002"
@@ -39,10 +39,9 @@
 	portControl  = "8005"
 )
 
-// settings returns the settings of the node.
 func (m *Machine) settings() *settings.Settings {
 	chosen := &settings.Settings{
-		Node: "node-" + m.IP, Zone: m.Zone, FirstStart: m.first,
+		Node: "node-" + m.IP, Zone: m.Zone, FirstStart: m.firstStart,
 		Target: settings.Target{Service: m.Target.Service, Address: m.Target.Address},
 		Listen: settings.Listen{Outbound: m.Outbound(), Inbound: m.Inbound(), Ready: m.IP + ":" + portReady, Control: m.IP + ":" + portControl},
 		Store:  settings.Store{Address: m.mesh.env.StoreAddress, ReadsPerSecond: float64(m.mesh.Plan.ReadsPerSecond)},
@@ -58,30 +57,30 @@
 	return m.mesh.env.Nodes.Start(m, m.settings())
 }
 
-// Reload makes the node read changed settings, as SIGHUP does.
+// Reload applies changed settings, like SIGHUP.
 func (m *Machine) Reload(change func(s *settings.Settings)) {
 	changed := m.settings()
 	change(changed)
 	m.mesh.env.Nodes.Reload(m, changed)
 }
 
-// Stop stops the node as planned and returns when it has ended.
+// Stop shuts the node down gracefully and returns when it has stopped.
 func (m *Machine) Stop() { m.mesh.env.Nodes.Stop(m) }
 
-// Kill ends the node at once; the target goes on.
+// Kill stops the node immediately; the target keeps running.
 func (m *Machine) Kill() { m.mesh.env.Nodes.Kill(m) }
 
-// Version returns the version of the configuration in force on the node; 0: none is known.
+// Version returns the active configuration version of the node, or 0 if there is none.
 func (m *Machine) Version() uint64 { return m.mesh.env.Nodes.Version(m) }
 
-// Peers returns the number of other nodes that the node knows. It works in memory only.
+// Peers returns the number of peers known to the node. In-process nodes only.
 func (m *Machine) Peers() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.node.Peers()
 }
 
-// Ready reports whether the node says that it takes requests.
+// Ready reports whether the readiness endpoint of the node returns 200.
 func (m *Machine) Ready() bool {
 	prober := &http.Client{Transport: &http.Transport{DialContext: m.mesh.env.Network.Dialer(m.IP), DisableKeepAlives: true}, Timeout: time.Second}
 	response, err := prober.Get("http://" + m.IP + ":" + portReady + "/-/readiness")
@@ -92,48 +91,48 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// How the platform probes whether nodes are ready.
+// Readiness probing.
 const (
-	readyEvery  = time.Second
-	readyMisses = 2 // in a row, after which clients on the machine get no new work
+	readinessInterval  = time.Second
+	readinessThreshold = 2 // consecutive failures that take the machine out of rotation
 )
 
-// askReady probes the node until ctx is done.
-func (m *Machine) askReady(ctx context.Context) {
-	misses := 0
+// probeReadiness polls the readiness endpoint until ctx is done.
+func (m *Machine) probeReadiness(ctx context.Context) {
+	failures := 0
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(readyEvery):
+		case <-time.After(readinessInterval):
 		}
 		if m.Ready() {
-			misses = 0
+			failures = 0
 		} else {
-			misses++
+			failures++
 		}
-		m.out.Store(misses >= readyMisses)
+		m.outOfRotation.Store(failures >= readinessThreshold)
 	}
 }
 
-// Outbound returns the address of the node for requests from its machine.
+// Outbound returns the node address for requests from local clients.
 func (m *Machine) Outbound() string { return m.IP + ":" + portOutbound }
 
-// Inbound returns the address of the node for other nodes.
+// Inbound returns the node address for requests from other nodes.
 func (m *Machine) Inbound() string { return m.IP + ":" + portInbound }
 
-// TakeOut keeps new work from the clients of the machine until the next probe.
-func (m *Machine) TakeOut() { m.out.Store(true) }
+// TakeOut takes the machine out of rotation until the next readiness probe.
+func (m *Machine) TakeOut() { m.outOfRotation.Store(true) }
 
-// origin returns the machine as clients know it.
+// origin returns the machine as an origin of client requests.
 func (m *Machine) origin() client.Origin {
 	return client.Origin{IP: m.IP, Outbound: m.Outbound(), Service: m.Target.Service}
 }
 
-// RestartAfter is the pause in which the platform starts a process again.
+// RestartAfter is the delay before the platform restarts a process.
 const RestartAfter = 400 * time.Millisecond
 
-// KillAndRestart breaks the connections of machines, kills their nodes and starts them again.
+// KillAndRestart resets the connections of machines, kills their nodes and restarts them.
 func KillAndRestart(machines []*Machine) {
 	for _, machine := range machines {
 		machine.mesh.Network.Reset(machine.IP, nil)
--- a/internal/testbed/mesh.go
+++ b/internal/testbed/mesh.go
@@ -1,11 +1,8 @@
-// Package testbed runs whole deployments for tests: the stand-in of the platform's store, machines
-// with a node and the stand-in of a target each, clients, and the judge of what clients and
-// targets see. New runs nodes in this process over a network in memory, which is virtual time in
-// a bubble of testing/synctest; NewIn runs them where an Environment says.
-//
-// It owns the machines, who of them gets work, and the configuration that the store has. It
-// relies on the packages below it for the stand-ins, and on the sidecar and the platform's
-// adapter for the nodes; neither knows of it. Only tests import it.
+// Package testbed runs simulated deployments in tests: a fake metadata store, machines with a
+// real node and a simulated target each, clients, and a judge that checks what clients and
+// targets observe. New runs the nodes in this process on an in-memory network, where time can
+// be the fake clock of testing/synctest; NewIn runs them in a given Environment. Only tests
+// import it.
 package testbed
 
 import (
@@ -25,10 +22,10 @@
 	"github.com/landingmast/landingmast/platform"
 )
 
-// Mesh is a running deployment: store, machines and clients.
+// Mesh is a running deployment.
 type Mesh struct {
 	Plan     deployment.Plan
-	Network  *memnet.Network // nil if the deployment does not run in memory
+	Network  *memnet.Network // nil unless the deployment runs in memory
 	Store    *store.Store
 	Judge    *judge.Judge
 	Harmful  *target.Harmful
@@ -36,29 +33,30 @@
 	Tally    *client.Tally
 	Clients  *client.Clients
 
-	mu        sync.Mutex   // of the plan's routes and tenants, and of version
-	version   int          // of the configuration that was written last
-	firstKeys [][]string   // of the tenants: clients go on using keys that are taken away
-	server    *http.Server // of the store
-	group     sync.WaitGroup
-	end       context.CancelFunc
-	running   context.Context // done by end
-	env       Environment
+	mu          sync.Mutex   // guards version and the routes and tenants of Plan
+	version     int          // last published configuration version
+	initialKeys [][]string   // per tenant; clients keep using revoked keys
+	server      *http.Server // serves Store
+	group       sync.WaitGroup
+	cancel      context.CancelFunc
+	ctx         context.Context // canceled by Close
+	env         Environment
 }
 
-// StoreHost is the host of the store in memory.
+// StoreHost is the host of the in-memory store.
 const StoreHost = "10.0.0.1"
 
-// StoreAddress is where the store in memory listens.
+// StoreAddress is the listen address of the in-memory store.
 const StoreAddress = StoreHost + ":80"
 
-// Settle is the time that a deployment has before clients come.
+// Settle is the startup time of a deployment before the load begins.
 const Settle = 3 * time.Second
 
-// DrainBound is how long after its acknowledgement a leaving target may be reached.
-const DrainBound = 2 * time.Second
+// DrainGracePeriod is how long a draining target may still receive requests after its
+// heartbeat is acknowledged.
+const DrainGracePeriod = 2 * time.Second
 
-// New starts a deployment in memory. After a success Close must be called.
+// New starts a deployment in memory. On success the caller must call Close.
 func New(plan deployment.Plan) (*Mesh, error) {
 	zones := map[string]string{}
 	network := memnet.New(func(from, to string) time.Duration {
@@ -77,27 +75,27 @@
 	return m, m.start()
 }
 
-// NewIn starts a deployment in an environment. After a success Close must be called.
+// NewIn starts a deployment in an environment. On success the caller must call Close.
 func NewIn(plan deployment.Plan, env Environment) (*Mesh, error) {
 	m := newMesh(plan, env)
 	return m, m.start()
 }
 
-// newMesh makes a deployment of which nothing runs yet.
+// newMesh creates a deployment without starting it.
 func newMesh(plan deployment.Plan, env Environment) *Mesh {
-	running, end := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	m := &Mesh{
-		Plan: plan, Store: store.New(), Judge: judge.New(DrainBound), Harmful: target.NewHarmful(), running: running, end: end,
+		Plan: plan, Store: store.New(), Judge: judge.New(DrainGracePeriod), Harmful: target.NewHarmful(), ctx: ctx, cancel: cancel,
 		Tally: client.NewTally(), env: env,
 	}
 	m.Store.ReadsPerSecond = plan.ReadsPerSecond
-	m.Clients = &client.Clients{Judge: m.Judge, Tally: m.Tally, Dialer: env.Network.Dialer, PickCredentials: m.caller, PickOrigin: func() client.Origin { return m.Any().origin() }}
+	m.Clients = &client.Clients{Judge: m.Judge, Tally: m.Tally, Dialer: env.Network.Dialer, PickCredentials: m.pickCredentials, PickOrigin: func() client.Origin { return m.Any().origin() }}
 	m.server = &http.Server{Handler: m.Store}
-	m.place()
+	m.placeTargets()
 	for _, tenant := range plan.Tenants {
-		m.firstKeys = append(m.firstKeys, tenant.Keys)
+		m.initialKeys = append(m.initialKeys, tenant.Keys)
 	}
-	m.Judge.SetTenants(nil, tenantsOf(plan.Tenants))
+	m.Judge.SetTenants(nil, judgeTenants(plan.Tenants))
 	return m
 }
 
@@ -116,52 +114,53 @@
 		if err := machine.Start(); err != nil {
 			return err
 		}
-		machine.first = false
-		m.group.Go(func() { machine.askReady(m.running) })
+		machine.firstStart = false
+		m.group.Go(func() { machine.probeReadiness(m.ctx) })
 	}
 	return nil
 }
 
-// Any returns a random machine whose clients get work; of all, if none does.
+// Any returns a random machine in rotation, or any machine if none is.
 func (m *Mesh) Any() *Machine {
-	in := make([]*Machine, 0, len(m.Machines))
+	candidates := make([]*Machine, 0, len(m.Machines))
 	for _, machine := range m.Machines {
-		if !machine.out.Load() {
-			in = append(in, machine)
+		if !machine.outOfRotation.Load() {
+			candidates = append(candidates, machine)
 		}
 	}
-	if len(in) == 0 {
-		in = m.Machines
+	if len(candidates) == 0 {
+		candidates = m.Machines
 	}
-	return in[rand.IntN(len(in))]
+	return candidates[rand.IntN(len(candidates))]
 }
 
-// Load sends requests at the rates of the routes for a span and returns when all have ended.
+// Load sends requests at the route rates for the given time and returns when all have
+// completed.
 func (m *Mesh) Load(span time.Duration) {
 	m.mu.Lock()
 	routes := m.Plan.Routes
 	m.mu.Unlock()
-	m.Clients.Load(m.running, routes, span)
+	m.Clients.Load(m.ctx, routes, span)
 }
 
-// Attempt sends a request of a client without a key once.
+// Attempt sends a client request without an API key once.
 func (m *Mesh) Attempt(machine *Machine, route deployment.Route, uri string, deadline time.Time) {
-	m.Clients.Attempt(m.running, machine.origin(), route, uri, "", "", deadline)
+	m.Clients.Attempt(m.ctx, machine.origin(), route, uri, "", "", deadline)
 }
 
-// SendHarmful sends a harmful request on a route and repeats it once, as a client does.
+// SendHarmful sends a request that crashes its target and retries it once on another machine.
 func (m *Mesh) SendHarmful(machine *Machine, route deployment.Route, path string) {
-	m.Clients.SendHarmful(m.running, machine.origin(), route, path)
+	m.Clients.SendHarmful(m.ctx, machine.origin(), route, path)
 }
 
-// AddHarmful makes the requests with a path on a route end their targets.
+// AddHarmful makes requests with the given path on a route crash their targets.
 func (m *Mesh) AddHarmful(route deployment.Route, path string) {
 	body := client.RequestBody(route)
 	m.Judge.ExpectHarmful(path, body)
 	m.Harmful.Add(path, body)
 }
 
-// Some returns a random share of the machines, one at least.
+// Some returns a random share of the machines, at least one.
 func (m *Mesh) Some(random *rand.Rand, share float64) []*Machine {
 	count := max(int(share*float64(len(m.Machines))+0.5), 1)
 	chosen := make([]*Machine, 0, count)
@@ -171,31 +170,31 @@
 	return chosen
 }
 
-// harmedEvery is how often the judge is reminded of disturbed links.
-const harmedEvery = 100 * time.Millisecond
+// disturbanceInterval is how often ReportDisturbance notifies the judge.
+const disturbanceInterval = 100 * time.Millisecond
 
-// HarmedFor returns after a span in which the judge knows that the links of machines are
-// disturbed.
-func (m *Mesh) HarmedFor(machines []*Machine, span time.Duration) {
-	for end := time.Now().Add(span); time.Now().Before(end); time.Sleep(harmedEvery) {
+// ReportDisturbance reports the links of machines as disturbed to the judge for the given time
+// and then returns.
+func (m *Mesh) ReportDisturbance(machines []*Machine, span time.Duration) {
+	for end := time.Now().Add(span); time.Now().Before(end); time.Sleep(disturbanceInterval) {
 		for _, machine := range machines {
 			m.Judge.Harmed(machine.IP)
 		}
 	}
 }
 
-// Go runs f beside the mesh; Close waits for its end.
+// Go runs f in a goroutine that Close waits for.
 func (m *Mesh) Go(f func()) { m.group.Go(f) }
 
-// Version returns the version of the configuration that was written last.
+// Version returns the last published configuration version.
 func (m *Mesh) Version() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.version
 }
 
-// place distributes the targets over the zones in turn, each on a machine of its own.
-func (m *Mesh) place() {
+// placeTargets creates a machine for each target, assigning zones round-robin.
+func (m *Mesh) placeTargets() {
 	for _, name := range m.Plan.ServiceNames() {
 		service := m.Plan.Services[name]
 		for index := range service.Targets {
@@ -205,7 +204,7 @@
 			if len(service.Speeds) > 0 {
 				speed = service.Speeds[index%len(service.Speeds)]
 			}
-			m.Machines = append(m.Machines, &Machine{mesh: m, IP: ip, Zone: zone, first: true, clock: newMachineClock(), Target: &target.Target{
+			m.Machines = append(m.Machines, &Machine{mesh: m, IP: ip, Zone: zone, firstStart: true, clock: newMachineClock(), Target: &target.Target{
 				Service: name, Address: ip + ":" + portTarget, Outbound: ip + ":" + portOutbound, Control: ip + ":" + portControl,
 				Zone: zone, Slots: service.Slots, Speed: speed, Works: service.Works, Judge: m.Judge, Harmful: m.Harmful,
 				Dial: m.env.Network.Dialer(ip), Listen: m.env.Network.Listen,
@@ -214,8 +213,8 @@
 	}
 }
 
-// Configure writes a new version of the configuration to the store, with the routes that change
-// returns; a nil change leaves them.
+// Configure publishes a new configuration version with the routes returned by change; a nil
+// change keeps them.
 func (m *Mesh) Configure(change func(routes []deployment.Route) []deployment.Route) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -227,12 +226,12 @@
 	return m.version
 }
 
-// closeTime is the time in which dials that hang and timers of the nodes end.
-const closeTime = 10 * time.Second
+// closeGracePeriod lets pending dials and node timers finish before Close returns.
+const closeGracePeriod = 10 * time.Second
 
 // Close stops clients, targets, nodes and the store.
 func (m *Mesh) Close() {
-	m.end()
+	m.cancel()
 	m.Harmful.Close()
 	for _, machine := range m.Machines {
 		machine.Target.Stop()
@@ -245,10 +244,11 @@
 	}
 	m.Network.Close()
 	m.group.Wait()
-	time.Sleep(closeTime)
+	time.Sleep(closeGracePeriod)
 }
 
-// Followers returns the machines whose nodes read the store for others. It works in memory only.
+// Followers returns the machines whose nodes read the store on behalf of others. In-process
+// nodes only.
 func (m *Mesh) Followers() (found []*Machine) {
 	for _, machine := range m.Machines {
 		machine.mu.Lock()
@@ -260,15 +260,15 @@
 	return found
 }
 
-// inForceAfter is the time in which the last configuration has to be in force on every node,
-// whatever happened before: 2 s, and 5 s more after disturbances of the store.
-const inForceAfter = 7 * time.Second
+// convergenceTimeout is the time within which all nodes must activate the last configuration:
+// 2 s, plus 5 s for recovery from store faults.
+const convergenceTimeout = 7 * time.Second
 
-// CheckEnd checks what is checked at the end: the rules that count over the whole time, and,
-// after inForceAfter, that the last configuration is in force on every node.
+// CheckEnd runs the final checks: the invariants over the whole run and, after
+// convergenceTimeout, that every node has activated the last configuration.
 func (m *Mesh) CheckEnd() {
 	m.Judge.CheckDay()
-	time.Sleep(inForceAfter)
+	time.Sleep(convergenceTimeout)
 	last := uint64(m.Version())
 	for _, machine := range m.Machines {
 		m.Judge.CheckVersion(machine.IP, machine.Version(), last)
--- a/internal/testbed/nodes.go
+++ b/internal/testbed/nodes.go
@@ -12,39 +12,39 @@
 	"github.com/landingmast/landingmast/platform"
 )
 
-// Environment is where a deployment runs.
+// Environment determines where a deployment runs.
 type Environment struct {
 	Network      Network
-	StoreAddress string                  // where the store listens
-	MachineIP    func(number int) string // of the machines, from 0 on
+	StoreAddress string                  // listen address of the store
+	MachineIP    func(number int) string // IP of a machine by its index
 	Nodes        Nodes
 }
 
-// Network is what the stand-ins communicate over.
+// Network is the network of clients, targets and the store.
 type Network interface {
 	Listen(address string) (net.Listener, error)
-	// Dialer returns the function with which a host opens connections.
+	// Dialer returns the dial function of a host.
 	Dialer(from string) func(ctx context.Context, network, to string) (net.Conn, error)
 }
 
-// Nodes runs the nodes of machines.
+// Nodes manages the nodes of machines.
 type Nodes interface {
-	// Start starts a node with settings.
+	// Start starts a node with the given settings.
 	Start(m *Machine, chosen *settings.Settings) error
-	// Reload makes a node read changed settings.
+	// Reload applies changed settings to a node.
 	Reload(m *Machine, changed *settings.Settings)
-	// Stop stops a node as planned and returns when it has ended.
+	// Stop shuts a node down gracefully and returns when it has stopped.
 	Stop(m *Machine)
-	// Kill ends a node at once, if it runs.
+	// Kill stops a node immediately if it is running.
 	Kill(m *Machine)
-	// Version returns the version of the configuration in force; 0: none is known.
+	// Version returns the active configuration version, or 0 if there is none.
 	Version(m *Machine) uint64
 }
 
-// inProcess runs nodes in this process, over a network in memory.
+// inProcess runs nodes in this process on an in-memory network.
 type inProcess struct {
 	network *memnet.Network
-	output  io.Writer // takes the logs; nil: dropped
+	output  io.Writer // destination of the logs; nil discards them
 }
 
 // Start implements Nodes.
@@ -63,14 +63,14 @@
 		return err
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	now, hurry := context.WithCancel(context.Background())
+	abortCtx, abort := context.WithCancel(context.Background())
 	stopped := make(chan struct{})
 	m.mu.Lock()
-	m.node, m.stop, m.hurry, m.stopped = node, stop, hurry, stopped
+	m.node, m.stop, m.abort, m.stopped = node, stop, abort, stopped
 	m.mu.Unlock()
 	go func() {
 		defer close(stopped)
-		_ = node.Run(ctx, now)
+		_ = node.Run(ctx, abortCtx)
 		store.Close()
 	}()
 	return nil
@@ -95,12 +95,12 @@
 // Kill implements Nodes.
 func (p *inProcess) Kill(m *Machine) {
 	m.mu.Lock()
-	stop, hurry, stopped := m.stop, m.hurry, m.stopped
+	stop, abort, stopped := m.stop, m.abort, m.stopped
 	m.mu.Unlock()
 	if stop == nil {
 		return
 	}
-	hurry()
+	abort()
 	stop()
 	<-stopped
 }
--- a/internal/testbed/tenants.go
+++ b/internal/testbed/tenants.go
@@ -7,8 +7,8 @@
 	"github.com/landingmast/landingmast/internal/testbed/judge"
 )
 
-// Retenant writes a configuration with changed tenants to the store. The bounds of the judge
-// count from then on.
+// Retenant publishes a configuration with changed tenants. The judge applies the new rate
+// limits from then on.
 func (m *Mesh) Retenant(change func(tenants []deployment.Tenant) []deployment.Tenant) {
 	m.mu.Lock()
 	before := m.Plan.Tenants
@@ -17,11 +17,11 @@
 	m.Plan.Tenants = change(after)
 	m.mu.Unlock()
 	m.Configure(nil)
-	m.Judge.SetTenants(tenantsOf(before), tenantsOf(m.Plan.Tenants))
+	m.Judge.SetTenants(judgeTenants(before), judgeTenants(m.Plan.Tenants))
 }
 
-// tenantsOf returns the tenants as the judge knows them.
-func tenantsOf(tenants []deployment.Tenant) []judge.Tenant {
+// judgeTenants converts tenants for the judge.
+func judgeTenants(tenants []deployment.Tenant) []judge.Tenant {
 	judged := make([]judge.Tenant, 0, len(tenants))
 	for _, tenant := range tenants {
 		judged = append(judged, judge.Tenant{Name: tenant.Name, Keys: tenant.Keys, Rate: tenant.Rate, Burst: tenant.Burst})
@@ -29,7 +29,7 @@
 	return judged
 }
 
-// TakeKey removes a key of a tenant; both are counted from 0.
+// TakeKey revokes an API key of a tenant; both are given by index.
 func (m *Mesh) TakeKey(tenant int, key int) {
 	m.Retenant(func(tenants []deployment.Tenant) []deployment.Tenant {
 		keys := append([]string(nil), tenants[tenant].Keys...)
@@ -38,8 +38,9 @@
 	})
 }
 
-// caller picks a tenant by its share and one of the keys that it had at the start.
-func (m *Mesh) caller() (tenant, key string) {
+// pickCredentials picks a tenant by its share of the load and one of its initial API keys,
+// which may have been revoked.
+func (m *Mesh) pickCredentials() (tenant, key string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	total := 0.0
@@ -49,7 +50,7 @@
 	at := rand.Float64() * total
 	for index, picked := range m.Plan.Tenants {
 		if at -= picked.Share; at <= 0 {
-			keys := m.firstKeys[index]
+			keys := m.initialKeys[index]
 			return picked.Name, keys[rand.IntN(len(keys))]
 		}
 	}
--- a/internal/testbed/trouble/trouble.go
+++ b/internal/testbed/trouble/trouble.go
@@ -73,7 +73,7 @@
 			for _, machine := range chosen {
 				mesh.Network.Dark(machine.IP, true)
 			}
-			mesh.HarmedFor(chosen, 3*time.Second)
+			mesh.ReportDisturbance(chosen, 3*time.Second)
 			for _, machine := range chosen {
 				mesh.Network.Dark(machine.IP, false)
 			}
@@ -118,7 +118,7 @@
 		{"garble extra late", 0.95, Faulty(target.Faults{DuplicateResponse: 0.2}, 0.6, 4*time.Second)},
 		{"scale_in", 0.98, func(mesh *testbed.Mesh, random *rand.Rand) {
 			target := mesh.Some(random, 0.05)[0].Target
-			target.Drain(testbed.DrainBound + time.Second)
+			target.Drain(testbed.DrainGracePeriod + time.Second)
 			_ = target.Start()
 		}},
 		{"platform_down", 0.99, withStoreFault(func(s *store.Store) { s.Down = true }, func(s *store.Store) { s.Down = false }, 4*time.Second)},
@@ -188,6 +188,6 @@
 		}
 	}
 	set(true)
-	mesh.HarmedFor(chosen, span)
+	mesh.ReportDisturbance(chosen, span)
 	set(false)
 }
