--- a/internal/sidecar/membership/addresses.go
+++ b/internal/sidecar/membership/addresses.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// ZoneMembers returns the names of the other nodes of the zone.
-func (m *Members) ZoneMembers() []string {
+// ZonePeers returns the names of the other nodes in the local zone.
+func (m *Members) ZonePeers() []string {
 	zone := m.options.Settings().Zone
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -19,10 +19,10 @@
 	return names
 }
 
-// Zones returns the number of zones that have a node, the own one among them.
-func (m *Members) Zones() int { return len(m.ZoneNames()) }
+// ZoneCount returns the number of zones with at least one node, including the local zone.
+func (m *Members) ZoneCount() int { return len(m.ZoneNames()) }
 
-// ZoneNames returns the zones that have a node, the own one among them, in alphabetical order.
+// ZoneNames returns the zones with at least one node, including the local zone, sorted by name.
 func (m *Members) ZoneNames() []string {
 	found := map[string]bool{m.options.Settings().Zone: true}
 	m.mutex.Lock()
@@ -38,8 +38,8 @@
 	return names
 }
 
-// Addresses returns the addresses of the other nodes by zone, in a random order. Nodes that
-// are taken for dead are left out.
+// Addresses returns the addresses of the other nodes by zone, each list shuffled. It omits nodes
+// that the failure detector considers dead.
 func (m *Members) Addresses() map[string][]string {
 	found := map[string][]string{}
 	m.mutex.Lock()
@@ -50,55 +50,56 @@
 	}
 	m.mutex.Unlock()
 	for _, addresses := range found {
-		shuffled(addresses)
+		shuffle(addresses)
 	}
 	return found
 }
 
-// nearShare is the share of exchanges that stay in the zone, where traffic is free of charge.
-const nearShare = 0.75
+// sameZoneProbability is the fraction of exchanges with a node of the local zone. Traffic between
+// zones is billed.
+const sameZoneProbability = 0.75
 
-// AnyAddress returns the address of another node, chosen at random, more often one of the own
-// zone; empty: none is known.
+// AnyAddress returns the address of a random other node and prefers the local zone. It returns an
+// empty string if no other node is known.
 func (m *Members) AnyAddress() string {
-	near, far := m.split()
-	if len(near) == 0 || len(far) > 0 && rand.Float64() >= nearShare {
-		near = far
+	local, remote := m.addressesByLocality()
+	if len(local) == 0 || len(remote) > 0 && rand.Float64() >= sameZoneProbability {
+		local = remote
 	}
-	return anyOf(near)
+	return randomAddress(local)
 }
 
-// AddressElsewhere returns the address of a node in another zone, chosen at random, or of any
-// other node if there is none; empty: no other node is known.
+// AddressElsewhere returns the address of a random node in another zone, or of any other node if
+// all are in the local zone. It returns an empty string if no other node is known.
 func (m *Members) AddressElsewhere() string {
-	near, far := m.split()
-	if len(far) == 0 {
-		far = near
+	local, remote := m.addressesByLocality()
+	if len(remote) == 0 {
+		remote = local
 	}
-	return anyOf(far)
+	return randomAddress(remote)
 }
 
-// split returns the addresses of the other nodes in the own zone and in others.
-func (m *Members) split() (near, far []string) {
+// addressesByLocality returns the addresses of the other nodes in the local zone and in all
+// remote zones.
+func (m *Members) addressesByLocality() (local, remote []string) {
 	for zone, addresses := range m.Addresses() {
 		if zone == m.options.Settings().Zone {
-			near = addresses
+			local = addresses
 			continue
 		}
-		far = append(far, addresses...)
+		remote = append(remote, addresses...)
 	}
-	return near, far
+	return local, remote
 }
 
-func anyOf(addresses []string) string {
+func randomAddress(addresses []string) string {
 	if len(addresses) == 0 {
 		return ""
 	}
 	return addresses[rand.IntN(len(addresses))]
 }
 
-// shuffled puts the addresses into a random order.
-func shuffled(addresses []string) []string {
+func shuffle(addresses []string) []string {
 	rand.Shuffle(len(addresses), func(a, b int) { addresses[a], addresses[b] = addresses[b], addresses[a] })
 	return addresses
 }
