--- a/internal/mesh/lab/cluster/cluster.go
+++ b/internal/mesh/lab/cluster/cluster.go
@@ -1,6 +1,6 @@
 // Package cluster runs a deployment on loopback as separate processes: the
-// stand-ins, a landingmastd beside every back end and the entries. It is the
-// harness of the demo, the fault runs and the bench.
+// platform and back-end stubs, a landingmastd sidecar for every back end, and
+// the entry nodes. The demo, the fault injection runs and the benchmark use it.
 package cluster
 
 import (
@@ -25,49 +25,50 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// Process is one node and the addresses of it and of the back end beside it.
+// Process is a node process, with its addresses and those of its back end.
 type Process struct {
-	Name    string
-	Service string
-	Admin   string
-	Peers   string
-	Callers string // of an entry
-	Target  string // of a node beside a target
-	Relay   *Relay // before its peer port, when the cluster has relays
-	command *exec.Cmd
-	file    string
+	Name         string
+	Service      string
+	Admin        string
+	Peers        string
+	Callers      string // caller listener; entry nodes only
+	Target       string // back-end address; empty on entry nodes
+	Relay        *Relay // in front of the peer port; nil unless Options.Relays is set
+	command      *exec.Cmd
+	settingsFile string
 }
 
 // Cluster is a running deployment.
 type Cluster struct {
-	Deployment   *deployment.Deployment
-	Directory    string
-	PlatformAddr string
-	Nodes        []*Process
-	SignerName   string
-	SignerKey    ed25519.PrivateKey
-	daemon       string // path of landingmastd
-	lab          string // path of landingmast-lab
-	standins     []*exec.Cmd
-	mutex        sync.Mutex
-	log          *os.File
-	bundle       *bundle.Bundle
-	address      map[string]string
+	Deployment    *deployment.Deployment
+	Directory     string
+	PlatformAddr  string
+	Nodes         []*Process
+	SignerName    string
+	SignerKey     ed25519.PrivateKey
+	daemonProgram string // path of landingmastd
+	labProgram    string // path of landingmast-lab
+	standins      []*exec.Cmd
+	mutex         sync.Mutex
+	log           *os.File
+	bundle        *bundle.Bundle
+	addresses     map[string]string
 }
 
-// Options set a cluster.
+// Options configures a cluster.
 type Options struct {
 	Deployment *deployment.Deployment
 	Daemon     string // path of landingmastd
 	Lab        string // path of landingmast-lab
 	Directory  string // for keys, settings and logs
 	FirstPort  int
-	Relays     bool // put a relay before every peer port, to cut connections
+	Relays     bool // proxy every peer port through a Relay, for network faults
 }
 
-// Start writes keys and settings, starts every process and rolls version 1.
+// Start writes keys and settings, starts every process and publishes bundle
+// version 1. It returns once all nodes are ready.
 func Start(ctx context.Context, options Options) (*Cluster, error) {
-	c := &Cluster{Deployment: options.Deployment, Directory: options.Directory, daemon: options.Daemon, lab: options.Lab, SignerName: "operator-1", address: map[string]string{}}
+	c := &Cluster{Deployment: options.Deployment, Directory: options.Directory, daemonProgram: options.Daemon, labProgram: options.Lab, SignerName: "operator-1", addresses: map[string]string{}}
 	if err := os.MkdirAll(options.Directory, 0o700); err != nil {
 		return nil, err
 	}
@@ -76,7 +77,7 @@
 		return nil, err
 	}
 	c.log = log
-	if err := c.prepare(load.NewPorts(options.FirstPort), options.Relays); err != nil {
+	if err := c.assignPorts(load.NewPorts(options.FirstPort), options.Relays); err != nil {
 		return nil, err
 	}
 	if err := c.startAll(ctx); err != nil {
@@ -86,8 +87,8 @@
 	return c, nil
 }
 
-// prepare lays out addresses and writes keys and settings.
-func (c *Cluster) prepare(ports *load.Ports, relays bool) error {
+// assignPorts allocates addresses, starts the relays and writes keys and settings.
+func (c *Cluster) assignPorts(ports *load.Ports, relays bool) error {
 	c.PlatformAddr = ports.Next()
 	for index := range deployment.Entries {
 		c.Nodes = append(c.Nodes, &Process{Name: fmt.Sprintf("entry-%d", index+1), Callers: ports.Next()})
@@ -100,18 +101,18 @@
 	for _, process := range c.Nodes {
 		process.Peers = ports.Next()
 		process.Admin = ports.Next()
-		c.address[process.Name] = process.Peers
+		c.addresses[process.Name] = process.Peers
 		if !relays {
 			continue
 		}
-		c.address[process.Name] = ports.Next()
-		relay, err := NewRelay(c.address[process.Name], process.Peers)
+		c.addresses[process.Name] = ports.Next()
+		relay, err := NewRelay(c.addresses[process.Name], process.Peers)
 		if err != nil {
 			return err
 		}
 		process.Relay = relay
 	}
-	c.bundle = c.Deployment.Bundle(1, func(name string) string { return c.address[name] })
+	c.bundle = c.Deployment.Bundle(1, func(name string) string { return c.addresses[name] })
 	return c.writeSettings(ports)
 }
 
@@ -127,10 +128,10 @@
 	if c.SignerKey, err = security.ReadSigner(private); err != nil {
 		return err
 	}
-	if err := c.write("authority.pem", authority.Certificate); err != nil {
+	if err := c.writeFile("authority.pem", authority.Certificate); err != nil {
 		return err
 	}
-	if err := c.write("signer.pem", private); err != nil {
+	if err := c.writeFile("signer.pem", private); err != nil {
 		return err
 	}
 	for _, process := range c.Nodes {
@@ -138,10 +139,10 @@
 		if err != nil {
 			return err
 		}
-		if err := c.write(process.Name+".crt", pair.Certificate); err != nil {
+		if err := c.writeFile(process.Name+".crt", pair.Certificate); err != nil {
 			return err
 		}
-		if err := c.write(process.Name+".key", pair.Key); err != nil {
+		if err := c.writeFile(process.Name+".key", pair.Key); err != nil {
 			return err
 		}
 		settings := c.settings(process, ports, public)
@@ -149,8 +150,8 @@
 		if err != nil {
 			return err
 		}
-		process.file = c.path(process.Name + ".yaml")
-		if err := c.write(process.Name+".yaml", data); err != nil {
+		process.settingsFile = c.path(process.Name + ".yaml")
+		if err := c.writeFile(process.Name+".yaml", data); err != nil {
 			return err
 		}
 	}
@@ -159,11 +160,11 @@
 
 func (c *Cluster) path(name string) string { return filepath.Join(c.Directory, name) }
 
-func (c *Cluster) write(name string, data []byte) error {
+func (c *Cluster) writeFile(name string, data []byte) error {
 	return os.WriteFile(c.path(name), data, 0o600)
 }
 
-const seeds = 4
+const seedPeers = 4
 
 func (c *Cluster) settings(process *Process, ports *load.Ports, public ed25519.PublicKey) *config.Settings {
 	node, _ := c.bundle.Node(process.Name)
@@ -179,10 +180,10 @@
 		settings.Target = &config.Target{Address: process.Target, Connections: c.Deployment.Service(process.Service).Connections}
 		settings.Listen.Egress = ports.Next()
 	}
-	step := max(len(c.Nodes)/seeds, 1)
+	step := max(len(c.Nodes)/seedPeers, 1)
 	for index := 0; index < len(c.Nodes); index += step {
 		if c.Nodes[index] != process {
-			settings.Peers = append(settings.Peers, c.address[c.Nodes[index].Name])
+			settings.Peers = append(settings.Peers, c.addresses[c.Nodes[index].Name])
 		}
 	}
 	return settings
@@ -209,13 +210,13 @@
 	return c.WaitReady(ctx)
 }
 
-// startBackends starts the back ends of a deployment in one process: they are
-// stand-ins, and their machines are not what is looked at.
+// startBackends runs all back-end stubs in a single process; only the nodes
+// need processes of their own.
 func (c *Cluster) startBackends() error {
 	arguments := []string{"--deployment", c.Deployment.Mesh}
 	for _, process := range c.Nodes {
 		if process.Target != "" {
-			settings, err := config.Load(process.file)
+			settings, err := config.Load(process.settingsFile)
 			if err != nil {
 				return err
 			}
@@ -226,46 +227,44 @@
 }
 
 func (c *Cluster) startStandin(command string, arguments ...string) error {
-	process := c.command(c.lab, append([]string{command}, arguments...)...)
+	process := c.newCommand(c.labProgram, append([]string{command}, arguments...)...)
 	c.standins = append(c.standins, process)
 	return process.Start()
 }
 
-func (c *Cluster) command(program string, arguments ...string) *exec.Cmd {
+func (c *Cluster) newCommand(program string, arguments ...string) *exec.Cmd {
 	command := exec.Command(program, arguments...)
 	command.Stdout, command.Stderr = c.log, c.log
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	return command
 }
 
-// StartNode starts a node that does not run.
+// StartNode starts a stopped node.
 func (c *Cluster) StartNode(process *Process) error {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	process.command = c.command(c.daemon, "--settings", process.file)
+	process.command = c.newCommand(c.daemonProgram, "--settings", process.settingsFile)
 	return process.command.Start()
 }
 
-// Signal sends a signal to a node.
 func (c *Cluster) Signal(process *Process, signal syscall.Signal) error {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return process.command.Process.Signal(signal)
 }
 
-// Wait waits for a node to end and gives its error, as exec.Cmd does.
+// Wait waits for a node process to exit and returns the error of exec.Cmd.Wait.
 func (c *Cluster) Wait(process *Process) error { return process.command.Wait() }
 
-// Kill ends a node at once.
+// Kill sends SIGKILL to a node and waits for it to exit.
 func (c *Cluster) Kill(process *Process) {
 	_ = c.Signal(process, syscall.SIGKILL)
 	_ = c.Wait(process)
 }
 
-// Pid gives the process id of a node.
 func (c *Cluster) Pid(process *Process) int { return process.command.Process.Pid }
 
-// Node gives the node of that name.
+// Node returns the node with the given name, or nil.
 func (c *Cluster) Node(name string) *Process {
 	for _, process := range c.Nodes {
 		if process.Name == name {
@@ -275,7 +274,7 @@
 	return nil
 }
 
-// Entries gives the addresses of the entries.
+// Entries returns the caller addresses of the entry nodes.
 func (c *Cluster) Entries() []string {
 	var entries []string
 	for _, process := range c.Nodes {
@@ -286,7 +285,7 @@
 	return entries
 }
 
-// WaitReady waits until every node takes work.
+// WaitReady waits until every node reports ready.
 func (c *Cluster) WaitReady(ctx context.Context) error {
 	for _, process := range c.Nodes {
 		if err := c.waitFor(ctx, "http://"+process.Admin+"/readyz"); err != nil {
@@ -321,7 +320,8 @@
 	}
 }
 
-// Stop ends every process: nodes first, as planned; the stand-ins last.
+// Stop shuts the nodes down gracefully, then kills the stubs. A node that is
+// still running after 5 seconds is killed.
 func (c *Cluster) Stop() {
 	for _, process := range c.Nodes {
 		if process.command != nil && process.command.Process != nil {
--- a/internal/mesh/lab/cluster/steer.go
+++ b/internal/mesh/lab/cluster/control.go
@@ -14,15 +14,15 @@
 	"github.com/landingmast/landingmast/internal/mesh/roll"
 )
 
-// Bundle gives a copy of the deployment's bundle at a version.
+// Bundle returns the deployment's bundle with the given version.
 func (c *Cluster) Bundle(version int64) *bundle.Bundle {
-	return c.Deployment.Bundle(version, func(name string) string { return c.address[name] })
+	return c.Deployment.Bundle(version, func(name string) string { return c.addresses[name] })
 }
 
-// Store gives access to the platform's stand-in, as an operator has it.
+// Store returns a client of the platform stub, as an operator would use.
 func (c *Cluster) Store() platform.Store { return platform.NewConsul(c.PlatformAddr, time.Second) }
 
-// Roll signs a bundle and rolls it.
+// Roll signs a bundle and publishes it.
 func (c *Cluster) Roll(ctx context.Context, wanted *bundle.Bundle) (*platform.HistoryEntry, error) {
 	release, err := bundle.Sign(wanted, c.SignerName, c.SignerKey)
 	if err != nil {
@@ -31,12 +31,12 @@
 	return roll.Roll(ctx, c.Store(), release)
 }
 
-// SetFaults changes the faults of the platform's stand-in.
+// SetFaults configures the faults that the platform stub injects.
 func (c *Cluster) SetFaults(faults standin.Faults) error {
 	return c.put("/lab/faults", faults)
 }
 
-// SetMachine changes a machine in the platform's list.
+// SetMachine sets the state of a node in the platform's machine list.
 func (c *Cluster) SetMachine(node, state string) error {
 	return c.put("/lab/machines/"+node+"/"+state, struct{}{})
 }
@@ -61,23 +61,23 @@
 	return response.Body.Close()
 }
 
-// SetBehaviour changes how the back end beside a node behaves.
+// SetBehaviour configures the back-end stub of a node.
 func (c *Cluster) SetBehaviour(process *Process, behaviour standin.Behaviour) error {
 	return putJSON("http://"+process.Target+"/lab/behaviour", behaviour)
 }
 
-// Executions gives what the back ends really ran.
+// Executions returns the requests that the back ends executed.
 func (c *Cluster) Executions() ([]standin.Execution, error) {
 	var all []standin.Execution
 	for _, process := range c.Nodes {
 		if process.Target == "" {
 			continue
 		}
-		var some []standin.Execution
-		if err := getJSON("http://"+process.Target+"/lab/executions", &some); err != nil {
+		var executions []standin.Execution
+		if err := getJSON("http://"+process.Target+"/lab/executions", &executions); err != nil {
 			return nil, err
 		}
-		all = append(all, some...)
+		all = append(all, executions...)
 	}
 	return all, nil
 }
--- a/internal/mesh/lab/cluster/relay.go
+++ b/internal/mesh/lab/cluster/relay.go
@@ -5,30 +5,30 @@
 	"sync"
 )
 
-// Cut says what a relay does to the connections of a node.
-type Cut int
+// LinkState is the network condition that a relay simulates.
+type LinkState int
 
-// The cuts.
+// Link states of a relay.
 const (
-	CutNothing Cut = iota
-	// CutBoth ends all connections and refuses new ones.
-	CutBoth
-	// CutAnswers lets bytes to the node pass and swallows what it sends back: the
-	// network is broken one way.
-	CutAnswers
+	LinkUp LinkState = iota
+	// LinkDown closes all connections, and new ones as soon as they are accepted.
+	LinkDown
+	// LinkDropResponses forwards bytes to the node and discards the bytes it
+	// sends back, as in a one-way partition.
+	LinkDropResponses
 )
 
-// Relay stands between the nodes and one node's peer port and cuts connections
-// on demand. It is part of the fault injector.
+// Relay is a TCP proxy in front of a node's peer port that simulates network
+// faults.
 type Relay struct {
 	listener net.Listener
 	target   string
 	mutex    sync.Mutex
-	cut      Cut
+	link     LinkState
 	open     map[net.Conn]struct{}
 }
 
-// NewRelay listens at an address and forwards to another.
+// NewRelay starts a relay that listens on address and forwards to target.
 func NewRelay(address, target string) (*Relay, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -39,23 +39,23 @@
 	return relay, nil
 }
 
-// Set changes the cut. Connections that are open end with CutBoth, and when an
-// earlier cut is taken back.
-func (r *Relay) Set(cut Cut) {
+// SetLink changes the link state. Open connections are closed by LinkDown, and when
+// LinkDropResponses ends, because their streams have lost bytes.
+func (r *Relay) SetLink(state LinkState) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if cut == CutBoth || (cut == CutNothing && r.cut == CutAnswers) {
+	if state == LinkDown || (state == LinkUp && r.link == LinkDropResponses) {
 		for connection := range r.open {
 			_ = connection.Close()
 		}
 	}
-	r.cut = cut
+	r.link = state
 }
 
-func (r *Relay) state() Cut {
+func (r *Relay) linkState() LinkState {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.cut
+	return r.link
 }
 
 func (r *Relay) accept() {
@@ -64,7 +64,7 @@
 		if err != nil {
 			return
 		}
-		if r.state() == CutBoth {
+		if r.linkState() == LinkDown {
 			_ = incoming.Close()
 			continue
 		}
@@ -90,8 +90,9 @@
 	delete(r.open, connection)
 }
 
-// forward copies bytes; answers are swallowed while they are cut.
-func (r *Relay) forward(to, from net.Conn, answers bool) {
+// forward copies bytes from one connection to the other. Responses are discarded
+// in state LinkDropResponses.
+func (r *Relay) forward(to, from net.Conn, responses bool) {
 	defer func() {
 		_ = to.Close()
 		_ = from.Close()
@@ -101,7 +102,7 @@
 	buffer := make([]byte, 32<<10)
 	for {
 		count, err := from.Read(buffer)
-		if count > 0 && !(answers && r.state() == CutAnswers) {
+		if count > 0 && !(responses && r.linkState() == LinkDropResponses) {
 			if _, writeErr := to.Write(buffer[:count]); writeErr != nil {
 				return
 			}
@@ -112,8 +113,8 @@
 	}
 }
 
-// Close ends the relay.
+// Close stops the listener and closes all connections.
 func (r *Relay) Close() {
 	_ = r.listener.Close()
-	r.Set(CutBoth)
+	r.SetLink(LinkDown)
 }
--- a/internal/mesh/lab/cluster/usage.go
+++ b/internal/mesh/lab/cluster/usage.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// Resident gives the resident memory of a process, in bytes; 0 when it is gone.
+// Resident returns the resident set size of a process in bytes, or 0 if the
+// process has exited.
 func Resident(pid int) int64 {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	if err != nil {
@@ -21,10 +22,11 @@
 	return pages * int64(os.Getpagesize())
 }
 
-// ticksPerSecond is the unit of the processor times below /proc on Linux.
+// ticksPerSecond is USER_HZ, the unit of CPU times in /proc/PID/stat on Linux.
 const ticksPerSecond = 100
 
-// ProcessorTime gives the user and system time of a process.
+// ProcessorTime returns the user and system CPU time of a process, or 0 if the
+// process has exited.
 func ProcessorTime(pid int) time.Duration {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
--- a/internal/mesh/lab/experiment/real.go
+++ b/internal/mesh/lab/experiment/real.go
@@ -117,9 +117,9 @@
 		r.at(time.Duration(event.Until))
 		_ = r.cluster.SetFaults(standin.Faults{})
 	case "zone_lost":
-		r.cutZone(event.Zone, cluster.CutBoth)
+		r.cutZone(event.Zone, cluster.LinkDown)
 		r.at(time.Duration(event.Until))
-		r.cutZone(event.Zone, cluster.CutNothing)
+		r.cutZone(event.Zone, cluster.LinkUp)
 	case "rolling_restart":
 		r.restartAll(ctx, time.Duration(event.At), time.Duration(event.Until))
 	}
@@ -127,11 +127,11 @@
 
 // cutZone cuts the nodes beside targets; entries of the zone stay, because the
 // callers of the harness do not move to others.
-func (r *realRun) cutZone(zone string, cut cluster.Cut) {
+func (r *realRun) cutZone(zone string, cut cluster.LinkState) {
 	for _, process := range r.cluster.Nodes {
 		node, _ := r.cluster.Bundle(1).Node(process.Name)
 		if process.Target != "" && node.Zone == zone {
-			process.Relay.Set(cut)
+			process.Relay.SetLink(cut)
 		}
 	}
 }
--- a/internal/mesh/lab/faults/faults.go
+++ b/internal/mesh/lab/faults/faults.go
@@ -1,6 +1,6 @@
-// Package faults runs a deployment as real processes under a seeded schedule of
-// faults and checks the promises of docs/mesh/GUARANTEES.md over what callers saw and
-// what back ends really ran.
+// Package faults runs a deployment as real processes under a seeded fault
+// schedule and checks the guarantees of docs/mesh/GUARANTEES.md against the answers
+// of callers and the executions of back ends.
 package faults
 
 import (
@@ -20,40 +20,40 @@
 	"github.com/landingmast/landingmast/internal/units"
 )
 
-// Kind names a fault.
+// Kind is a type of fault.
 type Kind string
 
-// The faults.
+// Fault types.
 const (
-	Kill        Kind = "kill"         // SIGKILL, started again without memory
-	Freeze      Kind = "freeze"       // SIGSTOP, then SIGCONT
-	Stop        Kind = "planned stop" // SIGTERM, started again
-	Cut         Kind = "cut"          // no connection reaches the node
-	CutOneWay   Kind = "cut one way"  // requests reach the node, answers do not come back
-	StoreDown   Kind = "store down"
-	StoreSlow   Kind = "store slow"
-	StoreLimit  Kind = "store limited"
-	StoreLoses  Kind = "store loses answers"
-	StaleList   Kind = "machine list stale"
-	TwoRolls    Kind = "two operators roll"
-	BackendSlow Kind = "back end slow"
-	BackendFail Kind = "back end resets"
+	Kill                Kind = "kill"         // SIGKILL, then a restart with empty state
+	Freeze              Kind = "freeze"       // SIGSTOP, then SIGCONT
+	PlannedStop         Kind = "planned stop" // SIGTERM, then a restart
+	Partition           Kind = "cut"          // peers cannot connect to the node
+	OneWayPartition     Kind = "cut one way"  // requests reach the node, responses are dropped
+	StoreDown           Kind = "store down"
+	StoreSlow           Kind = "store slow"
+	StoreRateLimited    Kind = "store limited"
+	StoreDropsResponses Kind = "store loses answers"
+	StaleMachineList    Kind = "machine list stale"
+	ConcurrentRolls     Kind = "two operators roll"
+	BackendSlow         Kind = "back end slow"
+	BackendReset        Kind = "back end resets"
 )
 
-// Kinds are all faults.
-var Kinds = []Kind{Kill, Freeze, Stop, Cut, CutOneWay, StoreDown, StoreSlow, StoreLimit, StoreLoses, StaleList, TwoRolls, BackendSlow, BackendFail}
+// Kinds lists all fault types.
+var Kinds = []Kind{Kill, Freeze, PlannedStop, Partition, OneWayPartition, StoreDown, StoreSlow, StoreRateLimited, StoreDropsResponses, StaleMachineList, ConcurrentRolls, BackendSlow, BackendReset}
 
-// Options set a run.
+// Options configures a run.
 type Options struct {
 	Cluster  cluster.Options
 	Seed     uint64
-	Duration time.Duration // of traffic and faults
+	Duration time.Duration // of traffic and fault injection
 	Rate     float64
 	Kinds    []Kind
-	Pause    time.Duration // mean time between two faults
+	Pause    time.Duration // mean interval between faults
 }
 
-// Result is what a run came to.
+// Result summarizes a run.
 type Result struct {
 	Seed    uint64
 	Faults  map[Kind]int
@@ -64,7 +64,7 @@
 	Checks  []check.Check
 }
 
-// Violations counts the checks that did not hold.
+// Violations returns the number of failed checks.
 func (r *Result) Violations() int {
 	count := 0
 	for _, one := range r.Checks {
@@ -75,19 +75,20 @@
 	return count
 }
 
-// injector carries out faults.
+// injector applies faults to a cluster.
 type injector struct {
-	cluster *cluster.Cluster
-	random  *rand.Rand
-	mutex   sync.Mutex
-	busy    map[string]bool // nodes under a fault
-	faults  map[Kind]int
-	group   sync.WaitGroup
-	rolled  int64 // highest version that an operator was told is rolled
-	store   bool  // the platform is under a fault
+	cluster       *cluster.Cluster
+	random        *rand.Rand
+	mutex         sync.Mutex
+	busy          map[string]bool // nodes and services with an active fault
+	faults        map[Kind]int
+	group         sync.WaitGroup
+	rolledVersion int64 // highest bundle version acknowledged to an operator
+	storeBusy     bool  // the platform has an active fault
 }
 
-// Run runs one schedule.
+// Run runs traffic and a fault schedule against a new cluster and checks the
+// guarantees.
 func Run(ctx context.Context, options Options) (*Result, error) {
 	options.Cluster.Relays = true
 	running, err := cluster.Start(ctx, options.Cluster)
@@ -95,13 +96,13 @@
 		return nil, err
 	}
 	defer running.Stop()
-	inject := &injector{
-		cluster: running, random: rand.New(rand.NewPCG(options.Seed, 3)), busy: map[string]bool{}, faults: map[Kind]int{}, rolled: 1,
+	faultInjector := &injector{
+		cluster: running, random: rand.New(rand.NewPCG(options.Seed, 3)), busy: map[string]bool{}, faults: map[Kind]int{}, rolledVersion: 1,
 	}
-	watch := newWatch(running)
-	watching, stopWatching := context.WithCancel(ctx)
-	defer stopWatching()
-	watch.group.Go(func() { watch.run(watching) })
+	monitor := newVersionMonitor(running)
+	monitorCtx, stopMonitor := context.WithCancel(ctx)
+	defer stopMonitor()
+	monitor.group.Go(func() { monitor.run(monitorCtx) })
 
 	traffic := make(chan []load.Answer, 1)
 	go func() {
@@ -109,15 +110,16 @@
 			Deployment: running.Deployment, Entries: running.Entries(), Rate: options.Rate, Duration: options.Duration, Users: 100, Resend: 4, Seed: options.Seed,
 		})
 	}()
-	inject.schedule(ctx, options)
+	faultInjector.schedule(ctx, options)
 	answers := <-traffic
-	inject.group.Wait()
-	result := &Result{Seed: options.Seed, Faults: inject.faults}
-	err = result.judge(ctx, inject, watch, answers, stopWatching)
+	faultInjector.group.Wait()
+	result := &Result{Seed: options.Seed, Faults: faultInjector.faults}
+	err = result.evaluate(ctx, faultInjector, monitor, answers, stopMonitor)
 	return result, err
 }
 
-// schedule injects faults until the traffic ends; two may be on at a time.
+// schedule injects faults at random intervals until the traffic ends. Faults may
+// overlap.
 func (i *injector) schedule(ctx context.Context, options Options) {
 	end := time.Now().Add(options.Duration)
 	for time.Now().Before(end) && ctx.Err() == nil {
@@ -135,14 +137,14 @@
 		i.storeFault(kind, standin.Faults{Down: true}, span)
 	case StoreSlow:
 		i.storeFault(kind, standin.Faults{Delay: 400 * time.Millisecond}, span)
-	case StoreLimit:
+	case StoreRateLimited:
 		i.storeFault(kind, standin.Faults{RateLimit: 2}, span)
-	case StoreLoses:
+	case StoreDropsResponses:
 		i.storeFault(kind, standin.Faults{LoseAnswers: true}, span)
-	case StaleList:
+	case StaleMachineList:
 		i.storeFault(kind, standin.Faults{MachineLag: time.Hour}, span)
-	case TwoRolls:
-		i.twoRolls(ctx)
+	case ConcurrentRolls:
+		i.concurrentRolls(ctx)
 	default:
 		i.nodeFault(kind, node, span)
 	}
@@ -150,8 +152,8 @@
 
 func (i *injector) storeFault(kind Kind, faults standin.Faults, span time.Duration) {
 	i.mutex.Lock()
-	taken := i.store
-	i.store = true
+	taken := i.storeBusy
+	i.storeBusy = true
 	if !taken {
 		i.faults[kind]++
 	}
@@ -163,17 +165,18 @@
 	time.Sleep(span)
 	_ = i.cluster.SetFaults(standin.Faults{})
 	i.mutex.Lock()
-	i.store = false
+	i.storeBusy = false
 	i.mutex.Unlock()
 }
 
-// reserve takes a node for a fault. At most one node of a service is killed or
-// stopped at a time: the voters' memory is kept by a majority.
+// reserve marks a node as faulty, and reports false if the fault cannot be
+// injected now. At most one node of a service has a fault at a time, so that a
+// majority of its voters keeps its state.
 func (i *injector) reserve(kind Kind, node *cluster.Process) bool {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
 	group := node.Service
-	if i.busy[node.Name] || i.busy["service "+group] || (node.Target == "" && kind != Kill && kind != Freeze && kind != Stop) {
+	if i.busy[node.Name] || i.busy["service "+group] || (node.Target == "" && kind != Kill && kind != Freeze && kind != PlannedStop) {
 		return false
 	}
 	i.busy[node.Name], i.busy["service "+group] = true, true
@@ -181,29 +184,29 @@
 	return true
 }
 
-func (i *injector) free(node *cluster.Process) {
+func (i *injector) release(node *cluster.Process) {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
 	delete(i.busy, node.Name)
 	delete(i.busy, "service "+node.Service)
 }
 
-// settleTime lets the voter set take a restarted node in before the next one of
-// its service is hit.
+// settleTime is how long a restarted node has to rejoin the voter set before the
+// next node of its service may fail.
 const settleTime = 2500 * time.Millisecond
 
 func (i *injector) nodeFault(kind Kind, node *cluster.Process, span time.Duration) {
 	if !i.reserve(kind, node) {
 		return
 	}
-	defer i.free(node)
+	defer i.release(node)
 	switch kind {
 	case Kill:
 		i.cluster.Kill(node)
 		time.Sleep(span)
 		_ = i.cluster.StartNode(node)
 		time.Sleep(settleTime)
-	case Stop:
+	case PlannedStop:
 		_ = i.cluster.Signal(node, syscall.SIGTERM)
 		_ = i.cluster.Wait(node)
 		_ = i.cluster.StartNode(node)
@@ -213,31 +216,31 @@
 		time.Sleep(span)
 		_ = i.cluster.Signal(node, syscall.SIGCONT)
 		time.Sleep(settleTime)
-	case Cut:
-		node.Relay.Set(cluster.CutBoth)
+	case Partition:
+		node.Relay.SetLink(cluster.LinkDown)
 		time.Sleep(span)
-		node.Relay.Set(cluster.CutNothing)
-	case CutOneWay:
-		node.Relay.Set(cluster.CutAnswers)
+		node.Relay.SetLink(cluster.LinkUp)
+	case OneWayPartition:
+		node.Relay.SetLink(cluster.LinkDropResponses)
 		time.Sleep(span)
-		node.Relay.Set(cluster.CutNothing)
+		node.Relay.SetLink(cluster.LinkUp)
 	case BackendSlow:
 		_ = i.cluster.SetBehaviour(node, standin.Behaviour{Slowdown: 5})
 		time.Sleep(span)
 		_ = i.cluster.SetBehaviour(node, standin.Behaviour{})
-	case BackendFail:
+	case BackendReset:
 		_ = i.cluster.SetBehaviour(node, standin.Behaviour{FailRate: 0.5})
 		time.Sleep(span)
 		_ = i.cluster.SetBehaviour(node, standin.Behaviour{})
 	}
 }
 
-// twoRolls has two operators roll the same next version at the same moment. One
-// wins; the other is told of the conflict, or that the platform failed.
-func (i *injector) twoRolls(ctx context.Context) {
+// concurrentRolls publishes two different bundles with the same version
+// concurrently. At most one succeeds; the other gets a conflict or a platform error.
+func (i *injector) concurrentRolls(ctx context.Context) {
 	i.mutex.Lock()
-	i.faults[TwoRolls]++
-	version := i.rolled + 1
+	i.faults[ConcurrentRolls]++
+	version := i.rolledVersion + 1
 	i.mutex.Unlock()
 	type outcome struct{ err error }
 	outcomes := make(chan outcome, 2)
@@ -253,49 +256,49 @@
 		one := <-outcomes
 		if one.err == nil || failure.Is(one.err, failure.Conflict) {
 			i.mutex.Lock()
-			i.rolled = max(i.rolled, version)
+			i.rolledVersion = max(i.rolledVersion, version)
 			i.mutex.Unlock()
 		}
 	}
 }
 
-// watch follows the bundle version of every node while the faults go on.
-type watch struct {
-	cluster  *cluster.Cluster
-	group    sync.WaitGroup
-	mutex    sync.Mutex
-	highest  map[string]int64
-	reverted []string
-	looks    int
+// versionMonitor polls the bundle version of every node and records rollbacks.
+type versionMonitor struct {
+	cluster      *cluster.Cluster
+	group        sync.WaitGroup
+	mutex        sync.Mutex
+	highest      map[string]int64
+	reverted     []string
+	observations int
 }
 
-func newWatch(running *cluster.Cluster) *watch {
-	return &watch{cluster: running, highest: map[string]int64{}}
+func newVersionMonitor(running *cluster.Cluster) *versionMonitor {
+	return &versionMonitor{cluster: running, highest: map[string]int64{}}
 }
 
-const watchInterval = 150 * time.Millisecond
+const pollInterval = 150 * time.Millisecond
 
-func (w *watch) run(ctx context.Context) {
+func (m *versionMonitor) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		for _, process := range w.cluster.Nodes {
-			w.look(ctx, process)
+		for _, process := range m.cluster.Nodes {
+			m.poll(ctx, process)
 		}
-		time.Sleep(watchInterval)
+		time.Sleep(pollInterval)
 	}
 }
 
-func (w *watch) look(ctx context.Context, process *cluster.Process) {
-	ctx, cancel := context.WithTimeout(ctx, watchInterval)
+func (m *versionMonitor) poll(ctx context.Context, process *cluster.Process) {
+	ctx, cancel := context.WithTimeout(ctx, pollInterval)
 	defer cancel()
 	status, err := adminapi.New(process.Admin).Status(ctx)
 	if err != nil || status.BundleVersion == 0 {
 		return
 	}
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	w.looks++
-	if status.BundleVersion < w.highest[process.Name] {
-		w.reverted = append(w.reverted, fmt.Sprintf("%s from %d to %d", process.Name, w.highest[process.Name], status.BundleVersion))
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	m.observations++
+	if status.BundleVersion < m.highest[process.Name] {
+		m.reverted = append(m.reverted, fmt.Sprintf("%s from %d to %d", process.Name, m.highest[process.Name], status.BundleVersion))
 	}
-	w.highest[process.Name] = max(w.highest[process.Name], status.BundleVersion)
+	m.highest[process.Name] = max(m.highest[process.Name], status.BundleVersion)
 }
--- a/internal/mesh/lab/faults/faults_test.go
+++ b/internal/mesh/lab/faults/faults_test.go
@@ -22,9 +22,9 @@
 	. "github.com/onsi/gomega"
 )
 
-var programs string
+var programsDirectory string
 
-// TestMain builds the programs that the runs start.
+// TestMain builds the programs under test.
 func TestMain(m *testing.M) {
 	directory, err := os.MkdirTemp("", "landingmast-programs-")
 	if err != nil {
@@ -35,31 +35,28 @@
 		fmt.Println(string(output))
 		panic(err)
 	}
-	programs = directory
+	programsDirectory = directory
 	code := m.Run()
 	_ = os.RemoveAll(directory)
 	os.Exit(code)
 }
 
-// Blocks of ports for clusters, below the range from which the system takes the ports of outgoing
-// connections.
+// Port blocks for clusters, below the ephemeral port range.
 const (
 	firstBlock = 26000
 	lastBlock  = 32000
 	blockPorts = 150
 )
 
-// reserve gives the first port of a block that is this test's until it ends. Its guard is the
-// port before. Blocks that were counted from a fixed port on were those of a second run on the
-// same machine too, and the processes of one cluster reached the other's: three of four runs that
-// began at the same moment failed with "version 1 stands already".
-func reserve(t *testing.T) int {
+// reservePorts returns the first port of a free block. A listener on the port before it reserves
+// the block until the test ends, so that concurrent runs on one machine do not share ports.
+func reservePorts(t *testing.T) int {
 	for guard := firstBlock; guard < lastBlock; guard += blockPorts {
 		listener, err := net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", guard))
 		if err != nil {
 			continue
 		}
-		if free(guard+1, guard+blockPorts) {
+		if portsFree(guard+1, guard+blockPorts) {
 			t.Cleanup(func() { _ = listener.Close() })
 			return guard + 1
 		}
@@ -69,8 +66,8 @@
 	return 0
 }
 
-// free tells whether all ports from first to before end can be listened on.
-func free(first, end int) bool {
+// portsFree reports whether all ports in [first, end) are available.
+func portsFree(first, end int) bool {
 	for port := first; port < end; port++ {
 		listener, err := net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", port))
 		if err != nil {
@@ -83,8 +80,8 @@
 
 func options(t *testing.T, d *deployment.Deployment) cluster.Options {
 	return cluster.Options{
-		Deployment: d, Daemon: filepath.Join(programs, "landingmastd"), Lab: filepath.Join(programs, "landingmast-lab"),
-		Directory: t.TempDir(), FirstPort: reserve(t),
+		Deployment: d, Daemon: filepath.Join(programsDirectory, "landingmastd"), Lab: filepath.Join(programsDirectory, "landingmast-lab"),
+		Directory: t.TempDir(), FirstPort: reservePorts(t),
 	}
 }
 
@@ -105,8 +102,8 @@
 	}
 }
 
-// during runs traffic and does something in its midst.
-func during(running *cluster.Cluster, span time.Duration, act func()) []load.Answer {
+// runTrafficDuring runs traffic for a span and calls act one second after its start.
+func runTrafficDuring(running *cluster.Cluster, span time.Duration, act func()) []load.Answer {
 	answers := make(chan []load.Answer, 1)
 	go func() {
 		answers <- load.Run(context.Background(), load.Options{Deployment: running.Deployment, Entries: running.Entries(), Rate: 120, Duration: span, Users: 50, Seed: 5})
@@ -128,8 +125,8 @@
 	return count
 }
 
-// waitDraining waits until the node knows that it is leaving. Before the first
-// read of a change nobody knows of it, and the platform may be down only after.
+// waitDraining waits until a node reports that it is draining. The platform must
+// stay up until then, as nodes learn of the change from it.
 func waitDraining(ctx context.Context, process *cluster.Process) error {
 	for range 100 {
 		status, err := adminapi.New(process.Admin).Status(ctx)
@@ -138,14 +135,14 @@
 		}
 		time.Sleep(25 * time.Millisecond)
 	}
-	return fmt.Errorf("node %s does not know that it is leaving", process.Name)
+	return fmt.Errorf("node %s did not start draining", process.Name)
 }
 
-// TestALeavingTargetGetsNoNewWork has a target leave in each of the three ways,
-// with the platform's service down from shortly after that moment on.
+// TestALeavingTargetGetsNoNewWork guards against requests to a draining target
+// when the platform fails right after the drain begins.
 func TestALeavingTargetGetsNoNewWork(t *testing.T) {
 	ctx := context.Background()
-	ways := map[string]func(*cluster.Cluster) error{
+	methods := map[string]func(*cluster.Cluster) error{
 		"bundle": func(c *cluster.Cluster) error {
 			next := c.Bundle(2)
 			next.Services[0].Targets[0].State = bundle.Leaving
@@ -165,14 +162,14 @@
 			return err
 		},
 	}
-	for way, leave := range ways {
-		t.Run(way, func(t *testing.T) {
+	for method, leave := range methods {
+		t.Run(method, func(t *testing.T) {
 			g := NewWithT(t)
 			running, err := cluster.Start(ctx, options(t, deployment.CoreArchive()))
 			g.Expect(err).NotTo(HaveOccurred())
 			defer running.Stop()
 			after := 0
-			answers := during(running, 7*time.Second, func() {
+			answers := runTrafficDuring(running, 7*time.Second, func() {
 				began := time.Now()
 				g.Expect(leave(running)).To(Succeed())
 				g.Expect(running.SetFaults(standin.Faults{Down: true})).To(Succeed())
@@ -181,12 +178,12 @@
 			})
 			g.Expect(after).To(BeNumerically(">", 0))
 			g.Expect(executionsOf(g, running, "logbook-1")).To(Equal(after))
-			g.Expect(whole(answers)).To(BeNumerically(">", len(answers)*98/100))
+			g.Expect(countComplete(answers)).To(BeNumerically(">", len(answers)*98/100))
 		})
 	}
 }
 
-func whole(answers []load.Answer) int {
+func countComplete(answers []load.Answer) int {
 	count := 0
 	for _, answer := range answers {
 		if answer.Whole {
@@ -196,20 +193,14 @@
 	return count
 }
 
-// TestAPlannedStopCutsNothing restarts three nodes beside targets by SIGTERM
-// under traffic; no caller may see a broken or an unknown answer.
-//
-// It failed at times beside load with "approve: unknown reset". Load makes targets refuse, and a
-// refused call with a body cost its connection: see TestAPlannedStopAmidLongCallsCutsNothing,
-// which makes it come in each run. Where the machine has no processor left at all (four clusters
-// at once) claim lists are cancelled for more important calls or run out of time at nodes that do
-// not stop, and it fails by that: docs/FINDINGS.md.
+// TestAPlannedStopCutsNothing guards against requests lost during graceful restarts of nodes
+// under traffic. It can fail on a machine without spare CPU time; see docs/FINDINGS.md.
 func TestAPlannedStopCutsNothing(t *testing.T) {
 	g := NewWithT(t)
 	running, err := cluster.Start(context.Background(), options(t, deployment.ExpenseClaims()))
 	g.Expect(err).NotTo(HaveOccurred())
 	defer running.Stop()
-	answers := during(running, 9*time.Second, func() {
+	answers := runTrafficDuring(running, 9*time.Second, func() {
 		for _, name := range []string{"claims-portal-2", "policy-svc-1", "receipt-store-3"} {
 			process := running.Node(name)
 			g.Expect(running.Signal(process, syscall.SIGTERM)).To(Succeed())
@@ -220,25 +211,16 @@
 	for _, answer := range answers {
 		if answer.Outcome == load.Broken || answer.Outcome == load.Unknown {
 			t.Errorf("%s: %s %s", answer.Class, answer.Outcome, answer.Reason)
-			tell(t, running, answer)
+			logDecisions(t, running, answer)
 		}
 	}
-	g.Expect(whole(answers)).To(BeNumerically(">", len(answers)*98/100))
+	g.Expect(countComplete(answers)).To(BeNumerically(">", len(answers)*98/100))
 }
 
-// TestAPlannedStopAmidLongCallsCutsNothing restarts three nodes by SIGTERM while calls that may
-// run at most once are in flight, so long ones that targets fill up and refuse; no caller may see
-// a broken or an unknown answer.
-//
-// It failed in four runs of four with "approve: unknown reset", before any node had stopped. A
-// node that refused a call before it had read the body closed the connection behind its answer
-// without a word, and the next call on it was lost. Shown by the record `lose` of the lost call
-// (rested_connection, rested_ms 1.4) and the line of the node at the other end, "http: panic
-// serving: invalid concurrent Body.Read call". docs/incidents/refused-with-unread-body.md.
-//
-// Beside load it failed once more after that was mended: the lost call was the first on a new
-// connection (new_connection, lost 129 ms after it was written) to a node that was closing its
-// connections and did not wait for first requests. docs/incidents/first-request-at-the-end-of-a-stop.md.
+// TestAPlannedStopAmidLongCallsCutsNothing guards against at-most-once requests lost during
+// graceful restarts while overloaded targets reject calls. See
+// docs/incidents/refused-with-unread-body.md and
+// docs/incidents/first-request-at-the-end-of-a-stop.md.
 func TestAPlannedStopAmidLongCallsCutsNothing(t *testing.T) {
 	g := NewWithT(t)
 	running, err := cluster.Start(context.Background(), options(t, deployment.ExpenseClaims()))
@@ -266,13 +248,13 @@
 	for _, answer := range <-answers {
 		if answer.Outcome == load.Broken || answer.Outcome == load.Unknown {
 			t.Errorf("%s: %s %s", answer.Class, answer.Outcome, answer.Reason)
-			tell(t, running, answer)
+			logDecisions(t, running, answer)
 		}
 	}
 }
 
-// tell logs what the nodes recorded of an answer's request, and the lines of nodes that stopped.
-func tell(t *testing.T, running *cluster.Cluster, answer load.Answer) {
+// logDecisions logs the recorded decisions for a request and the shutdown log lines of all nodes.
+func logDecisions(t *testing.T, running *cluster.Cluster, answer load.Answer) {
 	t.Helper()
 	t.Logf("request %s, sent %s, took %s", answer.RequestID, answer.Sent.Format(time.StampMilli), answer.Took)
 	decisions, err := adminapi.New(running.Nodes[0].Admin).Explain(context.Background(), answer.RequestID)
@@ -293,20 +275,20 @@
 	}
 }
 
-func sent(key, token, outcome, run string, from, took int) load.Answer {
+func newAnswer(key, token, outcome, run string, from, took int) load.Answer {
 	return load.Answer{Key: key, Token: token, Outcome: outcome, Run: run, Sent: time.Unix(int64(from), 0), Took: time.Duration(took) * time.Second}
 }
 
 func TestTheHistoryCheckTellsGoodFromBad(t *testing.T) {
 	g := NewWithT(t)
 	g.Expect(History([]load.Answer{
-		sent("k", "1", load.Unknown, "", 0, 1), sent("k", "2", load.Answered, "1", 2, 1), sent("k", "3", load.NotRun, "", 4, 1),
+		newAnswer("k", "1", load.Unknown, "", 0, 1), newAnswer("k", "2", load.Answered, "1", 2, 1), newAnswer("k", "3", load.NotRun, "", 4, 1),
 	}).Held).To(BeTrue())
 	g.Expect(History([]load.Answer{
-		sent("k", "1", load.Answered, "1", 0, 1), sent("k", "2", load.Answered, "2", 2, 1),
+		newAnswer("k", "1", load.Answered, "1", 0, 1), newAnswer("k", "2", load.Answered, "2", 2, 1),
 	}).Held).To(BeFalse())
 	g.Expect(History([]load.Answer{
-		sent("k", "1", load.NotRun, "", 0, 1), sent("k", "2", load.Answered, "1", 2, 1),
+		newAnswer("k", "1", load.NotRun, "", 0, 1), newAnswer("k", "2", load.Answered, "1", 2, 1),
 	}).Held).To(BeFalse())
 }
 
--- a/internal/mesh/lab/faults/judge.go
+++ b/internal/mesh/lab/faults/judge.go
@@ -15,20 +15,20 @@
 
 const (
 	convergeLimit = 5 * time.Second
-	// lateWork is how long work that callers gave up on may still go on.
-	lateWork = 1500 * time.Millisecond
+	// abandonedWorkGrace is the time for requests that callers gave up on to finish.
+	abandonedWorkGrace = 1500 * time.Millisecond
 )
 
-// judge heals nothing itself: every fault has ended when it is called.
-func (r *Result) judge(ctx context.Context, inject *injector, watch *watch, answers []load.Answer, stopWatching func()) error {
-	if err := inject.cluster.WaitReady(ctx); err != nil {
+// evaluate runs the checks. All faults must have ended before.
+func (r *Result) evaluate(ctx context.Context, faultInjector *injector, monitor *versionMonitor, answers []load.Answer, stopMonitor func()) error {
+	if err := faultInjector.cluster.WaitReady(ctx); err != nil {
 		return err
 	}
-	converged := inject.converge(ctx)
-	time.Sleep(lateWork)
-	stopWatching()
-	watch.group.Wait()
-	executions, err := inject.cluster.Executions()
+	converged := faultInjector.converge(ctx)
+	time.Sleep(abandonedWorkGrace)
+	stopMonitor()
+	monitor.group.Wait()
+	executions, err := faultInjector.cluster.Executions()
 	if err != nil {
 		return err
 	}
@@ -43,11 +43,11 @@
 			r.Unknown++
 		}
 	}
-	r.Checks = append(check.All(inject.cluster.Deployment, answers, executions), History(answers), converged, watch.verdict())
+	r.Checks = append(check.All(faultInjector.cluster.Deployment, answers, executions), History(answers), converged, monitor.checkRollbacks())
 	return nil
 }
 
-// converge waits until every node has the newest rolled bundle in force.
+// converge waits until every node applies the latest acknowledged bundle.
 func (i *injector) converge(ctx context.Context) check.Check {
 	began := time.Now()
 	behind := ""
@@ -55,7 +55,7 @@
 		behind = ""
 		for _, process := range i.cluster.Nodes {
 			status, err := adminapi.New(process.Admin).Status(ctx)
-			if err != nil || status.BundleVersion < i.rolled {
+			if err != nil || status.BundleVersion < i.rolledVersion {
 				behind += " " + process.Name
 			}
 		}
@@ -64,58 +64,59 @@
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	detail := fmt.Sprintf("version %d after %s", i.rolled, time.Since(began).Round(time.Millisecond))
+	detail := fmt.Sprintf("version %d after %s", i.rolledVersion, time.Since(began).Round(time.Millisecond))
 	if behind != "" {
 		detail = "behind:" + behind
 	}
 	return check.Check{Name: "rolled bundle in force everywhere within 5s of the last fault", Held: behind == "", Detail: detail}
 }
 
-func (w *watch) verdict() check.Check {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	detail := fmt.Sprintf("%d looks", w.looks)
-	if len(w.reverted) > 0 {
-		detail += ": " + strings.Join(w.reverted, "; ")
+func (m *versionMonitor) checkRollbacks() check.Check {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	detail := fmt.Sprintf("%d observations", m.observations)
+	if len(m.reverted) > 0 {
+		detail += ": " + strings.Join(m.reverted, "; ")
 	}
-	return check.Check{Name: "no node goes back to an older bundle", Held: len(w.reverted) == 0 && w.looks > 0, Detail: detail}
+	return check.Check{Name: "no node goes back to an older bundle", Held: len(m.reverted) == 0 && m.observations > 0, Detail: detail}
 }
 
-// sending is the input of one operation of the history of a key.
-type sending struct{ key, token string }
+// attemptInput is the input of an operation in the history of a key.
+type attemptInput struct{ key, token string }
 
-// came is its output.
-type came struct {
-	outcome string
-	run     string // token of the sending whose run the answer is of
-	about   string // for people
+// attemptOutput is the output of an operation in the history of a key.
+type attemptOutput struct {
+	outcome       string
+	executedToken string // token of the attempt that produced the answer
+	detail        string // for failure messages
 }
 
-// keyModel is what the callers of one key may see: at most one sending is ever
-// run, every answer is the answer of that run, a sending that came back as "not
-// run" has not run, and one that came back unknown may have, then or later.
-var keyModel = porcupine.NondeterministicModel{
+// atMostOnceModel specifies the allowed results of the attempts of one key: at
+// most one attempt is executed and every answer comes from that execution. An
+// attempt reported as "not run" is never executed; one with an unknown outcome may
+// be, at any later time.
+var atMostOnceModel = porcupine.NondeterministicModel{
 	Partition: partitionByKey,
 	Init:      func() []any { return []any{""} },
 	Step: func(state, input, output any) []any {
-		run := state.(string)
-		sent := input.(sending)
-		result := output.(came)
+		executed := state.(string)
+		sent := input.(attemptInput)
+		result := output.(attemptOutput)
 		switch {
-		case result.outcome == load.Answered && run == "" && result.run == sent.token:
+		case result.outcome == load.Answered && executed == "" && result.executedToken == sent.token:
 			return []any{sent.token}
-		case result.outcome == load.Answered && run == result.run && run != "":
-			return []any{run}
+		case result.outcome == load.Answered && executed == result.executedToken && executed != "":
+			return []any{executed}
 		case result.outcome == load.Answered:
 			return nil
-		case result.outcome == load.NotRun && run == sent.token:
+		case result.outcome == load.NotRun && executed == sent.token:
 			return nil
 		case result.outcome == load.NotRun:
-			return []any{run}
-		case run == "":
+			return []any{executed}
+		case executed == "":
 			return []any{"", sent.token}
 		default:
-			return []any{run}
+			return []any{executed}
 		}
 	},
 }
@@ -124,7 +125,7 @@
 	byKey := map[string][]porcupine.Operation{}
 	var order []string
 	for _, operation := range history {
-		key := operation.Input.(sending).key
+		key := operation.Input.(attemptInput).key
 		if _, known := byKey[key]; !known {
 			order = append(order, key)
 		}
@@ -139,37 +140,37 @@
 
 const historyTimeout = 30 * time.Second
 
-// History checks with porcupine that what the callers of each key saw fits one
-// order of events in which the key was run at most once.
+// History checks with porcupine that the results of each key are linearizable
+// with at most one execution.
 func History(answers []load.Answer) check.Check {
 	var history []porcupine.Operation
 	for index, answer := range answers {
 		if answer.Key == "" {
 			continue
 		}
-		result := came{outcome: answer.Outcome, run: answer.Run, about: fmt.Sprintf("%d %s %s", answer.Status, answer.Reason, answer.RequestID)}
+		result := attemptOutput{outcome: answer.Outcome, executedToken: answer.Run, detail: fmt.Sprintf("%d %s %s", answer.Status, answer.Reason, answer.RequestID)}
 		ended := answer.Sent.Add(answer.Took).UnixNano()
 		if answer.Outcome != load.Answered && answer.Outcome != load.NotRun {
-			ended = math.MaxInt64 // it may still take effect
+			ended = math.MaxInt64 // may still be executed later
 		}
 		history = append(history, porcupine.Operation{
-			ClientId: index, Input: sending{answer.Key, answer.Token}, Call: answer.Sent.UnixNano(), Output: result, Return: ended,
+			ClientId: index, Input: attemptInput{answer.Key, answer.Token}, Call: answer.Sent.UnixNano(), Output: result, Return: ended,
 		})
 	}
 	var illegal []string
 	for _, partition := range partitionByKey(history) {
-		if verdict := porcupine.CheckOperationsTimeout(keyModel.ToModel(), partition, historyTimeout); verdict != porcupine.Ok {
-			illegal = append(illegal, fmt.Sprintf("%s: %s", verdict, describe(partition)))
+		if verdict := porcupine.CheckOperationsTimeout(atMostOnceModel.ToModel(), partition, historyTimeout); verdict != porcupine.Ok {
+			illegal = append(illegal, fmt.Sprintf("%s: %s", verdict, formatHistory(partition)))
 		}
 	}
-	detail := fmt.Sprintf("%d sendings", len(history))
+	detail := fmt.Sprintf("%d attempts", len(history))
 	if len(illegal) > 0 {
 		detail += ": " + strings.Join(illegal, " | ")
 	}
 	return check.Check{Name: "history of each key fits one run of it", Held: len(illegal) == 0, Detail: detail}
 }
 
-func describe(history []porcupine.Operation) string {
+func formatHistory(history []porcupine.Operation) string {
 	parts := make([]string, 0, len(history))
 	for _, operation := range history {
 		parts = append(parts, fmt.Sprintf("%+v -> %+v", operation.Input, operation.Output))
