--- a/internal/mesh/lab/emulator/backend.go
+++ b/internal/mesh/lab/emulator/backend.go
@@ -7,103 +7,103 @@
 	"github.com/landingmast/landingmast/internal/mesh/lab/standin"
 )
 
-// backend models a back end: slots, a first-in first-out queue that sheds when it
-// is long, service times with a tail, a cold start, cancellation.
+// backend models a back end: slots, a bounded FIFO queue, service times with a
+// long tail, cold starts and cancellation.
 type backend struct {
 	world   *world
 	service *deployment.Service
 	slots   int
 	busy    int
-	waiting []*job
+	queue   []*job
 	fault   backendFault
 	warmAt  time.Duration
 
-	shedDebt time.Duration // processor time of refusals that no request has paid yet
+	shedDebt time.Duration // CPU time of refusals not yet charged to a request
 }
 
-// backendFault is how a back end misbehaves now.
+// backendFault holds the active faults of a back end.
 type backendFault struct {
-	slowdown float64 // factor on service times; 0 is 1
+	slowdown float64 // factor on service times; 0 means 1
 	dead     bool    // connections are refused
-	reset    float64 // share of requests that end with a reset
+	reset    float64 // share of requests whose connection is reset
 }
 
-// job is one request at a back end.
+// job is a request at a back end.
 type job struct {
-	call      *call
-	route     *deployment.Route
-	started   time.Duration
-	work      time.Duration // service time spent so far
-	running   bool
-	over      bool
-	deeper    int
-	failed    bool
-	finish    func(result backendResult)
-	cancelled bool
+	call         *call
+	route        *deployment.Route
+	started      time.Duration
+	work         time.Duration // service time spent so far
+	running      bool
+	ended        bool
+	pendingCalls int
+	failed       bool
+	finish       func(result backendResult)
+	cancelled    bool
 }
 
 type backendResult int
 
 const (
 	backendAnswered backendResult = iota
-	backendFailed                 // answered with an error, because a deeper call failed
+	backendFailed                 // answered with an error because a downstream call failed
 	backendShed
 	backendRefused // connection refused
 	backendReset
 )
 
-// Behaviour of the stand-in back ends, the same as in internal/mesh/lab/standin.
+// Parameters of the back-end model, the same as in internal/mesh/lab/standin.
 const (
-	coldFor        = 2 * time.Second
-	coldFactor     = 2.0
-	shedCost       = 500 * time.Microsecond // what it costs a back end to refuse a request
-	connectionMax  = 130
-	maxShedPayment = 10 * time.Millisecond
+	coldStartDuration = 2 * time.Second
+	coldStartFactor   = 2.0
+	shedCost          = 500 * time.Microsecond // CPU time of a refused request
+	maxConnections    = 130
+	maxShedPayment    = 10 * time.Millisecond
 )
 
 func (b *backend) receive(j *job) {
 	switch {
 	case b.fault.dead:
 		b.world.clock.After(0, func() { j.end(backendRefused) })
-	case len(b.waiting) >= b.service.Connections-b.slots:
+	case len(b.queue) >= b.service.Connections-b.slots:
 		b.shedDebt += shedCost
 		b.world.clock.After(0, func() { j.end(backendShed) })
 	default:
-		b.waiting = append(b.waiting, j)
-		b.start()
+		b.queue = append(b.queue, j)
+		b.startQueued()
 	}
 }
 
 func (j *job) end(result backendResult) {
-	if !j.over {
-		j.over = true
+	if !j.ended {
+		j.ended = true
 		j.finish(result)
 	}
 }
 
-// start gives free slots to the requests that wait, in the order they came.
-func (b *backend) start() {
-	for b.busy < b.slots && len(b.waiting) > 0 {
-		next := b.waiting[0]
-		b.waiting = b.waiting[1:]
+// startQueued assigns free slots to queued requests in FIFO order.
+func (b *backend) startQueued() {
+	for b.busy < b.slots && len(b.queue) > 0 {
+		next := b.queue[0]
+		b.queue = b.queue[1:]
 		if next.cancelled {
 			continue
 		}
 		b.busy++
 		next.running = true
 		next.started = b.world.clock.Now()
-		b.work(next)
+		b.serve(next)
 	}
 }
 
-// work takes the service time; the deeper calls follow it.
-func (b *backend) work(j *job) {
+// serve spends the service time of a request, then makes its downstream calls.
+func (b *backend) serve(j *job) {
 	span := standin.ServiceTime(j.route.Mean, b.world.random.NormFloat64())
 	if b.fault.slowdown > 0 {
 		span = time.Duration(float64(span) * b.fault.slowdown)
 	}
 	if b.world.clock.Now() < b.warmAt {
-		span = time.Duration(float64(span) * coldFactor)
+		span = time.Duration(float64(span) * coldStartFactor)
 	}
 	span += b.payShedDebt()
 	reset := b.fault.reset > 0 && b.world.random.Float64() < b.fault.reset
@@ -116,20 +116,21 @@
 			b.release(j, backendReset)
 			return
 		}
-		b.callDeeper(j, 0)
+		b.callDownstream(j, 0)
 	})
 }
 
-// payShedDebt charges the refusals since the last request to the next one, at most
-// doubling a typical service time: refusing takes processor time from work.
+// payShedDebt returns the CPU time of earlier refusals to charge to the next
+// request, up to maxShedPayment.
 func (b *backend) payShedDebt() time.Duration {
 	paid := min(b.shedDebt, maxShedPayment)
 	b.shedDebt -= paid
 	return paid
 }
 
-// callDeeper makes the deeper calls, one after the other or all at once.
-func (b *backend) callDeeper(j *job, next int) {
+// callDownstream makes the downstream calls of a route from index next on,
+// sequentially or concurrently.
+func (b *backend) callDownstream(j *job, next int) {
 	if j.cancelled {
 		return
 	}
@@ -146,41 +147,40 @@
 		b.world.outbound(j.call.node, j.call, calls[next], func(ok bool) {
 			if !ok {
 				j.failed = true
-				b.callDeeper(j, len(calls))
+				b.callDownstream(j, len(calls))
 				return
 			}
-			b.callDeeper(j, next+1)
+			b.callDownstream(j, next+1)
 		})
 		return
 	}
-	j.deeper = len(calls)
+	j.pendingCalls = len(calls)
 	for _, one := range calls {
 		b.world.outbound(j.call.node, j.call, one, func(ok bool) {
 			j.failed = j.failed || !ok
-			j.deeper--
-			if j.deeper == 0 {
-				b.callDeeper(j, len(calls))
+			j.pendingCalls--
+			if j.pendingCalls == 0 {
+				b.callDownstream(j, len(calls))
 			}
 		})
 	}
 }
 
-// release frees the slot.
+// release frees the slot of a request and starts queued ones.
 func (b *backend) release(j *job, result backendResult) {
 	if !j.running {
 		return
 	}
 	j.running = false
 	b.busy--
-	b.world.spend(j)
+	b.world.recordWork(j)
 	j.end(result)
-	b.start()
+	b.startQueued()
 }
 
-// cancel ends a request that nobody waits for. What was not begun is dropped;
-// running work stops at once.
+// cancel drops a queued request or stops a running one.
 func (b *backend) cancel(j *job) {
-	if j.cancelled || j.over {
+	if j.cancelled || j.ended {
 		return
 	}
 	j.cancelled = true
--- a/internal/mesh/lab/emulator/callers.go
+++ b/internal/mesh/lab/emulator/callers.go
@@ -11,28 +11,28 @@
 	"github.com/landingmast/landingmast/internal/mesh/lab/deployment"
 )
 
-// userRequest is what a user wants; a caller may send it several times.
+// userRequest is a request of a user, including its retries by the caller.
 type userRequest struct {
 	traffic  *deployment.Traffic
 	class    *bundle.Class
 	user     string
 	arrived  time.Duration
-	sendings int
+	attempts int
 	retries  int
 	whole    bool
 	ended    time.Duration
 	reason   outcome.Reason
 }
 
-// Callers set how the callers behave.
+// Callers configures the load generator.
 type Callers struct {
-	Rate    float64       // user requests a second
-	Resend  int           // how often a caller sends a failed request again
-	Backoff time.Duration // before that; the answer's time to come back is ignored
+	Rate    float64       // user requests per second
+	Resend  int           // retries of a failed request by its caller
+	Backoff time.Duration // mean delay before a retry, with jitter
 	Mix     []deployment.Traffic
 }
 
-// generate makes user requests as an open loop until the end.
+// generate creates user requests as an open-loop Poisson process until end.
 func (w *world) generate(end time.Duration, callers func() Callers, users int) {
 	now := callers()
 	w.clock.After(time.Duration(w.random.ExpFloat64()/now.Rate*float64(time.Second)), func() {
@@ -51,17 +51,17 @@
 	})
 }
 
-// send sends a user request to an entry, once.
+// send makes one attempt of a user request at a random reachable entry.
 func (w *world) send(request *userRequest, callers Callers) {
-	request.sendings++
+	request.attempts++
 	w.stats.Sendings++
 	entry := w.entries[w.random.IntN(len(w.entries))]
 	for w.cutZones[entry.zone] && w.anyEntryUp() {
 		entry = w.entries[w.random.IntN(len(w.entries))]
 	}
 	w.clock.After(w.deployment.ClientDelay, func() {
-		w.enter(entry, request, func(ok bool, reason outcome.Reason) {
-			w.clock.After(w.deployment.ClientDelay, func() { w.answered(request, callers, ok, reason) })
+		w.handleAtEntry(entry, request, func(ok bool, reason outcome.Reason) {
+			w.clock.After(w.deployment.ClientDelay, func() { w.handleAnswer(request, callers, ok, reason) })
 		})
 	})
 }
@@ -75,13 +75,13 @@
 	return false
 }
 
-func (w *world) answered(request *userRequest, callers Callers, ok bool, reason outcome.Reason) {
+func (w *world) handleAnswer(request *userRequest, callers Callers, ok bool, reason outcome.Reason) {
 	if ok {
 		request.whole, request.ended = true, w.clock.Now()
 		return
 	}
 	request.reason = reason
-	if request.sendings > callers.Resend {
+	if request.attempts > callers.Resend {
 		request.ended = w.clock.Now()
 		return
 	}
@@ -89,10 +89,11 @@
 	w.clock.After(pause, func() { w.send(request, callers) })
 }
 
-// enter is the entry's part: class, importance, deadline and credits are set here.
-func (w *world) enter(entry *node, request *userRequest, done func(bool, outcome.Reason)) {
+// handleAtEntry models an entry node, which sets class, importance, deadline and
+// retry credits.
+func (w *world) handleAtEntry(entry *node, request *userRequest, done func(bool, outcome.Reason)) {
 	credits := request.class.Retries
-	if request.sendings > 1 {
+	if request.attempts > 1 {
 		credits = 0
 	}
 	level := w.bundle.LevelIndex(request.class.Importance)
@@ -105,29 +106,29 @@
 	out.begin()
 }
 
-// refusedAt notes a refusal by the gate of a target.
-func (w *world) refusedAt(n *node, in *ingress, action limiter.Action) {
+// recordGateRefusal counts a refusal by the gate of a target.
+func (w *world) recordGateRefusal(n *node, in *ingress, action limiter.Action) {
 	w.stats.shed(in.call.level)
-	w.checkImportance(n, in, action)
+	w.countOrderViolation(n, in, action)
 }
 
-// refusedByRoute notes a refusal by the hop above.
-func (w *world) refusedByRoute(o *outboundCall, reason outcome.Reason) {
+// recordRouteRefusal counts a refusal by an upstream hop.
+func (w *world) recordRouteRefusal(o *outboundCall, reason outcome.Reason) {
 	if reason == outcome.ReasonOverloadCursor {
 		w.stats.shed(o.level)
 		w.stats.RefusedEarly++
 	}
 }
 
-// checkImportance counts refusals of a call while the same queue holds less
-// important work: that would be shedding in the wrong order.
-func (w *world) checkImportance(n *node, in *ingress, action limiter.Action) {
+// countOrderViolation counts a call refused for a full queue that holds less
+// important calls.
+func (w *world) countOrderViolation(n *node, in *ingress, action limiter.Action) {
 	if action.Reason != outcome.ReasonQueueFull {
 		return
 	}
 	for _, other := range n.waiting {
 		if other.call.level > in.call.level {
-			w.stats.WrongOrder++
+			w.stats.OrderViolations++
 			return
 		}
 	}
--- a/internal/mesh/lab/emulator/mechanisms.go
+++ b/internal/mesh/lab/emulator/mechanisms.go
@@ -4,35 +4,37 @@
 	"strings"
 )
 
-// Mechanisms are the parts of landingmast that can be switched off to measure
-// what each brings.
+// Mechanisms selects the features of landingmast that are enabled, for ablation
+// runs.
 type Mechanisms struct {
-	Limit     bool // concurrency limit and queue ordered by importance before each target
-	Cursor    bool // refusal by rank
-	Feedback  bool // cursors travel back with answers
-	Credits   bool // retries bounded over the chain; without: three at each hop
+	Limit     bool // concurrency limit and priority queue in front of each target
+	Cursor    bool // admission by rank
+	Feedback  bool // cursors are propagated upstream with answers
+	Credits   bool // retry budget for the whole call chain; otherwise baselineRetries per hop
 	Outlier   bool // ejection of failing targets
-	Cancel    bool // useless work is cancelled down the chain
-	Preempt   bool // running bulk work gives way
-	Deadlines bool // expired work is dropped
-	UserOrder bool // the same users' requests are shed at every hop
+	Cancel    bool // cancellation is propagated downstream
+	Preempt   bool // running bulk requests can be preempted
+	Deadlines bool // downstream calls inherit the deadline
+	UserOrder bool // all hops shed requests of the same users first
 }
 
-// Landingmast is everything on.
+// Landingmast returns all mechanisms enabled.
 func Landingmast() Mechanisms {
 	return Mechanisms{Limit: true, Cursor: true, Feedback: true, Credits: true, Outlier: true, Cancel: true, Preempt: true, Deadlines: true, UserOrder: true}
 }
 
-// Baseline forwards round-robin with three retries at each hop.
+// Baseline returns all mechanisms disabled: round-robin balancing with
+// baselineRetries per hop.
 func Baseline() Mechanisms { return Mechanisms{} }
 
-// Variant is a named choice of mechanisms.
+// Variant is a named set of mechanisms.
 type Variant struct {
 	Name       string
 	Mechanisms Mechanisms
 }
 
-// Variants are landingmast, the baseline, and landingmast without each mechanism.
+// Variants returns landingmast, the baseline, and landingmast with single
+// mechanisms disabled.
 func Variants() []Variant {
 	without := func(name string, change func(*Mechanisms)) Variant {
 		mechanisms := Landingmast()
@@ -53,10 +55,10 @@
 	}
 }
 
-// isBaseline tells whether nothing is on.
+// isBaseline reports whether all mechanisms are disabled.
 func (m Mechanisms) isBaseline() bool { return m == Mechanisms{} }
 
-// VariantNamed gives the variant of that name.
+// VariantNamed returns the variant with a name, ignoring case.
 func VariantNamed(name string) (Variant, bool) {
 	for _, variant := range Variants() {
 		if strings.EqualFold(variant.Name, name) {
--- a/internal/mesh/lab/emulator/outbound.go
+++ b/internal/mesh/lab/emulator/outbound.go
@@ -12,10 +12,10 @@
 	"github.com/landingmast/landingmast/internal/mesh/lab/deployment"
 )
 
-// baselineRetries is what each hop of the baseline tries again.
+// baselineRetries is the number of retries at each hop of the baseline.
 const baselineRetries = 3
 
-// outboundCall is a call on its way out of a node.
+// outboundCall is a call that a node makes to a service.
 type outboundCall struct {
 	node     *node
 	parent   *call
@@ -31,13 +31,13 @@
 	retries  int
 	exclude  map[string]bool
 	done     func(ok bool, reason outcome.Reason)
-	over     bool
-	target   *node // of the attempt that is out
+	ended    bool
+	target   *node // of the current attempt
 	ingress  *ingress
 	attempt  int
 }
 
-// outbound makes a deeper call of a back end, through its node.
+// outbound makes a downstream call of a back end through its node.
 func (w *world) outbound(from *node, parent *call, wanted deployment.DeepCall, done func(ok bool)) {
 	if parent.abandoned {
 		return
@@ -59,13 +59,13 @@
 	parent.own.DeeperBegins(w.clock.Now())
 	out.done = func(ok bool, _ outcome.Reason) {
 		parent.own.DeeperEnds(w.clock.Now())
-		parent.lower(from.routes[wanted.Service].Cursor(w.clock.Now()))
+		parent.lowerPathCursor(from.routes[wanted.Service].Cursor(w.clock.Now()))
 		done(ok)
 	}
 	out.begin()
 }
 
-// rank gives the rank of a user's request where the chain starts.
+// rank returns the rank of a user request at its entry node.
 func (w *world) rank(level int, user string) admission.Rank {
 	if !w.mechanisms.UserOrder {
 		return w.randomRank(level)
@@ -77,36 +77,37 @@
 	return admission.RankOf(level, strconv.FormatUint(w.random.Uint64(), 36))
 }
 
-// begin starts the first attempt and the deadline.
+// begin starts the deadline timer and the first attempt.
 func (o *outboundCall) begin() {
 	w := o.node.world
 	w.clock.After(o.deadline-w.clock.Now(), func() {
-		if o.over {
+		if o.ended {
 			return
 		}
 		o.end(false, outcome.ReasonTimeout)
 		o.abandonAttempt()
 	})
-	o.try()
+	o.startAttempt()
 }
 
 func (o *outboundCall) end(ok bool, reason outcome.Reason) {
-	if !o.over {
-		o.over = true
+	if !o.ended {
+		o.ended = true
 		o.done(ok, reason)
 	}
 }
 
-// abandon ends a call whose parent is not wanted any more.
+// abandon ends a call whose parent was cancelled.
 func (o *outboundCall) abandon() {
-	if o.over {
+	if o.ended {
 		return
 	}
-	o.over = true
+	o.ended = true
 	o.abandonAttempt()
 }
 
-// abandonAttempt cancels the attempt that is out, where that is done.
+// abandonAttempt gives up the current attempt and, with Mechanisms.Cancel, cancels
+// it at the target.
 func (o *outboundCall) abandonAttempt() {
 	if o.ingress == nil {
 		return
@@ -119,21 +120,21 @@
 		return
 	}
 	w.clock.After(w.delay(o.node, target), func() {
-		if !in.over || in.call.job != nil {
+		if !in.ended || in.call.job != nil {
 			target.withdraw(in)
 		}
 	})
 }
 
-// try sends the call to a target.
-func (o *outboundCall) try() {
+// startAttempt picks a target and sends the call to it.
+func (o *outboundCall) startAttempt() {
 	w := o.node.world
-	if o.over {
+	if o.ended {
 		return
 	}
 	choice, reason := o.pick()
 	if reason != outcome.ReasonNone {
-		w.refusedByRoute(o, reason)
+		w.recordRouteRefusal(o, reason)
 		o.end(false, reason)
 		return
 	}
@@ -144,7 +145,7 @@
 	started := w.clock.Now()
 	finish := func(result hopResult) {
 		w.clock.After(w.delay(target, o.node), func() {
-			if attempt != o.attempt || o.ingress == nil && o.over {
+			if attempt != o.attempt || o.ingress == nil && o.ended {
 				return
 			}
 			o.ingress = nil
@@ -154,7 +155,7 @@
 	}
 	if !w.reachable(o.node, target) {
 		w.clock.After(unreachableAfter, func() {
-			if !o.over && attempt == o.attempt {
+			if !o.ended && attempt == o.attempt {
 				loan.Settle(loan.Amount())
 				o.finished(target, started, hopResult{outcome: outcome.NotRun, reason: outcome.ReasonUnreachable, cursor: -1, pathCursor: -1})
 			}
@@ -164,7 +165,7 @@
 	o.send(target, loan, finish)
 }
 
-// unreachableAfter is the time until a connection attempt is known to have failed.
+// unreachableAfter is the time until a connection attempt fails.
 const unreachableAfter = 5 * time.Millisecond
 
 func (o *outboundCall) send(target *node, loan *retry.Loan, finish func(hopResult)) {
@@ -176,7 +177,7 @@
 	in := &ingress{call: served, route: o.route, finish: finish}
 	o.target, o.ingress = target, in
 	w.clock.After(w.delay(o.node, target), func() {
-		if served.abandoned || in.over {
+		if served.abandoned || in.ended {
 			return
 		}
 		target.arrive(in, o.class.Execution == bundle.Repeatable)
@@ -187,18 +188,18 @@
 	w := o.node.world
 	if w.mechanisms.isBaseline() {
 		targets := w.bundle.Service(o.service).Targets
-		o.node.turn[o.service]++
-		return targets[o.node.turn[o.service]%len(targets)].Name, outcome.ReasonNone
+		o.node.roundRobin[o.service]++
+		return targets[o.node.roundRobin[o.service]%len(targets)].Name, outcome.ReasonNone
 	}
 	choice, reason := o.node.routes[o.service].Pick(w.clock.Now(), o.class.Name, routing.Request{Rank: o.rank, Exclude: o.exclude})
 	return choice.Target.Node, reason
 }
 
-// finished takes the end of an attempt and decides on a retry.
+// finished handles the result of an attempt and retries if allowed.
 func (o *outboundCall) finished(target *node, started time.Duration, result hopResult) {
 	w := o.node.world
-	o.tellRouting(target, started, result)
-	if o.over {
+	o.reportToRouting(target, started, result)
+	if o.ended {
 		return
 	}
 	switch {
@@ -209,7 +210,7 @@
 		o.retries++
 		w.stats.Retries++
 		o.user.retries++
-		o.try()
+		o.startAttempt()
 	default:
 		o.end(false, result.reason)
 	}
@@ -225,26 +226,26 @@
 	return verdict.Retry && o.ledger.Spend()
 }
 
-func (o *outboundCall) tellRouting(target *node, started time.Duration, result hopResult) {
+func (o *outboundCall) reportToRouting(target *node, started time.Duration, result hopResult) {
 	w := o.node.world
 	if w.mechanisms.isBaseline() {
 		return
 	}
-	told := routing.Result{Node: target.name}
+	report := routing.Result{Node: target.name}
 	if result.cursor >= 0 {
-		told.HasCursor, told.Cursor = true, admission.Rank(result.cursor)
+		report.HasCursor, report.Cursor = true, admission.Rank(result.cursor)
 	}
 	pathCursor := -1
 	switch {
 	case result.outcome == outcome.Answered:
-		told.Latency = w.clock.Now() - started
+		report.Latency = w.clock.Now() - started
 		pathCursor = result.pathCursor
 	case result.reason.IsTargetFault():
-		told.Failed = true
+		report.Failed = true
 	default:
-		told.Neutral = true
+		report.Neutral = true
 	}
-	if o.node.routes[o.service].Finished(w.clock.Now(), o.class.Name, told, pathCursor) {
+	if o.node.routes[o.service].Finished(w.clock.Now(), o.class.Name, report, pathCursor) {
 		w.stats.Ejections++
 	}
 }
--- a/internal/mesh/lab/emulator/run.go
+++ b/internal/mesh/lab/emulator/run.go
@@ -7,7 +7,7 @@
 	"github.com/landingmast/landingmast/internal/mesh/lab/deployment"
 )
 
-// Plan is what happens in a run. All times are virtual.
+// Plan configures a run. All times are virtual.
 type Plan struct {
 	Deployment *deployment.Deployment
 	Mechanisms Mechanisms
@@ -18,43 +18,43 @@
 	Changes    []Change
 }
 
-// Change is something that happens at a time.
+// Change is a scheduled change of the run.
 type Change struct {
 	At    time.Duration
 	Apply func(*Control)
 }
 
-// Control lets a change act on the run.
+// Control gives a Change access to the run.
 type Control struct {
 	world   *world
 	callers *Callers
 }
 
-// SetCallers changes how the callers behave.
+// SetCallers updates the configuration of the callers.
 func (c *Control) SetCallers(change func(*Callers)) { change(c.callers) }
 
-// SetSlowdown makes the back ends of a service slower by a factor; 1 is normal.
-// An empty target is all of them.
+// SetSlowdown multiplies the service times of a target, or of all targets of the
+// service if target is empty.
 func (c *Control) SetSlowdown(service, target string, factor float64) {
-	c.each(service, target, func(n *node) { n.backend.fault.slowdown = factor })
+	c.forEachNode(service, target, func(n *node) { n.backend.fault.slowdown = factor })
 }
 
-// SetReset has the back ends reset a share of their requests.
+// SetReset sets the share of requests that end with a connection reset.
 func (c *Control) SetReset(service, target string, share float64) {
-	c.each(service, target, func(n *node) { n.backend.fault.reset = share })
+	c.forEachNode(service, target, func(n *node) { n.backend.fault.reset = share })
 }
 
-// SetDead has the back ends refuse connections.
+// SetDead makes back ends refuse connections, or restarts them cold.
 func (c *Control) SetDead(service, target string, dead bool) {
-	c.each(service, target, func(n *node) {
+	c.forEachNode(service, target, func(n *node) {
 		n.backend.fault.dead = dead
 		if !dead {
-			n.backend.warmAt = c.world.clock.Now() + coldFor
+			n.backend.warmAt = c.world.clock.Now() + coldStartDuration
 		}
 	})
 }
 
-func (c *Control) each(service, target string, apply func(*node)) {
+func (c *Control) forEachNode(service, target string, apply func(*node)) {
 	for _, name := range c.world.names {
 		n := c.world.nodes[name]
 		if n.service == service && n.service != "" && (target == "" || target == name) {
@@ -63,10 +63,10 @@
 	}
 }
 
-// CutZone takes a zone off the network, or back.
+// CutZone disconnects a zone from the network or reconnects it.
 func (c *Control) CutZone(zone string, cut bool) { c.world.cutZones[zone] = cut }
 
-// Restart restarts a node without memory; it is down for a span.
+// Restart takes a node down for a span and restarts it with empty state.
 func (c *Control) Restart(name string, down time.Duration) {
 	n := c.world.nodes[name]
 	if n == nil || n.service == "" {
@@ -79,7 +79,7 @@
 	})
 }
 
-// Targets gives the names of the nodes beside targets, sorted.
+// Targets returns the sorted names of all target nodes.
 func (c *Control) Targets() []string {
 	var names []string
 	for _, name := range c.world.names {
@@ -92,10 +92,10 @@
 
 const (
 	defaultUsers = 500
-	settle       = 12 * time.Second // after the last arrival, for what is in flight
+	drainTime    = 12 * time.Second // for requests in flight after the last arrival
 )
 
-// Run runs a plan to its end.
+// Run runs a plan and returns its result.
 func Run(plan Plan) *Result {
 	w := newWorld(plan.Deployment, plan.Mechanisms, plan.Seed)
 	callers := plan.Callers
@@ -116,6 +116,6 @@
 		users = defaultUsers
 	}
 	w.generate(plan.Length, func() Callers { return callers }, users)
-	w.clock.Run(plan.Length + settle)
+	w.clock.Run(plan.Length + drainTime)
 	return w.result(plan.Deployment.Mix, plan.Length)
 }
--- a/internal/mesh/lab/emulator/probe.go
+++ b/internal/mesh/lab/emulator/sample.go
@@ -2,27 +2,27 @@
 
 import "time"
 
-// Sample is the state of one service at a time, summed up over its targets.
+// Sample is the state of a service at one time, summed over its targets.
 type Sample struct {
 	At      time.Duration
 	Service string
 	Slots   int
 	Busy    int // slots in use
-	Backlog int // requests waiting inside the back ends
-	Limit   int // sum of the learned limits
-	Queued  int // calls waiting at the nodes
+	Backlog int // requests queued in the back ends
+	Limit   int // sum of the adaptive concurrency limits
+	Queued  int // calls queued at the nodes
 	Cursor  int // mean cursor
 }
 
-// Sample gives the state of every service now, in the order of the deployment.
+// Sample returns the current state of every service, in deployment order.
 func (c *Control) Sample() []Sample {
 	var samples []Sample
 	for _, service := range c.world.deployment.Services {
 		sample := Sample{At: c.world.clock.Now(), Service: service.Name}
-		c.each(service.Name, "", func(n *node) {
+		c.forEachNode(service.Name, "", func(n *node) {
 			sample.Slots += n.backend.slots
 			sample.Busy += n.backend.busy
-			sample.Backlog += len(n.backend.waiting)
+			sample.Backlog += len(n.backend.queue)
 			sample.Limit += n.gate.Limit()
 			sample.Queued += n.gate.Queued()
 			sample.Cursor += int(n.gate.Cursor())
--- a/internal/mesh/lab/emulator/stats.go
+++ b/internal/mesh/lab/emulator/stats.go
@@ -6,18 +6,18 @@
 	"github.com/landingmast/landingmast/internal/mesh/lab/deployment"
 )
 
-// Stats are the counts of a run.
+// Stats holds the counters of a run.
 type Stats struct {
-	Sendings     int
-	Received     int // calls that ended at back ends
-	Retries      int // by nodes
-	RefusedEarly int // by a hop above the target
-	Preempted    int
-	Ejections    int
-	WrongOrder   int           // refusals while less important work waited in the same queue
-	Work         time.Duration // service time spent by back ends
-	ShedByLevel  []int
-	requests     []*userRequest
+	Sendings        int
+	Received        int // calls completed by back ends, whatever the result
+	Retries         int // by nodes
+	RefusedEarly    int // by upstream hops
+	Preempted       int
+	Ejections       int
+	OrderViolations int           // refusals while less important calls were queued at the same node
+	Work            time.Duration // service time spent by back ends
+	ShedByLevel     []int
+	requests        []*userRequest
 }
 
 func (s *Stats) shed(level int) {
@@ -27,33 +27,33 @@
 	s.ShedByLevel[level]++
 }
 
-// ClassResult is what became of the requests of one class.
+// ClassResult counts the requests of a class.
 type ClassResult struct {
 	Class    string
 	Requests int
 	Whole    int
 }
 
-// Result is what a run came to.
+// Result holds the results of a run.
 type Result struct {
 	Stats
-	Events   uint64
-	Classes  []ClassResult
-	Offered  int
-	Whole    int
-	Wasted   float64 // share of the back ends' work for requests that did not complete
-	MostRetr int     // most retries of one sending's request by nodes
-	Windows  []Window
+	Events     uint64
+	Classes    []ClassResult
+	Offered    int
+	Whole      int
+	Wasted     float64 // share of back-end work spent on requests that did not complete
+	MaxRetries int     // highest number of retries by nodes for one user request
+	Windows    []Window
 }
 
-// Window sums up the user requests that arrived in one span of time.
+// Window counts the user requests that arrived in a time window.
 type Window struct {
 	Start   time.Duration
 	Offered int
 	Whole   int
 }
 
-// Share is the share of requests that completed; 1 for an empty window.
+// Share returns the share of requests that completed, or 1 for an empty window.
 func (w Window) Share() float64 {
 	if w.Offered == 0 {
 		return 1
@@ -61,7 +61,7 @@
 	return float64(w.Whole) / float64(w.Offered)
 }
 
-// WindowLength is the span of one window.
+// WindowLength is the duration of a Window.
 const WindowLength = 100 * time.Millisecond
 
 func (w *world) result(mix []deployment.Traffic, length time.Duration) *Result {
@@ -70,16 +70,16 @@
 	for index := range result.Windows {
 		result.Windows[index].Start = time.Duration(index) * WindowLength
 	}
-	place := map[string]int{}
+	classIndex := map[string]int{}
 	for index, traffic := range mix {
-		place[traffic.Class] = index
+		classIndex[traffic.Class] = index
 		result.Classes = append(result.Classes, ClassResult{Class: traffic.Class})
 	}
 	var useful time.Duration
 	for _, request := range w.stats.requests {
-		result.add(request, place)
+		result.add(request, classIndex)
 		if request.whole {
-			useful += w.usefulWork[request]
+			useful += w.workByRequest[request]
 		}
 	}
 	if w.stats.Work > 0 {
@@ -88,11 +88,11 @@
 	return result
 }
 
-func (r *Result) add(request *userRequest, place map[string]int) {
-	class := &r.Classes[place[request.traffic.Class]]
+func (r *Result) add(request *userRequest, classIndex map[string]int) {
+	class := &r.Classes[classIndex[request.traffic.Class]]
 	class.Requests++
 	r.Offered++
-	r.MostRetr = max(r.MostRetr, request.retries)
+	r.MaxRetries = max(r.MaxRetries, request.retries)
 	window := min(int(request.arrived/WindowLength), len(r.Windows)-1)
 	r.Windows[window].Offered++
 	if request.whole {
@@ -102,8 +102,8 @@
 	}
 }
 
-// Between gives the share of requests that completed out of those that arrived
-// in a span, and their number a second.
+// Between returns the completed share of the requests that arrived in [from, to)
+// and their rate per second.
 func (r *Result) Between(from, to time.Duration) (share, goodput float64) {
 	sum := Window{}
 	for _, window := range r.Windows {
@@ -115,16 +115,16 @@
 	return sum.Share(), float64(sum.Whole) / (to - from).Seconds()
 }
 
-// Recovery gives the time from the end of the trigger until the share of whole
-// requests is back at 95% of what it was before, and stays there for a second;
-// false when it never is.
+// Recovery returns the time from the end of the trigger until the share of
+// completed requests over one second reaches 95% of its level before the trigger.
+// It reports false if that never happens.
 func (r *Result) Recovery(before, end time.Duration) (time.Duration, bool) {
-	const stays = 10 // windows
+	const stableWindows = 10 // windows
 	normal, _ := r.Between(before, before+3*time.Second)
 	first := int(end / WindowLength)
-	for index := first; index+stays <= len(r.Windows); index++ {
+	for index := first; index+stableWindows <= len(r.Windows); index++ {
 		sum := Window{}
-		for _, window := range r.Windows[index : index+stays] {
+		for _, window := range r.Windows[index : index+stableWindows] {
 			sum.Offered += window.Offered
 			sum.Whole += window.Whole
 		}
--- a/internal/mesh/lab/emulator/world.go
+++ b/internal/mesh/lab/emulator/world.go
@@ -17,39 +17,39 @@
 	"github.com/landingmast/landingmast/internal/mesh/lab/virtualtime"
 )
 
-// world is one emulated deployment.
+// world is the state of an emulated deployment.
 type world struct {
-	clock      virtualtime.Clock
-	random     *rand.Rand
-	deployment *deployment.Deployment
-	bundle     *bundle.Bundle
-	mechanisms Mechanisms
-	nodes      map[string]*node
-	names      []string // of nodes, sorted
-	entries    []*node
-	cutZones   map[string]bool
-	nextID     uint64
-	usefulWork map[*userRequest]time.Duration
-	stats      Stats
+	clock         virtualtime.Clock
+	random        *rand.Rand
+	deployment    *deployment.Deployment
+	bundle        *bundle.Bundle
+	mechanisms    Mechanisms
+	nodes         map[string]*node
+	names         []string // of nodes, sorted
+	entries       []*node
+	cutZones      map[string]bool
+	nextID        uint64
+	workByRequest map[*userRequest]time.Duration
+	stats         Stats
 }
 
-// node is one landingmastd: routes out, and the gate of the target beside it.
+// node models a landingmastd: its outbound routes and the gate of its target.
 type node struct {
-	world   *world
-	name    string
-	zone    string
-	service string
-	routes  map[string]*routing.Route
-	turn    map[string]int // round-robin of the baseline
-	gate    *gate.Gate
-	backend *backend
-	waiting map[uint64]*ingress
-	active  map[uint64]*ingress
-	ticking bool
-	down    bool
+	world      *world
+	name       string
+	zone       string
+	service    string
+	routes     map[string]*routing.Route
+	roundRobin map[string]int // next target by service, for the baseline
+	gate       *gate.Gate
+	backend    *backend
+	waiting    map[uint64]*ingress
+	active     map[uint64]*ingress
+	ticking    bool
+	down       bool
 }
 
-// call is a call at the hop that serves it: what its deeper calls inherit.
+// call is a call at the node that serves it. Downstream calls inherit its values.
 type call struct {
 	node       *node
 	user       *userRequest
@@ -69,7 +69,7 @@
 func newWorld(d *deployment.Deployment, mechanisms Mechanisms, seed uint64) *world {
 	w := &world{
 		random: rand.New(rand.NewPCG(seed, 7)), deployment: d, mechanisms: mechanisms, nodes: map[string]*node{}, cutZones: map[string]bool{},
-		usefulWork: map[*userRequest]time.Duration{},
+		workByRequest: map[*userRequest]time.Duration{},
 	}
 	port := 0
 	w.bundle = d.Bundle(1, func(string) string {
@@ -81,8 +81,8 @@
 	}
 	for index := range w.bundle.Services {
 		service := d.Service(w.bundle.Services[index].Name)
-		for target, described := range w.bundle.Services[index].Targets {
-			w.addNode(described, service, target)
+		for target, definition := range w.bundle.Services[index].Targets {
+			w.addNode(definition, service, target)
 		}
 	}
 	for name := range w.nodes {
@@ -95,25 +95,25 @@
 	return w
 }
 
-func (w *world) addNode(described bundle.Node, service *deployment.Service, target int) *node {
-	made := &node{
-		world: w, name: described.Name, zone: described.Zone, routes: map[string]*routing.Route{}, turn: map[string]int{},
+func (w *world) addNode(definition bundle.Node, service *deployment.Service, target int) *node {
+	added := &node{
+		world: w, name: definition.Name, zone: definition.Zone, routes: map[string]*routing.Route{}, roundRobin: map[string]int{},
 		waiting: map[uint64]*ingress{}, active: map[uint64]*ingress{},
 	}
 	if service != nil {
-		made.service = service.Name
-		made.backend = &backend{world: w, service: service, slots: service.Slots(target)}
-		made.gate = w.newGate()
+		added.service = service.Name
+		added.backend = &backend{world: w, service: service, slots: service.Slots(target)}
+		added.gate = w.newGate()
 	}
-	w.nodes[described.Name] = made
-	return made
+	w.nodes[definition.Name] = added
+	return added
 }
 
 func (w *world) newGate() *gate.Gate {
 	config := gate.DefaultConfig(len(w.bundle.Levels))
 	config.Open = !w.mechanisms.Cursor
 	if !w.mechanisms.Limit {
-		config.Limiter.InitialLimit, config.Limiter.MinLimit, config.Limiter.MaxLimit = connectionMax, connectionMax, connectionMax
+		config.Limiter.InitialLimit, config.Limiter.MinLimit, config.Limiter.MaxLimit = maxConnections, maxConnections, maxConnections
 	}
 	if !w.mechanisms.Preempt {
 		config.Limiter.PreemptAfter = 0
@@ -121,7 +121,7 @@
 	return gate.New(config)
 }
 
-// connect gives a node its routes, as a bundle does.
+// connect creates the routes of a node from the bundle.
 func (n *node) connect() {
 	config := routing.DefaultConfig()
 	if !n.world.mechanisms.Outlier {
@@ -131,11 +131,11 @@
 		balancer := routing.New(config, n.name, n.zone, n.world.random)
 		n.routes[service.Name] = routing.NewRoute(balancer, !n.world.mechanisms.Feedback)
 	}
-	n.refresh()
+	n.updateTargets()
 }
 
-// refresh tells a node's routes of the targets.
-func (n *node) refresh() {
+// updateTargets passes the targets of the bundle to the balancers.
+func (n *node) updateTargets() {
 	for _, service := range n.world.bundle.Services {
 		targets := make([]routing.Target, 0, len(service.Targets))
 		for _, target := range service.Targets {
@@ -145,7 +145,7 @@
 	}
 }
 
-// restart is a node that ends at once and starts again without memory.
+// restart resets a node to its initial state.
 func (n *node) restart() {
 	n.gate = n.world.newGate()
 	for _, service := range n.world.bundle.Services {
@@ -154,7 +154,7 @@
 	n.connect()
 }
 
-// delay is the time that a message takes from node to node.
+// delay returns the network latency between two nodes.
 func (w *world) delay(from, to *node) time.Duration {
 	const loopback = 30 * time.Microsecond
 	if from.zone == to.zone {
@@ -163,27 +163,27 @@
 	return w.deployment.ZoneDelay
 }
 
-// reachable tells whether a message gets from node to node.
+// reachable reports whether messages between two nodes are delivered.
 func (w *world) reachable(from, to *node) bool {
 	return !to.down && !w.cutZones[to.zone] && !w.cutZones[from.zone]
 }
 
-// spend counts the service time of a request.
-func (w *world) spend(j *job) {
+// recordWork adds the service time of a request to the statistics.
+func (w *world) recordWork(j *job) {
 	w.stats.Work += j.work
-	w.usefulWork[j.call.user] += j.work
+	w.workByRequest[j.call.user] += j.work
 }
 
-// ingress is a call that has come to the node beside its target.
+// ingress is a call received by the node of its target.
 type ingress struct {
 	id     uint64
 	call   *call
 	route  *deployment.Route
 	finish func(result hopResult)
-	over   bool
+	ended  bool
 }
 
-// hopResult is what the hop above learns.
+// hopResult is the result of a call as reported to the upstream hop.
 type hopResult struct {
 	outcome    outcome.Outcome
 	reason     outcome.Reason
@@ -193,14 +193,15 @@
 	unspent    int
 }
 
-// arrive takes a call in at the node beside its target.
+// arrive passes a received call to the gate, or straight to the target in the
+// baseline.
 func (n *node) arrive(in *ingress, repeatable bool) {
 	w := n.world
 	w.nextID++
 	in.id = w.nextID
 	if w.mechanisms.isBaseline() {
 		n.active[in.id] = in
-		n.handOver(in)
+		n.dispatch(in)
 		return
 	}
 	n.waiting[in.id] = in
@@ -215,12 +216,12 @@
 			if in := n.waiting[action.ID]; in != nil {
 				delete(n.waiting, action.ID)
 				n.active[action.ID] = in
-				n.handOver(in)
+				n.dispatch(in)
 			}
 		case limiter.Refuse:
 			if in := n.waiting[action.ID]; in != nil {
 				delete(n.waiting, action.ID)
-				n.world.refusedAt(n, in, action)
+				n.world.recordGateRefusal(n, in, action)
 				in.end(n.result(in, outcome.NotRun, action.Reason, false))
 			}
 		case limiter.Preempt:
@@ -233,18 +234,18 @@
 	}
 	if n.gate.Queued() > 0 && !n.ticking {
 		n.ticking = true
-		n.world.clock.After(gateTick, func() {
+		n.world.clock.After(gateTickInterval, func() {
 			n.ticking = false
 			n.apply(n.gate.Tick(n.world.clock.Now()))
 		})
 	}
 }
 
-const gateTick = 5 * time.Millisecond
+const gateTickInterval = 5 * time.Millisecond
 
 func (i *ingress) end(result hopResult) {
-	if !i.over {
-		i.over = true
+	if !i.ended {
+		i.ended = true
 		i.finish(result)
 	}
 }
@@ -255,8 +256,8 @@
 	}
 }
 
-// handOver sends the call to the target.
-func (n *node) handOver(in *ingress) {
+// dispatch sends an admitted call to the target.
+func (n *node) dispatch(in *ingress) {
 	started := n.world.clock.Now()
 	in.call.job = &job{call: in.call, route: in.route, finish: func(result backendResult) {
 		own := in.call.own.Since(started, n.world.clock.Now())
@@ -267,12 +268,12 @@
 				n.apply(n.gate.Finish(n.world.clock.Now(), in.id, own, result == backendAnswered, result == backendShed))
 			}()
 		}
-		in.end(n.judge(in, result))
+		in.end(n.toHopResult(in, result))
 	}}
 	n.backend.receive(in.call.job)
 }
 
-func (n *node) judge(in *ingress, result backendResult) hopResult {
+func (n *node) toHopResult(in *ingress, result backendResult) hopResult {
 	switch result {
 	case backendAnswered:
 		return n.result(in, outcome.Answered, outcome.ReasonNone, true)
@@ -287,18 +288,18 @@
 	}
 }
 
-// withdraw takes a call back that nobody waits for.
+// withdraw removes a queued call or cancels a running one.
 func (n *node) withdraw(in *ingress) {
 	if n.waiting[in.id] != nil {
 		n.gate.Withdraw(in.id)
 		delete(n.waiting, in.id)
-		in.over = true
+		in.ended = true
 		return
 	}
 	in.call.cancel()
 }
 
-// cancel stops the work of a call and of everything below it.
+// cancel stops a call and all its downstream calls.
 func (c *call) cancel() {
 	if c.abandoned {
 		return
@@ -312,8 +313,8 @@
 	}
 }
 
-// lower keeps the lowest cursor met below; -1 is none.
-func (c *call) lower(cursor int) {
+// lowerPathCursor records the lowest cursor of the downstream path; -1 means none.
+func (c *call) lowerPathCursor(cursor int) {
 	if cursor >= 0 && (c.pathCursor < 0 || cursor < c.pathCursor) {
 		c.pathCursor = cursor
 	}
--- a/internal/mesh/lab/experiment/possible.go
+++ b/internal/mesh/lab/experiment/demand.go
@@ -7,7 +7,8 @@
 	"github.com/landingmast/landingmast/internal/mesh/lab/deployment"
 )
 
-// demand is what is asked of a deployment at one time, and what it has.
+// demand is the offered load of a deployment at one time and the slots that
+// serve it.
 type demand struct {
 	deployment *deployment.Deployment
 	rate       float64
@@ -16,13 +17,13 @@
 	slowdown   map[string]float64 // factor on the service times, by service
 }
 
-// demandAt gives the demand of an experiment at a time.
+// demandAt returns the demand of an experiment at a time after its start.
 func demandAt(e *Experiment, at time.Duration) (*demand, error) {
 	d, err := deployment.Named(e.Deployment)
 	if err != nil {
 		return nil, err
 	}
-	mix := mixOf(d, e.Mix)
+	mix := mixWithShares(d, e.Mix)
 	capacity, _ := d.Capacity(mix)
 	now := &demand{deployment: d, rate: capacity * e.Load, mix: mix, slots: map[string]float64{}, slowdown: map[string]float64{}}
 	for index := range d.Services {
@@ -45,7 +46,7 @@
 	case "surge":
 		n.rate *= event.Factor
 	case "mix":
-		n.mix = mixOf(n.deployment, event.Mix)
+		n.mix = mixWithShares(n.deployment, event.Mix)
 	case "slow":
 		if event.Target == "" {
 			n.slowdown[event.Service] = event.Factor
@@ -61,10 +62,10 @@
 	}
 }
 
-// possible gives the user requests a second that could complete if slots were
-// given out in the order of importance and nothing was wasted, by class and in
-// all. Within a level every class gets the same share.
-func (n *demand) possible() (byClass map[string]float64, total float64) {
+// attainable returns the highest rate of user requests per second that can
+// complete, by class and in total, if slots are assigned in order of importance
+// and no work is wasted. Classes of one level are served in the order of the mix.
+func (n *demand) attainable() (byClass map[string]float64, total float64) {
 	byClass = map[string]float64{}
 	shares := 0.0
 	levels := map[int][]deployment.Traffic{}
@@ -78,14 +79,14 @@
 		order = append(order, level)
 	}
 	sort.Ints(order)
-	left := map[string]float64{}
+	remaining := map[string]float64{}
 	for name, slots := range n.slots {
-		left[name] = slots
+		remaining[name] = slots
 	}
 	for _, level := range order {
 		for _, traffic := range levels[level] {
 			rate := n.rate * traffic.Share / shares
-			served := rate * n.take(left, traffic, rate)
+			served := rate * n.allocate(remaining, traffic, rate)
 			byClass[traffic.Class] = served
 			total += served
 		}
@@ -106,33 +107,36 @@
 	return len(n.deployment.Levels)
 }
 
-// take gives the share of a class that fits what is left, and takes its slots.
-func (n *demand) take(left map[string]float64, traffic deployment.Traffic, rate float64) float64 {
-	held := map[string]float64{}
-	n.hold(held, traffic.Service, traffic.Method, traffic.Path)
+// allocate returns the share of a class that fits into the remaining slots and
+// subtracts the slots it uses.
+func (n *demand) allocate(remaining map[string]float64, traffic deployment.Traffic, rate float64) float64 {
+	occupancy := map[string]float64{}
+	n.addOccupancy(occupancy, traffic.Service, traffic.Method, traffic.Path)
 	share := 1.0
-	for name, seconds := range held {
-		share = min(share, left[name]/(rate*seconds))
+	for name, seconds := range occupancy {
+		share = min(share, remaining[name]/(rate*seconds))
 	}
-	for name, seconds := range held {
-		left[name] = max(left[name]-rate*share*seconds, 0)
+	for name, seconds := range occupancy {
+		remaining[name] = max(remaining[name]-rate*share*seconds, 0)
 	}
 	return share
 }
 
-// roundTrip is the mean time on the network of one deeper call, in seconds, with
-// targets drawn evenly from all zones; the slot above is held meanwhile.
+// roundTrip returns the mean network time of a downstream call in seconds, with
+// targets chosen uniformly from all zones. The caller's slot is occupied for it.
 func (n *demand) roundTrip() float64 {
 	zones := float64(len(n.deployment.Zones))
 	return 2 * n.deployment.ZoneDelay.Seconds() * (zones - 1) / zones
 }
 
-func (n *demand) hold(held map[string]float64, service, method, path string) float64 {
+// addOccupancy adds the seconds for which a request occupies a slot, by service,
+// and returns the time of this call including its downstream calls.
+func (n *demand) addOccupancy(occupancy map[string]float64, service, method, path string) float64 {
 	route := n.deployment.Service(service).Route(method, path)
 	seconds := route.Mean.Seconds() * n.slowdown[service]
 	for _, call := range route.Calls {
-		seconds += n.hold(held, call.Service, call.Method, call.Path) + n.roundTrip()
+		seconds += n.addOccupancy(occupancy, call.Service, call.Method, call.Path) + n.roundTrip()
 	}
-	held[service] += seconds
+	occupancy[service] += seconds
 	return seconds
 }
--- a/internal/mesh/lab/experiment/emulated.go
+++ b/internal/mesh/lab/experiment/emulated.go
@@ -12,13 +12,14 @@
 	return Trace(e, variant, seed, 0, nil)
 }
 
-// Trace is Emulate with a look at the state of every service at each interval.
-func Trace(e *Experiment, variant emulator.Variant, seed uint64, interval time.Duration, look func([]emulator.Sample)) (*emulator.Result, error) {
+// Trace is Emulate with a callback that samples the state of every service at
+// each interval.
+func Trace(e *Experiment, variant emulator.Variant, seed uint64, interval time.Duration, onSample func([]emulator.Sample)) (*emulator.Result, error) {
 	d, err := deployment.Named(e.Deployment)
 	if err != nil {
 		return nil, err
 	}
-	mix := mixOf(d, e.Mix)
+	mix := mixWithShares(d, e.Mix)
 	d.Mix = mix
 	capacity, _ := d.Capacity(mix)
 	plan := emulator.Plan{
@@ -29,12 +30,12 @@
 		plan.Changes = append(plan.Changes, changesOf(d, event, plan.Callers)...)
 	}
 	for at := interval; interval > 0 && at < plan.Length; at += interval {
-		plan.Changes = append(plan.Changes, emulator.Change{At: at, Apply: func(c *emulator.Control) { look(c.Sample()) }})
+		plan.Changes = append(plan.Changes, emulator.Change{At: at, Apply: func(c *emulator.Control) { onSample(c.Sample()) }})
 	}
 	return emulator.Run(plan), nil
 }
 
-// changesOf gives the begin and the end of an event.
+// changesOf returns the changes that start and end an event.
 func changesOf(d *deployment.Deployment, event Event, normal emulator.Callers) []emulator.Change {
 	from, until := time.Duration(event.At), time.Duration(event.Until)
 	span := func(begin, end func(*emulator.Control)) []emulator.Change {
@@ -62,17 +63,17 @@
 	case "resend":
 		return callers(func(now *emulator.Callers) { now.Resend, now.Backoff = event.Resend, time.Duration(event.Backoff) })
 	case "mix":
-		return callers(func(now *emulator.Callers) { now.Mix = mixOf(d, event.Mix) })
+		return callers(func(now *emulator.Callers) { now.Mix = mixWithShares(d, event.Mix) })
 	case "restart":
-		return []emulator.Change{{At: from, Apply: func(c *emulator.Control) { c.Restart(event.Target, restartTakes) }}}
+		return []emulator.Change{{At: from, Apply: func(c *emulator.Control) { c.Restart(event.Target, restartDuration) }}}
 	case "rolling_restart":
-		return rolling(d, from, until)
-	default: // store_down: no decision of a call reads the store
+		return rollingRestart(d, from, until)
+	default: // store_down: requests do not depend on the store
 		return nil
 	}
 }
 
-const restartTakes = 300 * time.Millisecond
+const restartDuration = 300 * time.Millisecond
 
 func restore(kind string, now *emulator.Callers, normal emulator.Callers) {
 	switch kind {
@@ -85,8 +86,8 @@
 	}
 }
 
-// rolling restarts every node beside a target, one after the other.
-func rolling(d *deployment.Deployment, from, until time.Duration) []emulator.Change {
+// rollingRestart restarts the nodes of all targets one after the other.
+func rollingRestart(d *deployment.Deployment, from, until time.Duration) []emulator.Change {
 	total := 0
 	for _, service := range d.Services {
 		total += service.Targets
@@ -94,7 +95,7 @@
 	var changes []emulator.Change
 	for index := range total {
 		at := from + (until-from)*time.Duration(index)/time.Duration(total)
-		changes = append(changes, emulator.Change{At: at, Apply: func(c *emulator.Control) { c.Restart(c.Targets()[index], restartTakes) }})
+		changes = append(changes, emulator.Change{At: at, Apply: func(c *emulator.Control) { c.Restart(c.Targets()[index], restartDuration) }})
 	}
 	return changes
 }
--- a/internal/mesh/lab/experiment/experiment_test.go
+++ b/internal/mesh/lab/experiment/experiment_test.go
@@ -12,11 +12,11 @@
 	. "github.com/onsi/gomega"
 )
 
-const folder = "../../../../experiments"
+const experimentsDirectory = "../../../../experiments"
 
-func named(t *testing.T, name string) *Experiment {
+func loadNamed(t *testing.T, name string) *Experiment {
 	t.Helper()
-	all, err := LoadAll(folder)
+	all, err := LoadAll(experimentsDirectory)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -29,8 +29,8 @@
 	return nil
 }
 
-// shorter cuts an experiment down for the quick tests.
-func shorter(e *Experiment, length time.Duration) *Experiment {
+// withLength returns a copy of an experiment with another length.
+func withLength(e *Experiment, length time.Duration) *Experiment {
 	short := *e
 	short.Length = units.Duration(length)
 	return &short
@@ -52,19 +52,19 @@
 	return text.String()
 }
 
-func TestTheSameSeedGivesTheSameRun(t *testing.T) {
+func TestRunsAreDeterministicForASeed(t *testing.T) {
 	g := NewWithT(t)
-	e := shorter(named(t, "photo-downloads"), 18*time.Second)
+	e := withLength(loadNamed(t, "photo-downloads"), 18*time.Second)
 	first := trace(t, e, 7)
 	g.Expect(trace(t, e, 7)).To(Equal(first))
 	g.Expect(trace(t, e, 8)).NotTo(Equal(first))
 }
 
-// TestRecoveryAndImportanceHoldInVirtualTime checks the goals on one seed of the
-// hardest experiment; virtual time makes the figures the same on every machine.
+// TestRecoveryAndImportanceHoldInVirtualTime guards the recovery and goodput targets
+// on one seed of the experiment that combines all triggers.
 func TestRecoveryAndImportanceHoldInVirtualTime(t *testing.T) {
 	g := NewWithT(t)
-	e := named(t, "all-three")
+	e := loadNamed(t, "all-three")
 	run := func(name string) Measure {
 		variant, known := emulator.VariantNamed(name)
 		g.Expect(known).To(BeTrue())
@@ -72,18 +72,18 @@
 		g.Expect(err).NotTo(HaveOccurred())
 		return measured
 	}
-	ours, baseline := run("landingmast"), run("baseline")
-	g.Expect(ours.Recovered).To(BeTrue())
-	g.Expect(ours.Recovery).To(BeNumerically("<=", 2*time.Second))
-	g.Expect(ours.Critical).To(BeNumerically(">=", 0.999))
-	g.Expect(ours.Goodput).To(BeNumerically(">=", 0.9))
-	g.Expect(ours.Wasted).To(BeNumerically("<", 0.02))
-	g.Expect(ours.Wrong).To(BeZero())
+	full, baseline := run("landingmast"), run("baseline")
+	g.Expect(full.Recovered).To(BeTrue())
+	g.Expect(full.Recovery).To(BeNumerically("<=", 2*time.Second))
+	g.Expect(full.CriticalShare).To(BeNumerically(">=", 0.999))
+	g.Expect(full.Goodput).To(BeNumerically(">=", 0.9))
+	g.Expect(full.Wasted).To(BeNumerically("<", 0.02))
+	g.Expect(full.OrderViolations).To(BeZero())
 	g.Expect(baseline.Recovered).To(BeFalse())
-	g.Expect(baseline.Critical).To(BeNumerically("<", 0.9))
+	g.Expect(baseline.CriticalShare).To(BeNumerically("<", 0.9))
 }
 
-func TestBadExperimentsAreRefused(t *testing.T) {
+func TestParseRejectsInvalidExperiments(t *testing.T) {
 	g := NewWithT(t)
 	good := "name: x\ndeployment: core-archive\nseeds: [1]\nlength: 10s\nload: 0.5\n"
 	_, err := Parse([]byte(good))
@@ -98,11 +98,11 @@
 	}
 }
 
-func TestPossibleGivesSlotsInTheOrderOfImportance(t *testing.T) {
+func TestAttainableRatesFollowImportance(t *testing.T) {
 	g := NewWithT(t)
-	now, err := demandAt(named(t, "surge"), 10*time.Second)
+	now, err := demandAt(loadNamed(t, "surge"), 10*time.Second)
 	g.Expect(err).NotTo(HaveOccurred())
-	byClass, total := now.possible()
+	byClass, total := now.attainable()
 	g.Expect(byClass["fraud-flag"]).To(BeNumerically("~", now.rate*0.1, 1))
 	g.Expect(byClass["claim-list"]).To(BeNumerically("<", now.rate*0.5))
 	g.Expect(total).To(BeNumerically("<", now.rate))
--- a/internal/mesh/lab/experiment/measure.go
+++ b/internal/mesh/lab/experiment/measure.go
@@ -7,46 +7,46 @@
 	"github.com/landingmast/landingmast/internal/mesh/lab/emulator"
 )
 
-// Measure is what one run of one variant came to.
+// Measure holds the metrics of one run of one variant.
 type Measure struct {
-	Seed      uint64
-	Goodput   float64 // whole requests during the trigger, share of what was possible
-	After     float64 // the same in the last four seconds
-	Recovered bool
-	Recovery  time.Duration
-	Critical  float64 // share of the most important class that completed, whole run
-	Wasted    float64 // share of the back ends' work
-	Retries   float64 // by nodes, for each user request
-	Shed      []int   // by level
-	Early     int     // refusals above the target
-	Wrong     int     // refusals while less important work waited in the same queue
-	Windows   []emulator.Window
-	Classes   []emulator.ClassResult
-	Failures  map[string]int // of real runs: sendings without a whole answer, by class and reason
+	Seed            uint64
+	Goodput         float64 // completed requests during the trigger, as a share of the attainable rate
+	GoodputAfter    float64 // the same over the last steadyWindow of the run
+	Recovered       bool
+	Recovery        time.Duration
+	CriticalShare   float64 // completed share of the most important class over the whole run
+	Wasted          float64 // share of back-end work spent on requests that did not complete
+	Retries         float64 // by nodes, per user request
+	Shed            []int   // refusals by importance level
+	RefusedEarly    int     // refusals by upstream hops
+	OrderViolations int     // refusals while less important calls were queued at the same node
+	Windows         []emulator.Window
+	Classes         []emulator.ClassResult
+	Failures        map[string]int // real runs only: attempts without a complete answer, by class and reason
 }
 
-// Row sums up the runs of one variant over all seeds.
+// Row holds the runs of one variant, one per seed.
 type Row struct {
 	Variant string
 	Runs    []Measure
 }
 
-// Report is what came out of one experiment.
+// Report holds the results of one experiment.
 type Report struct {
 	Experiment *Experiment
 	Rows       []Row
 }
 
 const (
-	rampTime  = time.Second // of the trigger, left out of the goodput
-	beforeFor = 4 * time.Second
+	rampUp       = time.Second // start of the trigger, excluded from the goodput
+	steadyWindow = 4 * time.Second
 )
 
-// measure reads a run.
+// measure computes the metrics of a run.
 func measure(e *Experiment, seed uint64, result *emulator.Result) (Measure, error) {
 	from, until := e.Trigger()
 	measured := Measure{
-		Seed: seed, Wasted: result.Wasted, Early: result.RefusedEarly, Wrong: result.WrongOrder, Shed: result.ShedByLevel,
+		Seed: seed, Wasted: result.Wasted, RefusedEarly: result.RefusedEarly, OrderViolations: result.OrderViolations, Shed: result.ShedByLevel,
 		Windows: result.Windows, Classes: result.Classes,
 	}
 	if result.Offered > 0 {
@@ -56,22 +56,22 @@
 	if err != nil {
 		return measured, err
 	}
-	_, possible := middle.possible()
-	_, goodput := result.Between(from+rampTime, until)
-	measured.Goodput = goodput / possible
+	_, attainable := middle.attainable()
+	_, goodput := result.Between(from+rampUp, until)
+	measured.Goodput = goodput / attainable
 	end, err := demandAt(e, time.Duration(e.Length)-1)
 	if err != nil {
 		return measured, err
 	}
-	_, possibleAfter := end.possible()
-	_, after := result.Between(time.Duration(e.Length)-beforeFor, time.Duration(e.Length))
-	measured.After = after / possibleAfter
-	measured.Recovery, measured.Recovered = result.Recovery(from-beforeFor, until)
-	measured.Critical = criticalShare(middle, result.Classes)
+	_, attainableAfter := end.attainable()
+	_, after := result.Between(time.Duration(e.Length)-steadyWindow, time.Duration(e.Length))
+	measured.GoodputAfter = after / attainableAfter
+	measured.Recovery, measured.Recovered = result.Recovery(from-steadyWindow, until)
+	measured.CriticalShare = criticalShare(middle, result.Classes)
 	return measured, nil
 }
 
-// criticalShare gives the share of the most important class that completed.
+// criticalShare returns the completed share of the most important class.
 func criticalShare(n *demand, classes []emulator.ClassResult) float64 {
 	best := -1
 	for index, class := range classes {
@@ -85,8 +85,8 @@
 	return float64(classes[best].Whole) / float64(classes[best].Requests)
 }
 
-// Worst and Median give a value over the runs; less is worse when falling.
-func (r *Row) spread(value func(Measure) float64) (median, worst float64, least float64) {
+// spread returns the median, the highest and the lowest value over all runs.
+func (r *Row) spread(value func(Measure) float64) (median, highest, lowest float64) {
 	values := make([]float64, 0, len(r.Runs))
 	for _, run := range r.Runs {
 		values = append(values, value(run))
@@ -95,12 +95,12 @@
 	return values[len(values)/2], values[len(values)-1], values[0]
 }
 
-// never stands for a recovery that was not seen, in seconds.
-const never = 1e9
+// neverRecovered is the recovery time in seconds of a run that did not recover.
+const neverRecovered = 1e9
 
 func recoverySeconds(run Measure) float64 {
 	if !run.Recovered {
-		return never
+		return neverRecovered
 	}
 	return run.Recovery.Seconds()
 }
--- a/internal/mesh/lab/experiment/real.go
+++ b/internal/mesh/lab/experiment/real.go
@@ -15,29 +15,30 @@
 	"github.com/landingmast/landingmast/internal/mesh/lab/standin"
 )
 
-// RealScale is the factor by which back ends are slower and rates lower in runs
-// with real processes: one machine cannot carry the whole deployment's rate.
+// RealScale is the factor by which service times are raised and rates lowered in
+// runs with real processes, so that a whole deployment fits on one machine.
 const RealScale = 8
 
-// realRun is one experiment over real processes.
+// realRun is a run of an experiment with real processes.
 type realRun struct {
 	experiment *Experiment
 	deployment *deployment.Deployment
 	cluster    *cluster.Cluster
-	began      time.Time
+	startTime  time.Time
 	group      sync.WaitGroup
 	mutex      sync.Mutex
 	answers    []load.Answer
 }
 
-// Real runs an experiment with real processes and gives its windows as the
-// emulator does. Rates are those of the emulator divided by RealScale.
+// Real runs an experiment with real processes and returns a result like that of
+// the emulator, and the failed attempts by class and reason. Rates are those of
+// the emulator divided by RealScale.
 func Real(ctx context.Context, e *Experiment, options cluster.Options, seed uint64) (*emulator.Result, map[string]int, error) {
 	d, err := deployment.Named(e.Deployment)
 	if err != nil {
 		return nil, nil, err
 	}
-	d.Mix = mixOf(d, e.Mix)
+	d.Mix = mixWithShares(d, e.Mix)
 	options.Deployment, options.Relays = d, true
 	running, err := cluster.Start(ctx, options)
 	if err != nil {
@@ -50,8 +51,8 @@
 			return nil, nil, err
 		}
 	}
-	time.Sleep(2 * time.Second) // voter sets
-	run.began = time.Now()
+	time.Sleep(2 * time.Second) // let the voter sets form
+	run.startTime = time.Now()
 	for _, event := range e.Events {
 		run.group.Go(func() { run.apply(ctx, event) })
 	}
@@ -60,7 +61,7 @@
 	return run.result(), run.failures(), nil
 }
 
-// failures counts the sendings without a whole answer by class and reason.
+// failures counts attempts without a complete answer by class and reason.
 func (r *realRun) failures() map[string]int {
 	counts := map[string]int{}
 	for _, answer := range r.answers {
@@ -78,10 +79,10 @@
 	return counts
 }
 
-func (r *realRun) at(span time.Duration) { time.Sleep(time.Until(r.began.Add(span))) }
+func (r *realRun) sleepUntil(span time.Duration) { time.Sleep(time.Until(r.startTime.Add(span))) }
 
-// each calls a function for the nodes of a service, or for one of them.
-func (r *realRun) each(service, target string, apply func(*cluster.Process) error) error {
+// forEachNode calls a function for the nodes of a service, or for a single target.
+func (r *realRun) forEachNode(service, target string, apply func(*cluster.Process) error) error {
 	for _, process := range r.cluster.Nodes {
 		if process.Service != "" && process.Service == service && (target == "" || target == process.Name) {
 			if err := apply(process); err != nil {
@@ -93,45 +94,45 @@
 }
 
 func (r *realRun) setSlowdown(service, target string, factor float64) error {
-	return r.each(service, target, func(p *cluster.Process) error {
+	return r.forEachNode(service, target, func(p *cluster.Process) error {
 		return r.cluster.SetBehaviour(p, standin.Behaviour{Slowdown: RealScale * factor})
 	})
 }
 
-// apply carries out an event that is not of the callers.
+// apply runs an event of the cluster; traffic handles the events of callers.
 func (r *realRun) apply(ctx context.Context, event Event) {
-	r.at(time.Duration(event.At))
+	r.sleepUntil(time.Duration(event.At))
 	switch event.Kind {
 	case "slow":
 		_ = r.setSlowdown(event.Service, event.Target, event.Factor)
-		r.at(time.Duration(event.Until))
+		r.sleepUntil(time.Duration(event.Until))
 		_ = r.setSlowdown(event.Service, event.Target, 1)
 	case "reset":
-		_ = r.each(event.Service, event.Target, func(p *cluster.Process) error {
+		_ = r.forEachNode(event.Service, event.Target, func(p *cluster.Process) error {
 			return r.cluster.SetBehaviour(p, standin.Behaviour{Slowdown: RealScale, FailRate: event.Factor})
 		})
-		r.at(time.Duration(event.Until))
+		r.sleepUntil(time.Duration(event.Until))
 		_ = r.setSlowdown(event.Service, event.Target, 1)
 	case "store_down":
 		_ = r.cluster.SetFaults(standin.Faults{Down: true})
-		r.at(time.Duration(event.Until))
+		r.sleepUntil(time.Duration(event.Until))
 		_ = r.cluster.SetFaults(standin.Faults{})
 	case "zone_lost":
 		r.cutZone(event.Zone, cluster.LinkDown)
-		r.at(time.Duration(event.Until))
+		r.sleepUntil(time.Duration(event.Until))
 		r.cutZone(event.Zone, cluster.LinkUp)
 	case "rolling_restart":
 		r.restartAll(ctx, time.Duration(event.At), time.Duration(event.Until))
 	}
 }
 
-// cutZone cuts the nodes beside targets; entries of the zone stay, because the
-// callers of the harness do not move to others.
-func (r *realRun) cutZone(zone string, cut cluster.LinkState) {
+// cutZone sets the links of all target nodes of a zone. Entry nodes stay
+// connected, because the load generator does not fail over between entries.
+func (r *realRun) cutZone(zone string, state cluster.LinkState) {
 	for _, process := range r.cluster.Nodes {
 		node, _ := r.cluster.Bundle(1).Node(process.Name)
 		if process.Target != "" && node.Zone == zone {
-			process.Relay.SetLink(cut)
+			process.Relay.SetLink(state)
 		}
 	}
 }
@@ -144,7 +145,7 @@
 		}
 	}
 	for index, process := range targets {
-		r.at(from + (until-from)*time.Duration(index)/time.Duration(len(targets)))
+		r.sleepUntil(from + (until-from)*time.Duration(index)/time.Duration(len(targets)))
 		if ctx.Err() != nil {
 			return
 		}
@@ -154,19 +155,19 @@
 	}
 }
 
-// traffic runs the callers in phases, from one of their events to the next.
+// traffic runs the load generator in phases that are bounded by events.
 func (r *realRun) traffic(ctx context.Context, seed uint64) {
-	bounds := map[time.Duration]bool{0: true, time.Duration(r.experiment.Length): true}
+	boundaries := map[time.Duration]bool{0: true, time.Duration(r.experiment.Length): true}
 	for _, event := range r.experiment.Events {
-		bounds[time.Duration(event.At)], bounds[time.Duration(event.Until)] = true, true
+		boundaries[time.Duration(event.At)], boundaries[time.Duration(event.Until)] = true, true
 	}
 	var times []time.Duration
-	for bound := range bounds {
-		times = append(times, bound)
+	for boundary := range boundaries {
+		times = append(times, boundary)
 	}
 	sort.Slice(times, func(i, j int) bool { return times[i] < times[j] })
 	for phase := 0; phase+1 < len(times); phase++ {
-		r.at(times[phase])
+		r.sleepUntil(times[phase])
 		options := r.phase(times[phase], times[phase+1])
 		options.Seed = seed*100 + uint64(phase)
 		r.group.Go(func() {
@@ -195,29 +196,29 @@
 		case "resend":
 			options.Resend, options.Backoff = event.Resend, time.Duration(event.Backoff)
 		case "mix":
-			mesh.Mix = mixOf(r.deployment, event.Mix)
+			mesh.Mix = mixWithShares(r.deployment, event.Mix)
 		}
 	}
 	return options
 }
 
-// result sums up user requests by the time of their first sending.
+// result aggregates user requests by the time of their first attempt.
 func (r *realRun) result() *emulator.Result {
 	length := time.Duration(r.experiment.Length)
 	result := &emulator.Result{Windows: make([]emulator.Window, int(length/emulator.WindowLength))}
 	for index := range result.Windows {
 		result.Windows[index].Start = time.Duration(index) * emulator.WindowLength
 	}
-	place := map[string]int{}
+	classIndex := map[string]int{}
 	for index, traffic := range r.deployment.Mix {
-		place[traffic.Class] = index
+		classIndex[traffic.Class] = index
 		result.Classes = append(result.Classes, emulator.ClassResult{Class: traffic.Class})
 	}
-	for _, request := range requests(r.answers) {
-		class := &result.Classes[place[request.class]]
+	for _, request := range groupByRequest(r.answers) {
+		class := &result.Classes[classIndex[request.class]]
 		class.Requests++
 		result.Offered++
-		index := min(max(int(request.first.Sub(r.began)/emulator.WindowLength), 0), len(result.Windows)-1)
+		index := min(max(int(request.first.Sub(r.startTime)/emulator.WindowLength), 0), len(result.Windows)-1)
 		result.Windows[index].Offered++
 		if request.whole {
 			class.Whole++
@@ -234,8 +235,8 @@
 	whole bool
 }
 
-// requests joins the sendings of each user request.
-func requests(answers []load.Answer) map[string]*userRequest {
+// groupByRequest merges the attempts of each user request.
+func groupByRequest(answers []load.Answer) map[string]*userRequest {
 	joined := map[string]*userRequest{}
 	for _, answer := range answers {
 		name := answer.Request()
@@ -252,8 +253,8 @@
 	return joined
 }
 
-// MeasureReal runs an experiment with real processes and measures it against
-// what is possible at the lower rate.
+// MeasureReal runs an experiment with real processes and computes its metrics
+// relative to the attainable rate, scaled by RealScale.
 func MeasureReal(ctx context.Context, e *Experiment, options cluster.Options, seed uint64) (Measure, error) {
 	result, failures, err := Real(ctx, e, options, seed)
 	if err != nil {
@@ -262,6 +263,6 @@
 	measured, err := measure(e, seed, result)
 	measured.Failures = failures
 	measured.Goodput *= RealScale
-	measured.After *= RealScale
+	measured.GoodputAfter *= RealScale
 	return measured, err
 }
--- a/internal/mesh/lab/experiment/report.go
+++ b/internal/mesh/lab/experiment/report.go
@@ -19,8 +19,8 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// RunEmulated runs experiments in virtual time, every variant with every seed,
-// on all processors. The result does not depend on the number of processors.
+// RunEmulated runs every variant of the experiments with every seed in virtual
+// time, using all CPUs. The results do not depend on the number of CPUs.
 func RunEmulated(experiments []*Experiment, variants []emulator.Variant, progress func(done, all int)) ([]*Report, error) {
 	reports := make([]*Report, len(experiments))
 	type job struct{ experiment, variant, seed int }
@@ -74,21 +74,21 @@
 	return measure(e, seed, result)
 }
 
-// Print writes a table of an experiment.
+// Print writes the results as a table.
 func (r *Report) Print(output io.Writer) {
-	fmt.Fprintf(output, "\n%s: %s\n(%s)\n", r.Experiment.Name, r.Experiment.About, describe(r.Experiment))
+	fmt.Fprintf(output, "\n%s: %s\n(%s)\n", r.Experiment.Name, r.Experiment.About, summary(r.Experiment))
 	table := tabwriter.NewWriter(output, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(table, "variant\tgoodput\tworst\trecovery\tworst\tafter\tmost important\tworst\twasted\tworst\tretries\tshed by level\t")
 	for index := range r.Rows {
 		row := &r.Rows[index]
 		goodput, _, goodputWorst := row.spread(func(m Measure) float64 { return m.Goodput })
 		recovery, recoveryWorst, _ := row.spread(recoverySeconds)
-		after, _, _ := row.spread(func(m Measure) float64 { return m.After })
-		critical, _, criticalWorst := row.spread(func(m Measure) float64 { return m.Critical })
+		after, _, _ := row.spread(func(m Measure) float64 { return m.GoodputAfter })
+		critical, _, criticalWorst := row.spread(func(m Measure) float64 { return m.CriticalShare })
 		wasted, wastedWorst, _ := row.spread(func(m Measure) float64 { return m.Wasted })
 		retries, _, _ := row.spread(func(m Measure) float64 { return m.Retries })
 		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%.3f\t%s\t\n", row.Variant, percent(goodput), percent(goodputWorst), seconds(recovery),
-			seconds(recoveryWorst), percent(after), percent(critical), percent(criticalWorst), percent(wasted), percent(wastedWorst), retries, shedText(row))
+			seconds(recoveryWorst), percent(after), percent(critical), percent(criticalWorst), percent(wasted), percent(wastedWorst), retries, formatShed(row))
 	}
 	_ = table.Flush()
 	for _, row := range r.Rows {
@@ -101,14 +101,14 @@
 func percent(share float64) string { return fmt.Sprintf("%.1f%%", share*100) }
 
 func seconds(span float64) string {
-	if span >= never {
+	if span >= neverRecovered {
 		return "never"
 	}
 	return fmt.Sprintf("%.1fs", span)
 }
 
-// shedText gives the refusals by level of the first run.
-func shedText(row *Row) string {
+// formatShed formats the refusals by level of the first run.
+func formatShed(row *Row) string {
 	parts := make([]string, 0, len(row.Runs[0].Shed))
 	for _, count := range row.Runs[0].Shed {
 		parts = append(parts, fmt.Sprint(count))
@@ -119,8 +119,8 @@
 	return strings.Join(parts, "/")
 }
 
-// plotted are the variants that a plot shows.
-var plotted = []struct {
+// plottedVariants are the variants shown in plots.
+var plottedVariants = []struct {
 	variant string
 	color   color.Color
 }{
@@ -128,14 +128,15 @@
 	{"baseline", color.RGBA{R: 200, G: 60, B: 40, A: 255}},
 }
 
-// Plot draws the share of whole requests over time, of the first seed.
+// Plot writes an SVG of the share of completed requests over time for the first
+// seed and returns its path.
 func (r *Report) Plot(directory string) (string, error) {
 	chart := plot.New()
 	chart.Title.Text = r.Experiment.Name + ": user requests that completed, by time of arrival"
 	chart.X.Label.Text = "seconds"
 	chart.Y.Label.Text = "share"
 	chart.Y.Min, chart.Y.Max = 0, 1.05
-	for _, shown := range plotted {
+	for _, shown := range plottedVariants {
 		for index := range r.Rows {
 			if r.Rows[index].Variant != shown.variant {
 				continue
@@ -156,14 +157,14 @@
 	return file, chart.Save(18*vg.Centimeter, 8*vg.Centimeter, file)
 }
 
-// smoothing is the number of windows that a point of a plot sums up.
-const smoothing = 5
+// smoothingWindows is the number of windows in the moving average of a plot.
+const smoothingWindows = 5
 
 func points(windows []emulator.Window) plotter.XYs {
 	var line plotter.XYs
-	for index := smoothing - 1; index < len(windows); index++ {
+	for index := smoothingWindows - 1; index < len(windows); index++ {
 		sum := emulator.Window{}
-		for _, window := range windows[index-smoothing+1 : index+1] {
+		for _, window := range windows[index-smoothingWindows+1 : index+1] {
 			sum.Offered += window.Offered
 			sum.Whole += window.Whole
 		}
