--- a/internal/mesh/lab/emulator/backend.go
+++ b/internal/mesh/lab/emulator/backend.go
@@ -10,7 +10,7 @@
 // backend models a back end: slots, a bounded FIFO queue, service times with a
 // long tail, cold starts and cancellation.
 type backend struct {
-	world   *world
+	sim     *simulation
 	service *deployment.Service
 	slots   int
 	busy    int
@@ -64,10 +64,10 @@
 func (b *backend) receive(j *job) {
 	switch {
 	case b.fault.dead:
-		b.world.clock.After(0, func() { j.end(backendRefused) })
+		b.sim.clock.After(0, func() { j.end(backendRefused) })
 	case len(b.queue) >= b.service.Connections-b.slots:
 		b.shedDebt += shedCost
-		b.world.clock.After(0, func() { j.end(backendShed) })
+		b.sim.clock.After(0, func() { j.end(backendShed) })
 	default:
 		b.queue = append(b.queue, j)
 		b.startQueued()
@@ -91,23 +91,23 @@
 		}
 		b.busy++
 		next.running = true
-		next.started = b.world.clock.Now()
+		next.started = b.sim.clock.Now()
 		b.serve(next)
 	}
 }
 
 // serve spends the service time of a request, then makes its downstream calls.
 func (b *backend) serve(j *job) {
-	span := standin.ServiceTime(j.route.Mean, b.world.random.NormFloat64())
+	span := standin.ServiceTime(j.route.Mean, b.sim.random.NormFloat64())
 	if b.fault.slowdown > 0 {
 		span = time.Duration(float64(span) * b.fault.slowdown)
 	}
-	if b.world.clock.Now() < b.warmAt {
+	if b.sim.clock.Now() < b.warmAt {
 		span = time.Duration(float64(span) * coldStartFactor)
 	}
 	span += b.payShedDebt()
-	reset := b.fault.reset > 0 && b.world.random.Float64() < b.fault.reset
-	b.world.clock.After(span, func() {
+	reset := b.fault.reset > 0 && b.sim.random.Float64() < b.fault.reset
+	b.sim.clock.After(span, func() {
 		if j.cancelled {
 			return
 		}
@@ -144,7 +144,7 @@
 		return
 	}
 	if !j.route.AtOnce {
-		b.world.outbound(j.call.node, j.call, calls[next], func(ok bool) {
+		b.sim.outbound(j.call.node, j.call, calls[next], func(ok bool) {
 			if !ok {
 				j.failed = true
 				b.callDownstream(j, len(calls))
@@ -156,7 +156,7 @@
 	}
 	j.pendingCalls = len(calls)
 	for _, one := range calls {
-		b.world.outbound(j.call.node, j.call, one, func(ok bool) {
+		b.sim.outbound(j.call.node, j.call, one, func(ok bool) {
 			j.failed = j.failed || !ok
 			j.pendingCalls--
 			if j.pendingCalls == 0 {
@@ -173,7 +173,7 @@
 	}
 	j.running = false
 	b.busy--
-	b.world.recordWork(j)
+	b.sim.recordWork(j)
 	j.end(result)
 	b.startQueued()
 }
@@ -185,7 +185,7 @@
 	}
 	j.cancelled = true
 	if j.running {
-		j.work = b.world.clock.Now() - j.started
+		j.work = b.sim.clock.Now() - j.started
 		b.release(j, backendReset)
 		return
 	}
--- a/internal/mesh/lab/emulator/outbound.go
+++ b/internal/mesh/lab/emulator/outbound.go
@@ -38,49 +38,49 @@
 }
 
 // outbound makes a downstream call of a back end through its node.
-func (w *world) outbound(from *node, parent *call, wanted deployment.DeepCall, done func(ok bool)) {
+func (s *simulation) outbound(from *node, parent *call, wanted deployment.DeepCall, done func(ok bool)) {
 	if parent.abandoned {
 		return
 	}
-	class := w.bundle.Match(wanted.Service, wanted.Method, wanted.Path)
-	deadline := w.clock.Now() + time.Duration(class.Deadline)
-	if w.mechanisms.Deadlines {
+	class := s.bundle.Match(wanted.Service, wanted.Method, wanted.Path)
+	deadline := s.clock.Now() + time.Duration(class.Deadline)
+	if s.mechanisms.Deadlines {
 		deadline = min(deadline, parent.deadline)
 	}
 	out := &outboundCall{
 		node: from, parent: parent, user: parent.user, class: class, service: wanted.Service,
-		route: w.deployment.Service(wanted.Service).Route(wanted.Method, wanted.Path), level: parent.level, rank: parent.rank,
+		route: s.deployment.Service(wanted.Service).Route(wanted.Method, wanted.Path), level: parent.level, rank: parent.rank,
 		deadline: deadline, ledger: parent.ledger, depth: parent.depth + 1, exclude: map[string]bool{},
 	}
-	if !w.mechanisms.UserOrder {
-		out.rank = w.randomRank(out.level)
+	if !s.mechanisms.UserOrder {
+		out.rank = s.randomRank(out.level)
 	}
 	parent.children = append(parent.children, out)
-	parent.own.DeeperBegins(w.clock.Now())
+	parent.own.DeeperBegins(s.clock.Now())
 	out.done = func(ok bool, _ outcome.Reason) {
-		parent.own.DeeperEnds(w.clock.Now())
-		parent.lowerPathCursor(from.routes[wanted.Service].Cursor(w.clock.Now()))
+		parent.own.DeeperEnds(s.clock.Now())
+		parent.lowerPathCursor(from.routes[wanted.Service].Cursor(s.clock.Now()))
 		done(ok)
 	}
 	out.begin()
 }
 
 // rank returns the rank of a user request at its entry node.
-func (w *world) rank(level int, user string) admission.Rank {
-	if !w.mechanisms.UserOrder {
-		return w.randomRank(level)
+func (s *simulation) rank(level int, user string) admission.Rank {
+	if !s.mechanisms.UserOrder {
+		return s.randomRank(level)
 	}
 	return admission.RankOf(level, user)
 }
 
-func (w *world) randomRank(level int) admission.Rank {
-	return admission.RankOf(level, strconv.FormatUint(w.random.Uint64(), 36))
+func (s *simulation) randomRank(level int) admission.Rank {
+	return admission.RankOf(level, strconv.FormatUint(s.random.Uint64(), 36))
 }
 
 // begin starts the deadline timer and the first attempt.
 func (o *outboundCall) begin() {
-	w := o.node.world
-	w.clock.After(o.deadline-w.clock.Now(), func() {
+	sim := o.node.sim
+	sim.clock.After(o.deadline-sim.clock.Now(), func() {
 		if o.ended {
 			return
 		}
@@ -112,14 +112,14 @@
 	if o.ingress == nil {
 		return
 	}
-	w := o.node.world
+	sim := o.node.sim
 	target, in := o.target, o.ingress
 	o.ingress = nil
-	o.node.routes[o.service].Finished(w.clock.Now(), o.class.Name, routing.Result{Node: target.name, Neutral: true}, -1)
-	if !w.mechanisms.Cancel {
+	o.node.routes[o.service].Finished(sim.clock.Now(), o.class.Name, routing.Result{Node: target.name, Neutral: true}, -1)
+	if !sim.mechanisms.Cancel {
 		return
 	}
-	w.clock.After(w.delay(o.node, target), func() {
+	sim.clock.After(sim.delay(o.node, target), func() {
 		if !in.ended || in.call.job != nil {
 			target.withdraw(in)
 		}
@@ -128,23 +128,23 @@
 
 // startAttempt picks a target and sends the call to it.
 func (o *outboundCall) startAttempt() {
-	w := o.node.world
+	sim := o.node.sim
 	if o.ended {
 		return
 	}
 	choice, reason := o.pick()
 	if reason != outcome.ReasonNone {
-		w.recordRouteRefusal(o, reason)
+		sim.recordRouteRefusal(o, reason)
 		o.end(false, reason)
 		return
 	}
-	target := w.nodes[choice]
+	target := sim.nodes[choice]
 	loan := o.ledger.Lend()
 	o.attempt++
 	attempt := o.attempt
-	started := w.clock.Now()
+	started := sim.clock.Now()
 	finish := func(result hopResult) {
-		w.clock.After(w.delay(target, o.node), func() {
+		sim.clock.After(sim.delay(target, o.node), func() {
 			if attempt != o.attempt || o.ingress == nil && o.ended {
 				return
 			}
@@ -153,8 +153,8 @@
 			o.finished(target, started, result)
 		})
 	}
-	if !w.reachable(o.node, target) {
-		w.clock.After(unreachableAfter, func() {
+	if !sim.reachable(o.node, target) {
+		sim.clock.After(unreachableAfter, func() {
 			if !o.ended && attempt == o.attempt {
 				loan.Settle(loan.Amount())
 				o.finished(target, started, hopResult{outcome: outcome.NotRun, reason: outcome.ReasonUnreachable, cursor: -1, pathCursor: -1})
@@ -169,14 +169,14 @@
 const unreachableAfter = 5 * time.Millisecond
 
 func (o *outboundCall) send(target *node, loan *retry.Loan, finish func(hopResult)) {
-	w := o.node.world
+	sim := o.node.sim
 	served := &call{
 		node: target, user: o.user, class: o.class.Name, level: o.level, rank: o.rank, deadline: o.deadline, ledger: retry.NewLedger(loan.Amount()),
 		depth: o.depth, pathCursor: -1,
 	}
 	in := &ingress{call: served, route: o.route, finish: finish}
 	o.target, o.ingress = target, in
-	w.clock.After(w.delay(o.node, target), func() {
+	sim.clock.After(sim.delay(o.node, target), func() {
 		if served.abandoned || in.ended {
 			return
 		}
@@ -185,30 +185,30 @@
 }
 
 func (o *outboundCall) pick() (string, outcome.Reason) {
-	w := o.node.world
-	if w.mechanisms.isBaseline() {
-		targets := w.bundle.Service(o.service).Targets
+	sim := o.node.sim
+	if sim.mechanisms.isBaseline() {
+		targets := sim.bundle.Service(o.service).Targets
 		o.node.roundRobin[o.service]++
 		return targets[o.node.roundRobin[o.service]%len(targets)].Name, outcome.ReasonNone
 	}
-	choice, reason := o.node.routes[o.service].Pick(w.clock.Now(), o.class.Name, routing.Request{Rank: o.rank, Exclude: o.exclude})
+	choice, reason := o.node.routes[o.service].Pick(sim.clock.Now(), o.class.Name, routing.Request{Rank: o.rank, Exclude: o.exclude})
 	return choice.Target.Node, reason
 }
 
 // finished handles the result of an attempt and retries if allowed.
 func (o *outboundCall) finished(target *node, started time.Duration, result hopResult) {
-	w := o.node.world
+	sim := o.node.sim
 	o.reportToRouting(target, started, result)
 	if o.ended {
 		return
 	}
 	switch {
-	case result.outcome == outcome.Answered && (result.ok || !w.mechanisms.isBaseline()):
+	case result.outcome == outcome.Answered && (result.ok || !sim.mechanisms.isBaseline()):
 		o.end(result.ok, result.reason)
 	case o.mayRetry(result):
 		o.exclude[target.name] = true
 		o.retries++
-		w.stats.Retries++
+		sim.stats.Retries++
 		o.user.retries++
 		o.startAttempt()
 	default:
@@ -217,18 +217,18 @@
 }
 
 func (o *outboundCall) mayRetry(result hopResult) bool {
-	w := o.node.world
+	sim := o.node.sim
 	repeatable := o.class.Execution == bundle.Repeatable
-	if w.mechanisms.isBaseline() || !w.mechanisms.Credits {
+	if sim.mechanisms.isBaseline() || !sim.mechanisms.Credits {
 		return (repeatable || result.outcome == outcome.NotRun) && o.retries < baselineRetries
 	}
-	verdict := retry.Decide(retry.Failure{Outcome: result.outcome, Reason: result.reason, Repeatable: repeatable, TimeLeft: w.clock.Now() < o.deadline})
+	verdict := retry.Decide(retry.Failure{Outcome: result.outcome, Reason: result.reason, Repeatable: repeatable, TimeLeft: sim.clock.Now() < o.deadline})
 	return verdict.Retry && o.ledger.Spend()
 }
 
 func (o *outboundCall) reportToRouting(target *node, started time.Duration, result hopResult) {
-	w := o.node.world
-	if w.mechanisms.isBaseline() {
+	sim := o.node.sim
+	if sim.mechanisms.isBaseline() {
 		return
 	}
 	report := routing.Result{Node: target.name}
@@ -238,14 +238,14 @@
 	pathCursor := -1
 	switch {
 	case result.outcome == outcome.Answered:
-		report.Latency = w.clock.Now() - started
+		report.Latency = sim.clock.Now() - started
 		pathCursor = result.pathCursor
 	case result.reason.IsTargetFault():
 		report.Failed = true
 	default:
 		report.Neutral = true
 	}
-	if o.node.routes[o.service].Finished(w.clock.Now(), o.class.Name, report, pathCursor) {
-		w.stats.Ejections++
+	if o.node.routes[o.service].Finished(sim.clock.Now(), o.class.Name, report, pathCursor) {
+		sim.stats.Ejections++
 	}
 }
--- a/internal/mesh/lab/emulator/run.go
+++ b/internal/mesh/lab/emulator/run.go
@@ -26,7 +26,7 @@
 
 // Control gives a Change access to the run.
 type Control struct {
-	world   *world
+	sim     *simulation
 	callers *Callers
 }
 
@@ -49,14 +49,14 @@
 	c.forEachNode(service, target, func(n *node) {
 		n.backend.fault.dead = dead
 		if !dead {
-			n.backend.warmAt = c.world.clock.Now() + coldStartDuration
+			n.backend.warmAt = c.sim.clock.Now() + coldStartDuration
 		}
 	})
 }
 
 func (c *Control) forEachNode(service, target string, apply func(*node)) {
-	for _, name := range c.world.names {
-		n := c.world.nodes[name]
+	for _, name := range c.sim.names {
+		n := c.sim.nodes[name]
 		if n.service == service && n.service != "" && (target == "" || target == name) {
 			apply(n)
 		}
@@ -64,16 +64,16 @@
 }
 
 // CutZone disconnects a zone from the network or reconnects it.
-func (c *Control) CutZone(zone string, cut bool) { c.world.cutZones[zone] = cut }
+func (c *Control) CutZone(zone string, cut bool) { c.sim.cutZones[zone] = cut }
 
 // Restart takes a node down for a span and restarts it with empty state.
 func (c *Control) Restart(name string, down time.Duration) {
-	n := c.world.nodes[name]
+	n := c.sim.nodes[name]
 	if n == nil || n.service == "" {
 		return
 	}
 	n.down = true
-	c.world.clock.After(down, func() {
+	c.sim.clock.After(down, func() {
 		n.down = false
 		n.restart()
 	})
@@ -82,8 +82,8 @@
 // Targets returns the sorted names of all target nodes.
 func (c *Control) Targets() []string {
 	var names []string
-	for _, name := range c.world.names {
-		if c.world.nodes[name].service != "" {
+	for _, name := range c.sim.names {
+		if c.sim.nodes[name].service != "" {
 			names = append(names, name)
 		}
 	}
@@ -97,7 +97,7 @@
 
 // Run runs a plan and returns its result.
 func Run(plan Plan) *Result {
-	w := newWorld(plan.Deployment, plan.Mechanisms, plan.Seed)
+	sim := newSimulation(plan.Deployment, plan.Mechanisms, plan.Seed)
 	callers := plan.Callers
 	if callers.Mix == nil {
 		callers.Mix = plan.Deployment.Mix
@@ -105,17 +105,17 @@
 	if callers.Backoff == 0 {
 		callers.Backoff = 200 * time.Millisecond
 	}
-	control := &Control{world: w, callers: &callers}
+	control := &Control{sim: sim, callers: &callers}
 	changes := append([]Change(nil), plan.Changes...)
 	sort.SliceStable(changes, func(i, j int) bool { return changes[i].At < changes[j].At })
 	for _, change := range changes {
-		w.clock.After(change.At, func() { change.Apply(control) })
+		sim.clock.After(change.At, func() { change.Apply(control) })
 	}
 	users := plan.Users
 	if users == 0 {
 		users = defaultUsers
 	}
-	w.generate(plan.Length, func() Callers { return callers }, users)
-	w.clock.Run(plan.Length + drainTime)
-	return w.result(plan.Deployment.Mix, plan.Length)
+	sim.generate(plan.Length, func() Callers { return callers }, users)
+	sim.clock.Run(plan.Length + drainTime)
+	return sim.result(plan.Deployment.Mix, plan.Length)
 }
--- a/internal/mesh/lab/emulator/sample.go
+++ b/internal/mesh/lab/emulator/sample.go
@@ -17,8 +17,8 @@
 // Sample returns the current state of every service, in deployment order.
 func (c *Control) Sample() []Sample {
 	var samples []Sample
-	for _, service := range c.world.deployment.Services {
-		sample := Sample{At: c.world.clock.Now(), Service: service.Name}
+	for _, service := range c.sim.deployment.Services {
+		sample := Sample{At: c.sim.clock.Now(), Service: service.Name}
 		c.forEachNode(service.Name, "", func(n *node) {
 			sample.Slots += n.backend.slots
 			sample.Busy += n.backend.busy
--- a/internal/mesh/lab/emulator/world.go
+++ b/internal/mesh/lab/emulator/simulation.go
@@ -17,8 +17,8 @@
 	"github.com/landingmast/landingmast/internal/mesh/lab/virtualtime"
 )
 
-// world is the state of an emulated deployment.
-type world struct {
+// simulation is the state of an emulated deployment.
+type simulation struct {
 	clock         virtualtime.Clock
 	random        *rand.Rand
 	deployment    *deployment.Deployment
@@ -35,7 +35,7 @@
 
 // node models a landingmastd: its outbound routes and the gate of its target.
 type node struct {
-	world      *world
+	sim        *simulation
 	name       string
 	zone       string
 	service    string
@@ -66,56 +66,56 @@
 	pathCursor int
 }
 
-func newWorld(d *deployment.Deployment, mechanisms Mechanisms, seed uint64) *world {
-	w := &world{
+func newSimulation(d *deployment.Deployment, mechanisms Mechanisms, seed uint64) *simulation {
+	s := &simulation{
 		random: rand.New(rand.NewPCG(seed, 7)), deployment: d, mechanisms: mechanisms, nodes: map[string]*node{}, cutZones: map[string]bool{},
 		workByRequest: map[*userRequest]time.Duration{},
 	}
 	port := 0
-	w.bundle = d.Bundle(1, func(string) string {
+	s.bundle = d.Bundle(1, func(string) string {
 		port++
 		return fmt.Sprintf("127.0.0.1:%d", port)
 	})
-	for _, entry := range w.bundle.Entries {
-		w.entries = append(w.entries, w.addNode(entry, nil, 0))
+	for _, entry := range s.bundle.Entries {
+		s.entries = append(s.entries, s.addNode(entry, nil, 0))
 	}
-	for index := range w.bundle.Services {
-		service := d.Service(w.bundle.Services[index].Name)
-		for target, definition := range w.bundle.Services[index].Targets {
-			w.addNode(definition, service, target)
+	for index := range s.bundle.Services {
+		service := d.Service(s.bundle.Services[index].Name)
+		for target, definition := range s.bundle.Services[index].Targets {
+			s.addNode(definition, service, target)
 		}
 	}
-	for name := range w.nodes {
-		w.names = append(w.names, name)
+	for name := range s.nodes {
+		s.names = append(s.names, name)
 	}
-	sort.Strings(w.names)
-	for _, name := range w.names {
-		w.nodes[name].connect()
+	sort.Strings(s.names)
+	for _, name := range s.names {
+		s.nodes[name].connect()
 	}
-	return w
+	return s
 }
 
-func (w *world) addNode(definition bundle.Node, service *deployment.Service, target int) *node {
+func (s *simulation) addNode(definition bundle.Node, service *deployment.Service, target int) *node {
 	added := &node{
-		world: w, name: definition.Name, zone: definition.Zone, routes: map[string]*routing.Route{}, roundRobin: map[string]int{},
+		sim: s, name: definition.Name, zone: definition.Zone, routes: map[string]*routing.Route{}, roundRobin: map[string]int{},
 		waiting: map[uint64]*ingress{}, active: map[uint64]*ingress{},
 	}
 	if service != nil {
 		added.service = service.Name
-		added.backend = &backend{world: w, service: service, slots: service.Slots(target)}
-		added.gate = w.newGate()
+		added.backend = &backend{sim: s, service: service, slots: service.Slots(target)}
+		added.gate = s.newGate()
 	}
-	w.nodes[definition.Name] = added
+	s.nodes[definition.Name] = added
 	return added
 }
 
-func (w *world) newGate() *gate.Gate {
-	config := gate.DefaultConfig(len(w.bundle.Levels))
-	config.Open = !w.mechanisms.Cursor
-	if !w.mechanisms.Limit {
+func (s *simulation) newGate() *gate.Gate {
+	config := gate.DefaultConfig(len(s.bundle.Levels))
+	config.Open = !s.mechanisms.Cursor
+	if !s.mechanisms.Limit {
 		config.Limiter.InitialLimit, config.Limiter.MinLimit, config.Limiter.MaxLimit = maxConnections, maxConnections, maxConnections
 	}
-	if !w.mechanisms.Preempt {
+	if !s.mechanisms.Preempt {
 		config.Limiter.PreemptAfter = 0
 	}
 	return gate.New(config)
@@ -124,54 +124,54 @@
 // connect creates the routes of a node from the bundle.
 func (n *node) connect() {
 	config := routing.DefaultConfig()
-	if !n.world.mechanisms.Outlier {
+	if !n.sim.mechanisms.Outlier {
 		config.EjectAfter, config.EjectBelow = 1<<30, -1
 	}
-	for _, service := range n.world.bundle.Services {
-		balancer := routing.New(config, n.name, n.zone, n.world.random)
-		n.routes[service.Name] = routing.NewRoute(balancer, !n.world.mechanisms.Feedback)
+	for _, service := range n.sim.bundle.Services {
+		balancer := routing.New(config, n.name, n.zone, n.sim.random)
+		n.routes[service.Name] = routing.NewRoute(balancer, !n.sim.mechanisms.Feedback)
 	}
 	n.updateTargets()
 }
 
 // updateTargets passes the targets of the bundle to the balancers.
 func (n *node) updateTargets() {
-	for _, service := range n.world.bundle.Services {
+	for _, service := range n.sim.bundle.Services {
 		targets := make([]routing.Target, 0, len(service.Targets))
 		for _, target := range service.Targets {
 			targets = append(targets, routing.Target{Node: target.Name, Address: target.Address, Zone: target.Zone, Leaving: target.State == bundle.Leaving})
 		}
-		n.routes[service.Name].Balancer.Update(n.world.clock.Now(), targets)
+		n.routes[service.Name].Balancer.Update(n.sim.clock.Now(), targets)
 	}
 }
 
 // restart resets a node to its initial state.
 func (n *node) restart() {
-	n.gate = n.world.newGate()
-	for _, service := range n.world.bundle.Services {
+	n.gate = n.sim.newGate()
+	for _, service := range n.sim.bundle.Services {
 		delete(n.routes, service.Name)
 	}
 	n.connect()
 }
 
 // delay returns the network latency between two nodes.
-func (w *world) delay(from, to *node) time.Duration {
+func (s *simulation) delay(from, to *node) time.Duration {
 	const loopback = 30 * time.Microsecond
 	if from.zone == to.zone {
 		return loopback
 	}
-	return w.deployment.ZoneDelay
+	return s.deployment.ZoneDelay
 }
 
 // reachable reports whether messages between two nodes are delivered.
-func (w *world) reachable(from, to *node) bool {
-	return !to.down && !w.cutZones[to.zone] && !w.cutZones[from.zone]
+func (s *simulation) reachable(from, to *node) bool {
+	return !to.down && !s.cutZones[to.zone] && !s.cutZones[from.zone]
 }
 
 // recordWork adds the service time of a request to the statistics.
-func (w *world) recordWork(j *job) {
-	w.stats.Work += j.work
-	w.workByRequest[j.call.user] += j.work
+func (s *simulation) recordWork(j *job) {
+	s.stats.Work += j.work
+	s.workByRequest[j.call.user] += j.work
 }
 
 // ingress is a call received by the node of its target.
@@ -196,17 +196,17 @@
 // arrive passes a received call to the gate, or straight to the target in the
 // baseline.
 func (n *node) arrive(in *ingress, repeatable bool) {
-	w := n.world
-	w.nextID++
-	in.id = w.nextID
-	if w.mechanisms.isBaseline() {
+	sim := n.sim
+	sim.nextID++
+	in.id = sim.nextID
+	if sim.mechanisms.isBaseline() {
 		n.active[in.id] = in
 		n.dispatch(in)
 		return
 	}
 	n.waiting[in.id] = in
 	call := limiter.Call{ID: in.id, Level: in.call.level, Class: in.call.class, Deadline: in.call.deadline, Preemptible: repeatable}
-	n.apply(n.gate.Arrive(w.clock.Now(), call, in.call.rank))
+	n.apply(n.gate.Arrive(sim.clock.Now(), call, in.call.rank))
 }
 
 func (n *node) apply(actions []limiter.Action) {
@@ -221,12 +221,12 @@
 		case limiter.Refuse:
 			if in := n.waiting[action.ID]; in != nil {
 				delete(n.waiting, action.ID)
-				n.world.recordGateRefusal(n, in, action)
+				n.sim.recordGateRefusal(n, in, action)
 				in.end(n.result(in, outcome.NotRun, action.Reason, false))
 			}
 		case limiter.Preempt:
 			if in := n.active[action.ID]; in != nil {
-				n.world.stats.Preempted++
+				n.sim.stats.Preempted++
 				in.end(n.result(in, outcome.Unknown, outcome.ReasonPreempted, false))
 				in.call.cancel()
 			}
@@ -234,9 +234,9 @@
 	}
 	if n.gate.Queued() > 0 && !n.ticking {
 		n.ticking = true
-		n.world.clock.After(gateTickInterval, func() {
+		n.sim.clock.After(gateTickInterval, func() {
 			n.ticking = false
-			n.apply(n.gate.Tick(n.world.clock.Now()))
+			n.apply(n.gate.Tick(n.sim.clock.Now()))
 		})
 	}
 }
@@ -258,14 +258,14 @@
 
 // dispatch sends an admitted call to the target.
 func (n *node) dispatch(in *ingress) {
-	started := n.world.clock.Now()
+	started := n.sim.clock.Now()
 	in.call.job = &job{call: in.call, route: in.route, finish: func(result backendResult) {
-		own := in.call.own.Since(started, n.world.clock.Now())
+		own := in.call.own.Since(started, n.sim.clock.Now())
 		delete(n.active, in.id)
-		n.world.stats.Received++
-		if !n.world.mechanisms.isBaseline() {
+		n.sim.stats.Received++
+		if !n.sim.mechanisms.isBaseline() {
 			defer func() {
-				n.apply(n.gate.Finish(n.world.clock.Now(), in.id, own, result == backendAnswered, result == backendShed))
+				n.apply(n.gate.Finish(n.sim.clock.Now(), in.id, own, result == backendAnswered, result == backendShed))
 			}()
 		}
 		in.end(n.toHopResult(in, result))
--- a/internal/mesh/lab/emulator/stats.go
+++ b/internal/mesh/lab/emulator/stats.go
@@ -64,8 +64,8 @@
 // WindowLength is the duration of a Window.
 const WindowLength = 100 * time.Millisecond
 
-func (w *world) result(mix []deployment.Traffic, length time.Duration) *Result {
-	result := &Result{Stats: w.stats, Events: w.clock.Count()}
+func (s *simulation) result(mix []deployment.Traffic, length time.Duration) *Result {
+	result := &Result{Stats: s.stats, Events: s.clock.Count()}
 	result.Windows = make([]Window, int(length/WindowLength))
 	for index := range result.Windows {
 		result.Windows[index].Start = time.Duration(index) * WindowLength
@@ -76,14 +76,14 @@
 		result.Classes = append(result.Classes, ClassResult{Class: traffic.Class})
 	}
 	var useful time.Duration
-	for _, request := range w.stats.requests {
+	for _, request := range s.stats.requests {
 		result.add(request, classIndex)
 		if request.whole {
-			useful += w.workByRequest[request]
+			useful += s.workByRequest[request]
 		}
 	}
-	if w.stats.Work > 0 {
-		result.Wasted = 1 - float64(useful)/float64(w.stats.Work)
+	if s.stats.Work > 0 {
+		result.Wasted = 1 - float64(useful)/float64(s.stats.Work)
 	}
 	return result
 }
