--- a/internal/mesh/lab/emulator/callers.go
+++ b/internal/mesh/lab/emulator/callers.go
@@ -11,123 +11,124 @@
 	"github.com/landingmast/landingmast/internal/mesh/lab/deployment"
 )
 
-// userRequest is what a user wants; a caller may send it several times.
+// userRequest is a request of a user, including its retries by the caller.
 type userRequest struct {
 	traffic  *deployment.Traffic
 	class    *bundle.Class
 	user     string
 	arrived  time.Duration
-	sendings int
+	attempts int
 	retries  int
 	whole    bool
 	ended    time.Duration
 	reason   outcome.Reason
 }
 
-// Callers set how the callers behave.
+// Callers configures the load generator.
 type Callers struct {
-	Rate    float64       // user requests a second
-	Resend  int           // how often a caller sends a failed request again
-	Backoff time.Duration // before that; the answer's time to come back is ignored
+	Rate    float64       // user requests per second
+	Resend  int           // retries of a failed request by its caller
+	Backoff time.Duration // mean delay before a retry, with jitter
 	Mix     []deployment.Traffic
 }
 
-// generate makes user requests as an open loop until the end.
-func (w *world) generate(end time.Duration, callers func() Callers, users int) {
+// generate creates user requests as an open-loop Poisson process until end.
+func (s *simulation) generate(end time.Duration, callers func() Callers, users int) {
 	now := callers()
-	w.clock.After(time.Duration(w.random.ExpFloat64()/now.Rate*float64(time.Second)), func() {
-		if w.clock.Now() >= end {
+	s.clock.After(time.Duration(s.random.ExpFloat64()/now.Rate*float64(time.Second)), func() {
+		if s.clock.Now() >= end {
 			return
 		}
 		current := callers()
-		traffic := deployment.Pick(current.Mix, w.random.Float64())
+		traffic := deployment.Pick(current.Mix, s.random.Float64())
 		request := &userRequest{
-			traffic: traffic, class: w.bundle.Match(traffic.Service, traffic.Method, traffic.Path),
-			user: "user-" + strconv.Itoa(w.random.IntN(users)), arrived: w.clock.Now(),
+			traffic: traffic, class: s.bundle.Match(traffic.Service, traffic.Method, traffic.Path),
+			user: "user-" + strconv.Itoa(s.random.IntN(users)), arrived: s.clock.Now(),
 		}
-		w.stats.requests = append(w.stats.requests, request)
-		w.send(request, current)
-		w.generate(end, callers, users)
+		s.stats.requests = append(s.stats.requests, request)
+		s.send(request, current)
+		s.generate(end, callers, users)
 	})
 }
 
-// send sends a user request to an entry, once.
-func (w *world) send(request *userRequest, callers Callers) {
-	request.sendings++
-	w.stats.Sendings++
-	entry := w.entries[w.random.IntN(len(w.entries))]
-	for w.cutZones[entry.zone] && w.anyEntryUp() {
-		entry = w.entries[w.random.IntN(len(w.entries))]
+// send makes one attempt of a user request at a random reachable entry.
+func (s *simulation) send(request *userRequest, callers Callers) {
+	request.attempts++
+	s.stats.Sendings++
+	entry := s.entries[s.random.IntN(len(s.entries))]
+	for s.cutZones[entry.zone] && s.anyEntryUp() {
+		entry = s.entries[s.random.IntN(len(s.entries))]
 	}
-	w.clock.After(w.deployment.ClientDelay, func() {
-		w.enter(entry, request, func(ok bool, reason outcome.Reason) {
-			w.clock.After(w.deployment.ClientDelay, func() { w.answered(request, callers, ok, reason) })
+	s.clock.After(s.deployment.ClientDelay, func() {
+		s.handleAtEntry(entry, request, func(ok bool, reason outcome.Reason) {
+			s.clock.After(s.deployment.ClientDelay, func() { s.handleAnswer(request, callers, ok, reason) })
 		})
 	})
 }
 
-func (w *world) anyEntryUp() bool {
-	for _, entry := range w.entries {
-		if !w.cutZones[entry.zone] {
+func (s *simulation) anyEntryUp() bool {
+	for _, entry := range s.entries {
+		if !s.cutZones[entry.zone] {
 			return true
 		}
 	}
 	return false
 }
 
-func (w *world) answered(request *userRequest, callers Callers, ok bool, reason outcome.Reason) {
+func (s *simulation) handleAnswer(request *userRequest, callers Callers, ok bool, reason outcome.Reason) {
 	if ok {
-		request.whole, request.ended = true, w.clock.Now()
+		request.whole, request.ended = true, s.clock.Now()
 		return
 	}
 	request.reason = reason
-	if request.sendings > callers.Resend {
-		request.ended = w.clock.Now()
+	if request.attempts > callers.Resend {
+		request.ended = s.clock.Now()
 		return
 	}
-	pause := callers.Backoff/2 + time.Duration(w.random.Int64N(int64(callers.Backoff)+1))
-	w.clock.After(pause, func() { w.send(request, callers) })
+	pause := callers.Backoff/2 + time.Duration(s.random.Int64N(int64(callers.Backoff)+1))
+	s.clock.After(pause, func() { s.send(request, callers) })
 }
 
-// enter is the entry's part: class, importance, deadline and credits are set here.
-func (w *world) enter(entry *node, request *userRequest, done func(bool, outcome.Reason)) {
+// handleAtEntry models an entry node, which sets class, importance, deadline and
+// retry credits.
+func (s *simulation) handleAtEntry(entry *node, request *userRequest, done func(bool, outcome.Reason)) {
 	credits := request.class.Retries
-	if request.sendings > 1 {
+	if request.attempts > 1 {
 		credits = 0
 	}
-	level := w.bundle.LevelIndex(request.class.Importance)
+	level := s.bundle.LevelIndex(request.class.Importance)
 	out := &outboundCall{
 		node: entry, user: request, class: request.class, service: request.traffic.Service,
-		route: w.deployment.Service(request.traffic.Service).Route(request.traffic.Method, request.traffic.Path), level: level,
-		rank: w.rank(level, request.user), deadline: w.clock.Now() + time.Duration(request.class.Deadline), ledger: retry.NewLedger(credits),
+		route: s.deployment.Service(request.traffic.Service).Route(request.traffic.Method, request.traffic.Path), level: level,
+		rank: s.rank(level, request.user), deadline: s.clock.Now() + time.Duration(request.class.Deadline), ledger: retry.NewLedger(credits),
 		exclude: map[string]bool{}, done: done,
 	}
 	out.begin()
 }
 
-// refusedAt notes a refusal by the gate of a target.
-func (w *world) refusedAt(n *node, in *ingress, action limiter.Action) {
-	w.stats.shed(in.call.level)
-	w.checkImportance(n, in, action)
+// recordGateRefusal counts a refusal by the gate of a target.
+func (s *simulation) recordGateRefusal(n *node, in *ingress, action limiter.Action) {
+	s.stats.shed(in.call.level)
+	s.countOrderViolation(n, in, action)
 }
 
-// refusedByRoute notes a refusal by the hop above.
-func (w *world) refusedByRoute(o *outboundCall, reason outcome.Reason) {
+// recordRouteRefusal counts a refusal by an upstream hop.
+func (s *simulation) recordRouteRefusal(o *outboundCall, reason outcome.Reason) {
 	if reason == outcome.ReasonOverloadCursor {
-		w.stats.shed(o.level)
-		w.stats.RefusedEarly++
+		s.stats.shed(o.level)
+		s.stats.RefusedEarly++
 	}
 }
 
-// checkImportance counts refusals of a call while the same queue holds less
-// important work: that would be shedding in the wrong order.
-func (w *world) checkImportance(n *node, in *ingress, action limiter.Action) {
+// countOrderViolation counts a call refused for a full queue that holds less
+// important calls.
+func (s *simulation) countOrderViolation(n *node, in *ingress, action limiter.Action) {
 	if action.Reason != outcome.ReasonQueueFull {
 		return
 	}
 	for _, other := range n.waiting {
 		if other.call.level > in.call.level {
-			w.stats.WrongOrder++
+			s.stats.OrderViolations++
 			return
 		}
 	}
