--- a/internal/testbed/judge/harm.go
+++ b/internal/testbed/judge/harm.go
@@ -6,81 +6,81 @@
 	"time"
 )
 
-// harmOf returns the key of a harmful request.
-func harmOf(path, body string) string { return path + "\x00" + body }
+// harmfulKey returns the key of a harmful request.
+func harmfulKey(path, body string) string { return path + "\x00" + body }
 
-// harmSeen is what was seen of requests that end their targets and of refusals on suspicion.
-type harmSeen struct {
-	requests  map[string]*harmfulSeen
-	restarted map[string]time.Time // processes that came back, by IP
-	unstable  time.Time            // when the store was last disturbed
-	innocent  int                  // refusals of requests that end no target
+// harmfulState tracks requests that crash their targets and the rejections based on them.
+type harmfulState struct {
+	requests       map[string]*harmfulRequest
+	restarted      map[string]time.Time // last node restart, by IP
+	storeDisturbed time.Time            // last store fault
+	falsePositives int                  // rejected requests that crash no target
 }
 
-// harmfulSeen is what was seen of one harmful request.
-type harmfulSeen struct {
-	path string
-	ends []time.Time
-	runs []harmfulRun
+// harmfulRequest records the runs of one harmful request and the crashes it caused.
+type harmfulRequest struct {
+	path    string
+	crashes []time.Time
+	runs    []harmfulRun
 }
 
 type harmfulRun struct {
-	at      time.Time
-	inTouch bool // the machine where it began was in touch with the others and the store
+	at        time.Time
+	connected bool // the origin machine could reach the other nodes and the store
 }
 
-// ExpectHarmful reports a harmful request before clients send it.
+// ExpectHarmful registers a harmful request before clients send it.
 func (j *Judge) ExpectHarmful(path, body string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.harm.requests[harmOf(path, body)] = &harmfulSeen{path: path}
+	j.harm.requests[harmfulKey(path, body)] = &harmfulRequest{path: path}
 }
 
-// Restarted reports that the node of a machine starts.
+// Restarted records that the node of a machine is starting.
 func (j *Judge) Restarted(ip string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.harm.restarted[ip] = time.Now()
 }
 
-// ranHarmful records a run of a harmful request; mu is held.
-func (j *Judge) ranHarmful(run *Run, r *http.Request, body []byte, now time.Time) {
-	harm := harmOf(r.URL.Path, string(body))
+// recordHarmfulRun records a run of a harmful request. Callers hold mu.
+func (j *Judge) recordHarmfulRun(run *Run, r *http.Request, body []byte, now time.Time) {
+	harm := harmfulKey(r.URL.Path, string(body))
 	seen := j.harm.requests[harm]
 	if seen == nil {
 		return
 	}
 	run.harm = harm
 	origin := run.request.origin
-	inTouch := now.Sub(j.harmed[origin]) >= Contact && now.Sub(j.harm.restarted[origin]) >= Contact && now.Sub(j.harm.unstable) >= Contact
-	seen.runs = append(seen.runs, harmfulRun{at: now, inTouch: inTouch})
+	connected := now.Sub(j.disturbed[origin]) >= Contact && now.Sub(j.harm.restarted[origin]) >= Contact && now.Sub(j.harm.storeDisturbed) >= Contact
+	seen.runs = append(seen.runs, harmfulRun{at: now, connected: connected})
 }
 
-// Crashed reports that a run ends its target.
+// Crashed records that a run crashes its target.
 func (j *Judge) Crashed(run *Run) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if seen := j.harm.requests[run.harm]; seen != nil {
-		seen.ends = append(seen.ends, time.Now())
+		seen.crashes = append(seen.crashes, time.Now())
 	}
 }
 
-// StoreTrouble returns after a span in which the store is disturbed: no machine counts as in
-// touch.
+// StoreTrouble marks the store as faulty for a span and returns at its end. Meanwhile no machine
+// counts as connected.
 func (j *Judge) StoreTrouble(span time.Duration) {
 	for end := time.Now().Add(span); time.Now().Before(end); time.Sleep(min(100*time.Millisecond, time.Until(end))) {
 		j.mu.Lock()
-		j.harm.unstable = time.Now()
+		j.harm.storeDisturbed = time.Now()
 		j.mu.Unlock()
 	}
 }
 
-// HeldBackText begins the answer to a request that is held back on suspicion.
+// HeldBackText is the prefix of the response to a request that is rejected because it crashed
+// targets before.
 const HeldBackText = "ends_targets"
 
-// refusedForHarm counts a refusal on suspicion of a request that ends no target; mu
-// is held.
-func (j *Judge) refusedForHarm(req *request, content string) {
+// countFalsePositive counts a rejection of a request that crashes no target. Callers hold mu.
+func (j *Judge) countFalsePositive(req *request, content string) {
 	path, _, _ := strings.Cut(req.uri, "?")
 	if !strings.HasPrefix(content, HeldBackText) {
 		return
@@ -90,40 +90,40 @@
 			return
 		}
 	}
-	j.harm.innocent++
+	j.harm.falsePositives++
 }
 
-// Bounds of the rule on requests that end their targets.
+// Limits for requests that crash their targets.
 const (
-	HarmKnownAfter = 3 // targets that it ended
-	harmRetries    = 3 // arrivals that are allowed later than Contact after that
+	HarmKnownAfter  = 3 // crashes after which nodes must reject it
+	maxLateArrivals = 3 // arrivals allowed once Contact has passed since then
 )
 
-// checkHarm checks the runs of each harmful request; mu is held.
-func (j *Judge) checkHarm() {
+// checkHarmful checks the number of late arrivals of each harmful request. Callers hold mu.
+func (j *Judge) checkHarmful() {
 	for _, seen := range j.harm.requests {
-		if len(seen.ends) < HarmKnownAfter {
+		if len(seen.crashes) < HarmKnownAfter {
 			continue
 		}
-		from, late := seen.ends[HarmKnownAfter-1].Add(Contact), 0
+		from, late := seen.crashes[HarmKnownAfter-1].Add(Contact), 0
 		for _, run := range seen.runs {
-			if run.inTouch && run.at.After(from) {
+			if run.connected && run.at.After(from) {
 				late++
 			}
 		}
-		if late > harmRetries {
-			j.breach("BUDGET", "a request that had ended three targets reached targets in %d more retries; it ended %d", late, len(seen.ends))
+		if late > maxLateArrivals {
+			j.violate("BUDGET", "a request that had crashed three targets reached targets %d more times; it crashed %d", late, len(seen.crashes))
 		}
 	}
 }
 
-// HarmFigures returns how many targets harmful requests ended and how many harmless requests
-// were refused on suspicion.
-func (j *Judge) HarmFigures() (ended, innocent int) {
+// HarmFigures returns the number of crashes caused by harmful requests and the number of harmless
+// requests that were rejected as harmful.
+func (j *Judge) HarmFigures() (crashes, falsePositives int) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	for _, seen := range j.harm.requests {
-		ended += len(seen.ends)
+		crashes += len(seen.crashes)
 	}
-	return ended, j.harm.innocent
+	return crashes, j.harm.falsePositives
 }
--- a/internal/testbed/judge/judge.go
+++ b/internal/testbed/judge/judge.go
@@ -1,12 +1,11 @@
-// Package judge holds what clients and targets of a test saw against the rules that nodes
-// keep: a request that may run once at most does, an answer is whole and one's own, repeats
-// stay within their budget, limits of tenants hold, keys that were taken away let nothing in,
-// requests that end their targets are held back, planned stops cut next to nothing.
+// Package judge checks the observations of test clients and targets against the guarantees of
+// the mesh: non-idempotent requests run at most once, responses are complete and belong to their
+// request, retries stay within the budget, tenant limits and key revocations take effect,
+// requests that crash their targets are rejected, and planned stops cut almost no requests.
 //
-// It owns a record of every request of a day. It relies on being told of each request before
-// it is sent, of each arrival and each answer, and of what disturbs machines, since some rules
-// bear more while a machine is out of touch. It knows no node and asks none. Only tests
-// import it.
+// The judge records every request of a run. It must be told of each request before it is sent,
+// of each arrival and response, and of faults injected into machines, because some rules are
+// relaxed while a machine is disconnected. It never queries a node. Only tests import it.
 package judge
 
 import (
@@ -19,112 +18,112 @@
 	"time"
 )
 
-// Judge checks what clients and targets see. It is safe for concurrent use.
+// Judge checks the observations of clients and targets. It is safe for concurrent use.
 type Judge struct {
-	Drain time.Duration // how long after its acknowledgement a leaving target may be reached
-	Late  time.Duration // added to the bounds of time where nodes are real processes
-
-	mu       sync.Mutex
-	requests map[string]*request
-	drained  map[string]time.Time   // acknowledged, by instance
-	harmed   map[string]time.Time   // when links of a machine were last disturbed, by IP
-	denied   int                    // proper requests that a node answered with a 4xx of its own
-	asks     map[string][]time.Time // requests by service, of clients and of targets
-	repeats  map[string][]time.Time // arrivals beyond the first, by service
-	broken   []string
-	tenancy  tenancy
-	harm     harmSeen
-	stops    stopsSeen
-}
-
-// request is what clients and targets saw of one request id.
+	Drain time.Duration // how long a draining target may still be reached after the acknowledgement
+	Late  time.Duration // added to time limits when nodes are real processes
+
+	mu           sync.Mutex
+	requests     map[string]*request
+	drained      map[string]time.Time   // time of the drain acknowledgement, by instance
+	disturbed    map[string]time.Time   // last fault of a machine, by IP
+	denied       int                    // well-formed requests that a node answered with a 4xx of its own
+	requestTimes map[string][]time.Time // requests from clients and targets, by service
+	repeatTimes  map[string][]time.Time // arrivals of retries, by service
+	violations   []string
+	tenancy      tenancy
+	harm         harmfulState
+	stops        plannedStops
+}
+
+// request holds the observations for one request id.
 type request struct {
-	id      string
-	origin  string // IP of the machine where it began
-	unsafe  bool
-	service string // that may run it
-	caller  string // service of the target on the machine where it began
-	uri     string
-	tries   int // targets that it may reach; 0: no bound
-	runs    []*Run
-	left    time.Time // its client went away
-	denied  bool      // its client got an answer that means that it did not run
-	sent    time.Time // by its client
-	tenant  string    // holder of key
-	key     string
-}
-
-// Run is a request that a target began to run.
+	id          string
+	origin      string // IP of the machine that sent it
+	unsafe      bool
+	service     string // the only service that may run it
+	caller      string // service of the target on the origin machine
+	uri         string
+	maxAttempts int // 0: unlimited
+	runs        []*Run
+	canceledAt  time.Time // when the client disconnected
+	denied      bool      // the client got a response that promises it did not run
+	sent        time.Time // when the client sent it
+	tenant      string    // owner of key
+	key         string
+}
+
+// Run is one execution of a request by a target.
 type Run struct {
 	request   *request
 	status    int
 	signature string
-	harm      string // key of the harmful request that it is; empty: none
+	harm      string // key of the harmful request, empty if harmless
 }
 
-// New makes a judge with a bound for leaving targets.
+// New returns a judge with the given limit for draining targets.
 func New(drain time.Duration) *Judge {
-	return &Judge{Drain: drain, requests: map[string]*request{}, drained: map[string]time.Time{}, harmed: map[string]time.Time{}, asks: map[string][]time.Time{}, repeats: map[string][]time.Time{}, tenancy: tenancy{
-		taken: map[string]time.Time{}, limits: map[string]quotaLimit{}, runs: map[string][]quotaRun{},
-	}, stops: stopsSeen{planned: map[string]time.Time{}}, harm: harmSeen{requests: map[string]*harmfulSeen{}, restarted: map[string]time.Time{}}}
+	return &Judge{Drain: drain, requests: map[string]*request{}, drained: map[string]time.Time{}, disturbed: map[string]time.Time{}, requestTimes: map[string][]time.Time{}, repeatTimes: map[string][]time.Time{}, tenancy: tenancy{
+		revoked: map[string]time.Time{}, limits: map[string]quotaLimit{}, runs: map[string][]quotaRun{},
+	}, stops: plannedStops{planned: map[string]time.Time{}}, harm: harmfulState{requests: map[string]*harmfulRequest{}, restarted: map[string]time.Time{}}}
 }
 
-// breach records that a rule was broken; mu is held.
-func (j *Judge) breach(rule, format string, arguments ...any) {
-	j.broken = append(j.broken, rule+": "+fmt.Sprintf(format, arguments...))
+// violate records a violation of a rule. Callers hold mu.
+func (j *Judge) violate(rule, format string, arguments ...any) {
+	j.violations = append(j.violations, rule+": "+fmt.Sprintf(format, arguments...))
 }
 
-// Broken returns a line for each breach: the rule and what was seen, sorted.
+// Broken returns the violations in sorted order, each as the rule and a description.
 func (j *Judge) Broken() []string {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	sort.Strings(j.broken)
-	return append([]string(nil), j.broken...)
+	sort.Strings(j.violations)
+	return append([]string(nil), j.violations...)
 }
 
-// Expect reports a client's request before it is sent: where it begins, the service that may
-// run it, the service that it is sent for, and how many targets it may reach.
+// Expect registers a client's request before it is sent: the machine that sends it, the service
+// that may run it, the calling service, and the maximum number of attempts.
 func (j *Judge) Expect(id, origin, uri, service, caller string, unsafe bool, tries int) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.requests[id] = &request{id: id, origin: origin, uri: uri, service: service, caller: caller, unsafe: unsafe, tries: tries}
-	j.asks[service] = append(j.asks[service], time.Now())
+	j.requests[id] = &request{id: id, origin: origin, uri: uri, service: service, caller: caller, unsafe: unsafe, maxAttempts: tries}
+	j.requestTimes[service] = append(j.requestTimes[service], time.Now())
 }
 
-// Left reports that the client of a request went away.
+// Left records that the client of a request disconnected.
 func (j *Judge) Left(id string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if req := j.requests[id]; req != nil {
-		req.left = time.Now()
+		req.canceledAt = time.Now()
 	}
 }
 
-// ExpectCall reports a call of a target before it is sent.
+// ExpectCall registers a call made by a target before it is sent.
 func (j *Judge) ExpectCall(id, origin, caller string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.requests[id] = &request{id: id, origin: origin, caller: caller}
 }
 
-// Draining reports that the node of a target acknowledged that the target leaves.
+// Draining records that the node of a target acknowledged the drain.
 func (j *Judge) Draining(instance string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.drained[instance] = time.Now()
 }
 
-// goneSlack is how long after its client left a request may still reach a target.
-const goneSlack = 500 * time.Millisecond
+// cancelSlack is how long a request may still reach a target after its client disconnected.
+const cancelSlack = 500 * time.Millisecond
 
-// Place is where a request arrived.
+// Place identifies the target that received a request.
 type Place struct {
 	Service  string
 	IP       string // of the machine
 	Instance string // of the target
 }
 
-// Declined reports a request that a target turns away: it arrived and did not run.
+// Declined records a request that a target rejected without running it.
 func (j *Judge) Declined(service string, r *http.Request) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -133,7 +132,7 @@
 	}
 }
 
-// Ran reports that a target begins to run a request.
+// Ran records that a target starts to run a request, and checks the rules for it.
 func (j *Judge) Ran(at Place, r *http.Request, body []byte) *Run {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -141,75 +140,74 @@
 	req := j.requests[id]
 	now := time.Now()
 	if req == nil {
-		j.breach("UNASKED", "request %s was sent by no client", id)
+		j.violate("UNASKED", "request %s was not sent by any client", id)
 		req = &request{id: id}
 		j.requests[id] = req
 	}
 	j.countArrival(req, at.Service, now)
 	began := &Run{request: req}
 	req.runs = append(req.runs, began)
-	j.ranFor(req, r, now)
-	j.ranHarmful(began, r, body, now)
+	j.checkTenant(req, r, now)
+	j.recordHarmfulRun(began, r, body, now)
 	if req.unsafe && len(req.runs) > 1 {
-		j.breach("TWICE", "request %s ran %d times", id, len(req.runs))
+		j.violate("TWICE", "request %s ran %d times", id, len(req.runs))
 	}
 	if req.unsafe && req.denied {
-		j.breach("REFUSED", "request %s runs after its client was told that it never will", id)
+		j.violate("REFUSED", "request %s runs after its client was told that it would not", id)
 	}
 	if req.service != "" && req.service != at.Service {
-		j.breach("ROUTE", "request %s for %s runs at %s", id, req.service, at.Service)
+		j.violate("ROUTE", "request %s for %s runs at %s", id, req.service, at.Service)
 	}
 	if req.uri != "" && req.uri != r.RequestURI {
-		j.breach("UNASKED", "request %s runs with %s instead of %s", id, r.RequestURI, req.uri)
+		j.violate("UNASKED", "request %s runs with %s instead of %s", id, r.RequestURI, req.uri)
 	}
 	if caller := r.Header.Get("X-Caller-Service"); req.caller != "" && req.caller != caller {
-		j.breach("UNASKED", "request %s runs as of %q instead of %q", id, caller, req.caller)
+		j.violate("UNASKED", "request %s runs with caller %q instead of %q", id, caller, req.caller)
 	}
-	if req.tries > 0 && len(req.runs) > req.tries {
-		j.breach("BUDGET", "request %s reached %d targets of at most %d", id, len(req.runs), req.tries)
+	if req.maxAttempts > 0 && len(req.runs) > req.maxAttempts {
+		j.violate("BUDGET", "request %s reached %d targets, at most %d allowed", id, len(req.runs), req.maxAttempts)
 	}
 	if j.heldUp(req, at.IP) {
 		return began
 	}
-	if !req.left.IsZero() && now.Sub(req.left) > goneSlack+j.Late {
-		j.breach("GONE", "request %s reaches a target %s after its client left", id, now.Sub(req.left))
+	if !req.canceledAt.IsZero() && now.Sub(req.canceledAt) > cancelSlack+j.Late {
+		j.violate("GONE", "request %s reaches a target %s after its client disconnected", id, now.Sub(req.canceledAt))
 	}
-	if since, leaving := j.drained[at.Instance]; leaving && now.Sub(since) > j.Drain+j.Late {
-		j.breach("DRAIN", "request %s reaches a leaving target %s after the acknowledgement", id, now.Sub(since))
+	if ackedAt, draining := j.drained[at.Instance]; draining && now.Sub(ackedAt) > j.Drain+j.Late {
+		j.violate("DRAIN", "request %s reaches a draining target %s after the acknowledgement", id, now.Sub(ackedAt))
 	}
 	return began
 }
 
-// Contact is how long after a disturbance of its links nothing is expected of a machine in
-// time.
+// Contact is how long a machine is exempt from time limits after a fault.
 const Contact = 3 * time.Second
 
-// Harmed reports that links of a machine are disturbed now, or its node not running.
+// Harmed records that the links of a machine are faulty now or that its node is not running.
 func (j *Judge) Harmed(ip string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.harmed[ip] = time.Now()
+	j.disturbed[ip] = time.Now()
 }
 
-// heldUp reports whether a request may come late because of disturbed links: its time is not
-// checked then. mu is held.
+// heldUp reports whether a fault may have delayed a request, so that its timing is not checked.
+// Callers hold mu.
 func (j *Judge) heldUp(req *request, targetIP string) bool {
 	for _, ip := range []string{req.origin, targetIP} {
-		if at, harmed := j.harmed[ip]; harmed && time.Since(at) < Contact {
+		if at, disturbed := j.disturbed[ip]; disturbed && time.Since(at) < Contact {
 			return true
 		}
 	}
 	return false
 }
 
-// Answered reports the answer that a target sends, which may not arrive.
+// Answered records the response that a target sends. It may be lost on the way.
 func (j *Judge) Answered(run *Run, status int, signature string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	run.status, run.signature = status, signature
 }
 
-// Received reports an answer that a client got whole.
+// Received records a response that a client received completely, and checks it.
 func (j *Judge) Received(id string, status int, signature string, content []byte) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -219,25 +217,25 @@
 	}
 	switch {
 	case status >= 200 && status < 300 && signature != Signature(id, status, content):
-		j.breach("MIXED", "request %s got a success that no target gave", id)
-	case signature != "" && !req.gave(status, signature):
-		j.breach("MIXED", "request %s got status %d, which no target gave with this signature", id, status)
+		j.violate("MIXED", "request %s got a success response that no target sent", id)
+	case signature != "" && !req.answeredWith(status, signature):
+		j.violate("MIXED", "request %s got status %d, which no target sent with this signature", id, status)
 	}
-	if status >= 400 && status < 500 && signature == "" && status != http.StatusTooManyRequests && status != http.StatusRequestTimeout && j.tenancy.taken[req.key].IsZero() {
+	if status >= 400 && status < 500 && signature == "" && status != http.StatusTooManyRequests && status != http.StatusRequestTimeout && j.tenancy.revoked[req.key].IsZero() {
 		j.denied++
 	}
-	j.refusedForHarm(req, string(content))
+	j.countFalsePositive(req, string(content))
 	switch status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
 		req.denied = true
 		if req.unsafe && len(req.runs) > 0 {
-			j.breach("REFUSED", "request %s got %d and has run", id, status)
+			j.violate("REFUSED", "request %s got status %d but has run", id, status)
 		}
 	}
 }
 
-// gave reports whether a target sent this answer.
-func (r *request) gave(status int, signature string) bool {
+// answeredWith reports whether a target sent this response.
+func (r *request) answeredWith(status int, signature string) bool {
 	for _, run := range r.runs {
 		if run.status == status && run.signature == signature {
 			return true
@@ -246,7 +244,7 @@
 	return false
 }
 
-// Signature returns the mark by which an answer is known as that of a target to this request.
+// Signature returns a hash that identifies a target's response to a request.
 func Signature(id string, status int, content []byte) string {
 	sum := fnv.New64a()
 	_, _ = fmt.Fprintf(sum, "%s %d ", id, status)
--- a/internal/testbed/judge/stops.go
+++ b/internal/testbed/judge/stops.go
@@ -2,30 +2,30 @@
 
 import "time"
 
-// stopsSeen is what was seen of requests around planned stops.
-type stopsSeen struct {
+// plannedStops tracks requests that were cut by planned stops.
+type plannedStops struct {
 	planned map[string]time.Time // last SIGTERM, by IP
 	lost    int
 }
 
-// lostAtMost is how many requests may be cut around planned stops in a day.
-const lostAtMost = 3
+// maxLost is how many requests planned stops may cut in a run.
+const maxLost = 3
 
-// Times of a planned stop.
+// Time limits of a planned stop.
 const (
-	StopGrace = 6 * time.Second // between SIGTERM and SIGKILL
-	StopAfter = time.Second     // after it, in which a cut still counts as one of the stop
+	StopGrace = 6 * time.Second // from SIGTERM to SIGKILL
+	StopAfter = time.Second     // after StopGrace, while a cut is still attributed to the stop
 )
 
-// Stopping reports that the node of a machine is asked to stop.
+// Stopping records that the node of a machine receives SIGTERM.
 func (j *Judge) Stopping(ip string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.stops.planned[ip] = time.Now()
 }
 
-// Cut reports that a connection ended before the answer to a request. It counts around planned
-// stops where nothing else has happened to the machine, once the request has reached a target.
+// Cut records that a connection was closed before the response arrived. It counts only if the
+// request has reached a target and its origin machine had a planned stop and no other fault.
 func (j *Judge) Cut(id string, deadline time.Time) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -34,20 +34,20 @@
 		return
 	}
 	at, planned := j.stops.planned[req.origin]
-	if !planned || now.Sub(at) > StopGrace+StopAfter || now.Sub(j.harmed[req.origin]) < Contact+now.Sub(at) {
+	if !planned || now.Sub(at) > StopGrace+StopAfter || now.Sub(j.disturbed[req.origin]) < Contact+now.Sub(at) {
 		return
 	}
 	j.stops.lost++
 }
 
-// checkStops checks how many requests were cut; mu is held.
+// checkStops checks the number of requests cut by planned stops. Callers hold mu.
 func (j *Judge) checkStops() {
-	if j.stops.lost > lostAtMost {
-		j.breach("LOST", "%d requests that a target had begun were cut around planned stops", j.stops.lost)
+	if j.stops.lost > maxLost {
+		j.violate("LOST", "%d requests already running at a target were cut by planned stops", j.stops.lost)
 	}
 }
 
-// LostAroundStops returns the number of requests that were cut around planned stops.
+// LostAroundStops returns the number of requests that were cut by planned stops.
 func (j *Judge) LostAroundStops() int {
 	j.mu.Lock()
 	defer j.mu.Unlock()
