--- a/internal/testbed/fleet/held_test.go
+++ b/internal/testbed/fleet/held_test.go
@@ -22,8 +22,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// statusWith sends a request with a body through the node of a machine and returns the answer.
-func statusWith(m *testbed.Mesh, machine *testbed.Machine, method, uri, body string) (status int, header http.Header, text string) {
+// sendRequest sends a request through the node of a machine and returns the response.
+func sendRequest(m *testbed.Mesh, machine *testbed.Machine, method, uri, body string) (status int, header http.Header, text string) {
 	request, err := http.NewRequest(method, "http://"+machine.Outbound()+uri, strings.NewReader(body))
 	if err != nil {
 		return 0, nil, err.Error()
@@ -43,8 +43,8 @@
 	return response.StatusCode, response.Header, content.String()
 }
 
-// command runs a command of the operators against the mesh's store.
-func command(m *testbed.Mesh, g *WithT, input string, arguments ...string) (string, error) {
+// runCommand runs an operator command against the store of the mesh.
+func runCommand(m *testbed.Mesh, g *WithT, input string, arguments ...string) (string, error) {
 	var output bytes.Buffer
 	application := kingpin.New("landingmast", "")
 	commands := operator.Register(application, &output, operator.Stores{
@@ -59,9 +59,9 @@
 	return output.String(), err
 }
 
-// A request that is held back is refused for good, without being invited back; those that
-// differ from it are served; an operator sees it and lifts it, at all nodes.
-func TestHeldRequestIsSeenAndLifted(t *testing.T) {
+// A held request must be rejected without Retry-After at every node while similar requests are
+// served, and an operator must be able to list it and lift the hold.
+func TestHeldRequestCanBeListedAndLifted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		plan := deployment.WithSpares()
@@ -74,11 +74,11 @@
 		time.Sleep(testbed.Settle)
 		mesh.Harmful.Add("/order/harmful", "bad")
 		for range 5 {
-			statusWith(mesh, mesh.Machines[0], http.MethodPost, "/order/harmful", "bad")
+			sendRequest(mesh, mesh.Machines[0], http.MethodPost, "/order/harmful", "bad")
 			time.Sleep(4 * time.Second)
 		}
 		for _, machine := range mesh.Machines {
-			status, header, text := statusWith(mesh, machine, http.MethodPost, "/order/harmful", "bad")
+			status, header, text := sendRequest(mesh, machine, http.MethodPost, "/order/harmful", "bad")
 			g.Expect(status).To(Equal(http.StatusServiceUnavailable))
 			g.Expect(header.Get("Retry-After")).To(BeEmpty())
 			g.Expect(text).To(Equal(judge.HeldBackText))
@@ -87,7 +87,7 @@
 				{http.MethodPost, "/order/other", "bad"},
 				{http.MethodGet, "/order/harmful", ""},
 			} {
-				status, _, _ = statusWith(mesh, machine, other.method, other.uri, other.body)
+				status, _, _ = sendRequest(mesh, machine, other.method, other.uri, other.body)
 				g.Expect(status).To(Equal(http.StatusOK), "%v", other)
 			}
 		}
@@ -96,7 +96,7 @@
 			Digest, Service, Route string
 			Targets                []string
 		}
-		shown, err := command(mesh, g, "", "--output", "json", "held", "list", "--store", testbed.StoreAddress)
+		shown, err := runCommand(mesh, g, "", "--output", "json", "held", "list", "--store", testbed.StoreAddress)
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(json.Unmarshal([]byte(shown), &held)).To(Succeed())
 		g.Expect(held).To(HaveLen(1))
@@ -104,30 +104,30 @@
 		g.Expect(held[0].Service).To(Equal("middle"))
 		g.Expect(held[0].Route).To(Equal("r/order/"))
 
-		_, err = command(mesh, g, "no\n", "held", "lift", held[0].Digest, "--store", testbed.StoreAddress)
+		_, err = runCommand(mesh, g, "no\n", "held", "lift", held[0].Digest, "--store", testbed.StoreAddress)
 		g.Expect(err).To(MatchError(ContainSubstring("nothing was lifted")))
-		_, err = command(mesh, g, "", "held", "lift", "--yes", strings.Repeat("0", 32), "--store", testbed.StoreAddress)
+		_, err = runCommand(mesh, g, "", "held", "lift", "--yes", strings.Repeat("0", 32), "--store", testbed.StoreAddress)
 		g.Expect(err).To(MatchError(ContainSubstring("remedy")))
-		_, err = command(mesh, g, "", "held", "lift", "--yes", "0a", "--store", testbed.StoreAddress)
+		_, err = runCommand(mesh, g, "", "held", "lift", "--yes", "0a", "--store", testbed.StoreAddress)
 		g.Expect(err).To(MatchError(ContainSubstring("no digest")))
 
 		mesh.Harmful.Remove("/order/harmful", "bad")
-		_, err = command(mesh, g, "yes\n", "held", "lift", held[0].Digest, "--store", testbed.StoreAddress)
+		_, err = runCommand(mesh, g, "yes\n", "held", "lift", held[0].Digest, "--store", testbed.StoreAddress)
 		g.Expect(err).NotTo(HaveOccurred())
 		time.Sleep(2 * time.Second)
 		for _, machine := range mesh.Machines {
-			status, _, _ := statusWith(mesh, machine, http.MethodPost, "/order/harmful", "bad")
+			status, _, _ := sendRequest(mesh, machine, http.MethodPost, "/order/harmful", "bad")
 			g.Expect(status).To(Equal(http.StatusOK))
 		}
 		g.Expect(mesh.Judge.Broken()).To(BeEmpty())
 	})
 }
 
-// costNodes is a third size, which takes long with the race detector.
-var costNodes = flag.Int("cost.nodes", 0, "size of a large mesh for the cost of an end; 0: none")
+// costNodes adds a mesh size that is slow under the race detector.
+var costNodes = flag.Int("cost.nodes", 0, "nodes of an additional large mesh in TestCostOfAnEnd; 0: none")
 
-// What an end costs the store grows with the zones, not with the nodes, and all nodes know of
-// it within contact.
+// Store writes per crash must grow with the number of zones, not nodes, and all nodes must learn
+// of the crashes within judge.Contact.
 func TestCostOfAnEnd(t *testing.T) {
 	for _, tc := range []struct{ nodes, most int }{{15, 10}, {100, 16}, {*costNodes, 16}} {
 		if tc.nodes == 0 {
@@ -137,26 +137,26 @@
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
-				mesh, err := testbed.New(wide(tc.nodes))
+				mesh, err := testbed.New(largePlan(tc.nodes))
 				g.Expect(err).NotTo(HaveOccurred())
 				defer mesh.Close()
 				time.Sleep(testbed.Settle)
 				path := mesh.Plan.Routes[0].Prefix + "harmful"
 				mesh.Harmful.Add(path, "")
 				before := mesh.Store.Writes()
-				for range 3 { // with many nodes, one has no repeat of its own to spend
-					statusWith(mesh, mesh.Machines[0], http.MethodGet, path, "")
+				for range 3 { // in a large mesh a node's retry budget does not cover a retry
+					sendRequest(mesh, mesh.Machines[0], http.MethodGet, path, "")
 				}
 				time.Sleep(judge.Contact)
-				t.Logf("%d nodes: %d writes of the store for three ends", tc.nodes, mesh.Store.Writes()-before)
+				t.Logf("%d nodes: %d store writes for three crashes", tc.nodes, mesh.Store.Writes()-before)
 				g.Expect(mesh.Store.Writes() - before).To(BeNumerically("<=", tc.most))
 				sent := 0
 				for _, machine := range mesh.Machines {
-					if _, _, text := statusWith(mesh, machine, http.MethodGet, path, ""); text != judge.HeldBackText {
+					if _, _, text := sendRequest(mesh, machine, http.MethodGet, path, ""); text != judge.HeldBackText {
 						sent++
 					}
 				}
-				g.Expect(sent).To(BeNumerically("<=", 1)) // where other callers began, one node tries
+				g.Expect(sent).To(BeNumerically("<=", 1)) // one node may try where other callers start
 			})
 		})
 	}
--- a/internal/testbed/fleet/judges_test.go
+++ b/internal/testbed/fleet/judges_test.go
@@ -15,32 +15,32 @@
 	. "github.com/onsi/gomega"
 )
 
-// A judge that finds nothing proves nothing: each rule over a whole day is broken
-// here on purpose.
-func TestJudgeFindsWhatIsBroken(t *testing.T) {
+// The judge must report deliberate violations of the rules that it checks at the end of a run, and
+// only those.
+func TestJudgeReportsViolations(t *testing.T) {
 	for _, tc := range []struct {
-		name  string
-		rule  string // empty: none is broken
-		spoil func(mesh *testbed.Mesh)
+		name   string
+		rule   string // empty: no violation
+		inject func(mesh *testbed.Mesh)
 	}{
 		{"nothing", "", func(*testbed.Mesh) {}},
-		{"repeats within the allowance", "", func(mesh *testbed.Mesh) { arrive(mesh.Judge, 10, 4) }},
-		{"repeats beyond it", "BUDGET", func(mesh *testbed.Mesh) { arrive(mesh.Judge, 10, 8) }},
-		{"proper requests denied", "DENIED", func(mesh *testbed.Mesh) {
+		{"retries within the allowance", "", func(mesh *testbed.Mesh) { reportArrivals(mesh.Judge, 10, 4) }},
+		{"retries beyond the allowance", "BUDGET", func(mesh *testbed.Mesh) { reportArrivals(mesh.Judge, 10, 8) }},
+		{"well-formed requests denied", "DENIED", func(mesh *testbed.Mesh) {
 			for range judge.DeniedAtMost + 1 {
 				mesh.Judge.Expect("r", "10.1.0.1", "/x", "deep", "front", false, 1)
 				mesh.Judge.Received("r", 404, "", nil)
 			}
 		}},
-		{"a harmful request that three targets ended with, sent three times more", "", func(mesh *testbed.Mesh) { endAndSend(mesh.Judge, 3) }},
-		{"sent four times more", "BUDGET", func(mesh *testbed.Mesh) { endAndSend(mesh.Judge, 4) }},
-		{"three requests cut around planned stops", "", func(mesh *testbed.Mesh) { cutAround(mesh.Judge, 3) }},
-		{"four requests cut around planned stops", "LOST", func(mesh *testbed.Mesh) { cutAround(mesh.Judge, 4) }},
+		{"a harmful request sent three more times after three crashes", "", func(mesh *testbed.Mesh) { sendAfterCrashes(mesh.Judge, 3) }},
+		{"a harmful request sent four more times after three crashes", "BUDGET", func(mesh *testbed.Mesh) { sendAfterCrashes(mesh.Judge, 4) }},
+		{"three requests cut by a planned stop", "", func(mesh *testbed.Mesh) { cutDuringStop(mesh.Judge, 3) }},
+		{"four requests cut by a planned stop", "LOST", func(mesh *testbed.Mesh) { cutDuringStop(mesh.Judge, 4) }},
 		{"four requests cut where the node was killed", "", func(mesh *testbed.Mesh) {
 			mesh.Judge.Harmed("10.1.0.1")
-			cutAround(mesh.Judge, 4)
+			cutDuringStop(mesh.Judge, 4)
 		}},
-		{"a configuration that no watch hears of", "CONFIG", func(mesh *testbed.Mesh) {
+		{"a configuration that no watch delivers", "CONFIG", func(mesh *testbed.Mesh) {
 			mesh.Store.Deafen()
 			mesh.Configure(nil)
 		}},
@@ -52,25 +52,25 @@
 				g.Expect(err).NotTo(HaveOccurred())
 				defer mesh.Close()
 				time.Sleep(testbed.Settle)
-				tc.spoil(mesh)
+				tc.inject(mesh)
 				mesh.CheckEnd()
-				broken := mesh.Judge.Broken()
+				violations := mesh.Judge.Broken()
 				if tc.rule == "" {
-					g.Expect(broken).To(BeEmpty())
+					g.Expect(violations).To(BeEmpty())
 					return
 				}
-				g.Expect(broken).NotTo(BeEmpty())
-				for _, one := range broken {
-					g.Expect(strings.HasPrefix(one, tc.rule)).To(BeTrue(), one)
+				g.Expect(violations).NotTo(BeEmpty())
+				for _, violation := range violations {
+					g.Expect(strings.HasPrefix(violation, tc.rule)).To(BeTrue(), violation)
 				}
 			})
 		})
 	}
 }
 
-// endAndSend has a harmful request end three targets and be sent so many times more, later
-// than contact after that.
-func endAndSend(j *judge.Judge, more int) {
+// sendAfterCrashes reports a harmful request that crashes three targets, then more runs of it after
+// judge.Contact.
+func sendAfterCrashes(j *judge.Judge, more int) {
 	j.ExpectHarmful("/deep/harmful", "")
 	for send := range judge.HarmKnownAfter + more {
 		if send == judge.HarmKnownAfter {
@@ -78,34 +78,34 @@
 		}
 		id := "harmful-" + strconv.Itoa(send)
 		j.Expect(id, "10.1.0.2", "/deep/harmful", "deep", "front", false, 1)
-		j.Crashed(j.Ran(judge.Place{Service: "deep", IP: "10.1.0.1"}, requestFor("/deep/harmful", id), nil))
+		j.Crashed(j.Ran(judge.Place{Service: "deep", IP: "10.1.0.1"}, newRequest("/deep/harmful", id), nil))
 	}
 }
 
-// requestFor is a request as it arrives at a target.
-func requestFor(path, id string) *http.Request {
+// newRequest returns a request as a target receives it.
+func newRequest(path, id string) *http.Request {
 	request, _ := http.ReadRequest(bufio.NewReader(strings.NewReader("GET " + path + " HTTP/1.1\r\nHost: h\r\nX-Request-Id: " + id + "\r\nX-Caller-Service: front\r\n\r\n")))
 	return request
 }
 
-// cutAround has requests that a target had begun be cut while their node stops as planned.
-func cutAround(j *judge.Judge, requests int) {
+// cutDuringStop reports running requests that are cut by a planned stop of their node.
+func cutDuringStop(j *judge.Judge, requests int) {
 	j.Stopping("10.1.0.1")
 	for number := range requests {
 		id := "cut-" + strconv.Itoa(number)
 		j.Expect(id, "10.1.0.1", "/deep/x", "deep", "front", false, 1)
-		j.Ran(judge.Place{Service: "deep", IP: "10.1.0.2"}, requestFor("/deep/x", id), nil)
+		j.Ran(judge.Place{Service: "deep", IP: "10.1.0.2"}, newRequest("/deep/x", id), nil)
 		j.Cut(id, time.Now().Add(time.Second))
 	}
 }
 
-// arrive has requests reach a target several times each.
-func arrive(j *judge.Judge, requests, times int) {
+// reportArrivals reports requests that each reach a target several times.
+func reportArrivals(j *judge.Judge, requests, times int) {
 	for i := range requests {
 		id := string(rune('a' + i))
 		j.Expect(id, "10.1.0.1", "/x", "deep", "front", false, times)
 		for range times {
-			j.Ran(judge.Place{Service: "deep", IP: "10.1.0.1"}, requestFor("/x", id), nil)
+			j.Ran(judge.Place{Service: "deep", IP: "10.1.0.1"}, newRequest("/x", id), nil)
 		}
 	}
 }
--- a/internal/testbed/fleet/keys_test.go
+++ b/internal/testbed/fleet/keys_test.go
@@ -19,22 +19,22 @@
 	. "github.com/onsi/gomega"
 )
 
-// withTenants is the small mesh with some tenants, whose limits lie far beyond what they send.
+// withTenants returns the small mesh with tenants that stay far below their limits.
 func withTenants(count int) deployment.Plan {
 	plan := deployment.ThreeDeep()
 	plan.Tenants = deployment.Tenants(count, 200, 100)
 	return plan
 }
 
-// Clients with keys are served, targets see whose the requests are and no key, and no log
-// has one.
+// Requests with keys must be served and attributed to their tenant, and keys must reach neither
+// targets nor logs.
 func TestRequestsBelongToTheHolderOfTheirKey(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
 	plan := withTenants(6)
-	logs := &output{}
+	logs := &logBuffer{}
 	plan.Output = logs
-	mesh := play(t, plan, 8*time.Second, nil)
+	mesh := runMesh(t, plan, 8*time.Second, nil)
 	g.Expect(mesh.Judge.Broken()).To(BeEmpty())
 	for _, prefix := range []string{"/front/", "/order/", "/deep/"} {
 		g.Expect(mesh.Tally.Share(prefix)).To(BeNumerically(">", 0.99), "%s: %v", prefix, mesh.Tally.Status)
@@ -43,7 +43,7 @@
 	g.Expect(strings.Count(logs.String(), `"tenant":"tenant`)).To(BeNumerically(">", 20))
 }
 
-func TestWhoHoldsNoKeyIsTurnedAway(t *testing.T) {
+func TestRequestWithoutValidKeyIsRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		plan := withTenants(2)
@@ -64,18 +64,18 @@
 			{"no key on a public route", "/open/x", "", http.StatusOK},
 			{"an unknown key on a public route", "/open/x", "key-nobody", http.StatusOK},
 		} {
-			g.Expect(statusOf(mesh, machine, tc.uri, tc.key)).To(Equal(tc.want), tc.name)
+			g.Expect(statusWithKey(mesh, machine, tc.uri, tc.key)).To(Equal(tc.want), tc.name)
 		}
 		mesh.TakeKey(0, 0)
 		time.Sleep(judge.RevokeBound)
-		g.Expect(statusOf(mesh, machine, "/deep/x", "key-tenant0-a")).To(Equal(http.StatusUnauthorized))
-		g.Expect(statusOf(mesh, machine, "/deep/x", "key-tenant0-b")).To(Equal(http.StatusOK))
+		g.Expect(statusWithKey(mesh, machine, "/deep/x", "key-tenant0-a")).To(Equal(http.StatusUnauthorized))
+		g.Expect(statusWithKey(mesh, machine, "/deep/x", "key-tenant0-b")).To(Equal(http.StatusOK))
 		g.Expect(mesh.Judge.Broken()).To(BeEmpty())
 	})
 }
 
-// Keys that are taken away stay taken at every node, whatever keeps it from the store and
-// from the others: the judge counts for all machines.
+// A revoked key must stay revoked at every node, also at nodes that reach neither the store nor
+// their peers.
 func TestKeysTakenAwayStayTaken(t *testing.T) {
 	cutFromStore := func(mesh *testbed.Mesh, machines []*testbed.Machine, cut bool) {
 		for _, machine := range machines {
@@ -85,11 +85,11 @@
 	}
 	for _, tc := range []struct {
 		name  string
-		least float64 // share served
+		least float64 // minimum served share
 		begin func(mesh *testbed.Mesh, chosen []*testbed.Machine)
 		end   func(mesh *testbed.Mesh, chosen []*testbed.Machine)
 	}{
-		{"the store turns some away", 0.7, func(mesh *testbed.Mesh, chosen []*testbed.Machine) {
+		{"the store refuses some nodes", 0.7, func(mesh *testbed.Mesh, chosen []*testbed.Machine) {
 			mesh.Store.Set(func(s *store.Store) {
 				for _, machine := range chosen {
 					s.Refuse[machine.IP] = true
@@ -99,15 +99,15 @@
 			mesh.Store.Set(func(s *store.Store) { clear(s.Refuse) })
 		}},
 		{
-			"some are cut from the store", 0.7, func(mesh *testbed.Mesh, chosen []*testbed.Machine) { cutFromStore(mesh, chosen, true) },
+			"some nodes are cut from the store", 0.7, func(mesh *testbed.Mesh, chosen []*testbed.Machine) { cutFromStore(mesh, chosen, true) },
 			func(mesh *testbed.Mesh, chosen []*testbed.Machine) { cutFromStore(mesh, chosen, false) },
 		},
-		{"some are cut from the store and the others", 0, func(mesh *testbed.Mesh, chosen []*testbed.Machine) {
+		{"some nodes are cut from the store and their peers", 0, func(mesh *testbed.Mesh, chosen []*testbed.Machine) {
 			cutFromStore(mesh, chosen, true)
 			trouble.CutFromOthers(mesh, chosen, 9*time.Second)
 		}, func(mesh *testbed.Mesh, chosen []*testbed.Machine) { cutFromStore(mesh, chosen, false) }},
 		{
-			"the store's watches hear nothing", 0.7, func(mesh *testbed.Mesh, _ []*testbed.Machine) { mesh.Store.Deafen() },
+			"the store's watches deliver nothing", 0.7, func(mesh *testbed.Mesh, _ []*testbed.Machine) { mesh.Store.Deafen() },
 			func(mesh *testbed.Mesh, _ []*testbed.Machine) { mesh.Store.Compact() },
 		},
 		{
@@ -120,7 +120,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
 			g := NewWithT(t)
-			mesh := play(t, withTenants(4), 14*time.Second, func(mesh *testbed.Mesh) {
+			mesh := runMesh(t, withTenants(4), 14*time.Second, func(mesh *testbed.Mesh) {
 				chosen := mesh.Some(rand.New(rand.NewPCG(5, 6)), 0.35)
 				time.Sleep(time.Second)
 				done := make(chan struct{})
@@ -141,12 +141,11 @@
 	}
 }
 
-// A store that is away for less than the time in which keys are revoked costs no request with a
-// key.
-func TestShortTroubleOfTheStoreCostsNothing(t *testing.T) {
+// A store outage shorter than the revocation bound must not fail requests with keys.
+func TestShortStoreOutageCostsNoRequests(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
-	mesh := play(t, withTenants(4), 8*time.Second, func(mesh *testbed.Mesh) {
+	mesh := runMesh(t, withTenants(4), 8*time.Second, func(mesh *testbed.Mesh) {
 		time.Sleep(2 * time.Second)
 		mesh.Store.Set(func(s *store.Store) { s.Down = true })
 		time.Sleep(3 * time.Second)
@@ -156,8 +155,8 @@
 	g.Expect(mesh.Tally.Share("/front/")).To(BeNumerically(">", 0.99), "%v", mesh.Tally.Status)
 }
 
-// statusOf sends a request with a key and returns the status; 0: no answer.
-func statusOf(m *testbed.Mesh, machine *testbed.Machine, uri, key string) int {
+// statusWithKey sends a request with a key and returns the status, or 0 without a response.
+func statusWithKey(m *testbed.Mesh, machine *testbed.Machine, uri, key string) int {
 	request, err := http.NewRequest(http.MethodGet, "http://"+machine.Outbound()+uri, nil)
 	if err != nil {
 		return 0
--- a/internal/testbed/fleet/quota_test.go
+++ b/internal/testbed/fleet/quota_test.go
@@ -13,9 +13,9 @@
 	. "github.com/onsi/gomega"
 )
 
-// hotTenant is the small mesh with a tenant that sends far more than its limit beside
-// others that stay below theirs.
-func hotTenant() deployment.Plan {
+// withOverLimitTenant returns the small mesh with one tenant far above its limit and others below
+// theirs.
+func withOverLimitTenant() deployment.Plan {
 	plan := deployment.ThreeDeep()
 	plan.Tenants = deployment.Tenants(4, 40, 20)
 	plan.Tenants[0].Share = 6
@@ -26,27 +26,27 @@
 	return plan
 }
 
-// A tenant's limit holds over all nodes, and its excess costs the others nothing.
+// A tenant's limit must hold across all nodes without affecting other tenants.
 func TestLimitHoldsOverAllNodes(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
-	mesh := play(t, hotTenant(), 12*time.Second, nil)
+	mesh := runMesh(t, withOverLimitTenant(), 12*time.Second, nil)
 	g.Expect(mesh.Judge.Broken()).To(BeEmpty())
 	ran := mesh.Judge.RanOf("tenant0")
-	g.Expect(ran).To(BeNumerically(">", 0.9*40*12), "what lies below the limit is let in")
+	g.Expect(ran).To(BeNumerically(">", 0.9*40*12), "requests below the limit are admitted")
 	for _, other := range []string{"tenant1", "tenant2", "tenant3"} {
 		g.Expect(mesh.Judge.ShareOf(other)).To(BeNumerically(">", 0.97), other)
 	}
 }
 
-// The limit holds in every trouble, also where keepers go and come, and the tenants below
-// theirs are served afterwards.
+// The limit must hold under every fault, also when shard owners change, and tenants below their
+// limit must still be served.
 func TestLimitHoldsInTrouble(t *testing.T) {
 	for _, kind := range append(trouble.All(), trouble.Kind{Name: "all restart", Play: func(mesh *testbed.Mesh, _ *rand.Rand) { testbed.KillAndRestart(mesh.Machines) }}) {
 		t.Run(kind.Name, func(t *testing.T) {
 			t.Parallel()
 			g := NewWithT(t)
-			mesh := play(t, hotTenant(), 12*time.Second, func(mesh *testbed.Mesh) {
+			mesh := runMesh(t, withOverLimitTenant(), 12*time.Second, func(mesh *testbed.Mesh) {
 				time.Sleep(2 * time.Second)
 				kind.Play(mesh, rand.New(rand.NewPCG(1, 2)))
 			})
@@ -56,18 +56,18 @@
 	}
 }
 
-// A limit that is lowered far below what its tenant sends is in force in time.
-func TestLoweredLimitIsInForce(t *testing.T) {
+// A limit lowered far below the tenant's request rate must take effect in time.
+func TestLoweredLimitTakesEffect(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
 	var from time.Time
-	mesh := play(t, hotTenant(), 14*time.Second, func(mesh *testbed.Mesh) {
+	mesh := runMesh(t, withOverLimitTenant(), 14*time.Second, func(mesh *testbed.Mesh) {
 		time.Sleep(3 * time.Second)
 		mesh.Retenant(func(tenants []deployment.Tenant) []deployment.Tenant {
 			tenants[0].Rate, tenants[0].Burst = 10, 5
 			return tenants
 		})
-		from = time.Now().Add(configBound)
+		from = time.Now().Add(limitChangeBound)
 	})
 	g.Expect(mesh.Judge.Broken()).To(BeEmpty())
 	inWindow, late := mesh.Judge.RanSince("tenant0", from)
@@ -75,20 +75,20 @@
 	g.Expect(late).To(BeNumerically(">", 50))
 }
 
-// configBound is the time after which the lowered limit counts.
-const configBound = 2500 * time.Millisecond
+// limitChangeBound is how long a lowered limit may take to apply.
+const limitChangeBound = 2500 * time.Millisecond
 
-// After all nodes have restarted, also where some machines went for good before, tenants
-// are served within two seconds.
+// Tenants must be served within two seconds of a restart of all nodes, also when some machines
+// were removed before.
 func TestLimitedTenantsAreServedSoonAfterARestartOfAll(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
-	plan := wide(20)
+	plan := largePlan(20)
 	plan.Tenants = deployment.Tenants(6, 200, 100)
 	for index := range plan.Routes {
 		plan.Routes[index].PerSecond = 100
 	}
-	mesh := play(t, plan, 20*time.Second, func(mesh *testbed.Mesh) {
+	mesh := runMesh(t, plan, 20*time.Second, func(mesh *testbed.Mesh) {
 		time.Sleep(2 * time.Second)
 		for _, machine := range mesh.Machines[:3] {
 			mesh.Network.Dark(machine.IP, true)
@@ -109,13 +109,13 @@
 	g.Expect(mesh.Judge.Broken()).To(BeEmpty())
 }
 
-// Keepers whose right ran out while the store was away go on when it is back and has kept
-// their leases: nobody else can take over before those end.
+// Shard owners whose lease expired locally during a store outage must resume when the store comes
+// back with their leases, since no other node can take over until those expire.
 func TestKeepersGoOnWhenTheStoreKeptTheirLeases(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
 	plan := withTenants(4)
-	mesh := play(t, plan, 16*time.Second, func(mesh *testbed.Mesh) {
+	mesh := runMesh(t, plan, 16*time.Second, func(mesh *testbed.Mesh) {
 		const away = 8 * time.Second
 		time.Sleep(2 * time.Second)
 		mesh.Store.Set(func(s *store.Store) { s.Down = true })
--- a/internal/testbed/fleet/randomdays_test.go
+++ b/internal/testbed/fleet/randomdays_test.go
@@ -11,19 +11,19 @@
 	"github.com/landingmast/landingmast/internal/testbed/trouble"
 )
 
-// The number of drawn days and the first seed: `make days` plays 200.
+// Flags of TestRandomDays; `make days` sets them.
 var (
-	days      = flag.Int("days", 5, "random days to play")
-	firstSeed = flag.Uint64("seed", 1, "seed of the first day")
+	days      = flag.Int("days", 5, "random scenarios to run")
+	firstSeed = flag.Uint64("seed", 1, "seed of the first scenario")
 )
 
-// Days of random troubles in random deployments break no rule.
+// Random faults in random deployments must not break any rule.
 func TestRandomDays(t *testing.T) {
 	for number := range *days {
 		day := trouble.Draw(*firstSeed + uint64(number))
 		t.Run(fmt.Sprintf("seed-%d", day.Seed), func(t *testing.T) {
 			t.Parallel()
-			mesh := playDay(t, day)
+			mesh := runDay(t, day)
 			asked, served := 0, 0
 			for _, count := range mesh.Tally.Asked {
 				asked += count
@@ -31,19 +31,19 @@
 			for _, count := range mesh.Tally.Served {
 				served += count
 			}
-			ended, innocent := mesh.Judge.HarmFigures()
-			t.Logf("asked %d, served %.3f, %d targets ended, %d harmless refused on suspicion; %s", asked, float64(served)/float64(max(asked, 1)), ended, innocent, day.Describe())
-			for _, broken := range mesh.Judge.Broken() {
-				t.Error(broken)
+			ended, falsePositives := mesh.Judge.HarmFigures()
+			t.Logf("%d requests, served %.3f, %d crashes by harmful requests, %d harmless requests rejected; %s", asked, float64(served)/float64(max(asked, 1)), ended, falsePositives, day.Describe())
+			for _, violation := range mesh.Judge.Broken() {
+				t.Error(violation)
 			}
 		})
 	}
 }
 
-// playDay plays a day in virtual time and returns the mesh as it ended.
-func playDay(t *testing.T, day trouble.Day) *testbed.Mesh {
+// runDay runs a scenario in virtual time and returns its final mesh.
+func runDay(t *testing.T, day trouble.Day) *testbed.Mesh {
 	t.Helper()
-	var played *testbed.Mesh
+	var result *testbed.Mesh
 	synctest.Test(t, func(t *testing.T) {
 		mesh, err := testbed.New(day.Plan)
 		if err != nil {
@@ -53,7 +53,7 @@
 		time.Sleep(testbed.Settle)
 		day.Play(mesh)
 		mesh.CheckEnd()
-		played = mesh
+		result = mesh
 	})
-	return played
+	return result
 }
--- a/internal/testbed/fleet/records_test.go
+++ b/internal/testbed/fleet/records_test.go
@@ -12,11 +12,11 @@
 	. "github.com/onsi/gomega"
 )
 
-// recorded counts the records of nodes that the store has.
-func recorded(m *testbed.Mesh) int { return m.Store.Count(platform.NodePrefix) }
+// countNodeRecords returns the number of node records in the store.
+func countNodeRecords(m *testbed.Mesh) int { return m.Store.Count(platform.NodePrefix) }
 
-// revoke takes the records of some machines away; no call of theirs shows it.
-func revoke(m *testbed.Mesh, machines []*testbed.Machine) {
+// deleteNodeRecords deletes the records of machines without notifying them.
+func deleteNodeRecords(m *testbed.Mesh, machines []*testbed.Machine) {
 	keys := make([]string, 0, len(machines))
 	for _, machine := range machines {
 		keys = append(keys, platform.NodePrefix+"node-"+machine.IP)
@@ -24,36 +24,36 @@
 	m.Store.Revoke(keys)
 }
 
-// returnBound is the time in which records have to be back after the store's return.
-const returnBound = 2 * time.Second
+// recordRecoveryBound is how long nodes may take to write their records again.
+const recordRecoveryBound = 2 * time.Second
 
-// Records that went while the store was away, or that it took away from some
-// machines, are back within two seconds. No node is forgotten that lives.
+// Nodes must write their records again within two seconds after the store lost them, and live
+// nodes must stay members.
 func TestLostRecordsComeBack(t *testing.T) {
 	const nodes = 30
 	for _, tc := range []struct {
 		name string
 		play func(mesh *testbed.Mesh, chosen []*testbed.Machine)
 	}{
-		{"leases run out while the store is away", func(mesh *testbed.Mesh, _ []*testbed.Machine) {
+		{"leases expire while the store is down", func(mesh *testbed.Mesh, _ []*testbed.Machine) {
 			mesh.Store.Set(func(s *store.Store) { s.Down = true })
 			time.Sleep(4 * time.Second)
 			mesh.Store.EndLeases()
 			mesh.Store.Set(func(s *store.Store) { s.Down = false })
 		}},
-		{"records taken away", func(mesh *testbed.Mesh, chosen []*testbed.Machine) { revoke(mesh, chosen) }},
-		{"records of machines taken away that are turned away", func(mesh *testbed.Mesh, chosen []*testbed.Machine) {
+		{"records deleted", func(mesh *testbed.Mesh, chosen []*testbed.Machine) { deleteNodeRecords(mesh, chosen) }},
+		{"records of machines that the store refuses deleted", func(mesh *testbed.Mesh, chosen []*testbed.Machine) {
 			mesh.Store.Set(func(s *store.Store) {
 				for _, machine := range chosen {
 					s.Refuse[machine.IP] = true
 				}
 			})
-			revoke(mesh, chosen)
+			deleteNodeRecords(mesh, chosen)
 			time.Sleep(9 * time.Second)
 			mesh.Store.Set(func(s *store.Store) { clear(s.Refuse) })
 		}},
-		{"all restart after their records were taken away", func(mesh *testbed.Mesh, _ []*testbed.Machine) {
-			revoke(mesh, mesh.Machines)
+		{"all restart after their records were deleted", func(mesh *testbed.Mesh, _ []*testbed.Machine) {
+			deleteNodeRecords(mesh, mesh.Machines)
 			testbed.KillAndRestart(mesh.Machines)
 		}},
 	} {
@@ -61,14 +61,14 @@
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
-				mesh, err := testbed.New(wide(nodes))
+				mesh, err := testbed.New(largePlan(nodes))
 				g.Expect(err).NotTo(HaveOccurred())
 				defer mesh.Close()
 				time.Sleep(testbed.Settle)
-				g.Expect(recorded(mesh)).To(Equal(nodes))
+				g.Expect(countNodeRecords(mesh)).To(Equal(nodes))
 				tc.play(mesh, mesh.Some(rand.New(rand.NewPCG(3, 4)), 0.35))
-				time.Sleep(returnBound)
-				g.Expect(recorded(mesh)).To(Equal(nodes))
+				time.Sleep(recordRecoveryBound)
+				g.Expect(countNodeRecords(mesh)).To(Equal(nodes))
 				for _, machine := range mesh.Machines {
 					g.Expect(machine.Peers()).To(Equal(nodes-1), machine.IP)
 				}
@@ -77,39 +77,38 @@
 	}
 }
 
-// A record that stays missing counts as gone, whoever answers at the address: the
-// store takes it away again as often as it is written.
-func TestNodeWhoseRecordStaysMissingIsGone(t *testing.T) {
+// A node whose record stays missing must be removed by its peers, and must rejoin once it is
+// reachable again.
+func TestNodeWithoutRecordIsRemoved(t *testing.T) {
 	const nodes = 30
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		mesh, err := testbed.New(wide(nodes))
+		mesh, err := testbed.New(largePlan(nodes))
 		g.Expect(err).NotTo(HaveOccurred())
 		defer mesh.Close()
 		time.Sleep(testbed.Settle)
 		lost := mesh.Machines[:1]
 		mesh.Network.Dark(lost[0].IP, true)
-		revoke(mesh, lost)
+		deleteNodeRecords(mesh, lost)
 		time.Sleep(4 * time.Second)
 		for _, machine := range mesh.Machines[1:] {
 			g.Expect(machine.Peers()).To(Equal(nodes-2), machine.IP)
 		}
 		mesh.Network.Dark(lost[0].IP, false)
 		time.Sleep(4 * time.Second)
-		g.Expect(recorded(mesh)).To(Equal(nodes), "it comes back when it is told that it is gone")
+		g.Expect(countNodeRecords(mesh)).To(Equal(nodes), "the node must rejoin when it learns that it was removed")
 		for _, machine := range mesh.Machines[1:] {
 			g.Expect(machine.Peers()).To(Equal(nodes-1), machine.IP)
 		}
 	})
 }
 
-// The calls of all nodes grow with their number, not with its square. Found on
-// nsm-mast-large: 20 calls a node on a calm day and 80 when all stop in turn, since
-// each record that changed woke the watches of all.
+// Store calls must grow linearly with the number of nodes. Guards against every node watching
+// every record.
 func TestStoreCallsGrowWithTheFleet(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
-		most    float64 // calls a node, at every size
+		most    float64 // calls per node, at every size
 		disturb func(mesh *testbed.Mesh)
 	}{
 		{"quiet", 2, func(*testbed.Mesh) { time.Sleep(30 * time.Second) }},
@@ -121,7 +120,7 @@
 			}
 			time.Sleep(2 * time.Second)
 		}},
-		{"configurations in a row", 4, func(mesh *testbed.Mesh) {
+		{"successive configurations", 4, func(mesh *testbed.Mesh) {
 			for range 10 {
 				mesh.Configure(nil)
 				time.Sleep(330 * time.Millisecond)
@@ -133,7 +132,7 @@
 				t.Parallel()
 				synctest.Test(t, func(t *testing.T) {
 					g := NewWithT(t)
-					mesh, err := testbed.New(wide(nodes))
+					mesh, err := testbed.New(largePlan(nodes))
 					g.Expect(err).NotTo(HaveOccurred())
 					defer mesh.Close()
 					time.Sleep(testbed.Settle)
@@ -147,15 +146,15 @@
 	}
 }
 
-// A configuration is in force in time though the nodes that follow the store die,
-// are cut off from it or turned away with it.
+// A configuration must reach all nodes in time when the nodes that watch the store are killed,
+// disconnected or refused.
 func TestConfigurationReachesAllWithoutItsFollowers(t *testing.T) {
 	const nodes = 30
 	for _, tc := range []struct {
-		name string
-		harm func(mesh *testbed.Mesh, chosen []*testbed.Machine)
+		name    string
+		disable func(mesh *testbed.Mesh, chosen []*testbed.Machine)
 	}{
-		{"followers die", func(_ *testbed.Mesh, chosen []*testbed.Machine) {
+		{"followers are killed", func(_ *testbed.Mesh, chosen []*testbed.Machine) {
 			for _, machine := range chosen {
 				machine.Kill()
 			}
@@ -166,12 +165,12 @@
 				mesh.Network.Cut(testbed.StoreHost, machine.IP, true)
 			}
 		}},
-		{"followers fall silent", func(mesh *testbed.Mesh, chosen []*testbed.Machine) {
+		{"followers are unreachable", func(mesh *testbed.Mesh, chosen []*testbed.Machine) {
 			for _, machine := range chosen {
 				mesh.Network.Dark(machine.IP, true)
 			}
 		}},
-		{"one zone is turned away", func(mesh *testbed.Mesh, _ []*testbed.Machine) {
+		{"the store refuses one zone", func(mesh *testbed.Mesh, _ []*testbed.Machine) {
 			mesh.Store.Set(func(s *store.Store) {
 				for _, machine := range mesh.Machines {
 					if machine.Zone == "a" {
@@ -186,13 +185,13 @@
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
-				mesh, err := testbed.New(wide(nodes))
+				mesh, err := testbed.New(largePlan(nodes))
 				g.Expect(err).NotTo(HaveOccurred())
 				defer mesh.Close()
 				time.Sleep(testbed.Settle)
 				chosen := mesh.Followers()
 				g.Expect(len(chosen)).To(BeNumerically("<=", 8))
-				tc.harm(mesh, chosen)
+				tc.disable(mesh, chosen)
 				mesh.Configure(nil)
 				time.Sleep(applyBound)
 				harmed := map[*testbed.Machine]bool{}
--- a/internal/testbed/fleet/scale_test.go
+++ b/internal/testbed/fleet/scale_test.go
@@ -15,9 +15,9 @@
 	. "github.com/onsi/gomega"
 )
 
-// wide is a mesh of many nodes without traffic. The store's rate for each node is
-// that of 300 machines on a store that serves 2,000 reads a second.
-func wide(nodes int) deployment.Plan {
+// largePlan returns a deployment of many nodes without traffic. The store's rate per node is that of
+// 300 machines on a store that serves 2,000 reads per second.
+func largePlan(nodes int) deployment.Plan {
 	plan := deployment.Plan{
 		Zones: []string{"a", "b", "c", "d"}, Delay: time.Millisecond, Services: map[string]deployment.Service{},
 		ReadsPerSecond: nodes * 2000 / 300,
@@ -34,18 +34,18 @@
 	return plan
 }
 
-// applyBound is the time in which a configuration has to be in force.
+// applyBound is how long a configuration may take to be applied.
 const applyBound = 2 * time.Second
 
-// Changes in quick succession, and a restart of most nodes, stay below the store's
-// rate, and the last change is in force in time.
+// Rapid configuration changes and mass restarts must stay below the store's rate limit, and the
+// last change must be applied in time.
 func TestStoreRateHoldsAtScale(t *testing.T) {
 	const nodes = 60
 	for _, tc := range []struct {
 		name    string
 		disturb func(mesh *testbed.Mesh, random *rand.Rand)
 	}{
-		{"storm of configurations", func(mesh *testbed.Mesh, random *rand.Rand) {
+		{"rapid configuration changes", func(mesh *testbed.Mesh, random *rand.Rand) {
 			for range 60 {
 				trouble.NewRoute(mesh, random)
 				time.Sleep(60 * time.Millisecond)
@@ -66,7 +66,7 @@
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
-				mesh, err := testbed.New(wide(nodes))
+				mesh, err := testbed.New(largePlan(nodes))
 				g.Expect(err).NotTo(HaveOccurred())
 				defer mesh.Close()
 				time.Sleep(testbed.Settle)
--- a/internal/testbed/fleet/shortage_test.go
+++ b/internal/testbed/fleet/shortage_test.go
@@ -10,9 +10,9 @@
 	. "github.com/onsi/gomega"
 )
 
-// tenCalls is a mesh with a shortage deep down: a list makes ten calls in a row to
-// the deepest service, which can serve 80 lists a second beside the orders.
-func tenCalls(listsPerSecond float64) deployment.Plan {
+// fanOutPlan returns a deployment with a bottleneck in its last service: each list makes ten calls
+// in sequence to it, and it can serve 80 lists per second in addition to the orders.
+func fanOutPlan(listsPerSecond float64) deployment.Plan {
 	call := func(times int) []target.Call {
 		return []target.Call{{Host: deployment.Host, Path: "/deep/x", Times: times}}
 	}
@@ -31,23 +31,23 @@
 	}
 }
 
-// Under a real shortage what is let in ends, what is most important is served whole,
-// and the rest is refused at once; without one nothing is refused. Found on
-// cphx-claims-large scale-1: nine in ten lists were let in and failed.
-func TestShortageDeepDownIsRefusedWhereTheChainStarts(t *testing.T) {
+// Under overload, admitted requests must complete, high-priority requests must be served and the
+// rest refused at the entry node; below capacity almost none may be refused. Guards against
+// admitting requests whose later calls fail.
+func TestBackendOverloadIsRefusedAtTheEntryNode(t *testing.T) {
 	for _, tc := range []struct {
 		name            string
-		lists           float64 // a second
-		served, orders  float64 // least shares
-		refused, failed float64 // most of all answers that clients got
+		lists           float64 // per second
+		served, orders  float64 // minimum shares
+		refused, failed float64 // maximum shares of all responses
 	}{
-		{"half of what can be served", 40, 0.99, 0.99, 0.002, 0.01},
-		{"twice as much", 160, 0.4, 0.97, 1, 0.05},
+		{"half of capacity", 40, 0.99, 0.99, 0.002, 0.01},
+		{"twice the capacity", 160, 0.4, 0.97, 1, 0.05},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
 			g := NewWithT(t)
-			mesh := play(t, tenCalls(tc.lists), 12*time.Second, nil)
+			mesh := runMesh(t, fanOutPlan(tc.lists), 12*time.Second, nil)
 			g.Expect(mesh.Judge.Broken()).To(BeEmpty())
 			answers, refused := 0, mesh.Tally.Status[503]
 			for _, count := range mesh.Tally.Status {
@@ -63,19 +63,18 @@
 	}
 }
 
-// A deep service turns half of its calls away at all targets though it is free. Chains of
-// four calls end only if all of them do: the budget of repeats goes to some of them whole,
-// the most important first. Found on masr-claims scale-1, 13 to 21.5 s.
+// When idle targets decline half of their calls, the retry budget must be spent on complete chains
+// in order of priority, because a chain succeeds only if all of its calls do.
 func TestDeclinedCallsAreRepeatedForSomeChainsWhole(t *testing.T) {
 	g := NewWithT(t)
-	plan := tenCalls(40)
+	plan := fanOutPlan(40)
 	front := plan.Services["front"]
 	front.Works[0].Calls[0].Times = 4
 	front.Works = append(front.Works, target.Work{Prefix: "/order/", Time: 30 * time.Millisecond, Bytes: 500, Calls: front.Works[0].Calls})
 	plan.Services["front"] = front
 	plan.Routes[1].Service = "front"
 	plan.Routes[0].PerSecond, plan.Routes[1].PerSecond = 80, 15
-	mesh := play(t, plan, 10*time.Second, func(mesh *testbed.Mesh) {
+	mesh := runMesh(t, plan, 10*time.Second, func(mesh *testbed.Mesh) {
 		for _, machine := range mesh.Machines {
 			if machine.Target.Service == "deep" {
 				machine.Target.SetFaults(target.Faults{Decline: 0.55})
@@ -84,20 +83,19 @@
 	})
 	t.Logf("lists %.2f served, orders %.2f, answers %v", mesh.Tally.Share("/list/"), mesh.Tally.Share("/order/"), mesh.Tally.Status)
 	g.Expect(mesh.Judge.Broken()).To(BeEmpty())
-	g.Expect(mesh.Tally.Share("/order/")).To(BeNumerically(">=", 0.15), "0.06 to 0.13 without the ration")
+	g.Expect(mesh.Tally.Share("/order/")).To(BeNumerically(">=", 0.15), "retries must go to whole chains by priority")
 }
 
-// A burst where the route's time is up before its objective: a chain whose time
-// ran out tells nothing of its waits, and its window must not grow for that. Found on
-// masr-claims-grown scale-1, where 8,500 of 15,200 claims were let in and failed.
-func TestChainsWhoseTimeRunsOutAreNotBegun(t *testing.T) {
+// In a burst on a route whose timeout is shorter than its objective, chains that time out must not
+// grow the concurrency window. Guards against admitting requests that then time out.
+func TestChainsThatWouldTimeOutAreNotStarted(t *testing.T) {
 	g := NewWithT(t)
-	plan := tenCalls(100)
+	plan := fanOutPlan(100)
 	front := plan.Services["front"]
 	front.Works[0].Calls[0].Times = 4
 	plan.Services["front"] = front
 	plan.Routes[0].Timeout = 500 * time.Millisecond
-	mesh := play(t, plan, 5*time.Second, func(mesh *testbed.Mesh) {
+	mesh := runMesh(t, plan, 5*time.Second, func(mesh *testbed.Mesh) {
 		time.Sleep(2 * time.Second)
 		mesh.Clients.SetBurst(3)
 	})
--- a/internal/testbed/fleet/story_test.go
+++ b/internal/testbed/fleet/story_test.go
@@ -17,32 +17,32 @@
 	. "github.com/onsi/gomega"
 )
 
-// output collects the logs of all nodes.
-type output struct {
+// logBuffer collects the logs of all nodes. It is safe for concurrent writes.
+type logBuffer struct {
 	mutex sync.Mutex
 	bytes.Buffer
 }
 
 // Write implements io.Writer.
-func (o *output) Write(data []byte) (int, error) {
+func (o *logBuffer) Write(data []byte) (int, error) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	return o.Buffer.Write(data)
 }
 
-// text returns what was written so far, also while nodes write.
-func (o *output) text() string {
+// text returns the logs so far. It is safe to call during writes.
+func (o *logBuffer) text() string {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	return o.Buffer.String()
 }
 
-// logsOf plays a day and returns the lines that its nodes wrote.
-func logsOf(t *testing.T, plan deployment.Plan, disturb func(mesh *testbed.Mesh)) []logquery.Line {
+// collectLogs runs a mesh and returns the log lines of its nodes.
+func collectLogs(t *testing.T, plan deployment.Plan, disturb func(mesh *testbed.Mesh)) []logquery.Line {
 	t.Helper()
-	logs := &output{}
+	logs := &logBuffer{}
 	plan.Output = logs
-	play(t, plan, 8*time.Second, disturb)
+	runMesh(t, plan, 8*time.Second, disturb)
 	file := filepath.Join(t.TempDir(), "nodes.log")
 	if err := os.WriteFile(file, logs.Bytes(), 0o600); err != nil {
 		t.Fatal(err)
@@ -54,30 +54,29 @@
 	return lines
 }
 
-// first returns the id of the first request that ended with a reason at the node
-// where it began.
-func first(t *testing.T, lines []logquery.Line, wanted func(fields map[string]any) bool) string {
+// firstRequest returns the id of the first client request whose log fields match.
+func firstRequest(t *testing.T, lines []logquery.Line, wanted func(fields map[string]any) bool) string {
 	t.Helper()
 	for _, line := range lines {
 		if line.Kind == "request" && line.Fields["parent"] == nil && wanted(line.Fields) {
 			return line.Fields["request"].(string)
 		}
 	}
-	t.Fatal("no such request was logged")
+	t.Fatal("no matching request was logged")
 	return ""
 }
 
-func story(t *testing.T, lines []logquery.Line, id string) string {
+func requestStory(t *testing.T, lines []logquery.Line, id string) string {
 	t.Helper()
-	var told strings.Builder
-	if err := logquery.Story(&told, lines, id); err != nil {
+	var text strings.Builder
+	if err := logquery.Story(&text, lines, id); err != nil {
 		t.Fatal(err)
 	}
-	return told.String()
+	return text.String()
 }
 
-// scarce is a mesh whose deepest service can serve half of what is asked.
-func scarce() deployment.Plan {
+// overloadedPlan returns a mesh whose last service can serve half of its load.
+func overloadedPlan() deployment.Plan {
 	plan := deployment.ThreeDeep()
 	deep := plan.Services["deep"]
 	deep.Slots = 3
@@ -86,46 +85,46 @@
 	return plan
 }
 
-// A refusal: the lines name the service down the chain that is full, and the share.
+// The story of a refused request must name the overloaded service and the admitted share.
 func TestStoryOfARefusalNamesTheScarceService(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
-	plan := scarce()
-	lines := logsOf(t, plan, nil)
+	plan := overloadedPlan()
+	lines := collectLogs(t, plan, nil)
 	refused := func(fields map[string]any) bool { return fields["reason"] == "overload" }
-	// The very first ones may come before any request has ended: nothing waits yet that
-	// could be named, the window of a start is full.
+	// Early refusals may come from a full initial window, before any service is known to be
+	// overloaded.
 	const full = "[0-9]+ of the route were in flight here and [0-9.]+ fit, told to come back after"
-	g.Expect(story(t, lines, first(t, lines, refused))).To(MatchRegexp(full))
-	named := first(t, lines, func(fields map[string]any) bool { return refused(fields) && fields["decisive"] != nil })
-	g.Expect(story(t, lines, named)).To(MatchRegexp("of the route let in because [a-z]+ is at [0-9.]+ of its slots, " + full))
+	g.Expect(requestStory(t, lines, firstRequest(t, lines, refused))).To(MatchRegexp(full))
+	named := firstRequest(t, lines, func(fields map[string]any) bool { return refused(fields) && fields["decisive"] != nil })
+	g.Expect(requestStory(t, lines, named)).To(MatchRegexp("of the route let in because [a-z]+ is at [0-9.]+ of its slots, " + full))
 }
 
-// An unknown outcome: the lines name the node whose connection broke.
-func TestStoryOfAnUnknownOutcomeNamesTheNodeThatDied(t *testing.T) {
+// The story of a request with an unknown outcome must show the lost connection.
+func TestStoryOfUnknownOutcomeShowsLostConnection(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
-	lines := logsOf(t, deployment.ThreeDeep(), func(mesh *testbed.Mesh) {
+	lines := collectLogs(t, deployment.ThreeDeep(), func(mesh *testbed.Mesh) {
 		for range 6 {
 			time.Sleep(time.Second)
-			testbed.KillAndRestart([]*testbed.Machine{mesh.Machines[len(mesh.Machines)-1], mesh.Machines[len(mesh.Machines)-2]}) // beside middle
+			testbed.KillAndRestart([]*testbed.Machine{mesh.Machines[len(mesh.Machines)-1], mesh.Machines[len(mesh.Machines)-2]}) // nodes of the middle service
 		}
 	})
-	id := first(t, lines, func(fields map[string]any) bool { return fields["status"] == 502.0 })
-	g.Expect(story(t, lines, id)).To(ContainSubstring("unknown/lost"))
+	id := firstRequest(t, lines, func(fields map[string]any) bool { return fields["status"] == 502.0 })
+	g.Expect(requestStory(t, lines, id)).To(ContainSubstring("unknown/lost"))
 }
 
-// An answer held too long: the lines show the time at the slow target.
-func TestStoryOfASlowAnswerNamesTheTarget(t *testing.T) {
+// The story of a slow response must name the slow target.
+func TestStoryOfSlowResponseNamesTheTarget(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
 	var slow string
-	lines := logsOf(t, deployment.ThreeDeep(), func(mesh *testbed.Mesh) {
-		late := mesh.Machines[0].Target
-		slow = late.Instance()
-		late.SetFaults(target.Faults{Slow: 200})
+	lines := collectLogs(t, deployment.ThreeDeep(), func(mesh *testbed.Mesh) {
+		faulty := mesh.Machines[0].Target
+		slow = faulty.Instance()
+		faulty.SetFaults(target.Faults{Slow: 200})
 		time.Sleep(3 * time.Second)
-		late.SetFaults(target.Faults{})
+		faulty.SetFaults(target.Faults{})
 	})
 	id := ""
 	for _, line := range lines {
@@ -134,16 +133,16 @@
 		}
 	}
 	g.Expect(id).NotTo(BeEmpty())
-	g.Expect(story(t, lines, id)).To(MatchRegexp("run at " + slow + " .*unknown/(timeout|cancelled)"))
+	g.Expect(requestStory(t, lines, id)).To(MatchRegexp("run at " + slow + " .*unknown/(timeout|cancelled)"))
 }
 
-// A tenant beyond its limit: the lines name it, and the summary of losses does.
+// The story and the loss summary of a rate-limited request must name the tenant.
 func TestStoryOfALimitNamesTheTenant(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
-	lines := logsOf(t, hotTenant(), nil)
-	id := first(t, lines, func(fields map[string]any) bool { return fields["status"] == 429.0 })
-	g.Expect(story(t, lines, id)).To(MatchRegexp("status 429, reason over_quota, .*of tenant tenant0, told to come back after"))
+	lines := collectLogs(t, withOverLimitTenant(), nil)
+	id := firstRequest(t, lines, func(fields map[string]any) bool { return fields["status"] == 429.0 })
+	g.Expect(requestStory(t, lines, id)).To(MatchRegexp("status 429, reason over_quota, .*of tenant tenant0, told to come back after"))
 	byTenant := 0
 	for _, loss := range logquery.Lost(lines) {
 		if loss.Ended == "refused" && loss.Service == "tenant tenant0" && loss.Reason == "over_quota" {
@@ -153,27 +152,27 @@
 	g.Expect(byTenant).To(BeNumerically(">", 100))
 }
 
-// A key that was taken away: the lines tell the version that no longer has it.
+// The story of a request with a revoked key must name the configuration version.
 func TestStoryOfAKeyTakenAwayNamesTheVersion(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
-	lines := logsOf(t, withTenants(3), func(mesh *testbed.Mesh) {
+	lines := collectLogs(t, withTenants(3), func(mesh *testbed.Mesh) {
 		time.Sleep(2 * time.Second)
 		mesh.TakeKey(0, 0)
 	})
-	id := first(t, lines, func(fields map[string]any) bool { return fields["status"] == 401.0 })
-	told := story(t, lines, id)
-	g.Expect(told).To(MatchRegexp("by version 4: status 401, reason unknown_key"))
-	g.Expect(told).NotTo(ContainSubstring("key-tenant"))
+	id := firstRequest(t, lines, func(fields map[string]any) bool { return fields["status"] == 401.0 })
+	text := requestStory(t, lines, id)
+	g.Expect(text).To(MatchRegexp("by version 4: status 401, reason unknown_key"))
+	g.Expect(text).NotTo(ContainSubstring("key-tenant"))
 }
 
-// Under a shortage that begins with a restart of all, the mesh finds its way back:
-// what chains need is learned although nothing is served yet.
+// The mesh must recover from a restart of all nodes under overload. Guards against learning the
+// cost of chains only from requests that succeed.
 func TestRestartUnderShortageDoesNotStayCollapsed(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
-	plan := scarce()
-	mesh := play(t, plan, 16*time.Second, func(mesh *testbed.Mesh) {
+	plan := overloadedPlan()
+	mesh := runMesh(t, plan, 16*time.Second, func(mesh *testbed.Mesh) {
 		time.Sleep(2 * time.Second)
 		testbed.KillAndRestart(mesh.Some(rand.New(rand.NewPCG(3, 4)), 1))
 	})
--- a/internal/testbed/fleet/suspend_test.go
+++ b/internal/testbed/fleet/suspend_test.go
@@ -15,15 +15,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// Symptom: a key that was taken away lets requests in at one node.
-//
-// Sequence: the machine is suspended, the key is taken away, the machine wakes and a client
-// there sends its request at once.
-//
-// Cause: the age of the node's proof that its configuration is fresh is read on a clock that
-// stands still while the machine is suspended, so that proof of before looks young.
-//
-// What settled it: the request gets 200 after 8 s of suspension, with a bound of 5 s.
+// A key revoked while a machine is suspended must be rejected when it resumes. Guards against
+// measuring the age of the configuration with a clock that stops during suspension.
 func TestKeyTakenAwayDuringASuspension(t *testing.T) {
 	for _, span := range []time.Duration{5 * time.Second, 8 * time.Second, 30 * time.Second} {
 		t.Run(span.String(), func(t *testing.T) {
@@ -34,28 +27,20 @@
 				defer mesh.Close()
 				time.Sleep(testbed.Settle)
 				machine := mesh.Machines[0]
-				g.Expect(statusOf(mesh, machine, "/front/x", "key-tenant0-a")).To(Equal(http.StatusOK))
+				g.Expect(statusWithKey(mesh, machine, "/front/x", "key-tenant0-a")).To(Equal(http.StatusOK))
 				mesh.TakeKey(0, 0)
 				mesh.Suspend([]*testbed.Machine{machine}, span)
-				g.Expect(statusOf(mesh, machine, "/front/x", "key-tenant0-a")).NotTo(Equal(http.StatusOK))
+				g.Expect(statusWithKey(mesh, machine, "/front/x", "key-tenant0-a")).NotTo(Equal(http.StatusOK))
 				time.Sleep(judge.Contact)
-				g.Expect(statusOf(mesh, machine, "/front/x", "key-tenant0-a")).To(Equal(http.StatusUnauthorized))
-				g.Expect(servedWithin(mesh, machine, "key-tenant0-b", time.Second)).To(BeTrue())
+				g.Expect(statusWithKey(mesh, machine, "/front/x", "key-tenant0-a")).To(Equal(http.StatusUnauthorized))
+				g.Expect(waitServed(mesh, machine, "key-tenant0-b", time.Second)).To(BeTrue())
 			})
 		})
 	}
 }
 
-// Symptom: two nodes give parts of one tenant's limit.
-//
-// Sequence: the keeper of the limit is suspended for longer than its lease, another node takes
-// over, the first one wakes and is asked.
-//
-// Cause: the end of the right to give is read on a clock that stands still while the machine
-// is suspended.
-//
-// What settled it: the answer of the woken keeper says that it keeps, 10 s after its lease of
-// 6 s was renewed.
+// A shard owner suspended for longer than its lease must not grant quota when it resumes. Guards
+// against measuring the lease with a clock that stops during suspension.
 func TestSuspendedKeeperGivesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -67,28 +52,28 @@
 		for shard := range 4 {
 			var keepers []*testbed.Machine
 			for _, machine := range mesh.Machines {
-				if keeps(mesh, machine, shard) {
+				if ownsShard(mesh, machine, shard) {
 					keepers = append(keepers, machine)
 				}
 			}
 			if len(keepers) == 0 {
-				continue // no tenant falls into this group
+				continue // no tenant belongs to this shard
 			}
 			g.Expect(keepers).To(HaveLen(1))
 			mesh.Suspend(keepers, 10*time.Second)
-			g.Expect(keeps(mesh, keepers[0], shard)).To(BeFalse())
+			g.Expect(ownsShard(mesh, keepers[0], shard)).To(BeFalse())
 			return
 		}
-		t.Fatal("no group has a keeper")
+		t.Fatal("no shard has an owner")
 	})
 }
 
-// A woken node serves again, also requests with keys, as soon as it has proof anew.
-func TestWokenNodeServesAgainSoon(t *testing.T) {
+// A resumed node must serve requests with keys again once it has verified its configuration.
+func TestResumedNodeServesAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		plan := withTenants(2)
-		logs := &output{}
+		logs := &logBuffer{}
 		plan.Output = logs
 		mesh, err := testbed.New(plan)
 		g.Expect(err).NotTo(HaveOccurred())
@@ -96,27 +81,27 @@
 		time.Sleep(testbed.Settle)
 		machine := mesh.Machines[0]
 		mesh.Suspend([]*testbed.Machine{machine}, 8*time.Second)
-		woken := time.Now()
-		g.Expect(servedWithin(mesh, machine, "key-tenant0-a", time.Second)).To(BeTrue())
-		t.Logf("served %s after waking", time.Since(woken))
+		resumed := time.Now()
+		g.Expect(waitServed(mesh, machine, "key-tenant0-a", time.Second)).To(BeTrue())
+		t.Logf("served %s after resuming", time.Since(resumed))
 		time.Sleep(time.Second)
 		g.Expect(strings.Count(logs.text(), `"change":"woke"`)).To(Equal(1))
 	})
 }
 
-// servedWithin sends requests with a key one after the other until one is served. The first one
-// of a tenant at a node whose name the keeper of the limit does not have yet may be refused.
-func servedWithin(m *testbed.Mesh, machine *testbed.Machine, key string, span time.Duration) bool {
+// waitServed sends requests with a key in sequence until one is served. The first request of a
+// tenant may be refused while the shard owner does not know the node yet.
+func waitServed(m *testbed.Mesh, machine *testbed.Machine, key string, span time.Duration) bool {
 	for end := time.Now().Add(span); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		if statusOf(m, machine, "/front/x", key) == http.StatusOK {
+		if statusWithKey(m, machine, "/front/x", key) == http.StatusOK {
 			return true
 		}
 	}
 	return false
 }
 
-// keeps asks a node whether it hands out parts of the limits of a shard.
-func keeps(m *testbed.Mesh, machine *testbed.Machine, shard int) bool {
+// ownsShard reports whether a node grants quota for a shard.
+func ownsShard(m *testbed.Mesh, machine *testbed.Machine, shard int) bool {
 	data, err := wire.QuotaAskCodec.Encode(&wire.QuotaAsk{Holder: "asks " + machine.IP, Incarnation: "i", Shard: shard, Reports: []wire.QuotaReport{}})
 	if err != nil {
 		return false
