--- a/internal/testbed/soak/processes.go
+++ b/internal/testbed/soak/processes.go
@@ -1,7 +1,7 @@
-// Package soak runs deployments of real processes, on loopback, under seeded troubles that come in
-// series and overlap. It owns the processes, the relays before the store and each target, and
-// the seeds that are kept in testdata. It relies on a built landingmastd and on the rest of
-// testbed for store, targets, clients and judge. Only tests import it.
+// Package soak runs deployments of real landingmastd processes on loopback under seeded sequences
+// of concurrent faults. It manages the processes, the relays in front of the store and of each
+// target, and the seeds of failed runs in testdata. The rest of testbed provides the store,
+// targets, clients and judge. Only tests import it.
 package soak
 
 import (
@@ -22,32 +22,32 @@
 	"github.com/landingmast/landingmast/internal/testbed/judge"
 )
 
-// Ports of a machine besides those of every deployment.
+// Additional ports of a machine.
 const (
-	portStoreRelay  = "8010" // of the relay before the store
-	portTargetRelay = "8011" // of the relay before the target
-	portMetrics     = "8012" // of the node
+	portStoreRelay  = "8010" // relay in front of the store
+	portTargetRelay = "8011" // relay in front of the target
+	portMetrics     = "8012" // metrics of the node
 )
 
-// soak runs nodes as processes of the real program. It ends only processes that it started.
+// soak runs nodes as landingmastd processes. It signals only processes that it started.
 type soak struct {
 	daemon string // path of landingmastd
-	folder string // of settings and logs
-	octet  int    // second part of all addresses, so that soaks beside each other do not meet
+	folder string // for settings and logs
+	octet  int    // second octet of all addresses, which keeps concurrent soaks apart
 	mesh   *testbed.Mesh
 
-	mu        sync.Mutex
-	processes map[string]*process    // by machine
-	relays    map[string][2]*relay   // by machine: before the store and before the target
-	busy      map[string]*sync.Mutex // by machine, held by the trouble that it is in
-	ended     []string               // ends that nobody asked for
+	mu              sync.Mutex
+	processes       map[string]*process    // by machine
+	relays          map[string][2]*relay   // by machine: in front of the store and of the target
+	busy            map[string]*sync.Mutex // by machine, locked by the fault that affects it
+	unexpectedExits []string               // descriptions of unexpected exits
 }
 
-// process is the process of a node.
+// process is a running node.
 type process struct {
-	command *exec.Cmd
-	done    chan struct{} // closed when it has ended
-	asked   bool          // its end was asked for
+	command  *exec.Cmd
+	done     chan struct{} // closed after the process has exited
+	expected bool          // the exit was requested
 }
 
 func newSoak(daemon, folder string) *soak {
@@ -57,22 +57,22 @@
 	}
 }
 
-// storeAddress returns where the store listens.
+// storeAddress returns the listen address of the store.
 func (s *soak) storeAddress() string { return fmt.Sprintf("127.%d.255.1:8000", s.octet) }
 
-// machineIP returns the address of a machine on loopback.
+// machineIP returns the loopback address of a machine.
 func (s *soak) machineIP(number int) string {
 	return fmt.Sprintf("127.%d.%d.%d", s.octet, number/200, number%200+1)
 }
 
-// file returns the path of a machine's file with an ending.
+// file returns the path of a machine's file with the given extension.
 func (s *soak) file(m *testbed.Machine, ending string) string {
 	return filepath.Join(s.folder, m.IP+ending)
 }
 
-// take reserves a machine for a trouble unless another one holds it. If it is taken, release must
-// be called.
-func (s *soak) take(m *testbed.Machine) (release func(), taken bool) {
+// reserve reserves a machine for a fault unless another fault holds it. If reserved is true, the
+// caller must call release.
+func (s *soak) reserve(m *testbed.Machine) (release func(), reserved bool) {
 	s.mu.Lock()
 	if s.busy[m.IP] == nil {
 		s.busy[m.IP] = &sync.Mutex{}
@@ -82,8 +82,8 @@
 	return busy.Unlock, busy.TryLock()
 }
 
-// relaysOf returns the relays of a machine, before the store and before the target; the first
-// call makes them.
+// relaysOf returns the relays of a machine in front of the store and of the target, and creates
+// them on the first call.
 func (s *soak) relaysOf(m *testbed.Machine) ([2]*relay, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -98,13 +98,13 @@
 	if err != nil {
 		return [2]*relay{}, err
 	}
-	m.Target.Listening = target.listening
+	m.Target.Listening = target.setListening
 	s.relays[m.IP] = [2]*relay{store, target}
 	return s.relays[m.IP], nil
 }
 
-// write writes the settings file of a node, with the relays in place of store and target.
-func (s *soak) write(m *testbed.Machine, chosen *settings.Settings) error {
+// writeSettings writes the settings file of a node, with the addresses of its relays.
+func (s *soak) writeSettings(m *testbed.Machine, chosen *settings.Settings) error {
 	text := fmt.Sprintf("node: %q\nzone: %q\nfirst_start: %t\ntarget:\n  service: %q\n  address: %q\n", chosen.Node, chosen.Zone, chosen.FirstStart, chosen.Target.Service, m.IP+":"+portTargetRelay) +
 		fmt.Sprintf("listen:\n  outbound: %q\n  inbound: %q\n  ready: %q\n  control: %q\n  metrics: %q\n", chosen.Listen.Outbound, chosen.Listen.Inbound, chosen.Listen.Ready, chosen.Listen.Control, m.IP+":"+portMetrics) +
 		fmt.Sprintf("store:\n  address: %q\nretries:\n  allowance: %g\nkeys:\n  fail_closed: true\n", m.IP+":"+portStoreRelay, chosen.Retries.Allowance)
@@ -116,7 +116,7 @@
 	if _, err := s.relaysOf(m); err != nil {
 		return err
 	}
-	if err := s.write(m, chosen); err != nil {
+	if err := s.writeSettings(m, chosen); err != nil {
 		return err
 	}
 	log, err := os.OpenFile(s.file(m, ".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
@@ -136,8 +136,8 @@
 		err := command.Wait()
 		_ = log.Close()
 		s.mu.Lock()
-		if !started.asked {
-			s.ended = append(s.ended, fmt.Sprintf("the node of %s ended by itself: %v", m.IP, err))
+		if !started.expected {
+			s.unexpectedExits = append(s.unexpectedExits, fmt.Sprintf("the node of %s exited unexpectedly: %v", m.IP, err))
 		}
 		s.mu.Unlock()
 		close(started.done)
@@ -145,8 +145,8 @@
 	return nil
 }
 
-// signal sends a signal to the process of a node; ends says that it is meant to end. It returns
-// nil if the node was never started.
+// signal sends a signal to the process of a node; ends tells that the signal is meant to end it.
+// It returns nil if the node was never started.
 func (s *soak) signal(m *testbed.Machine, number syscall.Signal, ends bool) *process {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -154,11 +154,11 @@
 	if running == nil {
 		return nil
 	}
-	running.asked = running.asked || ends
+	running.expected = running.expected || ends
 	select {
 	case <-running.done:
 	default:
-		_ = running.command.Process.Signal(number) // fails only if it has just ended
+		_ = running.command.Process.Signal(number) // fails only if the process has just exited
 	}
 	return running
 }
@@ -170,7 +170,7 @@
 	}
 }
 
-// Stop implements testbed.Nodes. It sends SIGTERM, and SIGKILL when the grace is over.
+// Stop implements testbed.Nodes. It sends SIGTERM, then SIGKILL after the grace period.
 func (s *soak) Stop(m *testbed.Machine) {
 	m.Target.Judge.Stopping(m.IP)
 	asked := s.signal(m, syscall.SIGTERM, true)
@@ -181,16 +181,16 @@
 	case <-asked.done:
 	case <-time.After(judge.StopGrace + judge.StopAfter):
 		s.mu.Lock()
-		s.ended = append(s.ended, "the node of "+m.IP+" was still there at the end of its grace")
+		s.unexpectedExits = append(s.unexpectedExits, "the node of "+m.IP+" was still running at the end of its grace period")
 		s.mu.Unlock()
 		s.Kill(m)
 	}
 }
 
-// stopping sends SIGTERM and does not wait for the end.
-func (s *soak) stopping(m *testbed.Machine) { s.signal(m, syscall.SIGTERM, true) }
+// terminate sends SIGTERM without waiting for the exit.
+func (s *soak) terminate(m *testbed.Machine) { s.signal(m, syscall.SIGTERM, true) }
 
-// pause suspends the process for a span.
+// pause suspends a process for a span.
 func (s *soak) pause(m *testbed.Machine, span time.Duration) {
 	s.signal(m, syscall.SIGSTOP, false)
 	time.Sleep(span)
@@ -199,12 +199,12 @@
 
 // Reload implements testbed.Nodes.
 func (s *soak) Reload(m *testbed.Machine, changed *settings.Settings) {
-	if s.write(m, changed) == nil {
+	if s.writeSettings(m, changed) == nil {
 		s.signal(m, syscall.SIGHUP, false)
 	}
 }
 
-// Version implements testbed.Nodes. It reads the configuration in force from the node's metrics.
+// Version implements testbed.Nodes. It reads the applied configuration version from the metrics.
 func (s *soak) Version(m *testbed.Machine) uint64 {
 	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	response, err := client.Get("http://" + m.IP + ":" + portMetrics + "/metrics")
@@ -218,21 +218,21 @@
 	}
 	for _, line := range strings.Split(string(page), "\n") {
 		if value, is := strings.CutPrefix(line, "landingmast_sidecar_configuration_version "); is {
-			version, _ := strconv.ParseFloat(value, 64) // 0 is no version
+			version, _ := strconv.ParseFloat(value, 64) // 0 means no version
 			return uint64(version)
 		}
 	}
 	return 0
 }
 
-// unasked returns a line for each end of a process that nobody asked for.
-func (s *soak) unasked() []string {
+// crashes returns a line for each unexpected exit of a process.
+func (s *soak) crashes() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]string(nil), s.ended...)
+	return append([]string(nil), s.unexpectedExits...)
 }
 
-// close ends the relays.
+// close closes all relays.
 func (s *soak) close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/testbed/soak/relay.go
+++ b/internal/testbed/soak/relay.go
@@ -7,59 +7,59 @@
 	"time"
 )
 
-// loopback is the network of the machine's own addresses.
+// loopback is the network of the host's loopback addresses.
 type loopback struct{}
 
-// Listen opens a listener.
+// Listen listens on a TCP address.
 func (loopback) Listen(address string) (net.Listener, error) { return net.Listen("tcp", address) }
 
-// Dialer returns the function with which a host opens connections.
+// Dialer returns a dial function that uses from as the local address.
 func (loopback) Dialer(from string) func(ctx context.Context, network, to string) (net.Conn, error) {
 	dialer := &net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(from)}, Timeout: 2 * time.Second}
 	return dialer.DialContext
 }
 
-// relay forwards the connections of a node to what it calls, with the faults that are set.
+// relay forwards the connections of a node to a server and injects faults.
 type relay struct {
 	address  string
-	listener net.Listener // nil while what the node calls does not listen
+	listener net.Listener // nil while the server does not listen
 	to       string
 	dial     func(ctx context.Context, network, to string) (net.Conn, error)
 
-	mu    sync.Mutex
-	conns map[*relayed]bool
-	delay time.Duration // of each piece of data
-	cut   [2]bool       // nothing passes in a direction
+	mu          sync.Mutex
+	conns       map[*relayedConn]bool
+	delay       time.Duration // added to each chunk of data
+	blockedDirs [2]bool       // by direction; data is not forwarded
 }
 
-// relayed is a connection of the node and the one that continues it.
-type relayed struct {
+// relayedConn is a connection of a node together with the relay's connection to the server.
+type relayedConn struct {
 	relay  *relay
 	near   net.Conn
 	far    net.Conn
-	silent bool // nothing passes any more
+	silent bool // forwards nothing in either direction
 }
 
 // Directions of a relay.
 const (
-	there = 0 // towards what is called
-	back  = 1
+	toServer = 0 // from the node to the server
+	toClient = 1
 )
 
-// newRelay starts a relay that listens at an address and calls another one from a host.
+// newRelay starts a relay that listens on address and connects to the server from a local IP.
 func newRelay(address, to, from string) (*relay, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	r := &relay{address: address, listener: listener, to: to, dial: loopback{}.Dialer(from), conns: map[*relayed]bool{}}
+	r := &relay{address: address, listener: listener, to: to, dial: loopback{}.Dialer(from), conns: map[*relayedConn]bool{}}
 	go r.accept(listener)
 	return r, nil
 }
 
-// listening makes the relay listen only while what it calls does: callers see a difference
-// between a process that has ended, which refuses connections, and one that answers nothing.
-func (r *relay) listening(listens bool) {
+// setListening makes the relay listen only while its server does, so that nodes can tell a
+// stopped server, which refuses connections, from an unresponsive one.
+func (r *relay) setListening(listens bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch {
@@ -90,15 +90,15 @@
 		resetConn(near)
 		return
 	}
-	pair := &relayed{relay: r, near: near, far: far}
+	pair := &relayedConn{relay: r, near: near, far: far}
 	r.mu.Lock()
 	r.conns[pair] = true
 	r.mu.Unlock()
-	go pair.pass(near, far, there)
-	go pair.pass(far, near, back)
+	go pair.forward(near, far, toServer)
+	go pair.forward(far, near, toClient)
 }
 
-// resetConn closes a connection so that the other side sees a reset.
+// resetConn closes a connection with a TCP reset.
 func resetConn(conn net.Conn) {
 	if tcp, is := conn.(*net.TCPConn); is {
 		_ = tcp.SetLinger(0)
@@ -106,17 +106,17 @@
 	_ = conn.Close()
 }
 
-// heldPoll is how often a direction that is held checks whether bytes may pass again.
-const heldPoll = 10 * time.Millisecond
+// blockedPoll is the interval at which a blocked direction checks whether it may continue.
+const blockedPoll = 10 * time.Millisecond
 
-// pass forwards bytes in one direction. When it ends, both connections are closed.
-func (c *relayed) pass(from, to net.Conn, direction int) {
+// forward copies data in one direction and closes both connections when it returns.
+func (c *relayedConn) forward(from, to net.Conn, direction int) {
 	defer c.close(false)
 	piece := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(piece)
-		for c.held(direction) {
-			time.Sleep(heldPoll)
+		for c.blocked(direction) {
+			time.Sleep(blockedPoll)
 		}
 		if n > 0 {
 			if _, err := to.Write(piece[:n]); err != nil {
@@ -129,19 +129,19 @@
 	}
 }
 
-// held waits for the delay and reports whether bytes may not pass.
-func (c *relayed) held(direction int) bool {
+// blocked waits for the configured delay and reports whether the direction is blocked.
+func (c *relayedConn) blocked(direction int) bool {
 	r := c.relay
 	r.mu.Lock()
-	delay, held := r.delay, r.cut[direction] || c.silent
+	delay, held := r.delay, r.blockedDirs[direction] || c.silent
 	open := r.conns[c]
 	r.mu.Unlock()
 	time.Sleep(delay)
 	return held && open
 }
 
-// close closes both connections, with a reset if asked for.
-func (c *relayed) close(reset bool) {
+// close closes both connections, optionally with a TCP reset.
+func (c *relayedConn) close(reset bool) {
 	r := c.relay
 	r.mu.Lock()
 	delete(r.conns, c)
@@ -155,11 +155,11 @@
 	}
 }
 
-// each returns the open connections.
-func (r *relay) each() []*relayed {
+// openConns returns the open connections.
+func (r *relay) openConns() []*relayedConn {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	open := make([]*relayed, 0, len(r.conns))
+	open := make([]*relayedConn, 0, len(r.conns))
 	for pair := range r.conns {
 		open = append(open, pair)
 	}
@@ -168,13 +168,13 @@
 
 // reset resets all open connections.
 func (r *relay) reset() {
-	for _, pair := range r.each() {
+	for _, pair := range r.openConns() {
 		pair.close(true)
 	}
 }
 
-// silence stops the open connections from forwarding anything, while new ones work.
-func (r *relay) silence() {
+// blackhole permanently blocks the open connections; new ones are not affected.
+func (r *relay) blackhole() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for pair := range r.conns {
@@ -182,15 +182,15 @@
 	}
 }
 
-// set changes the faults.
+// set changes the injected faults.
 func (r *relay) set(change func(r *relay)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	change(r)
 }
 
-// close stops listening and resets all connections.
+// close closes the listener and resets all connections.
 func (r *relay) close() {
-	r.listening(false)
+	r.setListening(false)
 	r.reset()
 }
--- a/internal/testbed/soak/soak_test.go
+++ b/internal/testbed/soak/soak_test.go
@@ -13,27 +13,25 @@
 	"github.com/landingmast/landingmast/internal/testbed/deployment"
 )
 
-// Settings of a soak; `make soak` plays longer ones.
+// Flags of TestSoak; `make soak` sets them.
 var (
-	soakFor      = flag.Duration("soak.for", 45*time.Second, "how long the troubles of a soak go on")
-	soakSeed     = flag.Uint64("soak.seed", 1, "seed of its first run")
-	soakRuns     = flag.Int("soak.runs", 1, "runs, each with the next seed")
-	soakMachines = flag.Int("soak.machines", 10, "machines")
-	soakActors   = flag.Int("soak.actors", 3, "troubles at a time")
-	soakFolder   = flag.String("soak.folder", "", "where settings and logs are kept; empty: nowhere unless a run fails")
+	soakFor      = flag.Duration("soak.for", 45*time.Second, "duration of the faults in a run")
+	soakSeed     = flag.Uint64("soak.seed", 1, "seed of the first run")
+	soakRuns     = flag.Int("soak.runs", 1, "number of runs, with consecutive seeds")
+	soakMachines = flag.Int("soak.machines", 10, "approximate number of machines")
+	soakActors   = flag.Int("soak.actors", 3, "concurrent faults")
+	soakFolder   = flag.String("soak.folder", "", "directory for settings and logs; empty: kept only when a run fails")
 )
 
-// soakLate is added to the bounds of time: the processes share the machine's processor with each
-// other, the stand-ins and whatever else runs.
-const soakLate = 3 * time.Second
+// lateTolerance is added to time limits, because all processes of a run share the CPU of one host.
+const lateTolerance = 3 * time.Second
 
-// Processes of the real program under seeded troubles, which come in series and overlap:
-// signals, restarts, changes of settings and configuration, faults of store, targets and
-// connections, requests that end their targets. Clients keep using open connections.
+// Real landingmastd processes must keep the rules under concurrent seeded faults and serve requests
+// normally afterwards.
 func TestSoak(t *testing.T) {
 	daemon := filepath.Join(t.TempDir(), "landingmastd")
 	if output, err := exec.Command("go", "build", "-o", daemon, "../../../cmd/landingmastd").CombinedOutput(); err != nil {
-		t.Fatalf("landingmastd cannot be built: %v\n%s", err, output)
+		t.Fatalf("building landingmastd: %v\n%s", err, output)
 	}
 	for run := range *soakRuns {
 		seed := *soakSeed + uint64(run)
@@ -45,12 +43,12 @@
 					t.Fatal(err)
 				}
 			}
-			playSoak(t, daemon, folder, seed)
+			runSoak(t, daemon, folder, seed)
 		})
 	}
 }
 
-// soakPlan returns a deployment with about so many machines, one at least for each service.
+// soakPlan returns a deployment of about the given number of machines, at least one per service.
 func soakPlan(machines int) deployment.Plan {
 	plan := deployment.WithSpares()
 	for _, name := range []string{"front", "middle", "deep"} {
@@ -61,8 +59,8 @@
 	return plan
 }
 
-// playSoak plays the troubles of a seed and checks what clients and targets saw.
-func playSoak(t *testing.T, daemon, folder string, seed uint64) {
+// runSoak runs the faults of a seed and checks the observations of clients and targets.
+func runSoak(t *testing.T, daemon, folder string, seed uint64) {
 	soak := newSoak(daemon, folder)
 	mesh, err := testbed.NewIn(soakPlan(*soakMachines), testbed.Environment{Network: loopback{}, StoreAddress: soak.storeAddress(), MachineIP: soak.machineIP, Nodes: soak})
 	if err != nil {
@@ -78,32 +76,32 @@
 	}
 	defer closeAll()
 	soak.mesh = mesh
-	mesh.Judge.Late = soakLate
+	mesh.Judge.Late = lateTolerance
 	time.Sleep(testbed.Settle)
-	played := soak.troubled(*soakFor, seed, *soakActors)
-	if !soak.calmDown() {
-		t.Error("not all machines are ready a while after the last trouble")
+	injected := soak.runFaults(*soakFor, seed, *soakActors)
+	if !soak.waitReady() {
+		t.Error("not all machines became ready after the last fault")
 	}
-	served := soak.servedInCalm()
+	served := soak.servedAfterRecovery()
 	mesh.CheckEnd()
-	ended, innocent := mesh.Judge.HarmFigures()
-	t.Logf("seed %d: %s; answers %v; %.3f served in calm; %d targets ended by harmful requests, %d harmless refused on suspicion, %d cut around planned stops", seed, played, mesh.Tally.Status, served, ended, innocent, mesh.Judge.LostAroundStops())
+	crashes, falsePositives := mesh.Judge.HarmFigures()
+	t.Logf("seed %d: %s; responses %v; %.3f served after recovery; %d crashes by harmful requests, %d harmless requests rejected, %d cut by planned stops", seed, injected, mesh.Tally.Status, served, crashes, falsePositives, mesh.Judge.LostAroundStops())
 	closeAll()
-	for _, broken := range append(mesh.Judge.Broken(), soak.unasked()...) {
-		t.Error(broken)
+	for _, violation := range append(mesh.Judge.Broken(), soak.crashes()...) {
+		t.Error(violation)
 	}
-	if served < soakServed {
-		t.Errorf("%.3f of the requests are served in calm after the troubles", served)
+	if served < minServed {
+		t.Errorf("only %.3f of the requests are served after recovery", served)
 	}
 	if t.Failed() && *soakFolder == "" {
 		keepLogs(t, folder)
 	}
 }
 
-// soakServed is the share of requests that must be served once all is well again.
-const soakServed = 0.97
+// minServed is the share of requests that must be served after recovery.
+const minServed = 0.97
 
-// keepLogs copies logs and settings to where they outlive the test.
+// keepLogs copies logs and settings to a directory that outlives the test.
 func keepLogs(t *testing.T, folder string) {
 	kept, err := os.MkdirTemp("", "landingmast-soak-")
 	if err == nil {
--- a/internal/testbed/soak/troubles.go
+++ b/internal/testbed/soak/troubles.go
@@ -17,9 +17,9 @@
 	"github.com/landingmast/landingmast/internal/testbed/trouble"
 )
 
-// troubled plays random troubles for a span, atOnce at a time, beside clients that open a
-// connection for each request and clients that keep theirs. It returns how often it played each.
-func (s *soak) troubled(span time.Duration, seed uint64, atOnce int) string {
+// runFaults injects random faults for a span, atOnce at a time, while some clients open a connection
+// per request and others reuse theirs. It returns the number of injections of each fault.
+func (s *soak) runFaults(span time.Duration, seed uint64, atOnce int) string {
 	ctx, end := context.WithTimeout(context.Background(), span)
 	defer end()
 	var clients, actors sync.WaitGroup
@@ -36,7 +36,7 @@
 		random := rand.New(rand.NewPCG(seed, uint64(actor)))
 		actors.Go(func() {
 			for ctx.Err() == nil {
-				drawn := kinds[random.IntN(len(kinds))]
+				drawn := faults[random.IntN(len(faults))]
 				mu.Lock()
 				counts[drawn.name]++
 				mu.Unlock()
@@ -55,12 +55,13 @@
 	return strings.Join(names, ", ")
 }
 
-// calmTime is the time in which all machines have to be ready after the last trouble.
-const calmTime = 20 * time.Second
+// readyTimeout is how long machines may take to become ready after the last fault.
+const readyTimeout = 20 * time.Second
 
-// calmDown waits until all machines are ready and in touch; false: they were not in calmTime.
-func (s *soak) calmDown() bool {
-	for end := time.Now().Add(calmTime); time.Now().Before(end); time.Sleep(200 * time.Millisecond) {
+// waitReady waits until all machines are ready and their time limits apply again. It returns
+// false after readyTimeout.
+func (s *soak) waitReady() bool {
+	for end := time.Now().Add(readyTimeout); time.Now().Before(end); time.Sleep(200 * time.Millisecond) {
 		if !slices.ContainsFunc(s.mesh.Machines, func(machine *testbed.Machine) bool { return !machine.Ready() }) {
 			time.Sleep(judge.Contact)
 			return true
@@ -69,26 +70,26 @@
 	return false
 }
 
-// servedInCalm returns the served share of the requests of some seconds.
-func (s *soak) servedInCalm() float64 {
+// servedAfterRecovery returns the share of requests served during a few seconds of load.
+func (s *soak) servedAfterRecovery() float64 {
 	s.mesh.Tally.ClearServed()
 	s.mesh.Load(3 * time.Second)
 	served, asked := s.mesh.Tally.Sums()
 	return float64(served) / float64(max(asked, 1))
 }
 
-// kind is one kind of trouble of real processes.
-type kind struct {
+// fault is a kind of fault that a soak injects.
+type fault struct {
 	name string
 	play func(s *soak, random *rand.Rand)
 }
 
-// alone calls f for each machine of a random share, at the same time, and leaves out those that
-// another trouble holds.
-func (s *soak) alone(random *rand.Rand, share float64, f func(machine *testbed.Machine)) {
+// onReserved calls f concurrently for a random share of the machines, except those that another
+// fault has reserved.
+func (s *soak) onReserved(random *rand.Rand, share float64, f func(machine *testbed.Machine)) {
 	var group sync.WaitGroup
 	for _, machine := range s.mesh.Some(random, share) {
-		release, taken := s.take(machine)
+		release, taken := s.reserve(machine)
 		if !taken {
 			continue
 		}
@@ -100,8 +101,8 @@
 	group.Wait()
 }
 
-// unplanned reports a machine as disturbed to the judge until the returned function is called.
-func (s *soak) unplanned(machine *testbed.Machine) (over func()) {
+// reportDisturbed reports a machine to the judge as faulty until the returned function is called.
+func (s *soak) reportDisturbed(machine *testbed.Machine) (over func()) {
 	ended, done := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(done)
@@ -118,24 +119,24 @@
 	return func() { close(ended); <-done }
 }
 
-// restart starts a node again as the platform does.
+// restart starts a node again after the restart delay of the platform.
 func restart(machine *testbed.Machine) {
 	time.Sleep(testbed.RestartAfter)
 	_ = machine.Start()
 }
 
-// killed kills the nodes of a random share of the machines and starts them again.
-func killed(s *soak, random *rand.Rand, share float64) {
-	s.alone(random, share, func(machine *testbed.Machine) {
-		over := s.unplanned(machine)
+// killAndRestart kills and restarts the nodes of a random share of the machines.
+func killAndRestart(s *soak, random *rand.Rand, share float64) {
+	s.onReserved(random, share, func(machine *testbed.Machine) {
+		over := s.reportDisturbed(machine)
 		defer over()
 		machine.Kill()
 		restart(machine)
 	})
 }
 
-// storeFor sets a fault of the store for one to four seconds.
-func storeFor(begin, end func(s *store.Store)) func(s *soak, random *rand.Rand) {
+// storeFault returns a function that injects a store fault for one to four seconds.
+func storeFault(begin, end func(s *store.Store)) func(s *soak, random *rand.Rand) {
 	return func(s *soak, random *rand.Rand) {
 		s.mesh.Store.Set(begin)
 		s.mesh.Judge.StoreTrouble(time.Duration(1+random.IntN(4)) * time.Second)
@@ -143,9 +144,9 @@
 	}
 }
 
-// onRelays sets a fault of the relays before the store (0) or the target (1) of a random share
-// of the machines for one to four seconds.
-func onRelays(which int, share float64, begin, end func(r *relay)) func(s *soak, random *rand.Rand) {
+// relayFault returns a function that injects a fault for one to four seconds into the relays in
+// front of the store (0) or the target (1) of a random share of the machines.
+func relayFault(which int, share float64, begin, end func(r *relay)) func(s *soak, random *rand.Rand) {
 	return func(s *soak, random *rand.Rand) {
 		span := time.Duration(1+random.IntN(4)) * time.Second
 		var group sync.WaitGroup
@@ -155,7 +156,7 @@
 				continue
 			}
 			group.Go(func() {
-				over := s.unplanned(machine)
+				over := s.reportDisturbed(machine)
 				defer over()
 				begin(relays[which])
 				time.Sleep(span)
@@ -166,45 +167,45 @@
 	}
 }
 
-// nothing ends a fault that needs no end.
-func nothing(*relay) {}
+// noop is the end of a fault that needs no cleanup.
+func noop(*relay) {}
 
-// onMesh makes a trouble of every deployment one of the soak.
-func onMesh(play func(mesh *testbed.Mesh, random *rand.Rand)) func(s *soak, random *rand.Rand) {
+// meshFault adapts a fault of package trouble.
+func meshFault(play func(mesh *testbed.Mesh, random *rand.Rand)) func(s *soak, random *rand.Rand) {
 	return func(s *soak, random *rand.Rand) { play(s.mesh, random) }
 }
 
-// kinds are all kinds of trouble; a seed draws from them by index.
-var kinds = []kind{
-	{"kill", func(s *soak, random *rand.Rand) { killed(s, random, 0.15) }},
-	{"kill many", func(s *soak, random *rand.Rand) { killed(s, random, 0.6) }},
-	{"kill all", func(s *soak, random *rand.Rand) { killed(s, random, 1) }},
-	{"freeze", func(s *soak, random *rand.Rand) {
+// faults lists all faults. Seeds select them by index, so their order matters.
+var faults = []fault{
+	{"kill", func(s *soak, random *rand.Rand) { killAndRestart(s, random, 0.15) }},
+	{"kill many", func(s *soak, random *rand.Rand) { killAndRestart(s, random, 0.6) }},
+	{"kill all", func(s *soak, random *rand.Rand) { killAndRestart(s, random, 1) }},
+	{"suspend", func(s *soak, random *rand.Rand) {
 		span := time.Duration(500+random.IntN(4000)) * time.Millisecond
-		s.alone(random, 0.2, func(machine *testbed.Machine) {
-			over := s.unplanned(machine)
+		s.onReserved(random, 0.2, func(machine *testbed.Machine) {
+			over := s.reportDisturbed(machine)
 			defer over()
 			s.pause(machine, span)
 		})
 	}},
-	{"stop in turn", func(s *soak, random *rand.Rand) {
+	{"rolling stop", func(s *soak, random *rand.Rand) {
 		for _, machine := range s.mesh.Some(random, 0.3) {
-			if release, taken := s.take(machine); taken {
+			if release, taken := s.reserve(machine); taken {
 				machine.Stop()
 				restart(machine)
 				release()
 			}
 		}
 	}},
-	{"stop at once", func(s *soak, random *rand.Rand) {
-		s.alone(random, 0.3, func(machine *testbed.Machine) { machine.Stop(); restart(machine) })
+	{"concurrent stop", func(s *soak, random *rand.Rand) {
+		s.onReserved(random, 0.3, func(machine *testbed.Machine) { machine.Stop(); restart(machine) })
 	}},
 	{"stop, then kill", func(s *soak, random *rand.Rand) {
 		wait := time.Duration(random.IntN(1500)) * time.Millisecond
-		s.alone(random, 0.1, func(machine *testbed.Machine) {
-			over := s.unplanned(machine)
+		s.onReserved(random, 0.1, func(machine *testbed.Machine) {
+			over := s.reportDisturbed(machine)
 			defer over()
-			s.stopping(machine)
+			s.terminate(machine)
 			time.Sleep(wait)
 			machine.Kill()
 			restart(machine)
@@ -213,40 +214,40 @@
 	{"settings", func(s *soak, random *rand.Rand) {
 		allowance := float64(30 + random.IntN(30))
 		for _, machine := range s.mesh.Some(random, 0.5) {
-			if release, taken := s.take(machine); taken {
+			if release, taken := s.reserve(machine); taken {
 				machine.Reload(func(s *settings.Settings) { s.Retries.Allowance = allowance })
 				release()
 			}
 		}
 	}},
 	{"configuration", func(s *soak, random *rand.Rand) { trouble.NewRoute(s.mesh, random) }},
-	{"configurations in series", func(s *soak, random *rand.Rand) {
+	{"successive configurations", func(s *soak, random *rand.Rand) {
 		for range 10 {
 			trouble.NewRoute(s.mesh, random)
 			time.Sleep(100 * time.Millisecond)
 		}
 	}},
-	{"store down", storeFor(func(s *store.Store) { s.Down = true }, func(s *store.Store) { s.Down = false })},
-	{"store slow", storeFor(func(s *store.Store) { s.Slow = 300 * time.Millisecond }, func(s *store.Store) { s.Slow = 0 })},
-	{"store loses answers", storeFor(func(s *store.Store) { s.LoseWrites = true }, func(s *store.Store) { s.LoseWrites = false })},
-	{"store forgets", func(s *soak, _ *rand.Rand) { s.mesh.Store.Compact(); s.mesh.Store.EndLeases() }},
-	{"store silent for some", onRelays(0, 0.3, func(r *relay) { r.set(func(r *relay) { r.cut = [2]bool{true, true} }) }, func(r *relay) { r.cut = [2]bool{} })},
-	{"store cut one way for some", onRelays(0, 0.3, func(r *relay) { r.set(func(r *relay) { r.cut[back] = true }) }, func(r *relay) { r.cut = [2]bool{} })},
-	{"connections to the store reset", onRelays(0, 0.5, (*relay).reset, nothing)},
-	{"connections to the store silent for good", onRelays(0, 0.5, (*relay).silence, nothing)},
-	{"connections to targets reset", onRelays(1, 0.3, (*relay).reset, nothing)},
-	{"connections to targets silent for good", onRelays(1, 0.2, (*relay).silence, nothing)},
-	{"targets delayed", onRelays(1, 0.2, func(r *relay) { r.set(func(r *relay) { r.delay = 50 * time.Millisecond }) }, func(r *relay) { r.delay = 0 })},
+	{"store down", storeFault(func(s *store.Store) { s.Down = true }, func(s *store.Store) { s.Down = false })},
+	{"store slow", storeFault(func(s *store.Store) { s.Slow = 300 * time.Millisecond }, func(s *store.Store) { s.Slow = 0 })},
+	{"store loses responses", storeFault(func(s *store.Store) { s.LoseWrites = true }, func(s *store.Store) { s.LoseWrites = false })},
+	{"store compacted and leases expired", func(s *soak, _ *rand.Rand) { s.mesh.Store.Compact(); s.mesh.Store.EndLeases() }},
+	{"store unresponsive for some nodes", relayFault(0, 0.3, func(r *relay) { r.set(func(r *relay) { r.blockedDirs = [2]bool{true, true} }) }, func(r *relay) { r.blockedDirs = [2]bool{} })},
+	{"store responses blocked for some nodes", relayFault(0, 0.3, func(r *relay) { r.set(func(r *relay) { r.blockedDirs[toClient] = true }) }, func(r *relay) { r.blockedDirs = [2]bool{} })},
+	{"connections to the store reset", relayFault(0, 0.5, (*relay).reset, noop)},
+	{"connections to the store blackholed", relayFault(0, 0.5, (*relay).blackhole, noop)},
+	{"connections to targets reset", relayFault(1, 0.3, (*relay).reset, noop)},
+	{"connections to targets blackholed", relayFault(1, 0.2, (*relay).blackhole, noop)},
+	{"targets delayed", relayFault(1, 0.2, func(r *relay) { r.set(func(r *relay) { r.delay = 50 * time.Millisecond }) }, func(r *relay) { r.delay = 0 })},
 	{"targets crash", func(s *soak, random *rand.Rand) {
-		s.alone(random, 0.15, func(machine *testbed.Machine) {
+		s.onReserved(random, 0.15, func(machine *testbed.Machine) {
 			machine.Target.Stop()
 			time.Sleep(2 * time.Second)
 			_ = machine.Target.Start()
 		})
 	}},
-	{"targets lose answers", onMesh(trouble.Faulty(target.Faults{LoseAnswer: 0.1, CutShort: 0.02, Garbage: 0.02}, 0.5, 3*time.Second))},
-	{"targets slow", onMesh(trouble.Faulty(target.Faults{Slow: 5}, 0.2, 3*time.Second))},
-	{"targets decline", onMesh(trouble.Faulty(target.Faults{Decline: 0.4}, 0.2, 3*time.Second))},
+	{"targets lose responses", meshFault(trouble.Faulty(target.Faults{LoseAnswer: 0.1, CutShort: 0.02, Garbage: 0.02}, 0.5, 3*time.Second))},
+	{"targets slow", meshFault(trouble.Faulty(target.Faults{Slow: 5}, 0.2, 3*time.Second))},
+	{"targets decline", meshFault(trouble.Faulty(target.Faults{Decline: 0.4}, 0.2, 3*time.Second))},
 	{"harmful request", func(s *soak, random *rand.Rand) {
 		route := s.mesh.Plan.Routes[[]int{0, 1, 3}[random.IntN(3)]]
 		path := fmt.Sprintf("%sharmful-%d", route.Prefix, random.IntN(1000))
@@ -261,7 +262,7 @@
 		time.Sleep(2 * time.Second)
 		s.mesh.Clients.SetBurst(0)
 	}},
-	{"clients leave", func(s *soak, _ *rand.Rand) {
+	{"clients disconnect", func(s *soak, _ *rand.Rand) {
 		s.mesh.Clients.SetGiveUp(20 * time.Millisecond)
 		time.Sleep(2 * time.Second)
 		s.mesh.Clients.SetGiveUp(0)
