--- a/internal/core/overload/overload.go
+++ b/internal/core/overload/overload.go
@@ -100,9 +100,9 @@
 // minSampleWeight is the minimum weight of a sample, for samples in quick succession.
 const minSampleWeight = 0.02
 
-// Learn records the calls made for a request of a route. A request that was not served may
+// ObserveCalls records the calls made for a request of a route. A request that was not served may
 // have made only some of its calls, so it can raise the means but not lower them.
-func (c *Controller) Learn(now time.Duration, route string, needs []Need, served bool) {
+func (c *Controller) ObserveCalls(now time.Duration, route string, needs []Need, served bool) {
 	means := c.route(now, route).meanCalls
 	if len(means) == 0 || !served {
 		for _, need := range needs {
@@ -118,17 +118,17 @@
 	}
 }
 
-// Needs returns a new map with the mean number of calls to each service that a request of the
+// MeanCalls returns a new map with the mean number of calls to each service that a request of the
 // route causes, the request itself included.
-func (c *Controller) Needs(route string) map[string]float64 {
+func (c *Controller) MeanCalls(route string) map[string]float64 {
 	needs := map[string]float64{}
-	c.EachNeed(route, func(service string, calls float64) { needs[service] = calls })
+	c.ForEachService(route, func(service string, calls float64) { needs[service] = calls })
 	return needs
 }
 
-// EachNeed calls f for each service with the mean number of calls that a request of the route
+// ForEachService calls f for each service with the mean number of calls that a request of the route
 // causes there, the request itself included.
-func (c *Controller) EachNeed(route string, f func(service string, calls float64)) {
+func (c *Controller) ForEachService(route string, f func(service string, calls float64)) {
 	r := c.routes[route]
 	if r == nil {
 		return
@@ -140,9 +140,9 @@
 	}
 }
 
-// Share returns the probability of admitting the next request of a route and, if it is below
+// AdmitProbability returns the probability of admitting the next request of a route and, if it is below
 // 1, the service that limits it.
-func (c *Controller) Share(now time.Duration, route string) (float64, string) {
+func (c *Controller) AdmitProbability(now time.Duration, route string) (float64, string) {
 	r := c.route(now, route)
 	share := r.window.AdmitProbability(now)
 	if share >= 1 {
@@ -160,22 +160,22 @@
 // Begin records that a request of the route was admitted.
 func (c *Controller) Begin(now time.Duration, route string) { c.route(now, route).window.Begin(now) }
 
-// Leave records the end of an admitted request whose timing is not a valid sample.
-func (c *Controller) Leave(now time.Duration, route string) { c.route(now, route).window.Discard() }
+// Discard records the end of an admitted request whose timing is not a valid sample.
+func (c *Controller) Discard(now time.Duration, route string) { c.route(now, route).window.Discard() }
 
-// Ended describes the completion of an admitted request.
-type Ended struct {
-	Needs  []Need        // calls made, with their queueing times
-	Steps  int           // priorities between the least important one and the route's
-	Limit  time.Duration // timeout of the request; 0: none
-	Took   time.Duration
-	Lacked bool // refused for lack of capacity, or timed out
+// Completion describes the completion of an admitted request.
+type Completion struct {
+	Needs         []Need        // calls made, with their queueing times
+	PrioritySteps int           // priorities between the least important one and the route's
+	LatencyBudget time.Duration // timeout of the request; 0: none
+	Latency       time.Duration
+	Overloaded    bool // refused for lack of capacity, or timed out
 }
 
 // End records the completion of an admitted request of the route.
-func (c *Controller) End(now time.Duration, name string, ended Ended) {
+func (c *Controller) End(now time.Duration, name string, ended Completion) {
 	r := c.route(now, name)
-	sample := Sample{Latency: ended.Took, Overloaded: ended.Lacked, WaitBudget: c.waitBudget(ended)}
+	sample := Sample{Latency: ended.Latency, Overloaded: ended.Overloaded, WaitBudget: c.waitBudget(ended)}
 	longest := time.Duration(0)
 	for _, need := range ended.Needs {
 		wait := time.Duration(need.Calls) * need.Wait
@@ -188,9 +188,9 @@
 }
 
 // waitBudget returns the queueing time that the request was allowed along its chain.
-func (c *Controller) waitBudget(ended Ended) time.Duration {
-	share := min(c.config.WaitShare+c.config.WaitShareStep*float64(max(ended.Steps, 0)), c.config.MaxWaitShare)
-	return time.Duration(share * float64(ended.Limit))
+func (c *Controller) waitBudget(ended Completion) time.Duration {
+	share := min(c.config.WaitShare+c.config.WaitShareStep*float64(max(ended.PrioritySteps, 0)), c.config.MaxWaitShare)
+	return time.Duration(share * float64(ended.LatencyBudget))
 }
 
 // Occupancy returns the mean occupancy of a service, or 0 if it is unknown.
--- a/internal/core/overload/overload_test.go
+++ b/internal/core/overload/overload_test.go
@@ -27,12 +27,12 @@
 // returns the time at the end.
 func runToSteadyState(c *Controller, from time.Duration, route string, steps int, needs []Need) time.Duration {
 	for end := from + 3*time.Second; from < end; from += step {
-		share, _ := c.Share(from, route)
+		share, _ := c.AdmitProbability(from, route)
 		if share > 0 && c.routes[route].window.InFlight() < 8 {
 			c.Begin(from, route)
 		}
 		if c.routes[route].window.InFlight() > 0 {
-			c.End(from, route, Ended{Needs: needs, Steps: steps, Limit: timeout, Took: 200*time.Millisecond + totalWait(needs)})
+			c.End(from, route, Completion{Needs: needs, PrioritySteps: steps, LatencyBudget: timeout, Latency: 200*time.Millisecond + totalWait(needs)})
 		}
 	}
 	return from
@@ -42,7 +42,7 @@
 	g := NewWithT(t)
 	c := New(DefaultConfig())
 	now := runToSteadyState(c, 0, "list", 0, callChain(10, 12*time.Millisecond))
-	share, _ := c.Share(now, "list")
+	share, _ := c.AdmitProbability(now, "list")
 	g.Expect(share).To(Equal(1.0))
 }
 
@@ -52,11 +52,11 @@
 	now := runToSteadyState(c, 0, "list", 0, callChain(10, 60*time.Millisecond))
 	now = runToSteadyState(c, now-3*time.Second, "download", 0, []Need{{Service: "files", Calls: 1}})
 	c.Begin(now, "list")
-	share, service := c.Share(now, "list")
+	share, service := c.AdmitProbability(now, "list")
 	g.Expect(share).To(BeNumerically("<", 0.5))
 	g.Expect(service).To(Equal("deep"))
 	c.Begin(now, "download")
-	share, _ = c.Share(now, "download")
+	share, _ = c.AdmitProbability(now, "download")
 	g.Expect(share).To(Equal(1.0))
 }
 
@@ -66,9 +66,9 @@
 	now := runToSteadyState(c, 0, "list", 0, callChain(10, 60*time.Millisecond))
 	now = runToSteadyState(c, now-3*time.Second, "approve", 2, callChain(5, 60*time.Millisecond))
 	c.Begin(now, "list")
-	list, _ := c.Share(now, "list")
+	list, _ := c.AdmitProbability(now, "list")
 	c.Begin(now, "approve")
-	approve, _ := c.Share(now, "approve")
+	approve, _ := c.AdmitProbability(now, "approve")
 	g.Expect(list).To(BeNumerically("<", 0.5))
 	g.Expect(approve).To(Equal(1.0))
 }
@@ -80,8 +80,8 @@
 	for range 8 {
 		c.Begin(now, "list")
 	}
-	c.End(now, "list", Ended{Needs: callChain(10, 300*time.Millisecond), Limit: timeout, Took: 3200 * time.Millisecond})
-	share, _ := c.Share(now, "list")
+	c.End(now, "list", Completion{Needs: callChain(10, 300*time.Millisecond), LatencyBudget: timeout, Latency: 3200 * time.Millisecond})
+	share, _ := c.AdmitProbability(now, "list")
 	g.Expect(share).To(Equal(1.0))
 }
 
@@ -90,26 +90,26 @@
 func TestNeedsAreLearnedFromFailedRequests(t *testing.T) {
 	g := NewWithT(t)
 	c := New(DefaultConfig())
-	c.Learn(0, "list", []Need{{Service: "deep", Calls: 1}}, false)
-	g.Expect(c.Needs("list")["deep"]).To(Equal(1.0))
+	c.ObserveCalls(0, "list", []Need{{Service: "deep", Calls: 1}}, false)
+	g.Expect(c.MeanCalls("list")["deep"]).To(Equal(1.0))
 	now := time.Duration(0)
 	for ; now < time.Second; now += step {
 		c.Begin(now, "list")
-		c.End(now, "list", Ended{Limit: timeout, Took: timeout, Lacked: true})
+		c.End(now, "list", Completion{LatencyBudget: timeout, Latency: timeout, Overloaded: true})
 	}
 	c.Begin(now, "list")
-	share, _ := c.Share(now, "list")
+	share, _ := c.AdmitProbability(now, "list")
 	g.Expect(share).To(BeZero())
 }
 
 func TestFailedRequestsDoNotLowerMeanCalls(t *testing.T) {
 	g := NewWithT(t)
 	c := New(DefaultConfig())
-	c.Learn(0, "list", []Need{{Service: "deep", Calls: 10}}, true)
+	c.ObserveCalls(0, "list", []Need{{Service: "deep", Calls: 10}}, true)
 	for range 100 {
-		c.Learn(0, "list", []Need{{Service: "deep", Calls: 1}}, false)
+		c.ObserveCalls(0, "list", []Need{{Service: "deep", Calls: 1}}, false)
 	}
-	g.Expect(c.Needs("list")["deep"]).To(Equal(10.0))
+	g.Expect(c.MeanCalls("list")["deep"]).To(Equal(10.0))
 }
 
 func TestLimitIsLiftedWithoutNewSamples(t *testing.T) {
@@ -117,9 +117,9 @@
 	c := New(DefaultConfig())
 	now := runToSteadyState(c, 0, "list", 0, callChain(10, 100*time.Millisecond))
 	c.Begin(now, "list")
-	share, _ := c.Share(now, "list")
+	share, _ := c.AdmitProbability(now, "list")
 	g.Expect(share).To(BeZero())
-	share, _ = c.Share(now+5*time.Second, "list")
+	share, _ = c.AdmitProbability(now+5*time.Second, "list")
 	g.Expect(share).To(Equal(1.0))
 }
 
@@ -145,7 +145,7 @@
 			c := New(DefaultConfig())
 			now := runToSteadyState(c, 0, "list", tc.steps, callChain(tc.calls, tc.wait))
 			c.Begin(now, "list")
-			share, _ := c.Share(now, "list")
+			share, _ := c.AdmitProbability(now, "list")
 			g.Expect(share < 0.5).To(Equal(tc.refused))
 		})
 	}
--- a/internal/core/overload/window_test.go
+++ b/internal/core/overload/window_test.go
@@ -120,14 +120,14 @@
 		begin = func(now time.Duration) {
 			s.after(now, time.Duration(s.random.ExpFloat64()/s.arrivalRate(now)*float64(s.nodes)*float64(time.Second)), begin)
 			second := int(now / time.Second)
-			if share, _ := c.Share(now, "list"); share < 1 && s.random.Float64() >= share {
+			if share, _ := c.AdmitProbability(now, "list"); share < 1 && s.random.Float64() >= share {
 				s.refused[second]++
 				return
 			}
 			c.Begin(now, "list")
 			s.chain(now, now, s.calls, 0, func(end, waited time.Duration) {
 				needs := []Need{{Service: "deep", Calls: s.calls, Wait: waited / time.Duration(s.calls)}}
-				c.End(end, "list", Ended{Needs: needs, Limit: s.limit, Took: end - now})
+				c.End(end, "list", Completion{Needs: needs, LatencyBudget: s.limit, Latency: end - now})
 				if second := int(end / time.Second); second < seconds {
 					s.served[second]++
 					if end-now > s.limit {
--- a/internal/sidecar/admission/admission.go
+++ b/internal/sidecar/admission/admission.go
@@ -51,7 +51,7 @@
 	now := c.now()
 	decision.Probability = 1
 	if !c.windowDisabled {
-		decision.Probability, decision.Bottleneck = c.core.Share(now, route.Name)
+		decision.Probability, decision.Bottleneck = c.core.AdmitProbability(now, route.Name)
 	}
 	if decision.Bottleneck != "" {
 		decision.Occupancy = c.core.Occupancy(decision.Bottleneck)
@@ -88,10 +88,10 @@
 	defer c.mutex.Unlock()
 	now := c.now()
 	if done.Abandoned {
-		c.core.Leave(now, done.Route.Name)
+		c.core.Discard(now, done.Route.Name)
 		return
 	}
-	c.core.End(now, done.Route.Name, overload.Ended{Needs: decodeNeeds(done.Needs), Steps: steps, Limit: done.LatencyBudget, Took: done.Latency, Lacked: done.NoCapacity})
+	c.core.End(now, done.Route.Name, overload.Completion{Needs: decodeNeeds(done.Needs), PrioritySteps: steps, LatencyBudget: done.LatencyBudget, Latency: done.Latency, Overloaded: done.NoCapacity})
 }
 
 // priorityAboveLowest returns the number of priority levels between the route and the lowest
@@ -108,7 +108,7 @@
 func (c *Control) Needs(route *intent.Route) map[string]float64 {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.core.Needs(route.Name)
+	return c.core.MeanCalls(route.Name)
 }
 
 // EachNeed calls f for each service that the route's requests call. f must not call methods of
@@ -116,7 +116,7 @@
 func (c *Control) EachNeed(route *intent.Route, f func(service string, calls float64)) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.core.EachNeed(route.Name, f)
+	c.core.ForEachService(route.Name, f)
 }
 
 // RecordNeeds records the demand of an attempt on downstream services. served reports that the
@@ -129,7 +129,7 @@
 	for _, need := range decoded {
 		c.core.Observe(now, need.Service, need.Occupancy)
 	}
-	c.core.Learn(now, route.Name, decoded, served)
+	c.core.ObserveCalls(now, route.Name, decoded, served)
 }
 
 // decodeNeeds converts needs from their wire representation.
--- a/internal/sidecar/services/services_test.go
+++ b/internal/sidecar/services/services_test.go
@@ -31,13 +31,13 @@
 	return c
 }
 
-func (c chain) recordNeeds(needs ...overload.Need) { c.needs.Learn(0, "read", needs, true) }
+func (c chain) recordNeeds(needs ...overload.Need) { c.needs.ObserveCalls(0, "read", needs, true) }
 
 func (c chain) recordRequest() float64 {
-	return c.RecordRequest("front", 1, func(f func(name string, calls float64)) { c.needs.EachNeed("read", f) })
+	return c.RecordRequest("front", 1, func(f func(name string, calls float64)) { c.needs.ForEachService("read", f) })
 }
 
-func (c chain) takeRetry() bool { return c.TakeRetry("front", c.needs.Needs("read"), 0, false) }
+func (c chain) takeRetry() bool { return c.TakeRetry("front", c.needs.MeanCalls("read"), 0, false) }
 
 // Guards against denied retries at the node where a call chain starts: it calls the downstream
 // services only indirectly, and must still earn retry budget there.
