--- a/internal/core/balancer/balancer.go
+++ b/internal/core/balancer/balancer.go
@@ -16,12 +16,12 @@
 
 // Target is a target as listed in the membership.
 type Target struct {
-	Node     string // node in front of the target
-	Address  string // of the node, IP:port
-	Zone     string
-	Instance string // identifies one start of the target
-	Slots    int
-	Cold     time.Duration // end of the warm-up period, on the caller's clock
+	Node      string // node in front of the target
+	Address   string // of the node, IP:port
+	Zone      string
+	Instance  string // identifies one start of the target
+	Slots     int
+	ColdUntil time.Duration // end of the warm-up period, on the caller's clock
 }
 
 // Config configures a Balancer.
@@ -106,14 +106,14 @@
 	var cost float64
 	profile := b.profile(need)
 	for _, endpoint := range b.order {
-		if excluded[endpoint.Node] || now < endpoint.avoidUntil || need.Only != nil && !need.Only[endpoint.Node] {
+		if excluded[endpoint.Node] || now < endpoint.avoidUntil || need.Allowed != nil && !need.Allowed[endpoint.Node] {
 			continue
 		}
 		if estimate := b.cost(now, endpoint, profile); best == nil || estimate < cost {
 			best, cost = endpoint, estimate
 		}
 	}
-	if best == nil && allowAvoided && need.Only == nil {
+	if best == nil && allowAvoided && need.Allowed == nil {
 		best = b.soonestAvailable(excluded)
 	}
 	return best
@@ -152,11 +152,11 @@
 	if load.Slots > 0 {
 		e.Slots = load.Slots
 	}
-	b.Trust(e)
+	b.ClearSuspicion(e)
 }
 
-// Trust clears the suspicion of an endpoint that responded.
-func (b *Balancer) Trust(e *Endpoint) {
+// ClearSuspicion clears the suspicion of an endpoint that responded.
+func (b *Balancer) ClearSuspicion(e *Endpoint) {
 	if e.suspected {
 		e.suspected = false
 		e.avoidUntil = 0
--- a/internal/core/balancer/balancer_test.go
+++ b/internal/core/balancer/balancer_test.go
@@ -114,11 +114,11 @@
 func TestOccupancyIsThatOfTheWholeService(t *testing.T) {
 	g := NewWithT(t)
 	b := newTwoZoneBalancer()
-	_, known := b.Pressure(time.Second)
+	_, known := b.ServiceLoad(time.Second)
 	g.Expect(known).To(BeFalse())
 	report(b, "near", 10, 10)
 	report(b, "far", 0, 0)
-	pressure, known := b.Pressure(time.Second)
+	pressure, known := b.ServiceLoad(time.Second)
 	g.Expect(known).To(BeTrue())
 	g.Expect(pressure.Occupancy).To(Equal(1.0))
 }
@@ -245,7 +245,7 @@
 				}
 				b.Report(now-tc.age, b.Endpoint(one.Node), slots.Load{Slots: 10, Running: tc.load})
 			}
-			pressure, known := b.Pressure(now)
+			pressure, known := b.ServiceLoad(now)
 			g.Expect(known).To(BeTrue())
 			g.Expect(pressure.Occupancy).To(And(BeNumerically("<=", tc.highest), BeNumerically(">=", tc.lowest)))
 		})
@@ -276,7 +276,7 @@
 				load := slots.Load{Slots: 10, Running: 10, Waiting: waiting, Hold: serviceTime}
 				b.Report(time.Second, b.Endpoint(targets[i].Node), load)
 			}
-			pressure, known := b.Pressure(time.Second)
+			pressure, known := b.ServiceLoad(time.Second)
 			g.Expect(known).To(BeTrue())
 			g.Expect(pressure.Occupancy).To(BeNumerically("~", tc.want, 0.01))
 		})
--- a/internal/core/balancer/cost.go
+++ b/internal/core/balancer/cost.go
@@ -9,10 +9,10 @@
 type Requirement struct {
 	// Class groups requests with similar latency; empty: none.
 	Class string
-	// Limit is the time left for the request; 0: unknown.
-	Limit time.Duration
-	// Only restricts the choice to these nodes; nil: any.
-	Only map[string]bool
+	// Timeout is the time left for the request; 0: unknown.
+	Timeout time.Duration
+	// Allowed restricts the choice to these nodes; nil: any.
+	Allowed map[string]bool
 }
 
 // The cost of a target estimates the loss of value from sending a request there, where 1 is the
@@ -61,7 +61,7 @@
 }
 
 func (b *Balancer) profile(need Requirement) requestProfile {
-	p := requestProfile{class: need.Class, meanServiceTime: b.meanServiceTime(), timeout: float64(need.Limit), crossZoneCost: crossZoneCost}
+	p := requestProfile{class: need.Class, meanServiceTime: b.meanServiceTime(), timeout: float64(need.Timeout), crossZoneCost: crossZoneCost}
 	p.latency = float64(p.meanServiceTime)
 	if known := b.classes[need.Class]; known != nil {
 		if known.latency > 0 {
@@ -98,7 +98,7 @@
 func (b *Balancer) cost(now time.Duration, e *Endpoint, p requestProfile) float64 {
 	utilization := b.utilization(now, e)
 	latency := e.expectedLatency(now, p) * (1 + (saturationFactor-1)*min(utilization, 1)) * (1 + b.config.Noise*b.random.Float64())
-	if now < e.Cold {
+	if now < e.ColdUntil {
 		latency *= coldFactor
 	}
 	if utilization > 1 {
--- a/internal/core/balancer/cost_test.go
+++ b/internal/core/balancer/cost_test.go
@@ -37,7 +37,7 @@
 				b.Answered(time.Second, b.Endpoint("near"), "c", tc.bytes, tc.near)
 				b.Answered(time.Second, b.Endpoint("far"), "c", tc.bytes, tc.far)
 			}
-			g.Expect(b.Pick(time.Second, Requirement{Class: "c", Limit: tc.timeout}, nil, false).Node).To(Equal(tc.want))
+			g.Expect(b.Pick(time.Second, Requirement{Class: "c", Timeout: tc.timeout}, nil, false).Node).To(Equal(tc.want))
 		})
 	}
 }
@@ -49,7 +49,7 @@
 	b := newTwoZoneBalancer()
 	reportIdle(b, time.Second, "near", 400*time.Millisecond)
 	reportIdle(b, time.Second, "far", 200*time.Millisecond)
-	need := Requirement{Class: "lookup", Limit: 300 * time.Millisecond}
+	need := Requirement{Class: "lookup", Timeout: 300 * time.Millisecond}
 	b.Answered(time.Second, b.Endpoint("far"), "lookup", 600, 150*time.Millisecond)
 	g.Expect(b.Pick(time.Second, need, nil, false).Node).To(Equal("far"), "by service times alone")
 	b.Answered(time.Second, b.Endpoint("near"), "lookup", 600, 160*time.Millisecond)
@@ -62,7 +62,7 @@
 	b := newTwoZoneBalancer()
 	b.Answered(time.Second, b.Endpoint("near"), "c", 600, time.Second)
 	b.Answered(time.Second, b.Endpoint("far"), "c", 600, 20*time.Millisecond)
-	need := Requirement{Class: "c", Limit: 300 * time.Millisecond}
+	need := Requirement{Class: "c", Timeout: 300 * time.Millisecond}
 	g.Expect(b.Pick(time.Second, need, nil, false).Node).To(Equal("far"))
 	for now := time.Second; now < 10*time.Second; now += 100 * time.Millisecond {
 		b.Answered(now, b.Endpoint("far"), "c", 600, 20*time.Millisecond)
@@ -73,8 +73,8 @@
 func TestOnlyAllowedTargetsArePicked(t *testing.T) {
 	g := NewWithT(t)
 	b := newTwoZoneBalancer()
-	g.Expect(b.Pick(0, Requirement{Only: map[string]bool{"far": true}}, nil, true).Node).To(Equal("far"))
-	g.Expect(b.Pick(0, Requirement{Only: map[string]bool{"far": true}}, map[string]bool{"far": true}, true)).To(BeNil())
+	g.Expect(b.Pick(0, Requirement{Allowed: map[string]bool{"far": true}}, nil, true).Node).To(Equal("far"))
+	g.Expect(b.Pick(0, Requirement{Allowed: map[string]bool{"far": true}}, map[string]bool{"far": true}, true)).To(BeNil())
 }
 
 func TestMechanismsCanBeDisabled(t *testing.T) {
@@ -106,7 +106,7 @@
 						b.Answered(time.Second, b.Endpoint("far"), "c", 600, 100*time.Millisecond)
 					}
 				}
-				return b.Pick(time.Second, Requirement{Class: "c", Limit: time.Second}, nil, false).Node
+				return b.Pick(time.Second, Requirement{Class: "c", Timeout: time.Second}, nil, false).Node
 			}
 			config := DefaultConfig()
 			enabled := pick(config)
--- a/internal/core/balancer/pressure.go
+++ b/internal/core/balancer/pressure.go
@@ -21,23 +21,23 @@
 	maxStaleOccupancy = 1.0
 )
 
-// Pressure is the load of a service.
-type Pressure struct {
+// ServiceLoad is the load of a service.
+type ServiceLoad struct {
 	Occupancy float64       // running and queued requests, over slots
 	Wait      time.Duration // expected queueing time of one request
 }
 
-// Pressure returns the load of the service, or false if there is no fresh report.
-func (b *Balancer) Pressure(now time.Duration) (Pressure, bool) {
+// ServiceLoad returns the load of the service, or false if there is no fresh report.
+func (b *Balancer) ServiceLoad(now time.Duration) (ServiceLoad, bool) {
 	fresh, stale := b.reports(now)
 	if len(fresh) == 0 {
-		return Pressure{}, false
+		return ServiceLoad{}, false
 	}
 	total := sumReports(fresh, b.occupancyCap(fresh))
 	if missing := minReports - len(fresh); missing > 0 && len(stale) > 0 {
 		total.add(sumReports(stale, maxStaleOccupancy), min(float64(missing)/float64(len(stale)), 1))
 	}
-	return Pressure{Occupancy: total.used / total.slots, Wait: time.Duration(total.waited / total.slots)}, true
+	return ServiceLoad{Occupancy: total.used / total.slots, Wait: time.Duration(total.waited / total.slots)}, true
 }
 
 // reports returns the fresh reports and those that are stale but not expired.
--- a/internal/sidecar/entry/send.go
+++ b/internal/sidecar/entry/send.go
@@ -108,9 +108,9 @@
 // requirement returns what the balancer must satisfy: a response within the objective of the route
 // and before the timeout.
 func (r *request) requirement(ctx context.Context, attempts *resend.Tried) balancer.Requirement {
-	requirement := balancer.Requirement{Class: r.route.Name, Limit: r.remaining(ctx), Only: attempts.Only(r.maxTargets())}
+	requirement := balancer.Requirement{Class: r.route.Name, Timeout: r.remaining(ctx), Allowed: attempts.Only(r.maxTargets())}
 	if left := r.route.Objective - (r.options.Now() - r.started); left > 0 {
-		requirement.Limit = min(requirement.Limit, left)
+		requirement.Timeout = min(requirement.Timeout, left)
 	}
 	return requirement
 }
--- a/internal/sidecar/membership/membership.go
+++ b/internal/sidecar/membership/membership.go
@@ -338,6 +338,6 @@
 	}
 	targets[record.Service] = append(targets[record.Service], balancer.Target{
 		Node: record.Node, Address: record.Address, Zone: record.Zone, Instance: record.Instance, Slots: record.Slots,
-		Cold: now + time.Duration(record.Cold)*time.Millisecond,
+		ColdUntil: now + time.Duration(record.Cold)*time.Millisecond,
 	})
 }
--- a/internal/sidecar/services/services.go
+++ b/internal/sidecar/services/services.go
@@ -169,7 +169,7 @@
 
 // Trust resumes sending to the target of a node.
 func (s *Services) Trust(node string) {
-	s.forEachEndpoint(node, func(b *balancer.Balancer, e *balancer.Endpoint) { b.Trust(e) })
+	s.forEachEndpoint(node, func(b *balancer.Balancer, e *balancer.Endpoint) { b.ClearSuspicion(e) })
 }
 
 // forEachEndpoint calls f for the target of a node in every service that includes it.
@@ -186,10 +186,10 @@
 }
 
 // Pressure returns the load of the service, or false if it is unknown.
-func (s *Service) Pressure(now time.Duration) (balancer.Pressure, bool) {
+func (s *Service) Pressure(now time.Duration) (balancer.ServiceLoad, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.balancer.Pressure(now)
+	return s.balancer.ServiceLoad(now)
 }
 
 func (s *Service) recordRequests(now time.Duration, requests float64) {
