--- a/internal/sidecar/observe.go
+++ b/internal/sidecar/observe.go
@@ -67,7 +67,7 @@
 
 // peerRecovered records that an unresponsive node responds again.
 func (n *Node) peerRecovered(node string) {
-	n.services.Trust(node)
+	n.services.ClearSuspicion(node)
 	n.events.Add(eventlog.Member{Member: node, Change: "heard again"}, eventlog.State)
 }
 
--- a/internal/sidecar/services/liveness_test.go
+++ b/internal/sidecar/services/liveness_test.go
@@ -43,7 +43,7 @@
 					}
 					return nil
 				}
-				l := peer.NewLiveness(now, ping, peer.Events{Lost: s.Suspect, Still: s.Suspect, Back: s.Trust})
+				l := peer.NewLiveness(now, ping, peer.Events{Lost: s.Suspect, Still: s.Suspect, Back: s.ClearSuspicion})
 				defer l.Close()
 				l.StartRecovery("silent", "silent:1")
 				s.Suspect("silent")
--- a/internal/sidecar/services/services.go
+++ b/internal/sidecar/services/services.go
@@ -167,8 +167,8 @@
 	s.forEachEndpoint(node, func(b *balancer.Balancer, e *balancer.Endpoint) { b.Suspect(s.now(), e) })
 }
 
-// Trust resumes sending to the target of a node.
-func (s *Services) Trust(node string) {
+// ClearSuspicion resumes sending to the target of a node.
+func (s *Services) ClearSuspicion(node string) {
 	s.forEachEndpoint(node, func(b *balancer.Balancer, e *balancer.Endpoint) { b.ClearSuspicion(e) })
 }
 
