--- a/internal/core/balancer/balancer.go
+++ b/internal/core/balancer/balancer.go
@@ -145,8 +145,8 @@
 
 // Report records a load report of the endpoint's gate.
 func (b *Balancer) Report(now time.Duration, e *Endpoint, load slots.Load) {
-	if load.Hold == 0 {
-		load.Hold = e.report.Hold
+	if load.ServiceTime == 0 {
+		load.ServiceTime = e.report.ServiceTime
 	}
 	e.report, e.reportedAt, e.sentSinceReport = load, now, 0
 	if load.Slots > 0 {
--- a/internal/core/balancer/balancer_test.go
+++ b/internal/core/balancer/balancer_test.go
@@ -24,7 +24,7 @@
 const serviceTime = 20 * time.Millisecond
 
 func report(b *Balancer, node string, running, waiting int) {
-	b.Report(time.Second, b.Endpoint(node), slots.Load{Slots: 10, Running: running, Waiting: waiting, Hold: serviceTime})
+	b.Report(time.Second, b.Endpoint(node), slots.Load{Slots: 10, Running: running, Waiting: waiting, ServiceTime: serviceTime})
 }
 
 func TestIdleTargetInOwnZoneIsPreferred(t *testing.T) {
@@ -50,8 +50,8 @@
 func TestQueueAtAFastNearTargetLosesToFreeSlotsFarAway(t *testing.T) {
 	g := NewWithT(t)
 	b := newTwoZoneBalancer()
-	b.Report(time.Second, b.Endpoint("near"), slots.Load{Slots: 13, Running: 13, Waiting: 13, Hold: 25 * time.Millisecond})
-	b.Report(time.Second, b.Endpoint("far"), slots.Load{Slots: 13, Running: 9, Hold: 57 * time.Millisecond})
+	b.Report(time.Second, b.Endpoint("near"), slots.Load{Slots: 13, Running: 13, Waiting: 13, ServiceTime: 25 * time.Millisecond})
+	b.Report(time.Second, b.Endpoint("far"), slots.Load{Slots: 13, Running: 9, ServiceTime: 57 * time.Millisecond})
 	best := b.Pick(time.Second, Requirement{}, nil, false)
 	g.Expect(best.Node).To(Equal("far"))
 }
@@ -176,8 +176,8 @@
 			for range 200 {
 				b.Answered(time.Second, b.Endpoint("far"), "", tc.bytes, serviceTime)
 			}
-			b.Report(time.Second, b.Endpoint("near"), slots.Load{Slots: 10, Running: tc.busy, Hold: 5 * serviceTime})
-			b.Report(time.Second, b.Endpoint("far"), slots.Load{Slots: 10, Running: 1, Hold: 5 * serviceTime})
+			b.Report(time.Second, b.Endpoint("near"), slots.Load{Slots: 10, Running: tc.busy, ServiceTime: 5 * serviceTime})
+			b.Report(time.Second, b.Endpoint("far"), slots.Load{Slots: 10, Running: 1, ServiceTime: 5 * serviceTime})
 			g.Expect(b.Pick(time.Second, Requirement{}, nil, false).Node).To(Equal(tc.want))
 		})
 	}
@@ -201,12 +201,12 @@
 			g := NewWithT(t)
 			b := New(DefaultConfig(), "me", "a", zeroRandom{})
 			b.Update([]Target{{Node: "old", Zone: "a", Instance: "1", Slots: 10}, {Node: "new", Zone: "a", Instance: "2", Slots: 10}})
-			b.Report(time.Second, b.Endpoint("old"), slots.Load{Slots: 10, Running: 5, Hold: slow})
+			b.Report(time.Second, b.Endpoint("old"), slots.Load{Slots: 10, Running: 5, ServiceTime: slow})
 			if tc.report != nil {
 				b.Report(time.Second, b.Endpoint("new"), *tc.report)
 			}
 			if tc.picked == "new" {
-				b.Report(time.Second, b.Endpoint("old"), slots.Load{Slots: 10, Running: 7, Hold: slow})
+				b.Report(time.Second, b.Endpoint("old"), slots.Load{Slots: 10, Running: 7, ServiceTime: slow})
 			}
 			g.Expect(b.Pick(time.Second, Requirement{}, nil, false).Node).To(Equal(tc.picked))
 		})
@@ -273,7 +273,7 @@
 			}
 			b.Update(targets)
 			for i, waiting := range tc.queue {
-				load := slots.Load{Slots: 10, Running: 10, Waiting: waiting, Hold: serviceTime}
+				load := slots.Load{Slots: 10, Running: 10, Waiting: waiting, ServiceTime: serviceTime}
 				b.Report(time.Second, b.Endpoint(targets[i].Node), load)
 			}
 			pressure, known := b.ServiceLoad(time.Second)
--- a/internal/core/balancer/cost.go
+++ b/internal/core/balancer/cost.go
@@ -83,8 +83,8 @@
 func (b *Balancer) meanServiceTime() time.Duration {
 	sum, known := time.Duration(0), time.Duration(0)
 	for _, e := range b.order {
-		if e.report.Hold > 0 {
-			sum += e.report.Hold
+		if e.report.ServiceTime > 0 {
+			sum += e.report.ServiceTime
 			known++
 		}
 	}
@@ -175,10 +175,10 @@
 
 // relativeServiceTime returns the target's service time relative to the mean.
 func (e *Endpoint) relativeServiceTime(mean time.Duration) float64 {
-	if e.report.Hold <= 0 || mean <= 0 {
+	if e.report.ServiceTime <= 0 || mean <= 0 {
 		return 1
 	}
-	return float64(e.report.Hold) / float64(mean)
+	return float64(e.report.ServiceTime) / float64(mean)
 }
 
 // latenessCost estimates the probability of exceeding the timeout, given the expected latency as
--- a/internal/core/balancer/cost_test.go
+++ b/internal/core/balancer/cost_test.go
@@ -10,7 +10,7 @@
 
 // reportIdle reports a target with one of ten slots in use.
 func reportIdle(b *Balancer, now time.Duration, node string, serviceTime time.Duration) {
-	b.Report(now, b.Endpoint(node), slots.Load{Slots: 10, Running: 1, Hold: serviceTime})
+	b.Report(now, b.Endpoint(node), slots.Load{Slots: 10, Running: 1, ServiceTime: serviceTime})
 }
 
 // A slower target in the own zone is preferred unless the response would be late.
--- a/internal/core/balancer/pressure.go
+++ b/internal/core/balancer/pressure.go
@@ -83,7 +83,7 @@
 		occupancy := min(reports[i].Occupancy(), occupancyCap)
 		s.slots += count
 		s.used += occupancy * count
-		s.waited += max(occupancy-1, 0) * float64(reports[i].Hold) * count
+		s.waited += max(occupancy-1, 0) * float64(reports[i].ServiceTime) * count
 	}
 	return s
 }
--- a/internal/core/slots/slots.go
+++ b/internal/core/slots/slots.go
@@ -43,8 +43,8 @@
 	Slots   int
 	Running int
 	Waiting int
-	// Hold is the mean service time of a request; 0: not enough samples.
-	Hold time.Duration
+	// ServiceTime is the mean service time of a request; 0: not enough samples.
+	ServiceTime time.Duration
 }
 
 // Occupancy returns the running and queued requests per slot.
@@ -117,8 +117,8 @@
 	return &Gate{slots: usableSlots(slots), running: map[uint64]activeRequest{}, serviceTime: meanTime{mean: float64(initialServiceTime)}, classes: map[string]*meanTime{}}
 }
 
-// BeginAll disables the check that a request has enough time left to finish.
-func (g *Gate) BeginAll() { g.skipDeadlineCheck = true }
+// SkipDeadlineCheck disables the check that a request has enough time left to finish.
+func (g *Gate) SkipDeadlineCheck() { g.skipDeadlineCheck = true }
 
 // SetSlots changes the number of slots and dispatches queued requests.
 func (g *Gate) SetSlots(now time.Duration, slots int) []Decision {
@@ -130,7 +130,7 @@
 func (g *Gate) Load() Load {
 	load := Load{Slots: g.slots, Running: len(g.running), Waiting: len(g.queue)}
 	if g.serviceTime.reliable() {
-		load.Hold = time.Duration(g.serviceTime.mean)
+		load.ServiceTime = time.Duration(g.serviceTime.mean)
 	}
 	return load
 }
@@ -138,8 +138,8 @@
 // Draining reports whether the gate is draining.
 func (g *Gate) Draining() bool { return g.draining }
 
-// Arrive submits a request. The decisions may include other requests that it displaces.
-func (g *Gate) Arrive(now time.Duration, request Request) []Decision {
+// Submit submits a request. The decisions may include other requests that it displaces.
+func (g *Gate) Submit(now time.Duration, request Request) []Decision {
 	if g.draining {
 		return []Decision{{ID: request.ID, Reason: ReasonDraining}}
 	}
@@ -232,8 +232,8 @@
 	return classTime
 }
 
-// Withdraw removes a request from the queue. It returns false if the request is not queued.
-func (g *Gate) Withdraw(id uint64) bool {
+// Cancel removes a request from the queue. It returns false if the request is not queued.
+func (g *Gate) Cancel(id uint64) bool {
 	for index, item := range g.queue {
 		if item.request.ID == id {
 			g.queue = append(g.queue[:index], g.queue[index+1:]...)
@@ -243,9 +243,9 @@
 	return false
 }
 
-// Tick refuses requests whose deadline passed in the queue. It must be called regularly while
+// Expire refuses requests whose deadline passed in the queue. It must be called regularly while
 // requests are queued.
-func (g *Gate) Tick(now time.Duration) []Decision { return g.dispatch(now, nil) }
+func (g *Gate) Expire(now time.Duration) []Decision { return g.dispatch(now, nil) }
 
 // Drain refuses all queued and future requests. Requests at the target continue.
 func (g *Gate) Drain(now time.Duration) []Decision {
--- a/internal/core/slots/slots_test.go
+++ b/internal/core/slots/slots_test.go
@@ -17,7 +17,7 @@
 	gate := New(20)
 	sent := 0
 	for id := uint64(1); id <= 40; id++ {
-		for _, decision := range gate.Arrive(0, request(id, 0)) {
+		for _, decision := range gate.Submit(0, request(id, 0)) {
 			if decision.Send {
 				sent++
 			}
@@ -30,9 +30,9 @@
 func TestQueueIsOrderedByImportance(t *testing.T) {
 	g := NewWithT(t)
 	gate := New(1)
-	gate.Arrive(0, request(1, 0))
-	gate.Arrive(0, request(2, 5))
-	gate.Arrive(0, request(3, 1))
+	gate.Submit(0, request(1, 0))
+	gate.Submit(0, request(2, 5))
+	gate.Submit(0, request(3, 1))
 	decisions := gate.Finish(1, 1, true)
 	g.Expect(decisions).To(HaveLen(1))
 	g.Expect(decisions[0].ID).To(Equal(uint64(3)))
@@ -41,19 +41,19 @@
 func TestRequestThatWouldMissItsDeadlineIsRefusedImmediately(t *testing.T) {
 	g := NewWithT(t)
 	gate := New(1)
-	gate.Arrive(0, request(1, 0))
+	gate.Submit(0, request(1, 0))
 	late := request(2, 0)
 	late.Deadline = initialServiceTime / 2
-	g.Expect(gate.Arrive(0, late)).To(Equal([]Decision{{ID: 2, Reason: ReasonTooLong}}))
+	g.Expect(gate.Submit(0, late)).To(Equal([]Decision{{ID: 2, Reason: ReasonTooLong}}))
 }
 
 func TestExpiredRequestIsNotDispatched(t *testing.T) {
 	g := NewWithT(t)
 	gate := New(1)
-	gate.Arrive(0, request(1, 0))
+	gate.Submit(0, request(1, 0))
 	short := request(2, 0)
 	short.Deadline = time.Second
-	gate.Arrive(0, short)
+	gate.Submit(0, short)
 	decisions := gate.Finish(2*time.Second, 1, true)
 	g.Expect(decisions).To(HaveLen(1))
 	g.Expect(decisions[0].Send).To(BeFalse())
@@ -63,10 +63,10 @@
 func TestDrainRefusesQueuedAndNewRequests(t *testing.T) {
 	g := NewWithT(t)
 	gate := New(1)
-	gate.Arrive(0, request(1, 0))
-	gate.Arrive(0, request(2, 0))
+	gate.Submit(0, request(1, 0))
+	gate.Submit(0, request(2, 0))
 	g.Expect(gate.Drain(1)).To(Equal([]Decision{{ID: 2, Reason: ReasonDraining, Waited: 1}}))
-	g.Expect(gate.Arrive(2, request(3, 0))).To(Equal([]Decision{{ID: 3, Reason: ReasonDraining}}))
+	g.Expect(gate.Submit(2, request(3, 0))).To(Equal([]Decision{{ID: 3, Reason: ReasonDraining}}))
 	g.Expect(gate.Finish(3, 1, true)).To(BeEmpty())
 }
 
@@ -89,21 +89,21 @@
 			gate := New(1)
 			now := time.Duration(0)
 			run := func(id uint64, lasted time.Duration, answered bool) {
-				gate.Arrive(now, Request{ID: id, Deadline: now + time.Hour})
+				gate.Submit(now, Request{ID: id, Deadline: now + time.Hour})
 				now += lasted
 				gate.Finish(now, id, answered)
 			}
 			for id := range uint64(200) {
 				run(id, normal, true)
 			}
-			before := gate.Load().Hold
+			before := gate.Load().ServiceTime
 			for id := range uint64(20) {
 				run(1000+id, tc.lasted, tc.answered)
 			}
 			if tc.slower {
-				g.Expect(gate.Load().Hold).To(BeNumerically(">", 5*before))
+				g.Expect(gate.Load().ServiceTime).To(BeNumerically(">", 5*before))
 			} else {
-				g.Expect(gate.Load().Hold).To(Equal(before))
+				g.Expect(gate.Load().ServiceTime).To(Equal(before))
 			}
 		})
 	}
@@ -146,12 +146,12 @@
 					break
 				}
 			case 4:
-				record(gate.Tick(now))
+				record(gate.Expire(now))
 			default:
 				one := request(id, rapid.IntRange(0, 3).Draw(t, "importance"))
 				one.Deadline = now + time.Duration(rapid.IntRange(1, 200).Draw(t, "time"))*time.Millisecond
 				draining := gate.Draining()
-				decisions := gate.Arrive(now, one)
+				decisions := gate.Submit(now, one)
 				if draining && (len(decisions) != 1 || decisions[0].Send) {
 					t.Fatalf("a draining gate decided %v", decisions)
 				}
@@ -171,13 +171,13 @@
 	gate := New(20)
 	const lasts = 200 * time.Millisecond
 	for id := uint64(1); id < minSamples; id++ {
-		gate.Arrive(0, request(id, 0))
+		gate.Submit(0, request(id, 0))
 		gate.Finish(lasts, id, true)
 	}
-	g.Expect(gate.Load().Hold).To(BeZero())
-	gate.Arrive(0, request(minSamples, 0))
+	g.Expect(gate.Load().ServiceTime).To(BeZero())
+	gate.Submit(0, request(minSamples, 0))
 	gate.Finish(lasts, minSamples, true)
-	g.Expect(gate.Load().Hold).To(BeNumerically("~", lasts, time.Millisecond), "the initial service time does not affect the mean")
+	g.Expect(gate.Load().ServiceTime).To(BeNumerically("~", lasts, time.Millisecond), "the initial service time does not affect the mean")
 }
 
 // A request with too little time left would hold slots along its whole chain in vain. The check
@@ -189,7 +189,7 @@
 	for range minSamples {
 		for class, lasts := range map[string]time.Duration{"list": list, "lookup": lookup} {
 			id++
-			gate.Arrive(now, Request{ID: id, Class: class, Deadline: now + time.Hour})
+			gate.Submit(now, Request{ID: id, Class: class, Deadline: now + time.Hour})
 			gate.Finish(now+lasts, id, true)
 			now += list
 		}
@@ -208,7 +208,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
 			id++
-			decisions := gate.Arrive(now, Request{ID: id, Class: tc.class, Deadline: now + tc.left})
+			decisions := gate.Submit(now, Request{ID: id, Class: tc.class, Deadline: now + tc.left})
 			g.Expect(decisions).To(HaveLen(1))
 			g.Expect(decisions[0].Send).To(Equal(tc.sent))
 			gate.Finish(now, id, false)
--- a/internal/sidecar/services/services_test.go
+++ b/internal/sidecar/services/services_test.go
@@ -92,7 +92,7 @@
 
 // Only lost responses count against a target; timeouts do not.
 func TestOnlyLostResponsesPenalizeTarget(t *testing.T) {
-	load := slots.Load{Slots: 40, Running: 20, Hold: 700 * time.Millisecond}
+	load := slots.Load{Slots: 40, Running: 20, ServiceTime: 700 * time.Millisecond}
 	for _, tc := range []struct {
 		name      string
 		reply     *reply.Reply // result of an attempt at the bad target
@@ -117,11 +117,11 @@
 				picked := s.Get("s").Pick(now, balancer.Requirement{}, nil)
 				if picked.Node == "bad" {
 					toBad++
-					picked.Done(now+load.Hold, tc.reply)
+					picked.Done(now+load.ServiceTime, tc.reply)
 					continue
 				}
 				const hold = 800 * time.Millisecond
-				picked.Done(now+hold, &reply.Reply{Outcome: outcome.Answered, Reason: outcome.ReasonNone, Arrived: true, Status: 200, Load: slots.Load{Slots: 40, Running: 20, Hold: hold}})
+				picked.Done(now+hold, &reply.Reply{Outcome: outcome.Answered, Reason: outcome.ReasonNone, Arrived: true, Status: 200, Load: slots.Load{Slots: 40, Running: 20, ServiceTime: hold}})
 			}
 			if tc.penalized {
 				g.Expect(toBad).To(BeNumerically("<", 40))
--- a/internal/sidecar/target/target.go
+++ b/internal/sidecar/target/target.go
@@ -81,7 +81,7 @@
 	request.ID = g.nextID
 	result := make(chan slots.Decision, 1)
 	g.waiting[request.ID] = result
-	g.apply(g.core.Arrive(g.now(), request))
+	g.apply(g.core.Submit(g.now(), request))
 	g.mu.Unlock()
 	select {
 	case decision := <-result:
@@ -97,7 +97,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	delete(g.waiting, id)
-	if !g.core.Withdraw(id) {
+	if !g.core.Cancel(id) {
 		select {
 		case decision := <-result:
 			if decision.Send {
@@ -154,7 +154,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.timerActive = false
-	g.apply(g.core.Tick(g.now()))
+	g.apply(g.core.Expire(g.now()))
 }
 
 // Current returns the gate of the current target, or nil if there is none.
@@ -294,7 +294,7 @@
 		}
 		l.gate = newGate(l.options.Now, report, l.options.NewLink())
 		if l.options.SkipDeadlineCheck {
-			l.gate.core.BeginAll()
+			l.gate.core.SkipDeadlineCheck()
 		}
 	}
 	l.gate.setSlots(report.Slots)
