--- a/internal/core/resend/resend.go
+++ b/internal/core/resend/resend.go
@@ -17,35 +17,35 @@
 	maxTargetCrashes = 2
 )
 
-// End is the result of one attempt.
-type End struct {
-	Outcome outcome.Outcome
-	Reason  outcome.Reason
-	Arrived bool // the request reached the target
+// Result is the result of one attempt.
+type Result struct {
+	Outcome       outcome.Outcome
+	Reason        outcome.Reason
+	ReachedTarget bool // the request reached the target
 }
 
 // Request holds the properties of a request that the decision depends on.
 type Request struct {
-	Replayable  bool // the body can be sent again
-	Repeatable  bool // the request may run more than once
-	Repeat      bool // the request, or one upstream in its chain, is already a retry
-	Trial       bool // sent in isolation because targets crashed while running this content
-	MostTargets int  // maximum number of targets that may receive it
-	NoHoldBack  bool // mechanism "hold_back" is disabled
-	NoRepeats   bool // mechanism "repeats" is disabled
+	Replayable   bool // the body can be sent again
+	Idempotent   bool // the request may run more than once
+	IsRetry      bool // the request, or one upstream in its chain, is already a retry
+	Trial        bool // sent in isolation because targets crashed while running this content
+	MaxTargets   int  // maximum number of targets that may receive it
+	NoQuarantine bool // mechanism "hold_back" is disabled
+	NoRetries    bool // mechanism "repeats" is disabled
 }
 
 // Decision is what to do after a failed attempt.
 type Decision int
 
 const (
-	GiveUp     Decision = iota // do not retry
-	Again                      // retry without budget; no target saw the request
-	FromBudget                 // retry if the retry budgets allow it
+	GiveUp           Decision = iota // do not retry
+	RetryTransparent                 // retry without budget; no target saw the request
+	RetryFromBudget                  // retry if the retry budgets allow it
 )
 
-// Tried records the attempts of one request.
-type Tried struct {
+// Attempts records the attempts of one request.
+type Attempts struct {
 	noReuse        bool            // use each target at most once
 	excluded       map[string]bool // nodes that must not be picked again
 	declined       map[string]bool // nodes whose targets declined each attempt
@@ -57,17 +57,17 @@
 }
 
 // New returns the record of a request without attempts. With noReuse no target is used twice.
-func New(noReuse bool) *Tried { return &Tried{noReuse: noReuse, excluded: map[string]bool{}} }
+func New(noReuse bool) *Attempts { return &Attempts{noReuse: noReuse, excluded: map[string]bool{}} }
 
 // Add records an attempt at a node.
-func (t *Tried) Add(node string, end End) {
+func (t *Attempts) Add(node string, end Result) {
 	if end.Reason.Full() {
 		t.noCapacity++
 	}
 	if end.Reason == outcome.ReasonTargetEnded {
 		t.targetCrashes++
 	}
-	if !end.Arrived {
+	if !end.ReachedTarget {
 		t.unreached++
 		t.excluded[node] = true
 		return
@@ -87,20 +87,20 @@
 	t.declined[node] = true
 }
 
-// MayGoOn reports whether the limits permit another attempt.
-func (t *Tried) MayGoOn() bool {
+// CanContinue reports whether the limits permit another attempt.
+func (t *Attempts) CanContinue() bool {
 	return t.unreached < maxUnreached && t.noCapacity < maxNoCapacity && t.declines < maxDeclines
 }
 
 // Excluded returns the nodes that must not be picked again. The map must not be modified.
-func (t *Tried) Excluded() map[string]bool { return t.excluded }
+func (t *Attempts) Excluded() map[string]bool { return t.excluded }
 
-// Ended reports whether a target crashed while running the request.
-func (t *Tried) Ended() bool { return t.targetCrashes > 0 }
+// TargetCrashed reports whether a target crashed while running the request.
+func (t *Attempts) TargetCrashed() bool { return t.targetCrashes > 0 }
 
-// Only returns the nodes that may be picked once the request has reached maxTargets targets:
+// AllowedTargets returns the nodes that may be picked once the request has reached maxTargets targets:
 // those that declined it. nil means any.
-func (t *Tried) Only(maxTargets int) map[string]bool {
+func (t *Attempts) AllowedTargets(maxTargets int) map[string]bool {
 	if t.reachedTargets < maxTargets {
 		return nil
 	}
@@ -110,29 +110,29 @@
 // Decide returns the decision after a failed attempt that was recorded with Add. An attempt that
 // reached no target is retried without budget: the request did not run and added no load. A
 // request that may not run twice is retried only if the target reported that it did not run it.
-func (t *Tried) Decide(last End, r Request) Decision {
+func (t *Attempts) Decide(last Result, r Request) Decision {
 	switch {
 	case !r.Replayable, last.Reason == outcome.ReasonEndsTargets:
 		return GiveUp
-	case !last.Arrived:
-		return Again
-	case last.Outcome == outcome.Unknown && !r.Repeatable:
+	case !last.ReachedTarget:
+		return RetryTransparent
+	case last.Outcome == outcome.Unknown && !r.Idempotent:
 		return GiveUp
 	case last.Reason == outcome.ReasonTargetEnded && t.isCrashSuspect(r):
 		return GiveUp
-	case r.Repeat, r.NoRepeats, t.targetsExhausted(r.MostTargets):
+	case r.IsRetry, r.NoRetries, t.targetsExhausted(r.MaxTargets):
 		return GiveUp
 	}
-	return FromBudget
+	return RetryFromBudget
 }
 
 // isCrashSuspect reports whether the request is suspected of crashing its targets.
-func (t *Tried) isCrashSuspect(r Request) bool {
-	return !r.NoHoldBack && (r.Trial || t.targetCrashes >= maxTargetCrashes)
+func (t *Attempts) isCrashSuspect(r Request) bool {
+	return !r.NoQuarantine && (r.Trial || t.targetCrashes >= maxTargetCrashes)
 }
 
 // targetsExhausted reports whether the request reached its maximum number of targets and none
 // of them declined it.
-func (t *Tried) targetsExhausted(maxTargets int) bool {
+func (t *Attempts) targetsExhausted(maxTargets int) bool {
 	return t.reachedTargets >= maxTargets && len(t.declined) == 0
 }
--- a/internal/core/resend/resend_test.go
+++ b/internal/core/resend/resend_test.go
@@ -10,13 +10,13 @@
 // A target that declined a request may be used again. It counts once towards the maximum number
 // of targets.
 func TestTargetsLeftAfterAttempts(t *testing.T) {
-	declined := End{Outcome: outcome.NotRun, Reason: outcome.ReasonTargetShed, Arrived: true}
-	lost := End{Outcome: outcome.Unknown, Reason: outcome.ReasonLost, Arrived: true}
-	unreached := End{Outcome: outcome.NotRun, Reason: outcome.ReasonUnreachable}
-	noCapacity := End{Outcome: outcome.NotRun, Reason: "too_long"}
+	declined := Result{Outcome: outcome.NotRun, Reason: outcome.ReasonTargetShed, ReachedTarget: true}
+	lost := Result{Outcome: outcome.Unknown, Reason: outcome.ReasonLost, ReachedTarget: true}
+	unreached := Result{Outcome: outcome.NotRun, Reason: outcome.ReasonUnreachable}
+	noCapacity := Result{Outcome: outcome.NotRun, Reason: "too_long"}
 	type attempt struct {
 		node string
-		end  End
+		end  Result
 	}
 	for _, tc := range []struct {
 		name        string
@@ -43,8 +43,8 @@
 				tried.Add(one.node, one.end)
 			}
 			g.Expect(keys(tried.Excluded())).To(ConsistOf(tc.excluded))
-			g.Expect(keys(tried.Only(2))).To(ConsistOf(tc.allowed))
-			g.Expect(tried.MayGoOn()).To(Equal(tc.canContinue))
+			g.Expect(keys(tried.AllowedTargets(2))).To(ConsistOf(tc.allowed))
+			g.Expect(tried.CanContinue()).To(Equal(tc.canContinue))
 		})
 	}
 }
@@ -53,10 +53,10 @@
 	g := NewWithT(t)
 	tried := New(false)
 	for range maxDeclines {
-		g.Expect(tried.MayGoOn()).To(BeTrue())
-		tried.Add("a", End{Outcome: outcome.NotRun, Reason: outcome.ReasonTargetShed, Arrived: true})
+		g.Expect(tried.CanContinue()).To(BeTrue())
+		tried.Add("a", Result{Outcome: outcome.NotRun, Reason: outcome.ReasonTargetShed, ReachedTarget: true})
 	}
-	g.Expect(tried.MayGoOn()).To(BeFalse())
+	g.Expect(tried.CanContinue()).To(BeFalse())
 }
 
 func keys(set map[string]bool) (names []string) {
@@ -67,40 +67,40 @@
 }
 
 func TestDecide(t *testing.T) {
-	idempotent := Request{Replayable: true, Repeatable: true, MostTargets: 3}
+	idempotent := Request{Replayable: true, Idempotent: true, MaxTargets: 3}
 	with := func(change func(r *Request)) Request {
 		r := idempotent
 		change(&r)
 		return r
 	}
-	nonIdempotent := with(func(r *Request) { r.Repeatable = false })
-	lost := End{Outcome: outcome.Unknown, Reason: outcome.ReasonLost, Arrived: true}
-	crashed := End{Outcome: outcome.Unknown, Reason: outcome.ReasonTargetEnded, Arrived: true}
-	declined := End{Outcome: outcome.NotRun, Reason: outcome.ReasonTargetShed, Arrived: true}
-	unreached := End{Outcome: outcome.NotRun, Reason: outcome.ReasonUnreachable}
+	nonIdempotent := with(func(r *Request) { r.Idempotent = false })
+	lost := Result{Outcome: outcome.Unknown, Reason: outcome.ReasonLost, ReachedTarget: true}
+	crashed := Result{Outcome: outcome.Unknown, Reason: outcome.ReasonTargetEnded, ReachedTarget: true}
+	declined := Result{Outcome: outcome.NotRun, Reason: outcome.ReasonTargetShed, ReachedTarget: true}
+	unreached := Result{Outcome: outcome.NotRun, Reason: outcome.ReasonUnreachable}
 	for _, tc := range []struct {
 		name    string
 		request Request
-		before  []End
-		last    End
+		before  []Result
+		last    Result
 		want    Decision
 	}{
-		{"no target reached", idempotent, nil, unreached, Again},
-		{"no target reached, not idempotent", nonIdempotent, nil, unreached, Again},
+		{"no target reached", idempotent, nil, unreached, RetryTransparent},
+		{"no target reached, not idempotent", nonIdempotent, nil, unreached, RetryTransparent},
 		{"body not replayable", with(func(r *Request) { r.Replayable = false }), nil, unreached, GiveUp},
-		{"quarantined", idempotent, nil, End{Outcome: outcome.NotRun, Reason: outcome.ReasonEndsTargets}, GiveUp},
-		{"response lost", idempotent, nil, lost, FromBudget},
+		{"quarantined", idempotent, nil, Result{Outcome: outcome.NotRun, Reason: outcome.ReasonEndsTargets}, GiveUp},
+		{"response lost", idempotent, nil, lost, RetryFromBudget},
 		{"response lost, not idempotent", nonIdempotent, nil, lost, GiveUp},
-		{"declined, not idempotent", nonIdempotent, nil, declined, FromBudget},
-		{"already a retry", with(func(r *Request) { r.Repeat = true }), nil, lost, GiveUp},
-		{"retries disabled", with(func(r *Request) { r.NoRepeats = true }), nil, lost, GiveUp},
-		{"all targets reached", idempotent, []End{lost, lost}, lost, GiveUp},
-		{"all targets reached, one declined", idempotent, []End{lost, lost}, declined, FromBudget},
-		{"target crashed", idempotent, nil, crashed, FromBudget},
-		{"two targets crashed", idempotent, []End{crashed}, crashed, GiveUp},
-		{"two targets crashed, quarantine disabled", with(func(r *Request) { r.NoHoldBack = true }), []End{crashed}, crashed, FromBudget},
+		{"declined, not idempotent", nonIdempotent, nil, declined, RetryFromBudget},
+		{"already a retry", with(func(r *Request) { r.IsRetry = true }), nil, lost, GiveUp},
+		{"retries disabled", with(func(r *Request) { r.NoRetries = true }), nil, lost, GiveUp},
+		{"all targets reached", idempotent, []Result{lost, lost}, lost, GiveUp},
+		{"all targets reached, one declined", idempotent, []Result{lost, lost}, declined, RetryFromBudget},
+		{"target crashed", idempotent, nil, crashed, RetryFromBudget},
+		{"two targets crashed", idempotent, []Result{crashed}, crashed, GiveUp},
+		{"two targets crashed, quarantine disabled", with(func(r *Request) { r.NoQuarantine = true }), []Result{crashed}, crashed, RetryFromBudget},
 		{"target crashed during a probe", with(func(r *Request) { r.Trial = true }), nil, crashed, GiveUp},
-		{"response lost during a probe", with(func(r *Request) { r.Trial = true }), nil, lost, FromBudget},
+		{"response lost during a probe", with(func(r *Request) { r.Trial = true }), nil, lost, RetryFromBudget},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
--- a/internal/sidecar/entry/send.go
+++ b/internal/sidecar/entry/send.go
@@ -27,14 +27,14 @@
 	service := r.options.Services.Get(r.service)
 	attempts := resend.New(!r.options.PolicyOn(settings.Declined))
 	last := reply.NotRun(outcome.ReasonNoTarget)
-	for ctx.Err() == nil && r.remaining(ctx) > 0 && attempts.MayGoOn() {
+	for ctx.Err() == nil && r.remaining(ctx) > 0 && attempts.CanContinue() {
 		choice := service.Pick(r.options.Now(), r.requirement(ctx, attempts), attempts.Excluded())
 		if choice == nil {
 			break
 		}
 		last.Close()
 		started := r.options.Now()
-		last = r.attempt(ctx, choice, attempts.Ended())
+		last = r.attempt(ctx, choice, attempts.TargetCrashed())
 		r.recordAttempt(choice, last, r.options.Now()-started)
 		choice.Done(r.options.Now(), last)
 		if last.Reason == outcome.ReasonUnreachable && last.Incarnation == "" && choice.Node != r.options.Node {
@@ -62,11 +62,11 @@
 
 // shouldRetry reports whether a failed attempt is followed by another. It deducts the next attempt
 // from the retry budgets if the rules charge it to them.
-func (r *request) shouldRetry(last *reply.Reply, attempts *resend.Tried) bool {
+func (r *request) shouldRetry(last *reply.Reply, attempts *resend.Attempts) bool {
 	switch attempts.Decide(last.ResendEnd(), r.retryRules()) {
-	case resend.Again:
+	case resend.RetryTransparent:
 		return true
-	case resend.FromBudget:
+	case resend.RetryFromBudget:
 		return r.takeRetry(last.Reason.Declined())
 	}
 	return false
@@ -86,8 +86,8 @@
 // retryRules returns the properties of the request that decide whether it may be retried.
 func (r *request) retryRules() resend.Request {
 	return resend.Request{
-		Replayable: r.body.Replayable(), Repeatable: r.route.Kind.Repeatable(), Repeat: r.parentIsRetry, Trial: r.trial, MostTargets: r.maxTargets(),
-		NoHoldBack: !r.options.PolicyOn(settings.HoldBack), NoRepeats: !r.options.PolicyOn(settings.Repeats),
+		Replayable: r.body.Replayable(), Idempotent: r.route.Kind.Repeatable(), IsRetry: r.parentIsRetry, Trial: r.trial, MaxTargets: r.maxTargets(),
+		NoQuarantine: !r.options.PolicyOn(settings.HoldBack), NoRetries: !r.options.PolicyOn(settings.Repeats),
 	}
 }
 
@@ -107,8 +107,8 @@
 
 // requirement returns what the balancer must satisfy: a response within the objective of the route
 // and before the timeout.
-func (r *request) requirement(ctx context.Context, attempts *resend.Tried) balancer.Requirement {
-	requirement := balancer.Requirement{Class: r.route.Name, Timeout: r.remaining(ctx), Allowed: attempts.Only(r.maxTargets())}
+func (r *request) requirement(ctx context.Context, attempts *resend.Attempts) balancer.Requirement {
+	requirement := balancer.Requirement{Class: r.route.Name, Timeout: r.remaining(ctx), Allowed: attempts.AllowedTargets(r.maxTargets())}
 	if left := r.route.Objective - (r.options.Now() - r.started); left > 0 {
 		requirement.Timeout = min(requirement.Timeout, left)
 	}
