--- a/internal/core/repeats/keep.go
+++ b/internal/core/repeats/keep.go
@@ -11,18 +11,18 @@
 	raisedDuration = 2 * time.Second // after a retry that failed because a downstream budget was exhausted
 )
 
-// Keep determines which fraction of the downstream retry budgets a node reserves for retries of
+// Reserve determines which fraction of the downstream retry budgets a node reserves for retries of
 // requests that start at it. The fraction is raised while those budgets are exhausted, because
 // retrying such a request repeats all its downstream calls. It is not safe for concurrent use.
-type Keep struct {
+type Reserve struct {
 	raisedUntil time.Duration
 }
 
-// Short records a retry that was not made because a downstream budget was exhausted.
-func (k *Keep) Short(now time.Duration) { k.raisedUntil = now + raisedDuration }
+// BudgetExhausted records a retry that was not made because a downstream budget was exhausted.
+func (k *Reserve) BudgetExhausted(now time.Duration) { k.raisedUntil = now + raisedDuration }
 
-// Of returns the fraction reserved now.
-func (k *Keep) Of(now time.Duration) float64 {
+// Fraction returns the fraction reserved now.
+func (k *Reserve) Fraction(now time.Duration) float64 {
 	if now < k.raisedUntil {
 		return raisedReserve
 	}
--- a/internal/core/repeats/keep_test.go
+++ b/internal/core/repeats/keep_test.go
@@ -10,11 +10,11 @@
 
 func TestReserveIsRaisedAfterExhaustion(t *testing.T) {
 	g := NewWithT(t)
-	k := &Keep{}
-	g.Expect(k.Of(time.Minute)).To(Equal(baseReserve))
-	k.Short(time.Minute)
-	g.Expect(k.Of(time.Minute + raisedDuration - 1)).To(Equal(raisedReserve))
-	g.Expect(k.Of(time.Minute + raisedDuration)).To(Equal(baseReserve))
+	k := &Reserve{}
+	g.Expect(k.Fraction(time.Minute)).To(Equal(baseReserve))
+	k.BudgetExhausted(time.Minute)
+	g.Expect(k.Fraction(time.Minute + raisedDuration - 1)).To(Equal(raisedReserve))
+	g.Expect(k.Fraction(time.Minute + raisedDuration)).To(Equal(baseReserve))
 }
 
 // Guards against a chain adding more or less than one request to the budget of its last service.
@@ -22,11 +22,11 @@
 	rapid.Check(t, func(t *rapid.T) {
 		granted, counted := 1.0, 0.0
 		for range rapid.IntRange(0, 8).Draw(t, "depth") {
-			k := &Keep{}
+			k := &Reserve{}
 			if rapid.Bool().Draw(t, "short") {
-				k.Short(0)
+				k.BudgetExhausted(0)
 			}
-			kept := k.Of(0)
+			kept := k.Fraction(0)
 			counted += granted * kept
 			granted *= 1 - kept
 		}
--- a/internal/core/repeats/ration.go
+++ b/internal/core/repeats/ration.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// Ration decides which chains may retry calls to a service while its retry budget is too small
+// RankLimiter decides which chains may retry calls to a service while its retry budget is too small
 // for all of them. A chain succeeds only if all its calls do, so granting retries in order of
-// demand lets few chains complete. Ration grants them to chains below a rank threshold instead.
+// demand lets few chains complete. RankLimiter grants them to chains below a rank threshold instead.
 // Ranks are the same on all nodes. It is not safe for concurrent use.
-type Ration struct {
+type RankLimiter struct {
 	excluded  float64 // 1 minus the admitted share of the ranks at updatedAt
 	updatedAt time.Duration
 	lastCut   time.Duration
@@ -27,9 +27,9 @@
 )
 
 // Allows reports whether a chain with a rank in [0, 1) may retry.
-func (r *Ration) Allows(now time.Duration, rank float64) bool { return rank < r.share(now) }
+func (r *RankLimiter) Allows(now time.Duration, rank float64) bool { return rank < r.share(now) }
 
-func (r *Ration) share(now time.Duration) float64 {
+func (r *RankLimiter) share(now time.Duration) float64 {
 	if r.excluded == 0 {
 		return 1
 	}
@@ -37,7 +37,7 @@
 }
 
 // Denied records that the budget was too small for a chain that was allowed to retry.
-func (r *Ration) Denied(now time.Duration) {
+func (r *RankLimiter) Denied(now time.Duration) {
 	if r.excluded > 0 && now-r.lastCut < minCutInterval {
 		return
 	}
--- a/internal/core/repeats/ration_test.go
+++ b/internal/core/repeats/ration_test.go
@@ -32,7 +32,7 @@
 
 func TestRationRecovers(t *testing.T) {
 	g := NewWithT(t)
-	r := &Ration{}
+	r := &RankLimiter{}
 	g.Expect(r.Allows(0, 0.999)).To(BeTrue())
 	for now := time.Duration(0); now < 2*time.Second; now += minCutInterval {
 		r.Denied(now)
@@ -48,7 +48,7 @@
 	g := NewWithT(t)
 	completedChains := func(rationed bool) (completed int) {
 		random := rand.New(rand.NewPCG(3, 4))
-		r, now := &Ration{}, time.Duration(0)
+		r, now := &RankLimiter{}, time.Duration(0)
 		tokens := 0.0
 		for range 3000 { // one chain every 3 ms
 			now += 3 * time.Millisecond
--- a/internal/core/repeats/repeats.go
+++ b/internal/core/repeats/repeats.go
@@ -51,8 +51,8 @@
 	return int64(now / (b.config.Window / windowSlices))
 }
 
-// Request counts requests.
-func (b *Budget) Request(now time.Duration, count float64) { b.requests.add(b.slice(now), count) }
+// CountRequests counts requests.
+func (b *Budget) CountRequests(now time.Duration, count float64) { b.requests.add(b.slice(now), count) }
 
 // Allows reports whether the budget permits count more retries.
 func (b *Budget) Allows(now time.Duration, count float64) bool {
@@ -106,8 +106,8 @@
 	return least
 }
 
-// Spend counts retries.
-func (b *Budget) Spend(now time.Duration, count float64) { b.retries.add(b.slice(now), count) }
+// CountRetries counts retries.
+func (b *Budget) CountRetries(now time.Duration, count float64) { b.retries.add(b.slice(now), count) }
 
 func (s *sliceCounter) advance(slice int64) {
 	if slice-s.newest > historySlices {
--- a/internal/core/repeats/repeats_test.go
+++ b/internal/core/repeats/repeats_test.go
@@ -13,7 +13,7 @@
 	budget := New(Config{Ratio: 0.2, Allowance: 3, Window: 10 * time.Second})
 	for range 3 {
 		g.Expect(budget.Allows(0, 1)).To(BeTrue())
-		budget.Spend(0, 1)
+		budget.CountRetries(0, 1)
 	}
 	g.Expect(budget.Allows(0, 1)).To(BeFalse())
 	g.Expect(budget.Allows(10*time.Second, 1)).To(BeFalse())
@@ -31,10 +31,10 @@
 		for range 300 {
 			now += time.Duration(rapid.IntRange(0, 400).Draw(t, "pause")) * time.Millisecond
 			if rapid.IntRange(0, 2).Draw(t, "request") > 0 {
-				budget.Request(now, 1)
+				budget.CountRequests(now, 1)
 				requests = append(requests, now)
 			} else if budget.Allows(now, 1) {
-				budget.Spend(now, 1)
+				budget.CountRetries(now, 1)
 				retries = append(retries, now)
 			}
 		}
@@ -64,7 +64,7 @@
 		now := time.Duration(second) * time.Second
 		count := 0
 		for budget.AllowsPaced(now, 1) {
-			budget.Spend(now, 1)
+			budget.CountRetries(now, 1)
 			count++
 		}
 		spent = append(spent, count)
--- a/internal/core/repeats/share.go
+++ b/internal/core/repeats/share.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Share determines a node's part of the deployment's allowance. The parts of all nodes must not
+// AllowanceShare determines a node's part of the deployment's allowance. The parts of all nodes must not
 // exceed the allowance in any window, even if processes restart and lose their counts:
 //
 //   - a restarted process gets no part for one window, because its predecessor may have used it;
@@ -11,7 +11,7 @@
 //
 // In a network partition that lasts longer, each side divides the whole allowance among its own
 // members. It is not safe for concurrent use.
-type Share struct {
+type AllowanceShare struct {
 	window     time.Duration
 	activeFrom time.Duration // the part is 0 before
 	members    int
@@ -22,10 +22,10 @@
 // departureWindows is the number of windows for which departed members still count.
 const departureWindows = 2
 
-// NewShare returns the share of a process that starts now. first means that no process of the
+// NewAllowanceShare returns the share of a process that starts now. first means that no process of the
 // node ran before.
-func NewShare(window time.Duration, first bool) *Share {
-	s := &Share{window: window}
+func NewAllowanceShare(window time.Duration, first bool) *AllowanceShare {
+	s := &AllowanceShare{window: window}
 	if !first {
 		// Add one slice, since budgets count in slices.
 		s.activeFrom = window + window/windowSlices
@@ -33,8 +33,8 @@
 	return s
 }
 
-// Count records the number of members, including this node.
-func (s *Share) Count(now time.Duration, members int) {
+// SetMembers records the number of members, including this node.
+func (s *AllowanceShare) SetMembers(now time.Duration, members int) {
 	s.applyLowerCount(now)
 	switch {
 	case members >= s.members:
@@ -48,14 +48,14 @@
 }
 
 // applyLowerCount reduces the members once the count has been lower for long enough.
-func (s *Share) applyLowerCount(now time.Duration) {
+func (s *AllowanceShare) applyLowerCount(now time.Duration) {
 	if s.lowerCount < s.members && now-s.lowerSince >= departureWindows*s.window {
 		s.members = s.lowerCount
 	}
 }
 
-// Of returns the node's part of an allowance.
-func (s *Share) Of(now time.Duration, allowance float64) float64 {
+// Fraction returns the node's part of an allowance.
+func (s *AllowanceShare) Part(now time.Duration, allowance float64) float64 {
 	s.applyLowerCount(now)
 	if now < s.activeFrom || s.members == 0 {
 		return 0
--- a/internal/core/repeats/share_test.go
+++ b/internal/core/repeats/share_test.go
@@ -30,11 +30,11 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
-			s := NewShare(window, tc.first)
+			s := NewAllowanceShare(window, tc.first)
 			for i, n := range tc.counts {
-				s.Count(tc.at[i], n)
+				s.SetMembers(tc.at[i], n)
 			}
-			g.Expect(s.Of(tc.now, 60)).To(Equal(tc.want), tc.because)
+			g.Expect(s.Part(tc.now, 60)).To(Equal(tc.want), tc.because)
 		})
 	}
 }
@@ -46,12 +46,12 @@
 		const nodes, allowance, window = 4, 8.0, 10 * time.Second
 		type node struct {
 			b     *Budget
-			share *Share
+			share *AllowanceShare
 			since time.Duration
 		}
 		start := func(now time.Duration, first bool) *node {
-			n := &node{b: New(Config{Ratio: 0.2, Window: window}), share: NewShare(window, first), since: now}
-			n.share.Count(0, nodes)
+			n := &node{b: New(Config{Ratio: 0.2, Window: window}), share: NewAllowanceShare(window, first), since: now}
+			n.share.SetMembers(0, nodes)
 			return n
 		}
 		all := make([]*node, nodes)
@@ -68,12 +68,12 @@
 			case 0:
 				all[i] = start(now, false)
 			case 1, 2, 3, 4, 5:
-				n.b.Request(now-n.since, 1)
+				n.b.CountRequests(now-n.since, 1)
 				requests = append(requests, now)
 			default:
-				n.b.SetBounds(0.2, n.share.Of(now-n.since, allowance))
+				n.b.SetBounds(0.2, n.share.Part(now-n.since, allowance))
 				if n.b.Allows(now-n.since, 1) {
-					n.b.Spend(now-n.since, 1)
+					n.b.CountRetries(now-n.since, 1)
 					retries = append(retries, now)
 				}
 			}
--- a/internal/sidecar/services/budgets.go
+++ b/internal/sidecar/services/budgets.go
@@ -33,7 +33,7 @@
 	if !s.policy.On(settings.Grants) {
 		return wire.GrantUnsaid
 	}
-	return s.retention.Of(now)
+	return s.retention.Fraction(now)
 }
 
 // TakeRetry deducts a retry of a request from the budgets of all services it would reach, since the
@@ -50,11 +50,11 @@
 	if s.policy.On(settings.Ration) && !target.ration.Allows(now, rank) {
 		return false
 	}
-	allowance := s.allowance.Of(now, s.config.Allowance)
+	allowance := s.allowance.Part(now, s.config.Allowance)
 	for name, calls := range needs {
 		if !s.getLocked(name).allows(now, calls, s.config.Ratio, allowance, declined && name == service) {
 			if name != service {
-				s.retention.Short(now)
+				s.retention.BudgetExhausted(now)
 			}
 			target.ration.Denied(now)
 			return false
@@ -81,7 +81,7 @@
 func (s *Service) spend(now time.Duration, calls float64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.budget.Spend(now, calls)
+	s.budget.CountRetries(now, calls)
 }
 
 // SetBudget changes the limits of retries.
--- a/internal/sidecar/services/services.go
+++ b/internal/sidecar/services/services.go
@@ -28,8 +28,8 @@
 
 	mutex     sync.Mutex
 	byName    map[string]*Service
-	allowance *repeats.Share // the node's share of the global retry allowance
-	retention repeats.Keep   // the share of retry budgets that the node retains
+	allowance *repeats.AllowanceShare // the node's share of the global retry allowance
+	retention repeats.Reserve         // the share of retry budgets that the node retains
 	policy    settings.Policy
 }
 
@@ -38,7 +38,7 @@
 	mutex    sync.Mutex
 	balancer *balancer.Balancer
 	budget   *repeats.Budget
-	ration   repeats.Ration // decides which chains may retry; guarded by Services.mutex
+	ration   repeats.RankLimiter // decides which chains may retry; guarded by Services.mutex
 }
 
 // globalRandom implements balancer.Random.
@@ -59,7 +59,7 @@
 func New(o Options) *Services {
 	return &Services{
 		node: o.Node, zone: o.Zone, now: o.Now, config: o.Budget, policy: o.Policy,
-		byName: map[string]*Service{}, allowance: repeats.NewShare(o.Budget.Window, o.FirstStart),
+		byName: map[string]*Service{}, allowance: repeats.NewAllowanceShare(o.Budget.Window, o.FirstStart),
 	}
 }
 
@@ -109,7 +109,7 @@
 func (s *Services) Count(members int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.allowance.Count(s.now(), members)
+	s.allowance.SetMembers(s.now(), members)
 }
 
 // Choice is the target chosen for an attempt.
@@ -195,5 +195,5 @@
 func (s *Service) recordRequests(now time.Duration, requests float64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.budget.Request(now, requests)
+	s.budget.CountRequests(now, requests)
 }
