--- a/internal/core/retryafter/retryafter.go
+++ b/internal/core/retryafter/retryafter.go
@@ -26,40 +26,40 @@
 	quotaDivisor = 3
 )
 
-// Span is a range of delays from Least to Least+Spread.
-type Span struct {
-	Least, Spread time.Duration
+// Range is a range of delays from Least to Least+Spread.
+type Range struct {
+	Min, Spread time.Duration
 }
 
-// At returns the delay for a random number in [0, 1]. A delay of 0 means no Retry-After.
-func (s Span) At(random float64) time.Duration {
-	return s.Least + time.Duration(random*float64(s.Spread))
+// Draw returns the delay for a random number in [0, 1]. A delay of 0 means no Retry-After.
+func (s Range) Draw(random float64) time.Duration {
+	return s.Min + time.Duration(random*float64(s.Spread))
 }
 
 // jittered returns a range from minDelay to twice minDelay.
-func jittered(minDelay time.Duration) Span { return Span{Least: minDelay, Spread: minDelay} }
+func jittered(minDelay time.Duration) Range { return Range{Min: minDelay, Spread: minDelay} }
 
-// Unready returns the delay for a node that cannot serve: it is stopping, or has no valid
+// NotReady returns the delay for a node that cannot serve: it is stopping, or has no valid
 // configuration.
-func Unready() Span { return Span{Least: notReadyDelay} }
+func NotReady() Range { return Range{Min: notReadyDelay} }
 
 // Shed returns the delay for a request refused by admission control at the start of its chain.
 // attemptTimeout is how long its sender waits for one attempt.
-func Shed(attemptTimeout time.Duration) Span { return jittered(attemptTimeout / (2 * shedDivisor)) }
+func Shed(attemptTimeout time.Duration) Range { return jittered(attemptTimeout / (2 * shedDivisor)) }
 
 // NotRun returns the delay for a request that no target ran. Quarantined requests must not be
 // retried.
-func NotRun(reason outcome.Reason) Span {
+func NotRun(reason outcome.Reason) Range {
 	if reason == outcome.ReasonEndsTargets {
-		return Span{}
+		return Range{}
 	}
 	return jittered(noCapacityDelay)
 }
 
-// NoAllowance returns the delay for a request that is subject to a quota whose keeper is
+// QuotaUnavailable returns the delay for a request that is subject to a quota whose keeper is
 // unreachable.
-func NoAllowance() Span { return jittered(quotaUnavailableDelay) }
+func QuotaUnavailable() Range { return jittered(quotaUnavailableDelay) }
 
-// QuotaMost returns the maximum delay for a request over its tenant's quota. The keeper of the
+// MaxQuotaDelay returns the maximum delay for a request over its tenant's quota. The keeper of the
 // quota determines the actual delay.
-func QuotaMost(attemptTimeout time.Duration) time.Duration { return attemptTimeout / quotaDivisor }
+func MaxQuotaDelay(attemptTimeout time.Duration) time.Duration { return attemptTimeout / quotaDivisor }
--- a/internal/core/retryafter/retryafter_test.go
+++ b/internal/core/retryafter/retryafter_test.go
@@ -13,21 +13,21 @@
 	const attemptTimeout = 1200 * time.Millisecond
 	for _, tc := range []struct {
 		name              string
-		span              Span
+		span              Range
 		shortest, longest time.Duration
 	}{
-		{"node not ready", Unready(), 500 * time.Millisecond, 500 * time.Millisecond},
+		{"node not ready", NotReady(), 500 * time.Millisecond, 500 * time.Millisecond},
 		{"shed", Shed(attemptTimeout), attemptTimeout / 6, attemptTimeout / 3},
 		{"shed, no timeout", Shed(0), 0, 0},
 		{"no capacity", NotRun("too_long"), 400 * time.Millisecond, 800 * time.Millisecond},
 		{"quarantined", NotRun(outcome.ReasonEndsTargets), 0, 0},
-		{"quota keeper unreachable", NoAllowance(), 300 * time.Millisecond, 600 * time.Millisecond},
+		{"quota keeper unreachable", QuotaUnavailable(), 300 * time.Millisecond, 600 * time.Millisecond},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
-			g.Expect(tc.span.At(0)).To(Equal(tc.shortest))
-			g.Expect(tc.span.At(0.5)).To(Equal((tc.shortest + tc.longest) / 2))
-			g.Expect(tc.span.At(1)).To(Equal(tc.longest))
+			g.Expect(tc.span.Draw(0)).To(Equal(tc.shortest))
+			g.Expect(tc.span.Draw(0.5)).To(Equal((tc.shortest + tc.longest) / 2))
+			g.Expect(tc.span.Draw(1)).To(Equal(tc.longest))
 		})
 	}
 }
--- a/internal/sidecar/entry/quota.go
+++ b/internal/sidecar/entry/quota.go
@@ -27,12 +27,12 @@
 	if quotas.Admit(r.ctx, r.keyTenant, r.tokenWait()) {
 		return true
 	}
-	limitReached, retryAfter := quotas.Refusal(r.keyTenant, retryafter.QuotaMost(r.clientTimeout()))
+	limitReached, retryAfter := quotas.Refusal(r.keyTenant, retryafter.MaxQuotaDelay(r.clientTimeout()))
 	if limitReached {
-		r.reject(http.StatusTooManyRequests, outcome.ReasonQuota, retryafter.Span{Least: retryAfter})
+		r.reject(http.StatusTooManyRequests, outcome.ReasonQuota, retryafter.Range{Min: retryAfter})
 		return false
 	}
-	r.reject(http.StatusServiceUnavailable, outcome.ReasonNoAllowance, retryafter.NoAllowance())
+	r.reject(http.StatusServiceUnavailable, outcome.ReasonNoAllowance, retryafter.QuotaUnavailable())
 	return false
 }
 
--- a/internal/sidecar/entry/steps.go
+++ b/internal/sidecar/entry/steps.go
@@ -57,10 +57,10 @@
 	r.intent = r.options.Configuration.Load()
 	switch {
 	case r.draining:
-		r.reject(http.StatusServiceUnavailable, outcome.ReasonStopping, retryafter.Unready())
+		r.reject(http.StatusServiceUnavailable, outcome.ReasonStopping, retryafter.NotReady())
 		return false
 	case r.intent == nil:
-		r.reject(http.StatusServiceUnavailable, outcome.ReasonNoIntent, retryafter.Unready())
+		r.reject(http.StatusServiceUnavailable, outcome.ReasonNoIntent, retryafter.NotReady())
 		return false
 	}
 	return true
