--- a/internal/core/outcome/outcome_test.go
+++ b/internal/core/outcome/outcome_test.go
@@ -10,25 +10,25 @@
 func TestClassifyTargetResponse(t *testing.T) {
 	for _, tc := range []struct {
 		name     string
-		response TargetAnswer
+		response TargetResponse
 		outcome  Outcome
 		reason   Reason
 	}{
-		{"signed success", TargetAnswer{Status: 200, Signed: true}, Answered, ReasonNone},
-		{"signed error", TargetAnswer{Status: 500, Signed: true}, Answered, ReasonNone},
-		{"unsigned error", TargetAnswer{Status: 503}, Answered, ReasonNone},
-		{"unsigned success", TargetAnswer{Status: 200}, Unknown, ReasonSpoiled},
-		{"unsigned redirect", TargetAnswer{Status: 302}, Unknown, ReasonSpoiled},
-		{"encoded body", TargetAnswer{Status: 200, Signed: true, Encoded: true}, Unknown, ReasonSpoiled},
-		{"encoded body of an error", TargetAnswer{Status: 500, Encoded: true}, Unknown, ReasonSpoiled},
-		{"declined", TargetAnswer{Status: 503, NotRun: true}, NotRun, ReasonTargetShed},
-		{"signed and declined", TargetAnswer{Status: 200, NotRun: true, Signed: true}, NotRun, ReasonTargetShed},
-		{"misdirected", TargetAnswer{Status: 421}, NotRun, ReasonMisdirected},
-		{"misdirected and declined", TargetAnswer{Status: 421, NotRun: true}, NotRun, ReasonMisdirected},
+		{"signed success", TargetResponse{Status: 200, Signed: true}, Answered, ReasonNone},
+		{"signed error", TargetResponse{Status: 500, Signed: true}, Answered, ReasonNone},
+		{"unsigned error", TargetResponse{Status: 503}, Answered, ReasonNone},
+		{"unsigned success", TargetResponse{Status: 200}, Unknown, ReasonInvalidResponse},
+		{"unsigned redirect", TargetResponse{Status: 302}, Unknown, ReasonInvalidResponse},
+		{"encoded body", TargetResponse{Status: 200, Signed: true, Encoded: true}, Unknown, ReasonInvalidResponse},
+		{"encoded body of an error", TargetResponse{Status: 500, Encoded: true}, Unknown, ReasonInvalidResponse},
+		{"declined", TargetResponse{Status: 503, NotRun: true}, NotRun, ReasonTargetShed},
+		{"signed and declined", TargetResponse{Status: 200, NotRun: true, Signed: true}, NotRun, ReasonTargetShed},
+		{"misdirected", TargetResponse{Status: 421}, NotRun, ReasonMisdirected},
+		{"misdirected and declined", TargetResponse{Status: 421, NotRun: true}, NotRun, ReasonMisdirected},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
-			outcome, reason := tc.response.Judge()
+			outcome, reason := tc.response.Classify()
 			g.Expect(outcome).To(Equal(tc.outcome))
 			g.Expect(reason).To(Equal(tc.reason))
 		})
@@ -49,7 +49,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
-			status, reason := Final(tc.mayHaveRun, tc.timedOut, ReasonLost)
+			status, reason := FinalStatus(tc.mayHaveRun, tc.timedOut, ReasonLost)
 			g.Expect(status).To(Equal(tc.status))
 			g.Expect(reason).To(Equal(tc.reason))
 		})
@@ -66,7 +66,7 @@
 		{outcome: Answered, reason: ReasonNone},
 		{outcome: Unknown, reason: ReasonLost, wasted: true},
 		{outcome: Unknown, reason: ReasonTargetEnded, wasted: true},
-		{outcome: Unknown, reason: ReasonSpoiled, wasted: true},
+		{outcome: Unknown, reason: ReasonInvalidResponse, wasted: true},
 		{outcome: NotRun, reason: ReasonLost},
 		{outcome: Unknown, reason: ReasonTimeout},
 		{outcome: Unknown, reason: ReasonCancelled},
@@ -76,7 +76,7 @@
 		{outcome: NotRun, reason: ReasonNoTarget, takesNoWork: true},
 		{outcome: NotRun, reason: ReasonWrongService, takesNoWork: true},
 		{outcome: NotRun, reason: ReasonStopping, takesNoWork: true},
-		{outcome: NotRun, reason: ReasonIncarnation, takesNoWork: true},
+		{outcome: NotRun, reason: ReasonNodeRestarted, takesNoWork: true},
 		{outcome: NotRun, reason: ReasonMisdirected, takesNoWork: true},
 		{outcome: NotRun, reason: ReasonTargetShed, declined: true},
 		{outcome: NotRun, reason: Reason(slots.ReasonFull), full: true},
@@ -86,11 +86,11 @@
 	} {
 		t.Run(string(tc.outcome)+" "+string(tc.reason), func(t *testing.T) {
 			g := NewWithT(t)
-			g.Expect(Wasted(tc.outcome, tc.reason)).To(Equal(tc.wasted))
+			g.Expect(ResponseLost(tc.outcome, tc.reason)).To(Equal(tc.wasted))
 			g.Expect(tc.reason.Declined()).To(Equal(tc.declined))
-			g.Expect(tc.reason.Silent()).To(Equal(tc.silent))
-			g.Expect(tc.reason.TakesNoWork()).To(Equal(tc.takesNoWork))
-			g.Expect(tc.reason.Full()).To(Equal(tc.full))
+			g.Expect(tc.reason.NodeUnreachable()).To(Equal(tc.silent))
+			g.Expect(tc.reason.TargetUnavailable()).To(Equal(tc.takesNoWork))
+			g.Expect(tc.reason.NoCapacity()).To(Equal(tc.full))
 		})
 	}
 }
--- a/internal/core/outcome/target.go
+++ b/internal/core/outcome/target.go
@@ -2,12 +2,12 @@
 
 import "github.com/landingmast/landingmast/internal/core/slots"
 
-// Wasted reports whether the target accepted the request but its response was lost or invalid,
+// ResponseLost reports whether the target accepted the request but its response was lost or invalid,
 // which raises the target's cost in load balancing. Timeouts do not count, because all targets
 // cause them during an overload (docs/incidents/inc-d364.md).
-func Wasted(o Outcome, r Reason) bool {
+func ResponseLost(o Outcome, r Reason) bool {
 	switch r {
-	case ReasonLost, ReasonTargetEnded, ReasonSpoiled:
+	case ReasonLost, ReasonTargetEnded, ReasonInvalidResponse:
 		return o == Unknown
 	}
 	return false
@@ -17,22 +17,22 @@
 // The gate's load report does not show such declines.
 func (r Reason) Declined() bool { return r == ReasonTargetShed }
 
-// Silent reports whether the target's node does not respond. The target is avoided until it
+// NodeUnreachable reports whether the target's node does not respond. The target is avoided until it
 // does.
-func (r Reason) Silent() bool { return r == ReasonUnreachable || r == ReasonSilent }
+func (r Reason) NodeUnreachable() bool { return r == ReasonUnreachable || r == ReasonSilent }
 
-// TakesNoWork reports whether the target or its node accepts no more requests, or another target
+// TargetUnavailable reports whether the target or its node accepts no more requests, or another target
 // has taken its place.
-func (r Reason) TakesNoWork() bool {
+func (r Reason) TargetUnavailable() bool {
 	switch r {
-	case Reason(slots.ReasonDraining), ReasonNoTarget, ReasonWrongService, ReasonStopping, ReasonIncarnation, ReasonMisdirected:
+	case Reason(slots.ReasonDraining), ReasonNoTarget, ReasonWrongService, ReasonStopping, ReasonNodeRestarted, ReasonMisdirected:
 		return true
 	}
 	return false
 }
 
-// Full reports whether the gate had no capacity in time.
-func (r Reason) Full() bool {
+// NoCapacity reports whether the gate had no capacity in time.
+func (r Reason) NoCapacity() bool {
 	switch r {
 	case ReasonSuspectWaits, Reason(slots.ReasonTooLong), Reason(slots.ReasonFull), Reason(slots.ReasonExpired):
 		return true
--- a/internal/core/resend/resend.go
+++ b/internal/core/resend/resend.go
@@ -61,7 +61,7 @@
 
 // Add records an attempt at a node.
 func (t *Attempts) Add(node string, end Result) {
-	if end.Reason.Full() {
+	if end.Reason.NoCapacity() {
 		t.noCapacity++
 	}
 	if end.Reason == outcome.ReasonTargetEnded {
--- a/internal/sidecar/arrival/ingress.go
+++ b/internal/sidecar/arrival/ingress.go
@@ -138,7 +138,7 @@
 func (i *Ingress) Serve(ctx context.Context, call *wire.SidecarCall, header http.Header, body *reply.Payload) *reply.Reply {
 	switch {
 	case call.Incarnation != "" && call.Incarnation != i.options.Incarnation:
-		return reply.NotRun(outcome.ReasonIncarnation)
+		return reply.NotRun(outcome.ReasonNodeRestarted)
 	case call.Repeatable || call.Key == "":
 		return i.admit(ctx, call, header, body, nil)
 	default:
--- a/internal/sidecar/arrival/once.go
+++ b/internal/sidecar/arrival/once.go
@@ -175,7 +175,7 @@
 		return
 	}
 	if call.Incarnation != o.ingress.options.Incarnation {
-		o.ingress.write(w, reply.Unknown(outcome.ReasonIncarnation))
+		o.ingress.write(w, reply.Unknown(outcome.ReasonNodeRestarted))
 		return
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), time.Duration(call.Remaining)*time.Microsecond)
--- a/internal/sidecar/arrival/send.go
+++ b/internal/sidecar/arrival/send.go
@@ -47,7 +47,7 @@
 		i.recordCancelled(gate, req)
 		return reply.Unknown(reply.CancelReason(ctx))
 	case errors.Is(err, targetlink.ErrSpoiled):
-		return reply.Unknown(outcome.ReasonSpoiled)
+		return reply.Unknown(outcome.ReasonInvalidResponse)
 	default:
 		return reply.Unknown(i.recordLost(gate, req))
 	}
@@ -56,10 +56,10 @@
 // readAnswer classifies the target's response and reads its body if it is a valid one.
 func (i *Ingress) readAnswer(ctx context.Context, gate *target.Gate, req *request, answer *targetlink.Answer) *reply.Reply {
 	names := i.options.Headers
-	result, reason := outcome.TargetAnswer{
+	result, reason := outcome.TargetResponse{
 		Status: answer.Status, NotRun: answer.Header.Get(names.NotRun) != "", Signed: answer.Header.Get(names.Signature) != "",
 		Encoded: answer.Header.Get("Content-Encoding") != "",
-	}.Judge()
+	}.Classify()
 	switch result {
 	case outcome.NotRun:
 		return i.handleDeclined(gate, answer, reason)
--- a/internal/sidecar/entry/quota.go
+++ b/internal/sidecar/entry/quota.go
@@ -29,7 +29,7 @@
 	}
 	limitReached, retryAfter := quotas.Refusal(r.keyTenant, retryafter.MaxQuotaDelay(r.clientTimeout()))
 	if limitReached {
-		r.reject(http.StatusTooManyRequests, outcome.ReasonQuota, retryafter.Range{Min: retryAfter})
+		r.reject(http.StatusTooManyRequests, outcome.ReasonOverQuota, retryafter.Range{Min: retryAfter})
 		return false
 	}
 	r.reject(http.StatusServiceUnavailable, outcome.ReasonNoAllowance, retryafter.QuotaUnavailable())
--- a/internal/sidecar/entry/response.go
+++ b/internal/sidecar/entry/response.go
@@ -44,7 +44,7 @@
 // request as not run only if no attempt may have run.
 func (r *request) writeFailure(ctx context.Context, last *reply.Reply) {
 	defer last.Close()
-	if r.noCapacity = last.Reason.Full(); r.noCapacity && r.parent != nil {
+	if r.noCapacity = last.Reason.NoCapacity(); r.noCapacity && r.parent != nil {
 		// Charge the whole timeout: the request would have waited that long for capacity.
 		r.parent.AddNeeds([]wire.Need{{Service: r.service, Calls: 1, Occupancy: -1, Wait: r.timeout}})
 	}
@@ -52,7 +52,7 @@
 		r.recordCompletion(0, outcome.ReasonCancelled, 0)
 		panic(http.ErrAbortHandler)
 	}
-	status, reason := outcome.Final(r.mayHaveRun, ctx.Err() != nil || r.remaining(ctx) <= 0, last.Reason)
+	status, reason := outcome.FinalStatus(r.mayHaveRun, ctx.Err() != nil || r.remaining(ctx) <= 0, last.Reason)
 	if r.mayHaveRun {
 		r.reject(status, reason, noRetryAfter)
 		return
--- a/internal/sidecar/entry/send.go
+++ b/internal/sidecar/entry/send.go
@@ -180,7 +180,7 @@
 		call.Remaining = r.remaining(ctx).Microseconds()
 		response = r.options.Peers.Settle(ctx, choice.Address, call)
 	}
-	if response.Reason == outcome.ReasonIncarnation {
+	if response.Reason == outcome.ReasonNodeRestarted {
 		r.options.Members.Restarted(choice.Node, response.Incarnation)
 	}
 	return response
--- a/internal/sidecar/entry/steps.go
+++ b/internal/sidecar/entry/steps.go
@@ -60,7 +60,7 @@
 		r.reject(http.StatusServiceUnavailable, outcome.ReasonStopping, retryafter.NotReady())
 		return false
 	case r.intent == nil:
-		r.reject(http.StatusServiceUnavailable, outcome.ReasonNoIntent, retryafter.NotReady())
+		r.reject(http.StatusServiceUnavailable, outcome.ReasonNoConfiguration, retryafter.NotReady())
 		return false
 	}
 	return true
@@ -163,7 +163,7 @@
 	admitted, r.decision = r.options.Overload.Admit(r.route)
 	if !admitted {
 		r.options.Quotas.GiveBack(r.keyTenant)
-		r.reject(http.StatusServiceUnavailable, outcome.ReasonSheds, retryafter.Shed(r.clientTimeout()))
+		r.reject(http.StatusServiceUnavailable, outcome.ReasonOverload, retryafter.Shed(r.clientTimeout()))
 		return false
 	}
 	r.onFinish(r.releaseWindow)
--- a/internal/sidecar/entry/tenant.go
+++ b/internal/sidecar/entry/tenant.go
@@ -28,7 +28,7 @@
 		return r.handleMissingKey()
 	}
 	if !r.configFresh {
-		r.reject(http.StatusServiceUnavailable, outcome.ReasonStale, retryafter.NotReady())
+		r.reject(http.StatusServiceUnavailable, outcome.ReasonStaleConfiguration, retryafter.NotReady())
 		return false
 	}
 	r.keyTenant = r.intent.Holder(key)
@@ -63,7 +63,7 @@
 	case !r.intent.NeedsKey(r.route):
 		return true
 	case strings.Contains(r.id, wire.CallSeparator):
-		r.reject(http.StatusServiceUnavailable, outcome.ReasonOrphan, retryafter.NotReady())
+		r.reject(http.StatusServiceUnavailable, outcome.ReasonParentGone, retryafter.NotReady())
 	default:
 		r.rejectKey()
 	}
--- a/internal/sidecar/services/services.go
+++ b/internal/sidecar/services/services.go
@@ -144,7 +144,7 @@
 		s.balancer.Report(now, c.endpoint, response.Load)
 	}
 	switch {
-	case outcome.Wasted(response.Outcome, response.Reason):
+	case outcome.ResponseLost(response.Outcome, response.Reason):
 		s.balancer.Lost(now, c.endpoint)
 	case response.Reason.Declined():
 		s.balancer.Declined(now, c.endpoint)
@@ -152,9 +152,9 @@
 		s.balancer.Answered(now, c.endpoint, c.class, response.Bytes(), response.ServiceTime(now-c.sentAt))
 	}
 	switch {
-	case response.Reason.Silent():
+	case response.Reason.NodeUnreachable():
 		s.balancer.Suspect(now, c.endpoint)
-	case response.Reason.TakesNoWork():
+	case response.Reason.TargetUnavailable():
 		s.balancer.Refused(now, c.endpoint)
 	}
 }
