--- a/internal/core/quota/account.go
+++ b/internal/core/quota/account.go
@@ -59,11 +59,11 @@
 // replaced; those granted after it may still be in flight.
 func (p *processState) applyReport(now time.Duration, epoch int64, report Report) {
 	p.demand, p.reportedAt = report.Demand, now
-	if report.Left <= 0 {
+	if report.Remaining <= 0 {
 		return
 	}
 	if report.Grant.Epoch != epoch {
-		p.leases = append([]lease{{share: report.Held, expiresAt: now + report.Left}}, p.leases...)
+		p.leases = append([]lease{{share: report.Share, expiresAt: now + report.Remaining}}, p.leases...)
 		return
 	}
 	p.leases = slices.DeleteFunc(p.leases, func(l lease) bool { return l.grant < report.Grant.Number })
@@ -215,14 +215,14 @@
 // the free space in the node's bucket. Tokens that exceed the pool's capacity after the lease
 // of p go to p as well, so that a tenant's first requests find tokens.
 func (t *tenantState) drawTokens(now time.Duration, config Config, p *processState, report Report, given lease, withheld float64) int {
-	urgent := max(min(report.Need, int(t.pool)), 0)
+	urgent := max(min(report.Waiting, int(t.pool)), 0)
 	if urgent > 0 {
 		t.pool -= float64(urgent)
 		p.inFlight = append(p.inFlight, inFlightTokens{grant: given.grant, tokens: float64(urgent), expiresAt: now + MaxTransit})
 		t.updateTotals(now, p)
 	}
-	prefetch := max(min(report.Want-report.Need, int(maxPrefetchFraction*t.pool)), int(t.pool-t.poolCapacity(config, withheld)))
-	prefetch = max(min(prefetch, int(given.share.Depth-report.Stock), int(t.pool)), 0)
+	prefetch := max(min(report.Requested-report.Waiting, int(maxPrefetchFraction*t.pool)), int(t.pool-t.poolCapacity(config, withheld)))
+	prefetch = max(min(prefetch, int(given.share.Depth-report.Tokens), int(t.pool)), 0)
 	t.pool -= float64(prefetch)
 	return urgent + prefetch
 }
--- a/internal/core/quota/bound_test.go
+++ b/internal/core/quota/bound_test.go
@@ -35,7 +35,7 @@
 type simulatedNode struct {
 	name            string
 	process         int
-	holder          *Holder
+	holder          *Bucket
 	outstanding     int // number of the outstanding request; 0: none
 	sent            int
 	waiting         int
@@ -102,13 +102,13 @@
 		}
 	case s.keeperNode >= 0 && s.now < s.storeLeaseEnd:
 		s.epoch++
-		s.keeper = NewKeeper(testConfig, s.epoch, s.now, s.maxFraction, Before{Listed: s.storedNodes, Part: s.maxFraction, Ends: s.now + leaseDuration})
+		s.keeper = NewKeeper(testConfig, s.epoch, s.now, s.maxFraction, PreviousKeeper{Listed: s.storedNodes, MaxFraction: s.maxFraction, ExpiresAt: s.now + leaseDuration})
 		s.keeperLeaseEnd, s.storeLeaseEnd = s.now+leaseDuration, s.now+leaseDuration
 	case s.now >= s.storeLeaseEnd && s.random.IntN(20) == 0:
 		s.epoch++
 		s.keeperNode, s.storedNodes = s.random.IntN(len(s.nodes)), nil
-		s.maxFraction = PartOf(len(s.nodes))
-		s.keeper = NewKeeper(testConfig, s.epoch, s.now, s.maxFraction, Before{})
+		s.maxFraction = MaxShareFraction(len(s.nodes))
+		s.keeper = NewKeeper(testConfig, s.epoch, s.now, s.maxFraction, PreviousKeeper{})
 		s.keeperLeaseEnd, s.storeLeaseEnd = s.now+leaseDuration, s.now+leaseDuration
 	}
 }
@@ -133,7 +133,7 @@
 			n.waiting++
 		}
 	}
-	if n.outstanding == 0 && (n.waiting > 0 && n.holder.MayAsk(s.now) || s.random.IntN(int(reportInterval/stepDuration)) == 0) {
+	if n.outstanding == 0 && (n.waiting > 0 && n.holder.CanRequest(s.now) || s.random.IntN(int(reportInterval/stepDuration)) == 0) {
 		s.sendReport(n)
 	}
 }
@@ -141,7 +141,7 @@
 func (s *simulation) restart(index int) {
 	n := s.nodes[index]
 	n.process++
-	n.holder, n.outstanding, n.waiting = NewHolder(testConfig, testLimit, s.now), 0, 0
+	n.holder, n.outstanding, n.waiting = NewBucket(testConfig, testLimit, s.now), 0, 0
 	if index == s.keeperNode {
 		s.keeper = nil
 	}
@@ -167,12 +167,12 @@
 	if s.keeper == nil || s.now >= s.keeperLeaseEnd || s.nodes[s.keeperNode].pausedUntil > s.now {
 		return
 	}
-	if !s.keeper.Lists(n.name) {
+	if !s.keeper.IsListed(n.name) {
 		s.storedNodes = append(s.storedNodes, n.name)
-		s.keeper.List(s.now, []string{n.name})
+		s.keeper.AddListed(s.now, []string{n.name})
 	}
-	given := s.keeper.Answer(s.now, n.name, fmt.Sprintf("%s/%d", n.name, process), testLimit, report, s.keeperLeaseEnd-s.now)
-	s.keeper.Heard(s.now, n.name)
+	given := s.keeper.Allocate(s.now, n.name, fmt.Sprintf("%s/%d", n.name, process), testLimit, report, s.keeperLeaseEnd-s.now)
+	s.keeper.MarkReported(s.now, n.name)
 	if s.lost() {
 		return
 	}
@@ -186,7 +186,7 @@
 			n.waiting--
 			s.admitted = append(s.admitted, s.now)
 		}
-		n.holder.Store(s.now, tokens)
+		n.holder.Add(s.now, tokens)
 		n.waiting = 0
 	})
 }
@@ -209,7 +209,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		s := &simulation{t: t, random: rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1)), keeperNode: -1}
 		for index := range rapid.IntRange(2, 8).Draw(t, "nodes") {
-			s.nodes = append(s.nodes, &simulatedNode{name: fmt.Sprint("n", index), holder: NewHolder(testConfig, testLimit, 0), arrivalsPerStep: s.random.Float64() * 4})
+			s.nodes = append(s.nodes, &simulatedNode{name: fmt.Sprint("n", index), holder: NewBucket(testConfig, testLimit, 0), arrivalsPerStep: s.random.Float64() * 4})
 		}
 		s.run(40 * time.Second)
 		allowed := (testLimit.Rate*testConfig.Window.Seconds()+testLimit.Burst)*(1+testConfig.Overshoot) + testConfig.Slack
--- a/internal/core/quota/holder.go
+++ b/internal/core/quota/holder.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// Holder is the local token bucket of one tenant at one node. It is not safe for concurrent use.
-type Holder struct {
+// Bucket is the local token bucket of one tenant at one node. It is not safe for concurrent use.
+type Bucket struct {
 	config     Config
 	limit      Limit
 	share      Share
-	grant      Grant
+	grant      GrantID
 	expiresAt  time.Duration // end of the share
 	tokens     float64
 	refilledAt time.Duration // time of the last refill
@@ -30,13 +30,13 @@
 	minRetryAfter = 100 * time.Millisecond
 )
 
-// NewHolder returns an empty bucket.
-func NewHolder(config Config, limit Limit, now time.Duration) *Holder {
-	return &Holder{config: config, limit: limit, refilledAt: now, demand: rateEstimate{updatedAt: now}}
+// NewBucket returns an empty bucket.
+func NewBucket(config Config, limit Limit, now time.Duration) *Bucket {
+	return &Bucket{config: config, limit: limit, refilledAt: now, demand: rateEstimate{updatedAt: now}}
 }
 
 // SetLimit applies a new limit. If it is lower, the current share is scaled down in proportion.
-func (h *Holder) SetLimit(now time.Duration, limit Limit) {
+func (h *Bucket) SetLimit(now time.Duration, limit Limit) {
 	if limit == h.limit {
 		return
 	}
@@ -52,7 +52,7 @@
 }
 
 // refill adds the tokens accrued since the last call. An expired share leaves an empty bucket.
-func (h *Holder) refill(now time.Duration) {
+func (h *Bucket) refill(now time.Duration) {
 	if now >= h.expiresAt {
 		h.share, h.tokens, h.refilledAt = Share{}, 0, now
 		return
@@ -62,13 +62,13 @@
 }
 
 // Arrive records a request and reports whether a local token admits it.
-func (h *Holder) Arrive(now time.Duration) bool {
+func (h *Bucket) Arrive(now time.Duration) bool {
 	h.demand.record(now)
 	return h.Take(now)
 }
 
 // Take consumes a token and reports whether there was one.
-func (h *Holder) Take(now time.Duration) bool {
+func (h *Bucket) Take(now time.Duration) bool {
 	h.refill(now)
 	if h.tokens < 1 {
 		return false
@@ -77,25 +77,25 @@
 	return true
 }
 
-// GiveBack returns the token of a request that did not run.
-func (h *Holder) GiveBack(now time.Duration) {
+// Return returns the token of a request that did not run.
+func (h *Bucket) Return(now time.Duration) {
 	h.refill(now)
 	h.tokens = min(h.tokens+1, h.share.Depth)
 }
 
-// MayAsk reports whether the backoff after a denial is over.
-func (h *Holder) MayAsk(now time.Duration) bool { return now >= h.askAfter }
+// CanRequest reports whether the backoff after a denial is over.
+func (h *Bucket) CanRequest(now time.Duration) bool { return now >= h.askAfter }
 
 // Idle reports that the share has expired and the tenant's demand is negligible.
-func (h *Holder) Idle(now time.Duration) bool {
+func (h *Bucket) Idle(now time.Duration) bool {
 	return now >= h.expiresAt && h.demand.rate(now) < minDemand
 }
 
 // prefetchWindow is how far ahead of the current demand tokens are requested.
 const prefetchWindow = 500 * time.Millisecond
 
-// Low reports that an active tenant's bucket is empty and the keeper may be asked for tokens.
-func (h *Holder) Low(now time.Duration) bool {
+// NeedsTokens reports that an active tenant's bucket is empty and the keeper may be asked for tokens.
+func (h *Bucket) NeedsTokens(now time.Duration) bool {
 	h.refill(now)
 	return h.tokens < 1 && now >= h.askAfter && h.demand.rate(now) >= minDemand
 }
@@ -103,35 +103,35 @@
 // Report builds the request to the keeper; waiting is the number of requests waiting for a
 // token. Tokens are requested only when the bucket is empty or requests wait, and then for
 // prefetchWindow of demand: this saves messages without taking tokens that other nodes need.
-func (h *Holder) Report(now time.Duration, tenant string, waiting int) Report {
+func (h *Bucket) Report(now time.Duration, tenant string, waiting int) Report {
 	h.refill(now)
-	report := Report{Tenant: tenant, Demand: h.demand.rate(now), Stock: h.tokens, Held: h.share, Grant: h.grant, Left: max(h.expiresAt-now, 0)}
+	report := Report{Tenant: tenant, Demand: h.demand.rate(now), Tokens: h.tokens, Share: h.share, Grant: h.grant, Remaining: max(h.expiresAt-now, 0)}
 	if now < h.askAfter {
 		return report
 	}
-	report.Need, report.Want = waiting, waiting
+	report.Waiting, report.Requested = waiting, waiting
 	if waiting > 0 || h.tokens < 1 {
 		ahead := 1 + report.Demand*prefetchWindow.Seconds()
-		report.Want += int(max(min(ahead, h.share.Depth)-h.tokens, 0))
+		report.Requested += int(max(min(ahead, h.share.Depth)-h.tokens, 0))
 	}
 	return report
 }
 
 // Allot applies the keeper's response to a request started at asked and returns its tokens.
 // Tokens in flight for MaxTransit or longer are discarded, since the keeper no longer counts them.
-func (h *Holder) Allot(now, asked time.Duration, given Allotment) (tokens int) {
+func (h *Bucket) Allot(now, asked time.Duration, given Allotment) (tokens int) {
 	h.refill(now)
-	if end := asked + given.Life; end > now {
+	if end := asked + given.TTL; end > now {
 		h.share, h.grant, h.expiresAt = given.Share, given.Grant, end
 		h.tokens = min(h.tokens, h.share.Depth)
 	}
 	h.unsettled = given.Unsettled
-	h.exhausted = given.Again > 0
+	h.exhausted = given.RetryAfter > 0
 	if h.exhausted {
-		h.retryAt = now + given.Again
+		h.retryAt = now + given.RetryAfter
 	}
-	if given.Again > MaxQueueWait {
-		h.askAfter = now + min(given.Again, maxAskBackoff)
+	if given.RetryAfter > MaxQueueWait {
+		h.askAfter = now + min(given.RetryAfter, maxAskBackoff)
 	}
 	if now-asked >= MaxTransit {
 		return 0
@@ -139,23 +139,23 @@
 	return given.Tokens
 }
 
-// Spent reports that the limit is reached: the last response had fewer tokens than waiting
+// LimitReached reports that the limit is reached: the last response had fewer tokens than waiting
 // requests although the keeper knew all shares.
-func (h *Holder) Spent() bool { return h.exhausted && !h.unsettled }
+func (h *Bucket) LimitReached() bool { return h.exhausted && !h.unsettled }
 
-// Store adds unused tokens to the bucket, up to its depth.
-func (h *Holder) Store(now time.Duration, tokens int) {
+// Add adds unused tokens to the bucket, up to its depth.
+func (h *Bucket) Add(now time.Duration, tokens int) {
 	h.refill(now)
 	h.tokens = min(h.tokens+float64(tokens), h.share.Depth)
 }
 
-// ComeBack returns the Retry-After delay for a rejected request, at most most.
-func (h *Holder) ComeBack(now, most time.Duration) time.Duration {
+// RetryAfter returns the Retry-After delay for a rejected request, at most most.
+func (h *Bucket) RetryAfter(now, most time.Duration) time.Duration {
 	return min(max(h.retryAt-now, minRetryAfter), most)
 }
 
 // Share returns the current share and its remaining lifetime.
-func (h *Holder) Share(now time.Duration) (share Share, left time.Duration) {
+func (h *Bucket) Share(now time.Duration) (share Share, left time.Duration) {
 	h.refill(now)
 	return h.share, max(h.expiresAt-now, 0)
 }
--- a/internal/core/quota/keeper.go
+++ b/internal/core/quota/keeper.go
@@ -25,17 +25,17 @@
 	startedAt          time.Duration
 }
 
-// Before describes the previous keeper; the zero value means that none of its shares exist.
-type Before struct {
-	Listed []string      // nodes that may hold shares
-	Part   float64       // largest fraction of a limit in one share
-	Ends   time.Duration // expiry of the last share
+// PreviousKeeper describes the previous keeper; the zero value means that none of its shares exist.
+type PreviousKeeper struct {
+	Listed      []string      // nodes that may hold shares
+	MaxFraction float64       // largest fraction of a limit in one share
+	ExpiresAt   time.Duration // expiry of the last share
 }
 
-// PartOf returns the largest fraction of a limit that one share may have among the given number
+// MaxShareFraction returns the largest fraction of a limit that one share may have among the given number
 // of nodes. Nodes with more demand draw tokens from the pool. A smaller fraction reduces what a
 // new keeper withholds for nodes that have not reported.
-func PartOf(listed int) float64 { return min(maxEvenShares/float64(max(listed, 1)), 1) }
+func MaxShareFraction(listed int) float64 { return min(maxEvenShares/float64(max(listed, 1)), 1) }
 
 // maxEvenShares is the size limit of a share, as a multiple of an even split.
 const maxEvenShares = 3
@@ -43,20 +43,20 @@
 // NewKeeper returns a keeper that takes over at now. epoch distinguishes its grants from those
 // of other keepers; part limits each share to a fraction of the limit. Pools start empty, since
 // the usage before now is unknown.
-func NewKeeper(config Config, epoch int64, now time.Duration, part float64, before Before) *Keeper {
+func NewKeeper(config Config, epoch int64, now time.Duration, part float64, before PreviousKeeper) *Keeper {
 	k := &Keeper{
 		config: config, epoch: epoch, tenants: map[string]*tenantState{}, maxFraction: part, listed: map[string]time.Duration{},
-		unreported: map[string]bool{}, unreportedFraction: before.Part, settledAt: before.Ends, noPredecessor: len(before.Listed) == 0, startedAt: now,
+		unreported: map[string]bool{}, unreportedFraction: before.MaxFraction, settledAt: before.ExpiresAt, noPredecessor: len(before.Listed) == 0, startedAt: now,
 	}
 	for _, node := range before.Listed {
-		k.listed[node] = before.Ends
+		k.listed[node] = before.ExpiresAt
 		k.unreported[node] = true
 	}
 	return k
 }
 
-// Awaited returns the predecessor's nodes that have not reported their shares.
-func (k *Keeper) Awaited(now time.Duration) (names []string) {
+// Unreported returns the predecessor's nodes that have not reported their shares.
+func (k *Keeper) Unreported(now time.Duration) (names []string) {
 	if now >= k.settledAt {
 		return nil
 	}
@@ -74,14 +74,14 @@
 	return k.unreportedFraction * float64(len(k.unreported))
 }
 
-// Lists reports whether a node is among those that may hold shares.
-func (k *Keeper) Lists(node string) bool {
+// IsListed reports whether a node is among those that may hold shares.
+func (k *Keeper) IsListed(node string) bool {
 	_, listed := k.listed[node]
 	return listed
 }
 
-// List adds nodes that may hold shares. Their names must have been persisted.
-func (k *Keeper) List(now time.Duration, nodes []string) {
+// AddListed adds nodes that may hold shares. Their names must have been persisted.
+func (k *Keeper) AddListed(now time.Duration, nodes []string) {
 	for _, node := range nodes {
 		k.listed[node] = now
 	}
@@ -100,9 +100,9 @@
 	return len(k.listed) < before
 }
 
-// Heard records that a node has reported all its shares. Shares of an earlier process of the
+// MarkReported records that a node has reported all its shares. Shares of an earlier process of the
 // node ended with that process.
-func (k *Keeper) Heard(now time.Duration, node string) {
+func (k *Keeper) MarkReported(now time.Duration, node string) {
 	if !k.unreported[node] {
 		return
 	}
@@ -112,16 +112,16 @@
 	delete(k.unreported, node)
 }
 
-// Answer allocates a share and tokens to a process. life is the remaining time of the keeper's
+// Allocate allocates a share and tokens to a process. life is the remaining time of the keeper's
 // lease. The node must be listed.
-func (k *Keeper) Answer(now time.Duration, node, process string, limit Limit, report Report, life time.Duration) Allotment {
+func (k *Keeper) Allocate(now time.Duration, node, process string, limit Limit, report Report, life time.Duration) Allotment {
 	t := k.tenant(now, report.Tenant, limit)
 	p := t.process(process)
 	p.applyReport(now, k.epoch, report)
 	t.updateTotals(now, p)
 	k.lastGrant++
 	withheld := k.withheld(now)
-	given := Allotment{Tenant: report.Tenant, Grant: Grant{Epoch: k.epoch, Number: k.lastGrant}, Life: life}
+	given := Allotment{Tenant: report.Tenant, Grant: GrantID{Epoch: k.epoch, Number: k.lastGrant}, TTL: life}
 	given.Share = t.computeShare(k.config, p, k.maxFraction, withheld)
 	offered := lease{grant: k.lastGrant, share: given.Share, expiresAt: now + life}
 	p.addLease(offered)
@@ -129,10 +129,10 @@
 	k.listed[node] = max(k.listed[node], offered.expiresAt)
 	given.Tokens = t.drawTokens(now, k.config, p, report, offered, withheld)
 	t.clampPool(k.config, withheld)
-	p.shortfall = float64(max(report.Need-given.Tokens, 0))
+	p.shortfall = float64(max(report.Waiting-given.Tokens, 0))
 	t.updateTotals(now, p)
 	if p.shortfall > 0 {
-		given.Again, given.Unsettled = t.retryAfter(withheld), withheld > 0
+		given.RetryAfter, given.Unsettled = t.retryAfter(withheld), withheld > 0
 	}
 	return given
 }
--- a/internal/core/quota/quota.go
+++ b/internal/core/quota/quota.go
@@ -61,8 +61,8 @@
 	return Share{Rate: max(s.Rate, other.Rate), Depth: max(s.Depth, other.Depth)}
 }
 
-// Grant identifies a share by the keeper's epoch and a number that increases within it.
-type Grant struct {
+// GrantID identifies a share by the keeper's epoch and a number that increases within it.
+type GrantID struct {
 	Epoch  int64
 	Number int64
 }
@@ -70,27 +70,27 @@
 // Report is a process's request to the keeper for one tenant. A process has at most one request
 // outstanding and ignores the response to one that has timed out.
 type Report struct {
-	Tenant string
-	Demand float64 // arrival rate at the node, in requests per second
-	Need   int     // requests waiting for a token
-	Want   int     // tokens requested, including Need
-	Stock  float64 // tokens in the local bucket
-	// Held is the share last granted, Grant its identifier and Left its remaining lifetime;
+	Tenant    string
+	Demand    float64 // arrival rate at the node, in requests per second
+	Waiting   int     // requests waiting for a token
+	Requested int     // tokens requested, including Need
+	Tokens    float64 // tokens in the local bucket
+	// Share is the share last granted, Grant its identifier and Left its remaining lifetime;
 	// Left is 0 if the process has no share.
-	Held  Share
-	Grant Grant
-	Left  time.Duration
+	Share     Share
+	Grant     GrantID
+	Remaining time.Duration
 }
 
 // Allotment is the keeper's response to a Report.
 type Allotment struct {
 	Tenant string
 	Share  Share
-	Grant  Grant
-	Life   time.Duration // lifetime of the share, from the start of the request
+	Grant  GrantID
+	TTL    time.Duration // lifetime of the share, from the start of the request
 	Tokens int           // tokens from the pool
-	// Again is the estimated time until more tokens are available; 0 means no estimate.
-	Again time.Duration
+	// RetryAfter is the estimated time until more tokens are available; 0 means no estimate.
+	RetryAfter time.Duration
 	// Unsettled reports that the keeper doesn't yet know all shares granted by its predecessor.
 	Unsettled bool
 }
--- a/internal/sidecar/quotas/holders.go
+++ b/internal/sidecar/quotas/holders.go
@@ -43,7 +43,7 @@
 		return // the next request of a joining node schedules another write
 	}
 	state.revision = revision
-	state.keeper.List(s.options.Now(), added)
+	state.keeper.AddListed(s.options.Now(), added)
 	for _, name := range added {
 		delete(state.joiningHolders, name)
 	}
--- a/internal/sidecar/quotas/limiter.go
+++ b/internal/sidecar/quotas/limiter.go
@@ -61,7 +61,7 @@
 
 // tenantState holds the tokens of a tenant at this node and the requests that wait for one.
 type tenantState struct {
-	holder  *quota.Holder
+	holder  *quota.Bucket
 	waiters []chan bool // each receives the admission decision once
 }
 
@@ -79,7 +79,7 @@
 	limit := quota.Limit{Rate: tenant.Rate, Burst: tenant.Burst}
 	t := l.tenants[tenant.Name]
 	if t == nil {
-		t = &tenantState{holder: quota.NewHolder(l.options.quotaConfig(), limit, now)}
+		t = &tenantState{holder: quota.NewBucket(l.options.quotaConfig(), limit, now)}
 		l.tenants[tenant.Name] = t
 	}
 	t.holder.SetLimit(now, limit)
@@ -96,7 +96,7 @@
 		l.mutex.Unlock()
 		return true
 	}
-	if !t.holder.MayAsk(now) || l.unreachable[shardOf(tenant.Name)].Load() {
+	if !t.holder.CanRequest(now) || l.unreachable[shardOf(tenant.Name)].Load() {
 		l.mutex.Unlock()
 		return false
 	}
@@ -136,7 +136,7 @@
 	defer l.mutex.Unlock()
 	now := l.options.Now()
 	t := l.tenantLocked(now, tenant)
-	return t.holder.Spent(), t.holder.ComeBack(now, maxDelay)
+	return t.holder.LimitReached(), t.holder.RetryAfter(now, maxDelay)
 }
 
 // GiveBack returns the token of an admitted request that will not be executed.
@@ -147,7 +147,7 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	now := l.options.Now()
-	l.tenantLocked(now, tenant).holder.GiveBack(now)
+	l.tenantLocked(now, tenant).holder.Return(now)
 }
 
 // requestNow makes Run send a request for a shard before the next interval.
--- a/internal/sidecar/quotas/requests.go
+++ b/internal/sidecar/quotas/requests.go
@@ -114,7 +114,7 @@
 			delete(l.tenants, name)
 			continue
 		}
-		if request.Complete || len(t.waiters) > 0 || t.holder.Low(now) {
+		if request.Complete || len(t.waiters) > 0 || t.holder.NeedsTokens(now) {
 			request.Reports = append(request.Reports, reportToWire(t.holder.Report(now, name, len(t.waiters))))
 		}
 	}
@@ -163,12 +163,12 @@
 		t.waiters[0] <- true
 		t.waiters = t.waiters[1:]
 	}
-	t.holder.Store(now, tokens)
+	t.holder.Add(now, tokens)
 	if len(t.waiters) == 0 {
 		return
 	}
-	if t.holder.MayAsk(now) {
-		time.AfterFunc(allotment.Again, func() { l.requestNow(shardOf(allotment.Tenant)) })
+	if t.holder.CanRequest(now) {
+		time.AfterFunc(allotment.RetryAfter, func() { l.requestNow(shardOf(allotment.Tenant)) })
 		return
 	}
 	for _, admitted := range t.waiters {
--- a/internal/sidecar/quotas/server.go
+++ b/internal/sidecar/quotas/server.go
@@ -206,7 +206,7 @@
 		return answer
 	}
 	answer.Keeps = true
-	if !state.keeper.Lists(request.Holder) {
+	if !state.keeper.IsListed(request.Holder) {
 		s.addHolderLocked(request.Shard, state, request.Holder)
 		return answer
 	}
@@ -218,10 +218,10 @@
 		if tenant := current.Tenant(report.Tenant); tenant != nil {
 			limit = quota.Limit{Rate: tenant.Rate, Burst: tenant.Burst}
 		}
-		answer.Allotments = append(answer.Allotments, allotmentToWire(state.keeper.Answer(now, request.Holder, process, limit, report, remaining)))
+		answer.Allotments = append(answer.Allotments, allotmentToWire(state.keeper.Allocate(now, request.Holder, process, limit, report, remaining)))
 	}
 	if request.Complete {
-		state.keeper.Heard(now, request.Holder)
+		state.keeper.MarkReported(now, request.Holder)
 	}
 	return answer
 }
--- a/internal/sidecar/quotas/takeover.go
+++ b/internal/sidecar/quotas/takeover.go
@@ -93,7 +93,7 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for _, state := range s.shards {
-		state.keeper.Heard(s.options.Now(), holder)
+		state.keeper.MarkReported(s.options.Now(), holder)
 	}
 }
 
@@ -103,7 +103,7 @@
 	defer s.mutex.Unlock()
 	var holders []string
 	for _, state := range s.shards {
-		for _, holder := range state.keeper.Awaited(s.options.Now()) {
+		for _, holder := range state.keeper.Unreported(s.options.Now()) {
 			if !slices.Contains(holders, holder) {
 				holders = append(holders, holder)
 			}
@@ -136,11 +136,11 @@
 // takeover is the state of a takeover of a shard.
 type takeover struct {
 	shard    int
-	failed   *wire.Keeper // keeper whose process has ended; nil if the shard has no record
-	revision int64        // expected revision of the record; 0 if there is none
-	prior    quota.Before // allocation state recorded by the previous keeper
-	holders  []string     // nodes that may hold shares
-	maxShare float64      // upper bound of a share, as a fraction of the limit
+	failed   *wire.Keeper         // keeper whose process has ended; nil if the shard has no record
+	revision int64                // expected revision of the record; 0 if there is none
+	prior    quota.PreviousKeeper // allocation state recorded by the previous keeper
+	holders  []string             // nodes that may hold shares
+	maxShare float64              // upper bound of a share, as a fraction of the limit
 }
 
 // takeOver writes a record that names this node as the keeper of a shard, and starts to serve
@@ -176,7 +176,7 @@
 	}
 	t.revision = item.Revision
 	// Shares of the previous keeper may be valid for up to the TTL of its lease.
-	t.prior = quota.Before{Listed: record.Listed, Part: record.Part, Ends: s.options.Now() + leaseTTL}
+	t.prior = quota.PreviousKeeper{Listed: record.Listed, MaxFraction: record.Part, ExpiresAt: s.options.Now() + leaseTTL}
 	return true, nil
 }
 
@@ -185,13 +185,13 @@
 	if t.failed != nil {
 		// A holder might not report before the next takeover, so the record must keep covering
 		// the shares that it may have from the previous keeper.
-		t.holders, t.maxShare = t.prior.Listed, t.prior.Part
+		t.holders, t.maxShare = t.prior.Listed, t.prior.MaxFraction
 		return
 	}
 	for _, record := range s.options.Membership.All() {
 		t.holders = append(t.holders, holderName(record.Node, record.Address))
 	}
-	t.maxShare = quota.PartOf(len(t.holders))
+	t.maxShare = quota.MaxShareFraction(len(t.holders))
 }
 
 // startKeeping starts to serve a shard. epoch is the revision of the record just written.
@@ -204,7 +204,7 @@
 	now := s.options.Now()
 	keeper := quota.NewKeeper(s.options.quotaConfig(), epoch, now, t.maxShare, t.prior)
 	if t.failed == nil {
-		keeper.List(now, t.holders)
+		keeper.AddListed(now, t.holders)
 	}
 	s.shards[t.shard] = &shardState{keeper: keeper, maxShare: t.maxShare, epoch: epoch, revision: epoch, joiningHolders: map[string]bool{}}
 	s.keepers.Learn(s.ownKeeper(t.shard, epoch))
