--- a/internal/sidecar/entry/options.go
+++ b/internal/sidecar/entry/options.go
@@ -49,7 +49,7 @@
 type Quotas interface {
 	Admit(ctx context.Context, tenant *intent.Tenant, wait time.Duration) bool
 	Refusal(tenant *intent.Tenant, most time.Duration) (limitReached bool, retryAfter time.Duration)
-	GiveBack(tenant *intent.Tenant)
+	ReturnToken(tenant *intent.Tenant)
 }
 
 // Members tracks the process incarnations of the other nodes.
--- a/internal/sidecar/entry/response.go
+++ b/internal/sidecar/entry/response.go
@@ -57,7 +57,7 @@
 		r.reject(status, reason, noRetryAfter)
 		return
 	}
-	r.options.Quotas.GiveBack(r.keyTenant)
+	r.options.Quotas.ReturnToken(r.keyTenant)
 	r.reject(status, reason, retryafter.NotRun(reason))
 }
 
--- a/internal/sidecar/entry/steps.go
+++ b/internal/sidecar/entry/steps.go
@@ -162,7 +162,7 @@
 	var admitted bool
 	admitted, r.decision = r.options.Overload.Admit(r.route)
 	if !admitted {
-		r.options.Quotas.GiveBack(r.keyTenant)
+		r.options.Quotas.ReturnToken(r.keyTenant)
 		r.reject(http.StatusServiceUnavailable, outcome.ReasonOverload, retryafter.Shed(r.clientTimeout()))
 		return false
 	}
--- a/internal/sidecar/options.go
+++ b/internal/sidecar/options.go
@@ -46,7 +46,7 @@
 	return quotas.Options{
 		Settings: n.settings, Incarnation: n.incarnation, Now: n.now, Configuration: n.configuration, Events: n.events,
 		Store: n.store, StoreHealth: n.storeHealth, Peers: n.peers, Membership: n.membership, Follower: n.follower,
-		AskPeer:  func(ctx context.Context, address string) { n.freshness.AskPeer(ctx, address) },
+		PollPeer: func(ctx context.Context, address string) { n.freshness.AskPeer(ctx, address) },
 		Stopping: n.shutdown.stopping.Load,
 	}
 }
@@ -87,9 +87,9 @@
 // applyStoredItems applies store items other than node records. If complete is set, items lists
 // all of them at the given revision.
 func (n *Node) applyStoredItems(items []store.Item, complete bool, revision int64) {
-	n.keepers.TakeStored(items)
+	n.keepers.ApplyStored(items)
 	if complete {
-		n.keepers.NoteAbsent(items, revision)
+		n.keepers.MarkMissing(items, revision)
 	}
 	for index := range items {
 		n.applyStoredItem(&items[index])
@@ -99,7 +99,7 @@
 // followerHeartbeat runs on each heartbeat while the node follows the store: it takes over quota
 // shards without a keeper and saves crash evidence.
 func (n *Node) followerHeartbeat(ctx context.Context) {
-	n.quotaServer.Fill(ctx)
+	n.quotaServer.TakeOverAbsent(ctx)
 	if n.follower.Reaches() {
 		n.heldBack.Save(ctx)
 	}
--- a/internal/sidecar/quotas/keepers.go
+++ b/internal/sidecar/quotas/keepers.go
@@ -34,8 +34,8 @@
 // key returns the store key of a shard's record.
 func (k *Keepers) key(shard int) string { return k.prefix + strconv.Itoa(shard) }
 
-// TakeStored applies records read from the store. Items with other keys are ignored.
-func (k *Keepers) TakeStored(items []store.Item) {
+// ApplyStored applies records read from the store. Items with other keys are ignored.
+func (k *Keepers) ApplyStored(items []store.Item) {
 	for i := range items {
 		item := &items[i]
 		suffix, found := strings.CutPrefix(item.Key, k.prefix)
@@ -53,9 +53,9 @@
 	}
 }
 
-// NoteAbsent marks the shards that have no record among items, which must be a complete
+// MarkMissing marks the shards that have no record among items, which must be a complete
 // listing of the store at the given revision.
-func (k *Keepers) NoteAbsent(items []store.Item, revision int64) {
+func (k *Keepers) MarkMissing(items []store.Item, revision int64) {
 	for shard := range Shards {
 		key := k.key(shard)
 		if !slices.ContainsFunc(items, func(item store.Item) bool { return item.Key == key }) {
--- a/internal/sidecar/quotas/limiter.go
+++ b/internal/sidecar/quotas/limiter.go
@@ -61,7 +61,7 @@
 
 // tenantState holds the tokens of a tenant at this node and the requests that wait for one.
 type tenantState struct {
-	holder  *quota.Bucket
+	bucket  *quota.Bucket
 	waiters []chan bool // each receives the admission decision once
 }
 
@@ -79,10 +79,10 @@
 	limit := quota.Limit{Rate: tenant.Rate, Burst: tenant.Burst}
 	t := l.tenants[tenant.Name]
 	if t == nil {
-		t = &tenantState{holder: quota.NewBucket(l.options.quotaConfig(), limit, now)}
+		t = &tenantState{bucket: quota.NewBucket(l.options.quotaConfig(), limit, now)}
 		l.tenants[tenant.Name] = t
 	}
-	t.holder.SetLimit(now, limit)
+	t.bucket.SetLimit(now, limit)
 	return t
 }
 
@@ -92,11 +92,11 @@
 	l.mutex.Lock()
 	now := l.options.Now()
 	t := l.tenantLocked(now, tenant)
-	if t.holder.Arrive(now) {
+	if t.bucket.Arrive(now) {
 		l.mutex.Unlock()
 		return true
 	}
-	if !t.holder.CanRequest(now) || l.unreachable[shardOf(tenant.Name)].Load() {
+	if !t.bucket.CanRequest(now) || l.unreachable[shardOf(tenant.Name)].Load() {
 		l.mutex.Unlock()
 		return false
 	}
@@ -136,18 +136,18 @@
 	defer l.mutex.Unlock()
 	now := l.options.Now()
 	t := l.tenantLocked(now, tenant)
-	return t.holder.LimitReached(), t.holder.RetryAfter(now, maxDelay)
+	return t.bucket.LimitReached(), t.bucket.RetryAfter(now, maxDelay)
 }
 
-// GiveBack returns the token of an admitted request that will not be executed.
-func (l *Limiter) GiveBack(tenant *intent.Tenant) {
+// ReturnToken returns the token of an admitted request that will not be executed.
+func (l *Limiter) ReturnToken(tenant *intent.Tenant) {
 	if tenant == nil || !tenant.Limited() {
 		return
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	now := l.options.Now()
-	l.tenantLocked(now, tenant).holder.Return(now)
+	l.tenantLocked(now, tenant).bucket.Return(now)
 }
 
 // requestNow makes Run send a request for a shard before the next interval.
--- a/internal/sidecar/quotas/quotas.go
+++ b/internal/sidecar/quotas/quotas.go
@@ -42,8 +42,8 @@
 	Peers         *peer.Client
 	Membership    Membership
 	Follower      Follower
-	// AskPeer asks the node at an address for the keepers it knows. An empty address is a no-op.
-	AskPeer func(ctx context.Context, address string)
+	// PollPeer asks the node at an address for the keepers it knows. An empty address is a no-op.
+	PollPeer func(ctx context.Context, address string)
 	// Stopping reports whether a graceful shutdown has begun, after which no shard is taken over.
 	Stopping func() bool
 }
--- a/internal/sidecar/quotas/requests.go
+++ b/internal/sidecar/quotas/requests.go
@@ -108,14 +108,14 @@
 			continue
 		}
 		if tenant := current.Tenant(name); tenant != nil {
-			t.holder.SetLimit(now, quota.Limit{Rate: tenant.Rate, Burst: tenant.Burst})
+			t.bucket.SetLimit(now, quota.Limit{Rate: tenant.Rate, Burst: tenant.Burst})
 		}
-		if t.holder.Idle(now) && len(t.waiters) == 0 {
+		if t.bucket.Idle(now) && len(t.waiters) == 0 {
 			delete(l.tenants, name)
 			continue
 		}
-		if request.Complete || len(t.waiters) > 0 || t.holder.NeedsTokens(now) {
-			request.Reports = append(request.Reports, reportToWire(t.holder.Report(now, name, len(t.waiters))))
+		if request.Complete || len(t.waiters) > 0 || t.bucket.NeedsTokens(now) {
+			request.Reports = append(request.Reports, reportToWire(t.bucket.Report(now, name, len(t.waiters))))
 		}
 	}
 	if !request.Complete && len(request.Reports) == 0 {
@@ -157,17 +157,17 @@
 // are rejected otherwise.
 func (l *Limiter) applyAllotmentLocked(t *tenantState, sentAt time.Duration, allotment quota.Allotment) {
 	now := l.options.Now()
-	tokens := t.holder.Allot(now, sentAt, allotment)
-	for len(t.waiters) > 0 && (tokens > 0 || t.holder.Take(now)) {
+	tokens := t.bucket.Allot(now, sentAt, allotment)
+	for len(t.waiters) > 0 && (tokens > 0 || t.bucket.Take(now)) {
 		tokens = max(tokens-1, 0)
 		t.waiters[0] <- true
 		t.waiters = t.waiters[1:]
 	}
-	t.holder.Add(now, tokens)
+	t.bucket.Add(now, tokens)
 	if len(t.waiters) == 0 {
 		return
 	}
-	if t.holder.CanRequest(now) {
+	if t.bucket.CanRequest(now) {
 		time.AfterFunc(allotment.RetryAfter, func() { l.requestNow(shardOf(allotment.Tenant)) })
 		return
 	}
@@ -184,7 +184,7 @@
 	if address == "" {
 		address = l.options.Membership.AddressElsewhere()
 	}
-	l.options.AskPeer(ctx, address)
+	l.options.PollPeer(ctx, address)
 	if l.keepers.Get(shard) == nil {
 		l.listRecords(ctx)
 	}
@@ -201,7 +201,7 @@
 	items, _, err := l.options.Store.List(call, l.keepers.prefix)
 	l.options.StoreHealth.Note("read", err)
 	if err == nil {
-		l.keepers.TakeStored(items)
+		l.keepers.ApplyStored(items)
 	}
 }
 
--- a/internal/sidecar/quotas/takeover.go
+++ b/internal/sidecar/quotas/takeover.go
@@ -16,9 +16,9 @@
 	"github.com/landingmast/landingmast/internal/wire"
 )
 
-// Fill takes over shards that have no record in the store. The follower of each zone calls it
+// TakeOverAbsent takes over shards that have no record in the store. The follower of each zone calls it
 // periodically; takeovers are staggered by the rank of the zone.
-func (s *Server) Fill(ctx context.Context) {
+func (s *Server) TakeOverAbsent(ctx context.Context) {
 	if s.options.Stopping() || !s.options.anyTenantLimited() {
 		return
 	}
