--- a/internal/sidecar/options.go
+++ b/internal/sidecar/options.go
@@ -46,7 +46,7 @@
 	return quotas.Options{
 		Settings: n.settings, Incarnation: n.incarnation, Now: n.now, Configuration: n.configuration, Events: n.events,
 		Store: n.store, StoreHealth: n.storeHealth, Peers: n.peers, Membership: n.membership, Follower: n.follower,
-		PollPeer: func(ctx context.Context, address string) { n.freshness.AskPeer(ctx, address) },
+		PollPeer: func(ctx context.Context, address string) { n.freshness.PollPeer(ctx, address) },
 		Stopping: n.shutdown.stopping.Load,
 	}
 }
--- a/internal/sidecar/revalidation/revalidation.go
+++ b/internal/sidecar/revalidation/revalidation.go
@@ -197,12 +197,12 @@
 		if r.confirmAtStore(ctx) {
 			return confirmInterval
 		}
-	case r.AskPeer(ctx, followerAddress):
+	case r.PollPeer(ctx, followerAddress):
 		return pollInterval
 	}
 	age, _, known := r.Age()
 	if !known || age > crossZoneAge || followerAddress == "" {
-		if r.AskPeer(ctx, r.options.Membership.AddressElsewhere()) {
+		if r.PollPeer(ctx, r.options.Membership.AddressElsewhere()) {
 			return pollInterval
 		}
 	}
@@ -212,11 +212,11 @@
 	return pollInterval / 2
 }
 
-// AskPeer polls the node at address for the freshness of its configuration and the keepers it
+// PollPeer polls the node at address for the freshness of its configuration and the keepers it
 // knows. It reports whether the answer added evidence. If the other node has a newer
 // configuration, a fetch is started. Errors are not logged, since other nodes are polled next and
 // Run logs when the evidence becomes too old.
-func (r *Revalidator) AskPeer(ctx context.Context, address string) bool {
+func (r *Revalidator) PollPeer(ctx context.Context, address string) bool {
 	if address == "" {
 		return false
 	}
@@ -310,7 +310,7 @@
 	r.options.Events.Add(eventlog.Freshness{Change: change, Version: version, AgeMS: eventlog.Milliseconds(age)}, eventlog.State)
 }
 
-// ServeHTTP answers AskPeer requests of other nodes.
+// ServeHTTP answers PollPeer requests of other nodes.
 func (r *Revalidator) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	age, version, known := r.Age()
 	peer.WriteMessage(w, wire.FreshnessCodec, &wire.Freshness{Known: known, Version: int64(version), Age: age.Microseconds(), Keepers: r.options.Keepers.All()})
