--- a/internal/core/crashes/ledger.go
+++ b/internal/core/crashes/ledger.go
@@ -10,13 +10,13 @@
 
 // Evidence records that a target crashed while it ran a request.
 type Evidence struct {
-	Print
-	Instance string // process incarnation of the target
-	Service  string
-	Route    string
-	At       int64 // Unix time in milliseconds, by the clock of the target's node
-	// Alone reports that the target was running no other suspected request.
-	Alone bool
+	Fingerprint
+	Instance        string // process incarnation of the target
+	Service         string
+	Route           string
+	CrashedAtMillis int64 // Unix time in milliseconds, by the clock of the target's node
+	// Isolated reports that the target was running no other suspected request.
+	Isolated bool
 	// Cleared reports that the request has succeeded since, or that an operator released it. It is
 	// never reset, so that updates commute.
 	Cleared bool
@@ -89,11 +89,11 @@
 		if known.Variant != e.Variant || known.Instance != e.Instance {
 			continue
 		}
-		if (known.Cleared || !e.Cleared) && (known.Alone || !e.Alone) {
+		if (known.Cleared || !e.Cleared) && (known.Isolated || !e.Isolated) {
 			return false
 		}
 		l.digest ^= digestOf(known)
-		known.Cleared, known.Alone = known.Cleared || e.Cleared, known.Alone || e.Alone
+		known.Cleared, known.Isolated = known.Cleared || e.Cleared, known.Isolated || e.Isolated
 		l.digest ^= digestOf(known)
 		return true
 	}
@@ -116,7 +116,7 @@
 	var buf [128]byte
 	data := binary.BigEndian.AppendUint64(append(buf[:0], e.Content[:]...), uint64(e.Variant))
 	data = append(data, e.Instance...)
-	for _, flag := range []bool{e.Cleared, e.Alone} {
+	for _, flag := range []bool{e.Cleared, e.Isolated} {
 		if flag {
 			data = append(data, 1)
 		}
@@ -125,8 +125,8 @@
 	return xxhash.Sum64(data)
 }
 
-// EndedWell clears a request that a target has answered and returns the changed entries.
-func (l *Ledger) EndedWell(print Print) []Evidence {
+// RecordSuccess clears a request that a target has answered and returns the changed entries.
+func (l *Ledger) RecordSuccess(print Fingerprint) []Evidence {
 	return l.clearMatching(print.Content, func(e *Evidence) bool { return e.Variant == print.Variant })
 }
 
@@ -171,7 +171,7 @@
 	}
 }
 
-func (l *Ledger) assess(print Print) (s suspicion) {
+func (l *Ledger) assess(print Fingerprint) (s suspicion) {
 	var queries []Query
 	entries := l.entries[print.Content]
 	for index := range entries {
@@ -190,7 +190,7 @@
 			queries = append(queries, e.Query)
 		}
 		s.anyQuery.add(e)
-		s.alone = s.alone || e.Alone
+		s.alone = s.alone || e.Isolated
 	}
 	s.queries = len(queries)
 	return s
@@ -200,7 +200,7 @@
 // variants of its content counts unless the request itself has succeeded. If only one other caller
 // sent the same query, the request is Doubtful, since the caller may be the cause. If several
 // callers or queries are involved, their common content is taken as the cause.
-func (l *Ledger) State(print Print, recently bool) State {
+func (l *Ledger) State(print Fingerprint, recently bool) State {
 	s := l.assess(print)
 	succeeded := recently || s.succeeded && s.ownCrashes == 0
 	reached := func(set crashSet) bool { return len(set.targets) >= l.config.CrashThreshold }
@@ -230,7 +230,7 @@
 // cause again, but usually succeed soon or are not repeated.
 func (l *Ledger) isLikelyCause(content Content) bool {
 	return slices.ContainsFunc(l.entries[content], func(e Evidence) bool {
-		return e.Alone && !e.Cleared && !slices.ContainsFunc(l.byInstance[e.Instance], func(other Content) bool {
+		return e.Isolated && !e.Cleared && !slices.ContainsFunc(l.byInstance[e.Instance], func(other Content) bool {
 			return other != content && l.crashCount(other) > 1
 		})
 	})
@@ -248,12 +248,12 @@
 	return len(set.targets)
 }
 
-// Held returns all evidence against the contents with a Held or Doubtful variant.
-func (l *Ledger) Held() map[Content][]Evidence {
+// HeldBack returns all evidence against the contents with a Held or Doubtful variant.
+func (l *Ledger) HeldBack() map[Content][]Evidence {
 	held := map[Content][]Evidence{}
 	for content, entries := range l.entries {
 		for _, e := range entries {
-			if l.State(e.Print, false) >= Doubtful {
+			if l.State(e.Fingerprint, false) >= Doubtful {
 				held[content] = slices.Clone(entries)
 				break
 			}
@@ -262,8 +262,8 @@
 	return held
 }
 
-// Suspects reports whether any evidence is uncleared.
-func (l *Ledger) Suspects() bool {
+// HasSuspects reports whether any evidence is uncleared.
+func (l *Ledger) HasSuspects() bool {
 	for _, entries := range l.entries {
 		if slices.ContainsFunc(entries, func(e Evidence) bool { return !e.Cleared }) {
 			return true
@@ -287,9 +287,9 @@
 	return all
 }
 
-// Lasting returns the evidence to persist: uncleared entries, and cleared ones of contents that
+// Persistent returns the evidence to persist: uncleared entries, and cleared ones of contents that
 // were held back, so that their release persists too.
-func (l *Ledger) Lasting() []Evidence {
+func (l *Ledger) Persistent() []Evidence {
 	lasting := make([]Evidence, 0, l.count)
 	for _, entries := range l.entries {
 		for _, e := range entries {
@@ -318,7 +318,7 @@
 	}
 	all := l.All()
 	slices.SortFunc(all, func(a, b Evidence) int {
-		return cmp.Or(l.retentionRank(b)-l.retentionRank(a), cmp.Compare(b.At, a.At), compare(a, b))
+		return cmp.Or(l.retentionRank(b)-l.retentionRank(a), cmp.Compare(b.CrashedAtMillis, a.CrashedAtMillis), compare(a, b))
 	})
 	for _, e := range all[l.config.MaxEntries:] {
 		l.remove(e)
@@ -329,7 +329,7 @@
 	switch {
 	case e.Cleared:
 		return 0
-	case len(l.assess(e.Print).anyQuery.targets) < l.config.CrashThreshold:
+	case len(l.assess(e.Fingerprint).anyQuery.targets) < l.config.CrashThreshold:
 		return 1
 	}
 	return 2
--- a/internal/core/crashes/ledger_test.go
+++ b/internal/core/crashes/ledger_test.go
@@ -9,20 +9,20 @@
 )
 
 func evidence(path, query, instance string) Evidence {
-	return Evidence{Print: PrintOf(Request{Path: path, Query: query}), Instance: instance, Service: "s", Route: "r"}
+	return Evidence{Fingerprint: FingerprintOf(Request{Path: path, Query: query}), Instance: instance, Service: "s", Route: "r"}
 }
 
 // isolatedEvidence returns evidence of a crash with no other suspect present.
 func isolatedEvidence(path, query, instance string) Evidence {
 	e := evidence(path, query, instance)
-	e.Alone = true
+	e.Isolated = true
 	return e
 }
 
 // callerEvidence returns isolated evidence against a request of the given caller.
 func callerEvidence(path, query, caller, instance string) Evidence {
 	e := isolatedEvidence(path, query, instance)
-	e.Print = PrintOf(Request{Path: path, Query: query, Caller: caller})
+	e.Fingerprint = FingerprintOf(Request{Path: path, Query: query, Caller: caller})
 	return e
 }
 
@@ -35,11 +35,11 @@
 }
 
 func TestState(t *testing.T) {
-	fingerprint := PrintOf(Request{Path: "/a", Query: "q"})
+	fingerprint := FingerprintOf(Request{Path: "/a", Query: "q"})
 	for _, tc := range []struct {
 		name      string
 		evidence  []Evidence
-		successes []Print
+		successes []Fingerprint
 		recently  bool
 		want      State
 	}{
@@ -49,7 +49,7 @@
 		{"three crashes, isolated at none", []Evidence{evidence("/a", "q", "i-1"), evidence("/a", "q", "i-2"), evidence("/a", "q", "i-3")}, nil, false, Doubtful},
 		{"three crashes, isolation reported later", []Evidence{evidence("/a", "q", "i-1"), evidence("/a", "q", "i-2"), evidence("/a", "q", "i-3"), isolatedEvidence("/a", "q", "i-3")}, nil, false, Held},
 		{"one crash, reported three times", []Evidence{evidence("/a", "q", "i-1"), evidence("/a", "q", "i-1"), evidence("/a", "q", "i-1")}, nil, false, Suspected},
-		{"three crashes, then success", []Evidence{evidence("/a", "q", "i-1"), evidence("/a", "q", "i-2"), evidence("/a", "q", "i-3")}, []Print{fingerprint}, false, Free},
+		{"three crashes, then success", []Evidence{evidence("/a", "q", "i-1"), evidence("/a", "q", "i-2"), evidence("/a", "q", "i-3")}, []Fingerprint{fingerprint}, false, Free},
 		{"three crashes despite a recent success", []Evidence{evidence("/a", "q", "i-1"), isolatedEvidence("/a", "q", "i-2"), evidence("/a", "q", "i-3")}, nil, true, Held},
 		{"three crashes, shared with a request at several", append(isolatedCrashes("/b", 3), evidence("/a", "q", "i-1"), isolatedEvidence("/a", "q", "i-2"), evidence("/a", "q", "i-3")), nil, false, Suspected},
 		{"the same, and one isolated crash of its own", append(isolatedCrashes("/b", 3), evidence("/a", "q", "i-1"), isolatedEvidence("/a", "q", "i-2"), evidence("/a", "q", "i-3"), isolatedEvidence("/a", "q", "i-9")), nil, false, Held},
@@ -71,10 +71,10 @@
 			ledger := New(DefaultConfig())
 			ledger.Add(tc.evidence...)
 			for _, success := range tc.successes {
-				ledger.EndedWell(success)
+				ledger.RecordSuccess(success)
 			}
 			g.Expect(ledger.State(fingerprint, tc.recently)).To(Equal(tc.want))
-			_, held := ledger.Held()[fingerprint.Content]
+			_, held := ledger.HeldBack()[fingerprint.Content]
 			if tc.want >= Doubtful {
 				g.Expect(held).To(BeTrue())
 			}
@@ -93,12 +93,12 @@
 			nodes[index] = New(DefaultConfig())
 		}
 		cleared := map[string]bool{}
-		name := func(e Evidence) string { return fmt.Sprint(e.Print, e.Instance) }
+		name := func(e Evidence) string { return fmt.Sprint(e.Fingerprint, e.Instance) }
 		for range 200 {
 			node := nodes[random.IntN(len(nodes))]
 			switch e := evidence(fmt.Sprintf("/%d", random.IntN(6)), "", fmt.Sprintf("i-%d", random.IntN(9))); random.IntN(6) {
 			case 0:
-				for _, changed := range node.EndedWell(e.Print) {
+				for _, changed := range node.RecordSuccess(e.Fingerprint) {
 					cleared[name(changed)] = true
 				}
 			case 1:
@@ -108,7 +108,7 @@
 			case 2, 3:
 				node.Add(nodes[random.IntN(len(nodes))].All()...)
 			default:
-				e.Alone = random.IntN(3) == 0
+				e.Isolated = random.IntN(3) == 0
 				node.Add(e)
 			}
 		}
@@ -137,11 +137,11 @@
 		ledger.Add(isolatedEvidence("/held", "", fmt.Sprint(target)), evidence("/lifted", "", fmt.Sprint(target)), evidence("/well", "", "i"))
 	}
 	ledger.Lift(evidence("/lifted", "", "").Content)
-	ledger.EndedWell(evidence("/well", "", "").Print)
+	ledger.RecordSuccess(evidence("/well", "", "").Fingerprint)
 	after := New(DefaultConfig())
-	after.Add(ledger.Lasting()...)
-	g.Expect(after.State(evidence("/held", "", "").Print, false)).To(Equal(Held))
-	g.Expect(after.State(evidence("/lifted", "", "").Print, false)).To(Equal(Free))
+	after.Add(ledger.Persistent()...)
+	g.Expect(after.State(evidence("/held", "", "").Fingerprint, false)).To(Equal(Held))
+	g.Expect(after.State(evidence("/lifted", "", "").Fingerprint, false)).To(Equal(Free))
 	g.Expect(after.Len()).To(Equal(6))
 }
 
@@ -156,14 +156,14 @@
 	flood := make([]Evidence, 0, 5000)
 	for path := range 100_000 {
 		e := evidence(fmt.Sprint("/", path), "", "i")
-		e.At = int64(path)
+		e.CrashedAtMillis = int64(path)
 		if flood = append(flood, e); len(flood) == cap(flood) {
 			ledger.Add(flood...)
 			flood = flood[:0]
 		}
 	}
 	g.Expect(ledger.Len()).To(Equal(config.MaxEntries))
-	g.Expect(ledger.State(evidence("/held", "", "").Print, false)).To(Equal(Held))
+	g.Expect(ledger.State(evidence("/held", "", "").Fingerprint, false)).To(Equal(Held))
 	g.Expect(ledger.Digest()).To(Equal(DigestOf(ledger.All())))
 }
 
@@ -173,7 +173,7 @@
 	var all []Evidence
 	for path := range 300 {
 		e := evidence(fmt.Sprint("/", path%120), "", fmt.Sprint("i-", path))
-		e.At = int64(path % 40)
+		e.CrashedAtMillis = int64(path % 40)
 		all = append(all, e)
 	}
 	a, b := New(Config{CrashThreshold: 3, AmbiguousThreshold: 4, CertainThreshold: 6, MaxEntries: 100}), New(Config{CrashThreshold: 3, AmbiguousThreshold: 4, CertainThreshold: 6, MaxEntries: 100})
@@ -189,7 +189,7 @@
 	for path := range 4096 {
 		ledger.Add(evidence(fmt.Sprint("/", path), "", "i"))
 	}
-	print := PrintOf(Request{Path: "/asked"})
+	print := FingerprintOf(Request{Path: "/asked"})
 	b.ReportAllocs()
 	for b.Loop() {
 		ledger.State(print, false)
--- a/internal/core/crashes/print.go
+++ b/internal/core/crashes/print.go
@@ -35,8 +35,8 @@
 // Variant is the digest of a content, a query, the calling service and the tenant.
 type Variant uint64
 
-// Print is a request's fingerprint. It identifies retries, whose request ids differ.
-type Print struct {
+// Fingerprint is a request's fingerprint. It identifies retries, whose request ids differ.
+type Fingerprint struct {
 	Content Content
 	Query   Query
 	Variant Variant
@@ -53,9 +53,9 @@
 // maxInlineBody is the size in bytes above which a body is hashed separately instead of copied.
 const maxInlineBody = 256
 
-// PrintOf returns the fingerprint of a request. The digest is cryptographic, so that clients
+// FingerprintOf returns the fingerprint of a request. The digest is cryptographic, so that clients
 // can't construct a request that collides with another one.
-func PrintOf(r Request) Print {
+func FingerprintOf(r Request) Fingerprint {
 	var buf [1024]byte // large enough for most requests, to avoid an allocation
 	data := buf[:0]
 	for _, part := range []string{r.Method, r.Host, r.Path} {
@@ -73,7 +73,7 @@
 	query := sha256.Sum256(data)
 	data = appendField(appendField(data, r.Caller), r.Tenant)
 	variant := sha256.Sum256(data)
-	return Print{
+	return Fingerprint{
 		Content: Content(content[:len(Content{})]), Query: Query(binary.BigEndian.Uint64(query[:])), Variant: Variant(binary.BigEndian.Uint64(variant[:])),
 	}
 }
--- a/internal/core/crashes/print_test.go
+++ b/internal/core/crashes/print_test.go
@@ -28,7 +28,7 @@
 			g := NewWithT(t)
 			other := base
 			tc.change(&other)
-			a, b := PrintOf(base), PrintOf(other)
+			a, b := FingerprintOf(base), FingerprintOf(other)
 			g.Expect(a.Content == b.Content).To(Equal(tc.sameContent))
 			g.Expect(a.Variant == b.Variant).To(Equal(tc.sameVariant))
 		})
@@ -40,13 +40,13 @@
 	r := Request{Method: "GET", Host: "mesh.example", Path: "/claims/1f2e3d", Query: "page=4&sort=new", Caller: "portal", Tenant: "t"}
 	b.ReportAllocs()
 	for b.Loop() {
-		PrintOf(r)
+		FingerprintOf(r)
 	}
 }
 
 func TestContentRoundTrip(t *testing.T) {
 	g := NewWithT(t)
-	content := PrintOf(Request{Path: "/a"}).Content
+	content := FingerprintOf(Request{Path: "/a"}).Content
 	g.Expect(ParseContent(content.String())).To(Equal(content))
 	for _, text := range []string{"", "0a", content.String() + "00", "zz" + content.String()[2:]} {
 		_, err := ParseContent(text)
--- a/internal/operator/held.go
+++ b/internal/operator/held.go
@@ -80,7 +80,7 @@
 		return err
 	}
 	held := []heldRequest{}
-	for content, evidence := range ledger.Held() {
+	for content, evidence := range ledger.HeldBack() {
 		held = append(held, newHeldRequest(content, evidence))
 	}
 	slices.SortFunc(held, func(a, b heldRequest) int { return cmp.Or(a.Since.Compare(b.Since), cmp.Compare(a.Digest, b.Digest)) })
@@ -99,7 +99,7 @@
 		if e.Cleared {
 			continue
 		}
-		at := time.UnixMilli(e.At).UTC()
+		at := time.UnixMilli(e.CrashedAtMillis).UTC()
 		if held.Since.Before(at) {
 			held.Since = at
 		}
@@ -120,7 +120,7 @@
 		if err != nil {
 			return err
 		}
-		evidence, held := ledger.Held()[content]
+		evidence, held := ledger.HeldBack()[content]
 		if !held {
 			return failure.New(failure.Missing, "list the digests with `landingmast held list`", "no held-back request has digest %s", digest)
 		}
@@ -145,7 +145,7 @@
 }
 
 func (c *cli) writeHeld(ctx context.Context, address string, ledger *crashes.Ledger, revision int64) error {
-	value, err := wire.CrashesCodec.Encode(&wire.Crashes{Forward: []string{}, Evidence: wire.CrashForms(ledger.Lasting())})
+	value, err := wire.CrashesCodec.Encode(&wire.Crashes{Forward: []string{}, Evidence: wire.CrashForms(ledger.Persistent())})
 	if err != nil {
 		return err
 	}
--- a/internal/sidecar/heldback/heldback.go
+++ b/internal/sidecar/heldback/heldback.go
@@ -148,7 +148,7 @@
 	evidence := make([]crashes.Evidence, 0, len(runs))
 	for _, run := range runs {
 		if !c.recent.contains(c.options.Now(), run.Fingerprint.Variant) {
-			evidence = append(evidence, crashes.Evidence{Print: run.Fingerprint, Instance: instance, Service: service, Route: run.Route, At: at, Alone: run.Alone})
+			evidence = append(evidence, crashes.Evidence{Fingerprint: run.Fingerprint, Instance: instance, Service: service, Route: run.Route, CrashedAtMillis: at, Isolated: run.Alone})
 		}
 	}
 	c.add(evidence)
@@ -167,9 +167,9 @@
 	}
 }
 
-func (c *Control) clear(fingerprint crashes.Print) {
+func (c *Control) clear(fingerprint crashes.Fingerprint) {
 	c.mutex.Lock()
-	cleared := c.ledger.EndedWell(fingerprint)
+	cleared := c.ledger.RecordSuccess(fingerprint)
 	c.mutex.Unlock()
 	c.publish(cleared, clearBatchDelay)
 }
@@ -191,7 +191,7 @@
 	c.updateHeld(added)
 	for _, e := range added {
 		if !e.Cleared && c.recent.contains(c.options.Now(), e.Variant) {
-			c.clear(e.Print)
+			c.clear(e.Fingerprint)
 		}
 	}
 }
@@ -220,8 +220,8 @@
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.suspects.Store(c.ledger.Suspects())
-	held := c.ledger.Held()
+	c.suspects.Store(c.ledger.HasSuspects())
+	held := c.ledger.HeldBack()
 	for content, evidence := range held {
 		if !c.held[content] {
 			c.held[content] = true
--- a/internal/sidecar/heldback/heldback_test.go
+++ b/internal/sidecar/heldback/heldback_test.go
@@ -164,7 +164,7 @@
 		started := newTestControl(singleNode{first: true}, fakeStore)
 		started.TakeStored(&fakeStore.item)
 		g.Expect(started.MaySend(r)).To(BeFalse())
-		g.Expect(started.stored.digest).To(Equal(crashes.DigestOf(c.ledger.Lasting())))
+		g.Expect(started.stored.digest).To(Equal(crashes.DigestOf(c.ledger.Persistent())))
 		started.TakeStored(&store.Item{Key: "ends", Gone: true})
 		g.Expect(started.MaySend(r)).To(BeFalse(), "evidence must survive its deletion from the store")
 	})
--- a/internal/sidecar/heldback/request.go
+++ b/internal/sidecar/heldback/request.go
@@ -12,15 +12,15 @@
 type Request struct {
 	Call        *wire.SidecarCall
 	Body        *reply.Payload
-	fingerprint *crashes.Print // nil until computed
+	fingerprint *crashes.Fingerprint // nil until computed
 }
 
 // Fingerprint returns the fingerprint that identifies repetitions of the request.
-func (r *Request) Fingerprint() crashes.Print {
+func (r *Request) Fingerprint() crashes.Fingerprint {
 	if r.fingerprint == nil {
 		path, query, _ := strings.Cut(r.Call.URI, "?")
 		prefix, length := r.Body.Begin()
-		fingerprint := crashes.PrintOf(crashes.Request{
+		fingerprint := crashes.FingerprintOf(crashes.Request{
 			Method: r.Call.Method, Host: r.Call.Host, Path: path, Query: query, Body: prefix, Length: length, Caller: r.Call.Caller, Tenant: r.Call.Tenant,
 		})
 		r.fingerprint = &fingerprint
@@ -30,7 +30,7 @@
 
 // Run describes a request that was in flight at a target when the target crashed.
 type Run struct {
-	Fingerprint crashes.Print
+	Fingerprint crashes.Fingerprint
 	Alone       bool // no other suspect was in flight at the target
 	Route       string
 }
--- a/internal/sidecar/heldback/storage.go
+++ b/internal/sidecar/heldback/storage.go
@@ -65,7 +65,7 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	now, stored := c.options.Now(), &c.stored
-	lasting := c.ledger.Lasting()
+	lasting := c.ledger.Persistent()
 	switch {
 	case crashes.DigestOf(lasting) == stored.digest:
 		stored.dirtySince = 0
--- a/internal/wire/crashes.go
+++ b/internal/wire/crashes.go
@@ -43,8 +43,8 @@
 	messages := make([]CrashEvidence, 0, len(evidence))
 	for _, ev := range evidence {
 		messages = append(messages, CrashEvidence{
-			Content: ev.Content[:], Query: int64(ev.Query), Variant: int64(ev.Variant), Instance: ev.Instance, Service: ev.Service, Route: ev.Route, At: ev.At,
-			Cleared: ev.Cleared, Alone: ev.Alone,
+			Content: ev.Content[:], Query: int64(ev.Query), Variant: int64(ev.Variant), Instance: ev.Instance, Service: ev.Service, Route: ev.Route, At: ev.CrashedAtMillis,
+			Cleared: ev.Cleared, Alone: ev.Isolated,
 		})
 	}
 	return messages
@@ -54,7 +54,7 @@
 func (m *Crashes) Known() []crashes.Evidence {
 	evidence := make([]crashes.Evidence, 0, len(m.Evidence))
 	for _, msg := range m.Evidence {
-		ev := crashes.Evidence{Instance: msg.Instance, Service: msg.Service, Route: msg.Route, At: msg.At, Cleared: msg.Cleared, Alone: msg.Alone}
+		ev := crashes.Evidence{Instance: msg.Instance, Service: msg.Service, Route: msg.Route, CrashedAtMillis: msg.At, Cleared: msg.Cleared, Isolated: msg.Alone}
 		copy(ev.Content[:], msg.Content)
 		ev.Query, ev.Variant = crashes.Query(msg.Query), crashes.Variant(msg.Variant)
 		evidence = append(evidence, ev)
--- a/internal/wire/crashes_test.go
+++ b/internal/wire/crashes_test.go
@@ -10,8 +10,8 @@
 func TestCrashesRoundTrip(t *testing.T) {
 	g := NewWithT(t)
 	evidence := []crashes.Evidence{
-		{Print: crashes.PrintOf(crashes.Request{Path: "/a", Query: "q", Caller: "c"}), Instance: "i-1", Service: "s", Route: "r", At: 5, Alone: true},
-		{Print: crashes.PrintOf(crashes.Request{Path: "/b"}), Instance: "i-2", Cleared: true},
+		{Fingerprint: crashes.FingerprintOf(crashes.Request{Path: "/a", Query: "q", Caller: "c"}), Instance: "i-1", Service: "s", Route: "r", CrashedAtMillis: 5, Isolated: true},
+		{Fingerprint: crashes.FingerprintOf(crashes.Request{Path: "/b"}), Instance: "i-2", Cleared: true},
 	}
 	data, err := CrashesCodec.Encode(&Crashes{Forward: []string{"x:1"}, Digest: 7, Evidence: CrashForms(evidence), Asks: true})
 	g.Expect(err).NotTo(HaveOccurred())
