--- a/internal/operator/held.go
+++ b/internal/operator/held.go
@@ -70,7 +70,7 @@
 	if err != nil {
 		return nil, 0, err
 	}
-	ledger.Add(message.Known()...)
+	ledger.Add(message.DecodeEvidence()...)
 	return ledger, item.Revision, nil
 }
 
@@ -145,7 +145,7 @@
 }
 
 func (c *cli) writeHeld(ctx context.Context, address string, ledger *crashes.Ledger, revision int64) error {
-	value, err := wire.CrashesCodec.Encode(&wire.Crashes{Forward: []string{}, Evidence: wire.CrashForms(ledger.Persistent())})
+	value, err := wire.CrashesCodec.Encode(&wire.Crashes{Forward: []string{}, Evidence: wire.EncodeEvidence(ledger.Persistent())})
 	if err != nil {
 		return err
 	}
--- a/internal/sidecar/arrival/ingress.go
+++ b/internal/sidecar/arrival/ingress.go
@@ -56,7 +56,7 @@
 		i.write(w, reply.NotRun(outcome.ReasonStopping))
 		return
 	}
-	call, err := wire.CallFrom(r.Header)
+	call, err := wire.DecodeCall(r.Header)
 	if err != nil {
 		w.ReadRest()
 		i.write(w, reply.NotRun(outcome.ReasonBadMessage))
@@ -139,7 +139,7 @@
 	switch {
 	case call.Incarnation != "" && call.Incarnation != i.options.Incarnation:
 		return reply.NotRun(outcome.ReasonNodeRestarted)
-	case call.Repeatable || call.Key == "":
+	case call.Idempotent || call.Key == "":
 		return i.admit(ctx, call, header, body, nil)
 	default:
 		return i.Once.serve(ctx, call, header, body)
@@ -223,7 +223,7 @@
 // run sends the request to the target and reads its response.
 func (i *Ingress) run(ctx context.Context, gate *target.Gate, id uint64, req *request, header http.Header) *reply.Reply {
 	call := req.Call
-	running := &Running{ID: call.RequestID, Context: ctx, Importance: call.Importance, IsRetry: call.Repeat, Tenant: call.Tenant, RetryGrant: call.Granted, needs: map[string]wire.Need{}}
+	running := &Running{ID: call.RequestID, Context: ctx, Importance: call.Importance, IsRetry: call.IsRetry, Tenant: call.Tenant, RetryGrant: call.RetryGrant, needs: map[string]wire.Need{}}
 	i.Running.add(call.RequestID, running)
 	response := i.sendToTarget(ctx, gate, req, header)
 	i.Running.remove(call.RequestID, running)
@@ -296,6 +296,6 @@
 	i.options.Events.Add(eventlog.Run{
 		Request: req.Call.RequestID, From: req.Call.From, Service: req.Call.Service, Instance: req.instance, Outcome: string(response.Outcome),
 		Reason: string(response.Reason), Status: response.Status, Importance: req.Call.Importance, WaitMS: eventlog.Milliseconds(waited), TookMS: eventlog.Milliseconds(elapsed),
-		LeftMS: float64(req.Call.Remaining) / 1000, Running: response.Load.Running, Waiting: response.Load.Waiting, Slots: response.Load.Slots, Repeat: req.Call.Repeat,
+		LeftMS: float64(req.Call.Remaining) / 1000, Running: response.Load.Running, Waiting: response.Load.Waiting, Slots: response.Load.Slots, Repeat: req.Call.IsRetry,
 	}, weight)
 }
--- a/internal/sidecar/arrival/once.go
+++ b/internal/sidecar/arrival/once.go
@@ -169,7 +169,7 @@
 
 // ServeHTTP answers another node's query for the outcome of a request.
 func (o *onceHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	call, err := wire.CallFrom(r.Header)
+	call, err := wire.DecodeCall(r.Header)
 	if err != nil {
 		o.ingress.write(w, reply.Unknown(outcome.ReasonBadMessage))
 		return
--- a/internal/sidecar/entry/send.go
+++ b/internal/sidecar/entry/send.go
@@ -120,9 +120,9 @@
 	repeatable := r.route.Kind.Repeatable()
 	call := &wire.SidecarCall{
 		RequestID: r.id, Method: r.incoming.Method, URI: requestURI(r.incoming), Host: r.incoming.Host, Service: r.service, Route: r.route.Name,
-		Caller: r.options.Caller(), From: r.options.Node, Importance: r.importance, Repeatable: repeatable,
-		Repeat: r.parentIsRetry || r.delivered > 0, Attempt: r.delivered, Remaining: r.remaining(ctx).Microseconds(),
-		Version: int64(r.intent.Version), Granted: r.retryGrant, Tenant: r.tenant, Suspect: suspect, Trial: r.trial,
+		Caller: r.options.Caller(), From: r.options.Node, Importance: r.importance, Idempotent: repeatable,
+		IsRetry: r.parentIsRetry || r.delivered > 0, Attempt: r.delivered, Remaining: r.remaining(ctx).Microseconds(),
+		Version: int64(r.intent.Version), RetryGrant: r.retryGrant, Tenant: r.tenant, Suspect: suspect, Trial: r.trial,
 	}
 	if choice.Node == r.options.Node {
 		return r.options.Arrivals.Serve(ctx, call, r.header.Clone(), r.body)
--- a/internal/sidecar/follower/follower.go
+++ b/internal/sidecar/follower/follower.go
@@ -230,20 +230,20 @@
 // also runs an exchange with a node of another zone.
 func (f *Follower) sendHeartbeat(ctx context.Context) {
 	now := f.options.Now()
-	message := &wire.News{Beat: true, Follower: f.options.Settings().Node}
+	message := &wire.Broadcast{Heartbeat: true, Follower: f.options.Settings().Node}
 	f.mutex.Lock()
-	message.Well = f.storeHealthyLocked()
+	message.StoreReachable = f.storeHealthyLocked()
 	message.Missing = f.lapses.Missing()
 	for name, node := range f.removed {
 		if now >= node.until {
 			delete(f.removed, name)
 			continue
 		}
-		message.Gone = append(message.Gone, node.record)
+		message.Removed = append(message.Removed, node.record)
 	}
 	f.mutex.Unlock()
 	f.options.SendZone(message)
-	if message.Well {
+	if message.StoreReachable {
 		return
 	}
 	if address := f.options.Members.AddressElsewhere(); address != "" {
@@ -291,7 +291,7 @@
 	switch {
 	case err != nil || pong.Node != record.Node:
 		answer = lapse.NoAnswer
-	case pong.TurnedAway:
+	case pong.StoreUnreachable:
 		answer = lapse.TurnedAway
 	}
 	f.mutex.Lock()
--- a/internal/sidecar/follower/options.go
+++ b/internal/sidecar/follower/options.go
@@ -55,7 +55,7 @@
 	// InstallStored activates a configuration read from the store unless a newer one is active.
 	InstallStored func(item *store.Item) (uint64, error)
 	// SendZone sends a message to the nodes of the zone, SendAll to the nodes of all zones.
-	SendZone, SendAll func(message *wire.News)
+	SendZone, SendAll func(message *wire.Broadcast)
 	// Exchange runs an anti-entropy exchange with the node at address.
 	Exchange func(ctx context.Context, address string)
 	// RecordLost is called when the store has no record of this node.
--- a/internal/sidecar/follower/watch.go
+++ b/internal/sidecar/follower/watch.go
@@ -157,7 +157,7 @@
 			}
 		}
 		if f.options.Version() > before {
-			f.options.SendAll(&wire.News{})
+			f.options.SendAll(&wire.Broadcast{})
 		}
 	})
 }
--- a/internal/sidecar/heldback/exchange.go
+++ b/internal/sidecar/heldback/exchange.go
@@ -33,7 +33,7 @@
 // broadcastPending sends pending changes of the evidence to all nodes.
 func (c *Control) broadcastPending() {
 	c.mutex.Lock()
-	message := &wire.Crashes{Digest: int64(c.ledger.Digest()), Evidence: wire.CrashForms(c.pending)}
+	message := &wire.Crashes{Digest: int64(c.ledger.Digest()), Evidence: wire.EncodeEvidence(c.pending)}
 	c.pending, c.scheduled = nil, false
 	c.mutex.Unlock()
 	if len(message.Evidence) == 0 {
@@ -74,8 +74,8 @@
 	if !ok {
 		return
 	}
-	c.merge(message.Known())
-	if message.Asks {
+	c.merge(message.DecodeEvidence())
+	if message.WantReply {
 		peer.WriteMessage(w, wire.CrashesCodec, c.evidenceFor(message.Digest))
 		return
 	}
@@ -91,7 +91,7 @@
 	defer c.mutex.Unlock()
 	message := &wire.Crashes{Digest: int64(c.ledger.Digest()), Evidence: []wire.CrashEvidence{}, Forward: []string{}}
 	if message.Digest != digest {
-		message.Evidence = wire.CrashForms(c.ledger.All())
+		message.Evidence = wire.EncodeEvidence(c.ledger.All())
 	}
 	return message
 }
@@ -124,11 +124,11 @@
 	c.mutex.Lock()
 	own := int64(c.ledger.Digest())
 	c.mutex.Unlock()
-	answer, err := c.post(ctx, address, &wire.Crashes{Digest: own, Evidence: []wire.CrashEvidence{}, Forward: []string{}, Asks: true})
+	answer, err := c.post(ctx, address, &wire.Crashes{Digest: own, Evidence: []wire.CrashEvidence{}, Forward: []string{}, WantReply: true})
 	if err != nil || answer == nil || answer.Digest == own {
 		return
 	}
-	c.merge(answer.Known())
+	c.merge(answer.DecodeEvidence())
 	if missing := c.evidenceFor(answer.Digest); len(missing.Evidence) > 0 {
 		_, _ = c.post(ctx, address, missing)
 	}
--- a/internal/sidecar/heldback/storage.go
+++ b/internal/sidecar/heldback/storage.go
@@ -45,7 +45,7 @@
 		c.options.Events.Add(eventlog.HeldBack{Change: "not read", Error: err.Error()}, eventlog.State)
 		return
 	}
-	evidence := message.Known()
+	evidence := message.DecodeEvidence()
 	c.setStored(storedEvidence{revision: item.Revision, digest: crashes.DigestOf(evidence)})
 	c.add(evidence)
 }
@@ -95,7 +95,7 @@
 }
 
 func (c *Control) put(ctx context.Context, lasting []crashes.Evidence, revision int64) (int64, error) {
-	value, err := wire.CrashesCodec.Encode(&wire.Crashes{Evidence: wire.CrashForms(lasting), Forward: []string{}})
+	value, err := wire.CrashesCodec.Encode(&wire.Crashes{Evidence: wire.EncodeEvidence(lasting), Forward: []string{}})
 	if err != nil {
 		return 0, err
 	}
--- a/internal/sidecar/membership/broadcast.go
+++ b/internal/sidecar/membership/broadcast.go
@@ -38,23 +38,23 @@
 	}
 	time.AfterFunc(recordCoalesceDelay, func() {
 		b.sendScheduled.Store(false)
-		b.SendAll(&wire.News{Records: []wire.NodeRecord{*b.members.LocalRecord()}})
+		b.SendAll(&wire.Broadcast{Records: []wire.NodeRecord{*b.members.LocalRecord()}})
 	})
 }
 
 // SendAll sends a message to the nodes of all zones. It does not block on delivery.
-func (b *Broadcaster) SendAll(message *wire.News) {
+func (b *Broadcaster) SendAll(message *wire.Broadcast) {
 	broadcast.ToZones(b.members.Addresses(), b.options.Settings().Zone, b.sendFunc(message))
 }
 
 // SendZone sends a message to the nodes of the local zone. It does not block on delivery.
-func (b *Broadcaster) SendZone(message *wire.News) {
+func (b *Broadcaster) SendZone(message *wire.Broadcast) {
 	broadcast.ToNodes(b.members.Addresses()[b.options.Settings().Zone], b.sendFunc(message))
 }
 
 // sendFunc returns a function that sends message to one node, together with the addresses that
 // the node forwards it to.
-func (b *Broadcaster) sendFunc(message *wire.News) broadcast.Send {
+func (b *Broadcaster) sendFunc(message *wire.Broadcast) broadcast.Send {
 	return func(address string, forward []string) error {
 		sent := *message
 		sent.From = b.options.Settings().Listen.Inbound
@@ -64,8 +64,8 @@
 	}
 }
 
-func (b *Broadcaster) post(address string, message *wire.News) error {
-	data, err := wire.NewsCodec.Encode(message)
+func (b *Broadcaster) post(address string, message *wire.Broadcast) error {
+	data, err := wire.BroadcastCodec.Encode(message)
 	if err != nil {
 		return err
 	}
@@ -77,7 +77,7 @@
 
 // ServeHTTP handles a broadcast from another node and forwards it along the distribution tree.
 func (b *Broadcaster) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	message, ok := peer.ReadMessage(w, r, wire.NewsCodec)
+	message, ok := peer.ReadMessage(w, r, wire.BroadcastCodec)
 	if !ok {
 		return
 	}
@@ -87,13 +87,13 @@
 }
 
 // receive applies the records, removals and follower heartbeat of a message.
-func (b *Broadcaster) receive(message *wire.News) {
+func (b *Broadcaster) receive(message *wire.Broadcast) {
 	b.members.Merge(message.Records)
-	b.members.applyRemovals(message.Gone)
-	if !message.Beat {
+	b.members.applyRemovals(message.Removed)
+	if !message.Heartbeat {
 		return
 	}
-	b.options.Follower.Heard(message.Follower, message.Well)
+	b.options.Follower.Heard(message.Follower, message.StoreReachable)
 	if slices.Contains(message.Missing, b.options.Settings().Node) {
 		b.options.RecordLost()
 	}
@@ -101,12 +101,12 @@
 
 // forward fetches the sender's configuration if it is newer, and forwards the message. A message
 // that carries nothing but an already known configuration version is not forwarded.
-func (b *Broadcaster) forward(message *wire.News) {
+func (b *Broadcaster) forward(message *wire.Broadcast) {
 	newer := message.Version > int64(b.options.Configuration.Version())
 	if newer {
 		b.Fetch(message.From)
 	}
-	if !newer && !message.Beat && len(message.Records) == 0 && len(message.Gone) == 0 {
+	if !newer && !message.Heartbeat && len(message.Records) == 0 && len(message.Removed) == 0 {
 		return
 	}
 	broadcast.ToNodes(message.Forward, b.sendFunc(message))
--- a/internal/sidecar/membership/exchange.go
+++ b/internal/sidecar/membership/exchange.go
@@ -66,7 +66,7 @@
 	if err != nil {
 		return
 	}
-	if answer.Gone {
+	if answer.Removed {
 		e.options.RecordLost()
 	}
 	e.receive(answer)
@@ -116,7 +116,7 @@
 	}
 	e.receive(message)
 	answer, local := e.newMessage()
-	answer.Gone = e.members.isRemoved(message.From)
+	answer.Removed = e.members.isRemoved(message.From)
 	switch {
 	case message.Digest == answer.Digest:
 	case len(message.Buckets) == 0:
--- a/internal/sidecar/membership/exchange_test.go
+++ b/internal/sidecar/membership/exchange_test.go
@@ -90,7 +90,7 @@
 	g := NewWithT(t)
 	here, _, _ := newMeteredNode(t, "here")
 	addRecords(here, 0, 10)
-	old := codec.New[wire.Exchange](4<<20, wire.ExchangeSchema1)
+	old := codec.New[wire.Exchange](4<<20, wire.ExchangeSchemaV1)
 	var received *wire.Exchange
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		data, _ := io.ReadAll(r.Body)
--- a/internal/sidecar/membership/membership.go
+++ b/internal/sidecar/membership/membership.go
@@ -63,8 +63,8 @@
 	record := &wire.NodeRecord{
 		Node: settings.Node, Incarnation: m.options.Incarnation,
 		Address: settings.Listen.Inbound, Zone: settings.Zone, Service: report.Service, Instance: report.Instance, Slots: report.Slots,
-		Serving: report.Instance != "" && !report.Draining && !m.options.Leaving(),
-		Cold:    max(coldUntil-m.options.Now(), 0).Milliseconds(),
+		Serving:         report.Instance != "" && !report.Draining && !m.options.Leaving(),
+		WarmupRemaining: max(coldUntil-m.options.Now(), 0).Milliseconds(),
 	}
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -338,6 +338,6 @@
 	}
 	targets[record.Service] = append(targets[record.Service], balancer.Target{
 		Node: record.Node, Address: record.Address, Zone: record.Zone, Instance: record.Instance, Slots: record.Slots,
-		ColdUntil: now + time.Duration(record.Cold)*time.Millisecond,
+		ColdUntil: now + time.Duration(record.WarmupRemaining)*time.Millisecond,
 	})
 }
--- a/internal/sidecar/membership/membership_test.go
+++ b/internal/sidecar/membership/membership_test.go
@@ -140,10 +140,10 @@
 func TestFollowerHeartbeatsAreDelivered(t *testing.T) {
 	g := NewWithT(t)
 	n := newTestNode("me", "i")
-	n.broadcaster.receive(&wire.News{Follower: "none"})
-	n.broadcaster.receive(&wire.News{Beat: true, Follower: "f", Missing: []string{"another"}})
+	n.broadcaster.receive(&wire.Broadcast{Follower: "none"})
+	n.broadcaster.receive(&wire.Broadcast{Heartbeat: true, Follower: "f", Missing: []string{"another"}})
 	g.Expect(n.recordLost).NotTo(Receive())
-	n.broadcaster.receive(&wire.News{Beat: true, Follower: "f", Missing: []string{"another", "me"}})
+	n.broadcaster.receive(&wire.Broadcast{Heartbeat: true, Follower: "f", Missing: []string{"another", "me"}})
 	g.Expect(n.recordLost).To(Receive())
 	g.Expect(n.dependents.heartbeats).To(Equal([]string{"f", "f"}))
 }
--- a/internal/sidecar/peer/client.go
+++ b/internal/sidecar/peer/client.go
@@ -88,7 +88,7 @@
 	})
 	hideIdempotencyKeys(request.Header)
 	c.names.RemoveCallHeaders(request.Header)
-	if err := call.SetHeaders(request.Header); err != nil {
+	if err := call.EncodeHeaders(request.Header); err != nil {
 		return reply.NotRun(outcome.ReasonBadMessage)
 	}
 	if _, present := request.Header["User-Agent"]; !present {
--- a/internal/sidecar/quotas/requests.go
+++ b/internal/sidecar/quotas/requests.go
@@ -84,21 +84,21 @@
 
 // send sends a request to the keeper at address, calling the local server directly if the
 // address is this node's own.
-func (l *Limiter) send(ctx context.Context, address string, request *wire.QuotaAsk) (*wire.QuotaAnswer, error) {
+func (l *Limiter) send(ctx context.Context, address string, request *wire.QuotaRequest) (*wire.QuotaResponse, error) {
 	if address == l.options.Settings().Listen.Inbound {
 		return l.server.Answer(request), nil
 	}
-	return peer.Ask(ctx, l.options.Peers, address, Path, wire.QuotaAskCodec, request, wire.QuotaAnswerCodec)
+	return peer.Ask(ctx, l.options.Peers, address, Path, wire.QuotaRequestCodec, request, wire.QuotaResponseCodec)
 }
 
 // newRequest builds the next request for a shard. It reports the tenants that need tokens or,
 // if a full report is due, all tenants. It returns nil if there is nothing to report, and
 // removes idle tenants.
-func (l *Limiter) newRequest(shard int) *wire.QuotaAsk {
+func (l *Limiter) newRequest(shard int) *wire.QuotaRequest {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	own, now, last := l.options.Settings(), l.options.Now(), l.lastFullReport[shard].sentAt
-	request := &wire.QuotaAsk{
+	request := &wire.QuotaRequest{
 		Holder: holderName(own.Node, own.Listen.Inbound), Incarnation: l.options.Incarnation, Shard: shard,
 		Complete: last == 0 || now-last >= fullReportInterval, Reports: []wire.QuotaReport{},
 	}
@@ -125,11 +125,11 @@
 }
 
 // applyAnswer applies the keeper's answer to a request sent at sentAt.
-func (l *Limiter) applyAnswer(sentAt time.Duration, request *wire.QuotaAsk, answer *wire.QuotaAnswer) {
+func (l *Limiter) applyAnswer(sentAt time.Duration, request *wire.QuotaRequest, answer *wire.QuotaResponse) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.recordFullReportLocked(sentAt, request, answer.Epoch)
-	l.shortage[request.Shard].Store(slices.ContainsFunc(answer.Allotments, func(a wire.QuotaAllotment) bool { return a.Again > 0 }))
+	l.shortage[request.Shard].Store(slices.ContainsFunc(answer.Allotments, func(a wire.QuotaAllotment) bool { return a.RetryAfter > 0 }))
 	for i := range answer.Allotments {
 		allotment := allotmentFromWire(answer.Epoch, &answer.Allotments[i])
 		if t := l.tenants[allotment.Tenant]; t != nil {
@@ -140,7 +140,7 @@
 
 // recordFullReportLocked records which keeper received the last full report. If a different
 // keeper has answered a partial report, it schedules a full one immediately.
-func (l *Limiter) recordFullReportLocked(sentAt time.Duration, request *wire.QuotaAsk, epoch int64) {
+func (l *Limiter) recordFullReportLocked(sentAt time.Duration, request *wire.QuotaRequest, epoch int64) {
 	last := &l.lastFullReport[request.Shard]
 	if request.Complete {
 		last.sentAt, last.epoch = sentAt, epoch
--- a/internal/sidecar/quotas/server.go
+++ b/internal/sidecar/quotas/server.go
@@ -187,17 +187,17 @@
 
 // ServeHTTP answers a request from the limiter of another node.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	request, ok := peer.ReadMessage(w, r, wire.QuotaAskCodec)
+	request, ok := peer.ReadMessage(w, r, wire.QuotaRequestCodec)
 	if !ok {
 		return
 	}
-	peer.WriteMessage(w, wire.QuotaAnswerCodec, s.Answer(request))
+	peer.WriteMessage(w, wire.QuotaResponseCodec, s.Answer(request))
 }
 
 // Answer allocates shares and tokens to the node that sent the request. If the node is not yet
 // listed in the record, it is added and receives nothing.
-func (s *Server) Answer(request *wire.QuotaAsk) *wire.QuotaAnswer {
-	answer := &wire.QuotaAnswer{Allotments: []wire.QuotaAllotment{}}
+func (s *Server) Answer(request *wire.QuotaRequest) *wire.QuotaResponse {
+	answer := &wire.QuotaResponse{Allotments: []wire.QuotaAllotment{}}
 	current := s.options.Configuration.Load()
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/sidecar/reply/reply.go
+++ b/internal/sidecar/reply/reply.go
@@ -134,7 +134,7 @@
 	return &wire.SidecarResult{
 		Outcome: string(r.Outcome), Reason: string(r.Reason), Arrived: r.Arrived, Status: r.Status, Length: length,
 		Incarnation: r.Incarnation, Version: int64(r.Version), Slots: r.Load.Slots, Running: r.Load.Running, Waiting: r.Load.Waiting,
-		Hold: r.Load.ServiceTime.Microseconds(), Below: r.Needs,
+		Hold: r.Load.ServiceTime.Microseconds(), Downstream: r.Needs,
 	}
 }
 
@@ -142,7 +142,7 @@
 func FromResult(result *wire.SidecarResult) *Reply {
 	return &Reply{
 		Outcome: outcome.Outcome(result.Outcome), Reason: outcome.Reason(result.Reason), Arrived: result.Arrived, Status: result.Status,
-		Length: result.Length, Incarnation: result.Incarnation, Version: uint64(max(result.Version, 0)), Needs: result.Below,
+		Length: result.Length, Incarnation: result.Incarnation, Version: uint64(max(result.Version, 0)), Needs: result.Downstream,
 		Load: slots.Load{Slots: result.Slots, Running: result.Running, Waiting: result.Waiting, ServiceTime: time.Duration(result.Hold) * time.Microsecond},
 	}
 }
--- a/internal/sidecar/services/budgets.go
+++ b/internal/sidecar/services/budgets.go
@@ -31,7 +31,7 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if !s.policy.On(settings.Grants) {
-		return wire.GrantUnsaid
+		return wire.DefaultGrant
 	}
 	return s.retention.Fraction(now)
 }
--- a/internal/testbed/fleet/suspend_test.go
+++ b/internal/testbed/fleet/suspend_test.go
@@ -102,7 +102,7 @@
 
 // ownsShard reports whether a node grants quota for a shard.
 func ownsShard(m *testbed.Mesh, machine *testbed.Machine, shard int) bool {
-	data, err := wire.QuotaAskCodec.Encode(&wire.QuotaAsk{Holder: "asks " + machine.IP, Incarnation: "i", Shard: shard, Reports: []wire.QuotaReport{}})
+	data, err := wire.QuotaRequestCodec.Encode(&wire.QuotaRequest{Holder: "asks " + machine.IP, Incarnation: "i", Shard: shard, Reports: []wire.QuotaReport{}})
 	if err != nil {
 		return false
 	}
@@ -116,6 +116,6 @@
 	if err != nil {
 		return false
 	}
-	answer, err := wire.QuotaAnswerCodec.Decode(read)
+	answer, err := wire.QuotaResponseCodec.Decode(read)
 	return err == nil && answer.Keeps
 }
--- a/internal/wire/callheader.go
+++ b/internal/wire/callheader.go
@@ -26,17 +26,17 @@
 // grantScale converts a granted fraction to its header value.
 const grantScale = 1000
 
-// GrantUnsaid is the grant assumed for senders of the previous release, which send none.
-const GrantUnsaid = 0.5
+// DefaultGrant is the grant assumed for senders of the previous release, which send none.
+const DefaultGrant = 0.5
 
-// SetHeaders encodes the call into request headers.
-func (c *SidecarCall) SetHeaders(header http.Header) error {
+// EncodeHeaders encodes the call into request headers.
+func (c *SidecarCall) EncodeHeaders(header http.Header) error {
 	encoded, err := SidecarCallCodec.EncodeHeader(c)
 	if err != nil {
 		return err
 	}
 	header.Set(HeaderSidecarCall, encoded)
-	header.Set(headerGrant, strconv.Itoa(int(c.Granted*grantScale)))
+	header.Set(headerGrant, strconv.Itoa(int(c.RetryGrant*grantScale)))
 	if c.Tenant != "" {
 		header.Set(headerTenant, c.Tenant)
 	}
@@ -46,15 +46,15 @@
 	return nil
 }
 
-// CallFrom decodes a call from request headers. It returns an error if the sender uses an
+// DecodeCall decodes a call from request headers. It returns an error if the sender uses an
 // incompatible protocol version; the request has not been executed in that case.
-func CallFrom(header http.Header) (*SidecarCall, error) {
+func DecodeCall(header http.Header) (*SidecarCall, error) {
 	call, err := SidecarCallCodec.DecodeHeader(header.Get(HeaderSidecarCall))
 	if err != nil {
 		return nil, err
 	}
 	value := header.Get(headerSuspect)
-	call.Granted = parseGrant(header.Get(headerGrant))
+	call.RetryGrant = parseGrant(header.Get(headerGrant))
 	call.Tenant = header.Get(headerTenant)
 	call.Suspect, call.Trial = value == suspectValue, value == trialValue
 	return call, nil
@@ -75,7 +75,7 @@
 func parseGrant(text string) float64 {
 	thousandths, err := strconv.Atoi(text)
 	if err != nil || thousandths < 0 || thousandths > grantScale {
-		return GrantUnsaid
+		return DefaultGrant
 	}
 	return float64(thousandths) / grantScale
 }
--- a/internal/wire/callheader_test.go
+++ b/internal/wire/callheader_test.go
@@ -15,19 +15,19 @@
 	}{
 		{"valid", "900", 0.9},
 		{"zero", "0", 0},
-		{"empty", "", GrantUnsaid},
-		{"above one", "1001", GrantUnsaid},
-		{"negative", "-1", GrantUnsaid},
-		{"not a number", "x", GrantUnsaid},
+		{"empty", "", DefaultGrant},
+		{"above one", "1001", DefaultGrant},
+		{"negative", "-1", DefaultGrant},
+		{"not a number", "x", DefaultGrant},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
 			header := http.Header{}
-			g.Expect((&SidecarCall{Granted: 0.1}).SetHeaders(header)).To(Succeed())
+			g.Expect((&SidecarCall{RetryGrant: 0.1}).EncodeHeaders(header)).To(Succeed())
 			header.Set(headerGrant, tc.header)
-			call, err := CallFrom(header)
+			call, err := DecodeCall(header)
 			g.Expect(err).NotTo(HaveOccurred())
-			g.Expect(call.Granted).To(Equal(tc.want))
+			g.Expect(call.RetryGrant).To(Equal(tc.want))
 		})
 	}
 }
@@ -37,18 +37,18 @@
 		name string
 		call SidecarCall
 	}{
-		{"plain", SidecarCall{RequestID: "a", Method: "GET", Granted: 0.25}},
-		{"with a tenant", SidecarCall{RequestID: "a", Tenant: "t", Granted: 1}},
+		{"plain", SidecarCall{RequestID: "a", Method: "GET", RetryGrant: 0.25}},
+		{"with a tenant", SidecarCall{RequestID: "a", Tenant: "t", RetryGrant: 1}},
 		{"suspect", SidecarCall{RequestID: "a", Suspect: true}},
 		{"trial", SidecarCall{RequestID: "a", Trial: true}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
 			header := http.Header{}
-			g.Expect(tc.call.SetHeaders(header)).To(Succeed())
-			g.Expect(CallFrom(header)).To(Equal(&tc.call))
+			g.Expect(tc.call.EncodeHeaders(header)).To(Succeed())
+			g.Expect(DecodeCall(header)).To(Equal(&tc.call))
 		})
 	}
 	g := NewWithT(t)
-	g.Expect(CallFrom(http.Header{})).Error().To(HaveOccurred())
+	g.Expect(DecodeCall(http.Header{})).Error().To(HaveOccurred())
 }
--- a/internal/wire/crashes.go
+++ b/internal/wire/crashes.go
@@ -15,7 +15,7 @@
 	Route    string `avro:"route"`
 	At       int64  `avro:"at_ms"`   // Unix time, by the clock of the node next to the target
 	Cleared  bool   `avro:"cleared"` // the request has completed normally since, or an operator lifted the block
-	Alone    bool   `avro:"alone"`   // no other suspect request was running on the target
+	Isolated bool   `avro:"alone"`   // no other suspect request was running on the target
 }
 
 // Crashes carries evidence about requests that terminated their targets, in broadcasts between
@@ -24,8 +24,8 @@
 	Forward  []string        `avro:"forward"` // addresses of the nodes to forward the message to
 	Digest   int64           `avro:"digest"`  // of all evidence that the sender holds
 	Evidence []CrashEvidence `avro:"evidence"`
-	// Asks requests all evidence of the receiver if the digests differ.
-	Asks bool `avro:"asks"`
+	// WantReply requests all evidence of the receiver if the digests differ.
+	WantReply bool `avro:"asks"`
 }
 
 const crashesSchema = `{"type":"record","name":"Crashes","fields":[
@@ -38,23 +38,23 @@
 // CrashesCodec encodes and decodes Crashes.
 var CrashesCodec = codec.New[Crashes](MaxMessage, crashesSchema)
 
-// CrashForms converts evidence to its message form.
-func CrashForms(evidence []crashes.Evidence) []CrashEvidence {
+// EncodeEvidence converts evidence to its message form.
+func EncodeEvidence(evidence []crashes.Evidence) []CrashEvidence {
 	messages := make([]CrashEvidence, 0, len(evidence))
 	for _, ev := range evidence {
 		messages = append(messages, CrashEvidence{
 			Content: ev.Content[:], Query: int64(ev.Query), Variant: int64(ev.Variant), Instance: ev.Instance, Service: ev.Service, Route: ev.Route, At: ev.CrashedAtMillis,
-			Cleared: ev.Cleared, Alone: ev.Isolated,
+			Cleared: ev.Cleared, Isolated: ev.Isolated,
 		})
 	}
 	return messages
 }
 
-// Known converts the evidence of the message to its internal form.
-func (m *Crashes) Known() []crashes.Evidence {
+// DecodeEvidence converts the evidence of the message to its internal form.
+func (m *Crashes) DecodeEvidence() []crashes.Evidence {
 	evidence := make([]crashes.Evidence, 0, len(m.Evidence))
 	for _, msg := range m.Evidence {
-		ev := crashes.Evidence{Instance: msg.Instance, Service: msg.Service, Route: msg.Route, CrashedAtMillis: msg.At, Cleared: msg.Cleared, Isolated: msg.Alone}
+		ev := crashes.Evidence{Instance: msg.Instance, Service: msg.Service, Route: msg.Route, CrashedAtMillis: msg.At, Cleared: msg.Cleared, Isolated: msg.Isolated}
 		copy(ev.Content[:], msg.Content)
 		ev.Query, ev.Variant = crashes.Query(msg.Query), crashes.Variant(msg.Variant)
 		evidence = append(evidence, ev)
--- a/internal/wire/sidecar.go
+++ b/internal/wire/sidecar.go
@@ -33,15 +33,15 @@
 	From        string `avro:"from"`
 	Incarnation string `avro:"incarnation"` // expected incarnation of the receiver; empty: any
 	Importance  int    `avro:"importance"`  // lower values are served first
-	Repeatable  bool   `avro:"repeatable"`
-	Repeat      bool   `avro:"repeat"`       // this request or one of its ancestors is a retry
+	Idempotent  bool   `avro:"repeatable"`
+	IsRetry     bool   `avro:"repeat"`       // this request or one of its ancestors is a retry
 	Attempt     int    `avro:"attempt"`      // attempt number, starting at 0
 	Key         string `avro:"key"`          // identifies this attempt of an at-most-once request
 	Remaining   int64  `avro:"remaining_us"` // time until the deadline
 	Version     int64  `avro:"version"`      // configuration version of the sender
-	// Granted is the fraction of the retry budgets, 0 to 1, that upstream nodes leave to
+	// RetryGrant is the fraction of the retry budgets, 0 to 1, that upstream nodes leave to
 	// downstream calls. It is sent in a separate header.
-	Granted float64 `avro:"-"`
+	RetryGrant float64 `avro:"-"`
 	// Tenant is the name of the tenant that the request belongs to; empty: none. It is sent in a
 	// separate header.
 	Tenant string `avro:"-"`
@@ -64,7 +64,7 @@
 	Running     int    `avro:"running"`
 	Waiting     int    `avro:"waiting"`
 	Hold        int64  `avro:"hold_us"` // mean time that a request occupies a slot; 0: unknown
-	Below       []Need `avro:"below"`   // resources used by downstream calls
+	Downstream  []Need `avro:"below"`   // resources used by downstream calls
 }
 
 // OccupancyScale converts occupancies to their wire unit, thousandths.
@@ -93,17 +93,17 @@
 
 // NodeRecord describes a sidecar node to the other nodes.
 type NodeRecord struct {
-	Node        string `avro:"node"`
-	Incarnation string `avro:"incarnation"` // identifies the node's process
-	Sequence    int64  `avro:"sequence"`    // incremented with each change within an incarnation
-	Started     int64  `avro:"started_ms"`  // wall clock at process start; orders incarnations
-	Address     string `avro:"address"`     // address for other nodes
-	Zone        string `avro:"zone"`
-	Service     string `avro:"service"`
-	Instance    string `avro:"instance"` // target instance; empty: none is known
-	Slots       int    `avro:"slots"`
-	Serving     bool   `avro:"serving"` // accepts new requests
-	Cold        int64  `avro:"cold_ms"` // remaining warm-up time of the target when the record was written
+	Node            string `avro:"node"`
+	Incarnation     string `avro:"incarnation"` // identifies the node's process
+	Sequence        int64  `avro:"sequence"`    // incremented with each change within an incarnation
+	Started         int64  `avro:"started_ms"`  // wall clock at process start; orders incarnations
+	Address         string `avro:"address"`     // address for other nodes
+	Zone            string `avro:"zone"`
+	Service         string `avro:"service"`
+	Instance        string `avro:"instance"` // target instance; empty: none is known
+	Slots           int    `avro:"slots"`
+	Serving         bool   `avro:"serving"` // accepts new requests
+	WarmupRemaining int64  `avro:"cold_ms"` // remaining warm-up time of the target when the record was written
 }
 
 // Exchange synchronizes membership and configuration between two nodes.
@@ -117,28 +117,28 @@
 	Buckets []int64 `avro:"buckets"`
 	// From is the name of the sending node.
 	From string `avro:"from"`
-	// Gone informs the receiver of a response that the sender considers it removed.
-	Gone bool `avro:"gone"`
+	// Removed informs the receiver of a response that the sender considers it removed.
+	Removed bool `avro:"gone"`
 }
 
-// News is an update that is broadcast along a tree: the receiver forwards it to the addresses in
+// Broadcast is an update that is broadcast along a tree: the receiver forwards it to the addresses in
 // Forward.
-type News struct {
-	From     string       `avro:"from"`    // address of the sender, from which the configuration can be fetched
-	Forward  []string     `avro:"forward"` // addresses of the nodes to forward the message to
-	Version  int64        `avro:"version"` // configuration version of the sender
-	Records  []NodeRecord `avro:"records"` // changed records
-	Beat     bool         `avro:"beat"`    // the message is a heartbeat of Follower, which follows the store
-	Follower string       `avro:"follower"`
-	Well     bool         `avro:"well"`    // Follower is receiving responses from the store
-	Missing  []string     `avro:"missing"` // nodes of the zone whose records the store has lost
-	Gone     []NodeRecord `avro:"gone"`    // last records of removed nodes
+type Broadcast struct {
+	From           string       `avro:"from"`    // address of the sender, from which the configuration can be fetched
+	Forward        []string     `avro:"forward"` // addresses of the nodes to forward the message to
+	Version        int64        `avro:"version"` // configuration version of the sender
+	Records        []NodeRecord `avro:"records"` // changed records
+	Heartbeat      bool         `avro:"beat"`    // the message is a heartbeat of Follower, which follows the store
+	Follower       string       `avro:"follower"`
+	StoreReachable bool         `avro:"well"`    // Follower is receiving responses from the store
+	Missing        []string     `avro:"missing"` // nodes of the zone whose records the store has lost
+	Removed        []NodeRecord `avro:"gone"`    // last records of removed nodes
 }
 
 // Pong is the response to a liveness probe.
 type Pong struct {
-	Node       string `avro:"node"`
-	TurnedAway bool   `avro:"turned_away"` // the store refuses to serve the node
+	Node             string `avro:"node"`
+	StoreUnreachable bool   `avro:"turned_away"` // the store refuses to serve the node
 }
 
 // Freshness reports how recently a node confirmed that its configuration is current.
@@ -168,8 +168,8 @@
 	Part        float64  `avro:"part"`   // largest fraction of a limit held by one of them
 }
 
-// QuotaAsk requests shares of the limits of a shard of tenants.
-type QuotaAsk struct {
+// QuotaRequest requests shares of the limits of a shard of tenants.
+type QuotaRequest struct {
 	Holder      string        `avro:"holder"` // name and address of the node
 	Incarnation string        `avro:"incarnation"`
 	Shard       int           `avro:"shard"`
@@ -179,20 +179,20 @@
 
 // QuotaReport describes the demand of a node and its current share of one tenant's limit.
 type QuotaReport struct {
-	Tenant string  `avro:"tenant"`
-	Demand float32 `avro:"demand"`  // requests per second
-	Need   int     `avro:"need"`    // requests waiting for a token
-	Want   int     `avro:"want"`    // tokens requested
-	Stock  float32 `avro:"stock"`   // tokens available
-	Rate   float32 `avro:"rate"`    // refill rate of the share, tokens per second
-	Depth  float32 `avro:"depth"`   // bucket size, tokens
-	Epoch  int64   `avro:"epoch"`   // epoch of the keeper that granted the share
-	Number int64   `avro:"number"`  // number of the share within the epoch
-	Left   int64   `avro:"left_us"` // remaining lifetime of the share
+	Tenant    string  `avro:"tenant"`
+	Demand    float32 `avro:"demand"`  // requests per second
+	Need      int     `avro:"need"`    // requests waiting for a token
+	Want      int     `avro:"want"`    // tokens requested
+	Stock     float32 `avro:"stock"`   // tokens available
+	Rate      float32 `avro:"rate"`    // refill rate of the share, tokens per second
+	Depth     float32 `avro:"depth"`   // bucket size, tokens
+	Epoch     int64   `avro:"epoch"`   // epoch of the keeper that granted the share
+	Number    int64   `avro:"number"`  // number of the share within the epoch
+	Remaining int64   `avro:"left_us"` // remaining lifetime of the share
 }
 
-// QuotaAnswer is the response of a keeper to QuotaAsk.
-type QuotaAnswer struct {
+// QuotaResponse is the response of a keeper to QuotaAsk.
+type QuotaResponse struct {
 	Keeps      bool             `avro:"keeps"`  // the responder is the keeper of the shard
 	Listed     bool             `avro:"listed"` // the requester may hold shares; otherwise it must ask again
 	Epoch      int64            `avro:"epoch"`  // epoch of the keeper
@@ -201,14 +201,14 @@
 
 // QuotaAllotment is a node's share of one tenant's limit.
 type QuotaAllotment struct {
-	Tenant    string  `avro:"tenant"`
-	Rate      float32 `avro:"rate"`
-	Depth     float32 `avro:"depth"`
-	Number    int64   `avro:"number"`
-	Life      int64   `avro:"life_us"` // lifetime of the share, counted from when the request was sent
-	Tokens    int     `avro:"tokens"`
-	Again     int64   `avro:"again_us"`  // delay until more tokens may be available; 0: unknown
-	Unsettled bool    `avro:"unsettled"` // the shares granted by the previous keeper are not yet known
+	Tenant     string  `avro:"tenant"`
+	Rate       float32 `avro:"rate"`
+	Depth      float32 `avro:"depth"`
+	Number     int64   `avro:"number"`
+	TTL        int64   `avro:"life_us"` // lifetime of the share, counted from when the request was sent
+	Tokens     int     `avro:"tokens"`
+	RetryAfter int64   `avro:"again_us"`  // delay until more tokens may be available; 0: unknown
+	Unsettled  bool    `avro:"unsettled"` // the shares granted by the previous keeper are not yet known
 }
 
 const (
@@ -239,14 +239,14 @@
 {"name":"configuration","type":"bytes","default":""},
 {"name":"buckets","type":{"type":"array","items":"long"},"default":[]},
 {"name":"from","type":"string","default":""},{"name":"gone","type":"boolean","default":false}]}`
-	// ExchangeSchema2 is the schema of the previous release, without the sender.
-	ExchangeSchema2 = `{"type":"record","name":"Exchange","fields":[
+	// ExchangeSchemaV2 is the schema of the previous release, without the sender.
+	ExchangeSchemaV2 = `{"type":"record","name":"Exchange","fields":[
 {"name":"digest","type":"long"},{"name":"version","type":"long"},
 {"name":"records","type":{"type":"array","items":` + nodeRecordSchema + `},"default":[]},
 {"name":"configuration","type":"bytes","default":""},
 {"name":"buckets","type":{"type":"array","items":"long"},"default":[]}]}`
-	// ExchangeSchema1 is the schema of the first release, which always sent all records.
-	ExchangeSchema1 = `{"type":"record","name":"Exchange","fields":[
+	// ExchangeSchemaV1 is the schema of the first release, which always sent all records.
+	ExchangeSchemaV1 = `{"type":"record","name":"Exchange","fields":[
 {"name":"digest","type":"long"},{"name":"version","type":"long"},
 {"name":"records","type":{"type":"array","items":` + nodeRecordSchema + `},"default":[]},
 {"name":"configuration","type":"bytes","default":""}]}`
@@ -294,13 +294,13 @@
 var (
 	SidecarCallCodec   = codec.New[SidecarCall](codec.MaxHeader, sidecarCallSchema)
 	SidecarResultCodec = codec.New[SidecarResult](codec.MaxHeader, sidecarResultSchema)
-	ExchangeCodec      = codec.New[Exchange](MaxMessage, exchangeSchema, ExchangeSchema1, ExchangeSchema2)
-	NewsCodec          = codec.New[News](MaxMessage, newsSchema)
+	ExchangeCodec      = codec.New[Exchange](MaxMessage, exchangeSchema, ExchangeSchemaV1, ExchangeSchemaV2)
+	BroadcastCodec     = codec.New[Broadcast](MaxMessage, newsSchema)
 	WaitsCodec         = codec.New[Waits](codec.MaxHeader, waitsSchema)
 	PongCodec          = codec.New[Pong](codec.MaxHeader, pongSchema)
 	NodeRecordCodec    = codec.New[NodeRecord](codec.MaxHeader, nodeRecordSchema)
 	FreshnessCodec     = codec.New[Freshness](MaxMessage, freshnessSchema)
 	KeeperRecordCodec  = codec.New[KeeperRecord](MaxMessage, keeperRecordSchema)
-	QuotaAskCodec      = codec.New[QuotaAsk](MaxMessage, quotaAskSchema)
-	QuotaAnswerCodec   = codec.New[QuotaAnswer](MaxMessage, quotaAnswerSchema)
+	QuotaRequestCodec  = codec.New[QuotaRequest](MaxMessage, quotaAskSchema)
+	QuotaResponseCodec = codec.New[QuotaResponse](MaxMessage, quotaAnswerSchema)
 )
