--- a/internal/sidecar/follower/watch.go
+++ b/internal/sidecar/follower/watch.go
@@ -39,7 +39,7 @@
 				continue
 			}
 			seen[name] = true
-			if item.Gone {
+			if item.Deleted {
 				f.recordMissing(name)
 				continue
 			}
@@ -152,7 +152,7 @@
 	f.followPrefix(ctx, key, configurationWatchInterval, func(items []store.Item, _ bool, _ int64) {
 		before := f.options.Version()
 		for _, item := range items {
-			if item.Key == key && !item.Gone {
+			if item.Key == key && !item.Deleted {
 				_, _ = f.options.InstallStored(&item) // InstallStored logs errors
 			}
 		}
--- a/internal/sidecar/heldback/heldback_test.go
+++ b/internal/sidecar/heldback/heldback_test.go
@@ -165,7 +165,7 @@
 		started.TakeStored(&fakeStore.item)
 		g.Expect(started.MaySend(r)).To(BeFalse())
 		g.Expect(started.stored.digest).To(Equal(crashes.DigestOf(c.ledger.Persistent())))
-		started.TakeStored(&store.Item{Key: "ends", Gone: true})
+		started.TakeStored(&store.Item{Key: "ends", Deleted: true})
 		g.Expect(started.MaySend(r)).To(BeFalse(), "evidence must survive its deletion from the store")
 	})
 }
--- a/internal/sidecar/heldback/storage.go
+++ b/internal/sidecar/heldback/storage.go
@@ -34,7 +34,7 @@
 // TakeStored adds the evidence in the store. If it cannot be decoded, the error is logged and
 // the item is ignored.
 func (c *Control) TakeStored(item *store.Item) {
-	if item.Gone {
+	if item.Deleted {
 		c.mutex.Lock()
 		c.stored.revision, c.stored.digest = 0, 0
 		c.mutex.Unlock()
--- a/internal/sidecar/quotas/holders.go
+++ b/internal/sidecar/quotas/holders.go
@@ -62,7 +62,7 @@
 		return added, 0, errors.New("this node is no longer the keeper of the shard")
 	}
 	written, err = s.writeRecord(context.Background(), shard, lease.ID, append(current, added...), state.maxShare, revision)
-	if errors.Is(err, store.ErrUncertain) || errors.Is(err, store.ErrConflict) {
+	if errors.Is(err, store.ErrNoResponse) || errors.Is(err, store.ErrConflict) {
 		written, err = s.confirmHolders(shard, added)
 	}
 	return added, written, err
--- a/internal/sidecar/quotas/keepers.go
+++ b/internal/sidecar/quotas/keepers.go
@@ -43,7 +43,7 @@
 		if !found || !ok {
 			continue
 		}
-		if item.Gone {
+		if item.Deleted {
 			k.MarkAbsent(shard, item.Revision)
 			continue
 		}
--- a/internal/sidecar/quotas/server.go
+++ b/internal/sidecar/quotas/server.go
@@ -160,14 +160,14 @@
 	began := s.options.Now()
 	call, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	err := s.options.Store.Keep(call, lease.ID)
+	err := s.options.Store.KeepAlive(call, lease.ID)
 	s.options.StoreHealth.Note("lease", err)
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	switch {
 	case err == nil && s.lease == lease:
 		s.leaseExpires = max(s.leaseExpires, began+lease.TTL)
-	case errors.Is(err, store.ErrLeaseGone) && s.lease == lease:
+	case errors.Is(err, store.ErrLeaseExpired) && s.lease == lease:
 		s.dropAllLocked("store no longer has the lease")
 	}
 	return err == nil
--- a/internal/sidecar/registration/registration.go
+++ b/internal/sidecar/registration/registration.go
@@ -209,8 +209,8 @@
 	defer cancel()
 	s := r.options.Store
 	if lease := r.lease.Load(); lease != nil {
-		err := s.Keep(ctx, lease.ID)
-		if !errors.Is(err, store.ErrLeaseGone) {
+		err := s.KeepAlive(ctx, lease.ID)
+		if !errors.Is(err, store.ErrLeaseExpired) {
 			return err
 		}
 	}
@@ -245,9 +245,9 @@
 	}
 	callCtx, cancel := context.WithTimeout(ctx, storehealth.CallTimeout)
 	defer cancel()
-	err := r.options.Store.Keep(callCtx, lease.ID)
+	err := r.options.Store.KeepAlive(callCtx, lease.ID)
 	r.options.Health.Note("lease", err)
-	return !errors.Is(err, store.ErrLeaseGone)
+	return !errors.Is(err, store.ErrLeaseExpired)
 }
 
 // Withdraw revokes the lease, and thereby deletes the record, if the target has left permanently.
--- a/internal/sidecar/registration/registration_test.go
+++ b/internal/sidecar/registration/registration_test.go
@@ -48,12 +48,12 @@
 	return store.Lease{ID: s.granted, TTL: ttl}, nil
 }
 
-// Keep implements store.Store.
-func (s *fakeStore) Keep(_ context.Context, lease int64) error {
+// KeepAlive implements store.Store.
+func (s *fakeStore) KeepAlive(_ context.Context, lease int64) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.expired[lease] {
-		return store.ErrLeaseGone
+		return store.ErrLeaseExpired
 	}
 	s.renewals[lease]++
 	return nil
--- a/internal/sidecar/revalidation/revalidation.go
+++ b/internal/sidecar/revalidation/revalidation.go
@@ -265,7 +265,7 @@
 	if revision == 0 || version != r.options.Configuration.Version() {
 		return r.ReadStored(call, sentAt)
 	}
-	newer, err := r.options.Store.Unchanged(call, r.options.ConfigurationKey, revision)
+	newer, err := r.options.Store.CheckRevision(call, r.options.ConfigurationKey, revision)
 	r.options.StoreHealth.Note("confirm", err)
 	switch {
 	case err == nil:
--- a/internal/sidecar/storehealth/storehealth.go
+++ b/internal/sidecar/storehealth/storehealth.go
@@ -56,7 +56,7 @@
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	now := time.Now()
-	if err == nil || errors.Is(err, store.ErrCompacted) || errors.Is(err, store.ErrLeaseGone) {
+	if err == nil || errors.Is(err, store.ErrCompacted) || errors.Is(err, store.ErrLeaseExpired) {
 		h.lastSuccess = now
 		if !h.failedSince.IsZero() {
 			h.events.Add(eventlog.Store{Change: "regained", Call: call, AwayMS: eventlog.Milliseconds(now.Sub(h.failedSince))}, eventlog.State)
@@ -69,7 +69,7 @@
 	}
 	h.failedSince = now
 	change := "lost"
-	if errors.Is(err, store.ErrLimited) {
+	if errors.Is(err, store.ErrRateLimited) {
 		change = "limited"
 	}
 	h.events.Add(eventlog.Store{Change: change, Call: call, Error: err.Error()}, eventlog.State)
@@ -82,11 +82,11 @@
 		label string
 	}{
 		{store.ErrCompacted, "compacted"},
-		{store.ErrLeaseGone, "lease_gone"},
-		{store.ErrLimited, "limited"},
+		{store.ErrLeaseExpired, "lease_gone"},
+		{store.ErrRateLimited, "limited"},
 		{store.ErrUnavailable, "unavailable"},
 		{store.ErrConflict, "conflict"},
-		{store.ErrRefused, "refused"},
+		{store.ErrInvalidCall, "refused"},
 	} {
 		if errors.Is(err, r.err) {
 			return r.label
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -15,7 +15,7 @@
 	Value    []byte
 	Revision int64 // store revision of the last change
 	Lease    int64 // 0: none
-	Gone     bool  // the key was deleted
+	Deleted  bool  // the key was deleted
 }
 
 // Lease keeps the keys attached to it alive until its TTL expires without a renewal.
@@ -39,18 +39,18 @@
 	ErrCompacted = errors.ConstError("requested revision has been compacted (remedy: list the keys again)")
 	// ErrConflict is returned if a key does not have the expected revision. The store is unchanged.
 	ErrConflict = errors.ConstError("key has a different revision (remedy: read the key and retry)")
-	// ErrLeaseGone is returned if a lease has expired or was revoked. The store is unchanged.
-	ErrLeaseGone = errors.ConstError("lease has expired or was revoked (remedy: request a new lease)")
-	// ErrLimited is returned if the store rejects a call because of its rate limit. The store is
+	// ErrLeaseExpired is returned if a lease has expired or was revoked. The store is unchanged.
+	ErrLeaseExpired = errors.ConstError("lease has expired or was revoked (remedy: request a new lease)")
+	// ErrRateLimited is returned if the store rejects a call because of its rate limit. The store is
 	// unchanged.
-	ErrLimited = errors.ConstError("store rate limit exceeded (remedy: retry later)")
+	ErrRateLimited = errors.ConstError("store rate limit exceeded (remedy: retry later)")
 	// ErrUnavailable is returned if the store cannot serve a call. The store is unchanged.
 	ErrUnavailable = errors.ConstError("store is unavailable (remedy: retry later)")
-	// ErrUncertain is returned if no valid response was received. A write may have been applied,
+	// ErrNoResponse is returned if no valid response was received. A write may have been applied,
 	// or may still be.
-	ErrUncertain = errors.ConstError("no valid response from the store (remedy: read the key before retrying)")
-	// ErrRefused is returned if a call is invalid.
-	ErrRefused = errors.ConstError("store rejected the call as invalid (remedy: correct the call)")
+	ErrNoResponse = errors.ConstError("no valid response from the store (remedy: read the key before retrying)")
+	// ErrInvalidCall is returned if a call is invalid.
+	ErrInvalidCall = errors.ConstError("store rejected the call as invalid (remedy: correct the call)")
 )
 
 // Store is a key-value service. Methods return when their context is done. Get, List and
@@ -64,17 +64,17 @@
 	// Watch waits for changes of keys with a prefix after a revision. If none occur within wait,
 	// it returns no events and the current revision.
 	Watch(ctx context.Context, prefix string, after int64, wait time.Duration) ([]Item, int64, error)
-	// Unchanged checks that a key still has a revision. Otherwise it returns ErrConflict and the
+	// CheckRevision checks that a key still has a revision. Otherwise it returns ErrConflict and the
 	// current item, or nil if the key does not exist.
-	Unchanged(ctx context.Context, key string, revision int64) (newer *Item, err error)
+	CheckRevision(ctx context.Context, key string, revision int64) (newer *Item, err error)
 	// Probe checks that the service responds, using the cheapest available call.
 	Probe(ctx context.Context) error
 	// Put writes a key and returns its new revision.
 	Put(ctx context.Context, write Write) (int64, error)
 	// Grant creates a lease. The TTL of the result may differ from the requested one.
 	Grant(ctx context.Context, ttl time.Duration) (Lease, error)
-	// Keep renews a lease.
-	Keep(ctx context.Context, lease int64) error
+	// KeepAlive renews a lease.
+	KeepAlive(ctx context.Context, lease int64) error
 	// Revoke ends a lease and deletes its keys.
 	Revoke(ctx context.Context, lease int64) error
 }
