--- a/internal/duplex/duplex.go
+++ b/internal/duplex/duplex.go
@@ -74,9 +74,9 @@
 	return io.Copy(w.ResponseWriter, src)
 }
 
-// Closes reports whether the response header carries "Connection: close". It returns false until
+// ClosesConnection reports whether the response header carries "Connection: close". It returns false until
 // the header is written.
-func (w *Writer) Closes() bool { return w.closes }
+func (w *Writer) ClosesConnection() bool { return w.closes }
 
 func (w *Writer) mustClose() bool {
 	return w.body.unread() || w.closeRequested()
@@ -84,11 +84,11 @@
 
 func (w *Writer) closeRequested() bool { return w.closeAfter != nil && w.closeAfter() }
 
-// ReadRest discards the unread part of a short request body, so that the connection can be reused
+// DrainBody discards the unread part of a short request body, so that the connection can be reused
 // after the request is rejected. It must be called before the header is written. A body that is
 // long, of unknown length or not received within drainTimeout is left unread, and the connection
 // closes after the response.
-func (w *Writer) ReadRest() {
+func (w *Writer) DrainBody() {
 	if !w.body.unread() || !w.body.drainable() || w.closeRequested() {
 		return
 	}
@@ -100,7 +100,7 @@
 	_ = controller.SetReadDeadline(time.Time{}) // net/http sets a new deadline for the next request
 }
 
-// Limits of ReadRest.
+// Limits of DrainBody.
 const (
 	maxDrainBytes = 64 << 10
 	drainTimeout  = 10 * time.Millisecond // enough for data already sent; a rejection must not wait for more
--- a/internal/duplex/duplex_test.go
+++ b/internal/duplex/duplex_test.go
@@ -43,7 +43,7 @@
 		name      string
 		body      string
 		length    int64 // -1: unknown
-		drain     bool  // the handler calls ReadRest
+		drain     bool  // the handler calls DrainBody
 		wantClose bool  // the response must carry "Connection: close"
 	}{
 		{"no body", "", 0, false, false},
@@ -58,7 +58,7 @@
 			log, client := serve(t, func(w http.ResponseWriter, r *http.Request) {
 				writer, _ := Begin(w, r, nil)
 				if tc.drain {
-					writer.ReadRest()
+					writer.DrainBody()
 				}
 				writer.WriteHeader(http.StatusServiceUnavailable)
 			})
@@ -78,7 +78,7 @@
 	g := NewWithT(t)
 	log, client := serve(t, func(w http.ResponseWriter, r *http.Request) {
 		writer, _ := Begin(w, r, nil)
-		writer.ReadRest()
+		writer.DrainBody()
 		writer.WriteHeader(http.StatusServiceUnavailable)
 	})
 	conn, err := net.Dial("tcp", strings.TrimPrefix(client.url, "http://"))
--- a/internal/mesh/dataplane/ingress.go
+++ b/internal/mesh/dataplane/ingress.go
@@ -336,7 +336,7 @@
 	if final.reason == outcome.ReasonUnreachable || final.outcome == outcome.Unknown {
 		c.plane.record(c.context, explain.Refuse, string(final.reason), c.wire.Service, c.plane.node)
 	}
-	c.writer.ReadRest()
+	c.writer.DrainBody()
 	c.writeHead(final.outcome, final.reason, 0, 0, final.retryAfter, executor)
 	c.writeTrailer(bodySum{}, false)
 }
--- a/internal/mesh/dataplane/outbound.go
+++ b/internal/mesh/dataplane/outbound.go
@@ -255,7 +255,7 @@
 	if c.side == SideEntry {
 		c.writer.Header().Set(wire.HeaderRequestID, c.context.requestID)
 	}
-	c.writer.ReadRest()
+	c.writer.DrainBody()
 	final.write(c.writer, c.context.requestID)
 }
 
--- a/internal/mesh/dataplane/plane.go
+++ b/internal/mesh/dataplane/plane.go
@@ -193,7 +193,7 @@
 	p.calls.incInFlight()
 	answer, request = duplex.Begin(w, r, p.closing.Load)
 	return answer, request, func() {
-		if !answer.Closes() {
+		if !answer.ClosesConnection() {
 			p.lastKeptAlive.Store(int64(p.now()))
 		}
 		p.calls.decInFlight()
--- a/internal/sidecar/arrival/ingress.go
+++ b/internal/sidecar/arrival/ingress.go
@@ -52,13 +52,13 @@
 	w, r, end, draining := i.options.Begin(writer, received)
 	defer end()
 	if draining {
-		w.ReadRest()
+		w.DrainBody()
 		i.write(w, reply.NotRun(outcome.ReasonStopping))
 		return
 	}
 	call, err := wire.DecodeCall(r.Header)
 	if err != nil {
-		w.ReadRest()
+		w.DrainBody()
 		i.write(w, reply.NotRun(outcome.ReasonBadMessage))
 		return
 	}
