--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -7,8 +7,8 @@
 
 // Source reads two clocks, both relative to an arbitrary start. It is safe for concurrent use.
 type Source interface {
-	// Steady returns the elapsed time, excluding time during which the machine was suspended.
-	Steady() time.Duration
+	// Monotonic returns the elapsed time, excluding time during which the machine was suspended.
+	Monotonic() time.Duration
 	// Boot returns the elapsed time, including suspensions. It never decreases.
 	Boot() time.Duration
 }
--- a/internal/clock/system.go
+++ b/internal/clock/system.go
@@ -50,8 +50,8 @@
 	return ts.Nano(), nil
 }
 
-// Steady implements Source.
-func (s *System) Steady() time.Duration { return time.Since(s.started) }
+// Monotonic implements Source.
+func (s *System) Monotonic() time.Duration { return time.Since(s.started) }
 
 // Boot implements Source. It reads CLOCK_BOOTTIME only if the drift changed or the last reading is
 // too old.
--- a/internal/clock/system_test.go
+++ b/internal/clock/system_test.go
@@ -17,7 +17,7 @@
 		g.Expect(now).To(BeNumerically(">=", before))
 		before = now
 	}
-	g.Expect(s.Boot() - s.Steady()).To(BeNumerically("<", 5*time.Millisecond))
+	g.Expect(s.Boot() - s.Monotonic()).To(BeNumerically("<", 5*time.Millisecond))
 }
 
 // A test cannot suspend the machine, so it simulates the clock readings after a suspension.
@@ -39,7 +39,7 @@
 			g.Expect(err).NotTo(HaveOccurred())
 			s.boot -= int64(tc.bootJump)
 			s.drift.Add(-int64(tc.wallJump))
-			g.Expect(s.Boot() - s.Steady()).To(BeNumerically("~", tc.want, 50*time.Millisecond))
+			g.Expect(s.Boot() - s.Monotonic()).To(BeNumerically("~", tc.want, 50*time.Millisecond))
 		})
 	}
 }
@@ -51,7 +51,7 @@
 	g.Expect(err).NotTo(HaveOccurred())
 	s.boot -= int64(3 * time.Second)
 	time.Sleep(2 * bootReadInterval)
-	g.Expect(s.Boot() - s.Steady()).To(BeNumerically("~", 3*time.Second, 50*time.Millisecond))
+	g.Expect(s.Boot() - s.Monotonic()).To(BeNumerically("~", 3*time.Second, 50*time.Millisecond))
 }
 
 func BenchmarkBoot(b *testing.B) {
@@ -71,6 +71,6 @@
 		b.Fatal(err)
 	}
 	for b.Loop() {
-		s.Steady()
+		s.Monotonic()
 	}
 }
--- a/internal/sidecar/clock_test.go
+++ b/internal/sidecar/clock_test.go
@@ -7,8 +7,8 @@
 
 var clockStart = time.Now()
 
-// Steady implements clock.Source.
-func (steadyClock) Steady() time.Duration { return time.Since(clockStart) }
+// Monotonic implements clock.Source.
+func (steadyClock) Monotonic() time.Duration { return time.Since(clockStart) }
 
 // Boot implements clock.Source.
 func (steadyClock) Boot() time.Duration { return time.Since(clockStart) }
--- a/internal/sidecar/suspend.go
+++ b/internal/sidecar/suspend.go
@@ -31,7 +31,7 @@
 
 // suspendedTime returns the total time that the machine has been suspended.
 func (n *Node) suspendedTime() time.Duration {
-	steady := n.clock.Steady()
+	steady := n.clock.Monotonic()
 	return n.clock.Boot() - steady
 }
 
--- a/internal/testbed/clock.go
+++ b/internal/testbed/clock.go
@@ -17,8 +17,8 @@
 
 func newMachineClock() *machineClock { return &machineClock{started: time.Now()} }
 
-// Steady implements clock.Source.
-func (c *machineClock) Steady() time.Duration {
+// Monotonic implements clock.Source.
+func (c *machineClock) Monotonic() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.bootLocked() - c.suspendedTotal
