--- a/internal/core/lapse/lapse.go
+++ b/internal/core/lapse/lapse.go
@@ -24,17 +24,17 @@
 	return Config{GracePeriod: 2500 * time.Millisecond, ProbeInterval: 500 * time.Millisecond, MaxUnanswered: 3}
 }
 
-// Answer is the result of probing a node.
-type Answer int
+// ProbeResult is the result of probing a node.
+type ProbeResult int
 
 // Results of a probe.
 const (
 	// NoAnswer means that nothing, or another node, answered at the address.
-	NoAnswer Answer = iota + 1
-	// Reaches means that the node is alive and reaches the store.
-	Reaches
-	// TurnedAway means that the node is alive and can't reach the store.
-	TurnedAway
+	NoAnswer ProbeResult = iota + 1
+	// StoreReachable means that the node is alive and reaches the store.
+	StoreReachable
+	// StoreUnreachable means that the node is alive and can't reach the store.
+	StoreUnreachable
 )
 
 type missingNode struct {
@@ -55,18 +55,18 @@
 	return &Tracker{config: config, missing: map[string]*missingNode{}}
 }
 
-// Lapsed records that a node's record is missing from the store.
-func (t *Tracker) Lapsed(now time.Duration, node string) {
+// RecordMissing records that a node's record is missing from the store.
+func (t *Tracker) RecordMissing(now time.Duration, node string) {
 	if t.missing[node] == nil {
 		t.missing[node] = &missingNode{graceStart: now, probedAt: now - t.config.ProbeInterval}
 	}
 }
 
-// Back records that a node's record is in the store.
-func (t *Tracker) Back(node string) { delete(t.missing, node) }
+// RecordRestored records that a node's record is in the store.
+func (t *Tracker) RecordRestored(node string) { delete(t.missing, node) }
 
-// Store records whether the store is available. All grace periods restart when it returns.
-func (t *Tracker) Store(now time.Duration, available bool) {
+// SetStoreAvailable records whether the store is available. All grace periods restart when it returns.
+func (t *Tracker) SetStoreAvailable(now time.Duration, available bool) {
 	if available && t.storeDown {
 		for _, m := range t.missing {
 			m.graceStart = now
@@ -75,8 +75,8 @@
 	t.storeDown = !available
 }
 
-// Answered records the result of a probe.
-func (t *Tracker) Answered(now time.Duration, node string, answer Answer) {
+// HandleProbe records the result of a probe.
+func (t *Tracker) HandleProbe(now time.Duration, node string, answer ProbeResult) {
 	m := t.missing[node]
 	if m == nil {
 		return
@@ -84,15 +84,15 @@
 	switch answer {
 	case NoAnswer:
 		m.unanswered++
-	case TurnedAway:
+	case StoreUnreachable:
 		m.unanswered, m.graceStart = 0, now
 	default:
 		m.unanswered = 0
 	}
 }
 
-// Due returns the nodes to probe now and those that are gone. The latter are no longer tracked.
-func (t *Tracker) Due(now time.Duration) (probe, gone []string) {
+// Poll returns the nodes to probe now and those that are gone. The latter are no longer tracked.
+func (t *Tracker) Poll(now time.Duration) (probe, gone []string) {
 	if t.storeDown {
 		return nil, nil
 	}
--- a/internal/core/lapse/lapse_test.go
+++ b/internal/core/lapse/lapse_test.go
@@ -14,40 +14,40 @@
 	for _, tc := range []struct {
 		name        string
 		storeDown   [2]time.Duration // interval in which the store is unavailable
-		answer      func(now time.Duration) Answer
+		answer      func(now time.Duration) ProbeResult
 		recordBack  time.Duration    // when the record is rewritten; 0: never
 		goneBetween [2]time.Duration // interval in which the node must be reported gone; zero: never
 	}{
-		{"alive, record restored", [2]time.Duration{}, constantAnswer(Reaches), time.Second, [2]time.Duration{}},
-		{"alive, reaches the store, record not restored", [2]time.Duration{}, constantAnswer(Reaches), 0, [2]time.Duration{2 * time.Second, 3 * time.Second}},
-		{"alive, never reaches the store", [2]time.Duration{}, constantAnswer(TurnedAway), 0, [2]time.Duration{}},
-		{"alive, reaches the store after a while", [2]time.Duration{}, func(now time.Duration) Answer {
+		{"alive, record restored", [2]time.Duration{}, constantAnswer(StoreReachable), time.Second, [2]time.Duration{}},
+		{"alive, reaches the store, record not restored", [2]time.Duration{}, constantAnswer(StoreReachable), 0, [2]time.Duration{2 * time.Second, 3 * time.Second}},
+		{"alive, never reaches the store", [2]time.Duration{}, constantAnswer(StoreUnreachable), 0, [2]time.Duration{}},
+		{"alive, reaches the store after a while", [2]time.Duration{}, func(now time.Duration) ProbeResult {
 			if now < 5*time.Second {
-				return TurnedAway
+				return StoreUnreachable
 			}
-			return Reaches
+			return StoreReachable
 		}, 0, [2]time.Duration{6500 * time.Millisecond, 8 * time.Second}},
 		{"dead", [2]time.Duration{}, constantAnswer(NoAnswer), 0, [2]time.Duration{time.Second, 2 * time.Second}},
 		{"dead, store unavailable", [2]time.Duration{0, 6 * time.Second}, constantAnswer(NoAnswer), 0, [2]time.Duration{7 * time.Second, 8 * time.Second}},
-		{"record restored after the store returns", [2]time.Duration{0, 6 * time.Second}, constantAnswer(Reaches), 7800 * time.Millisecond, [2]time.Duration{}},
+		{"record restored after the store returns", [2]time.Duration{0, 6 * time.Second}, constantAnswer(StoreReachable), 7800 * time.Millisecond, [2]time.Duration{}},
 		{"another node answers at the address", [2]time.Duration{}, constantAnswer(NoAnswer), 0, [2]time.Duration{time.Second, 2 * time.Second}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
 			tracker := New(DefaultConfig())
-			tracker.Lapsed(0, "n")
+			tracker.RecordMissing(0, "n")
 			goneAt := time.Duration(-1)
 			for now := time.Duration(0); now < 12*time.Second; now += tick {
-				tracker.Store(now, now < tc.storeDown[0] || now >= tc.storeDown[1])
+				tracker.SetStoreAvailable(now, now < tc.storeDown[0] || now >= tc.storeDown[1])
 				if tc.recordBack > 0 && now >= tc.recordBack {
-					tracker.Back("n")
+					tracker.RecordRestored("n")
 				}
-				ask, gone := tracker.Due(now)
+				ask, gone := tracker.Poll(now)
 				if len(gone) > 0 && goneAt < 0 {
 					goneAt = now
 				}
 				for range ask {
-					tracker.Answered(now, "n", tc.answer(now))
+					tracker.HandleProbe(now, "n", tc.answer(now))
 				}
 			}
 			if tc.goneBetween == [2]time.Duration{} {
@@ -59,6 +59,6 @@
 	}
 }
 
-func constantAnswer(answer Answer) func(time.Duration) Answer {
-	return func(time.Duration) Answer { return answer }
+func constantAnswer(answer ProbeResult) func(time.Duration) ProbeResult {
+	return func(time.Duration) ProbeResult { return answer }
 }
--- a/internal/sidecar/follower/follower.go
+++ b/internal/sidecar/follower/follower.go
@@ -211,7 +211,7 @@
 	defer f.mutex.Unlock()
 	f.callSucceeded[source] = succeeded
 	f.election.SetWell(f.storeHealthyLocked())
-	f.lapses.Store(f.options.Now(), f.storeHealthyLocked())
+	f.lapses.SetStoreAvailable(f.options.Now(), f.storeHealthyLocked())
 }
 
 // storeHealthyLocked reports whether the last call of every source succeeded and the node records
@@ -255,7 +255,7 @@
 // did not reply repeatedly or whose grace period has expired.
 func (f *Follower) resolveMissing(ctx context.Context) {
 	f.mutex.Lock()
-	query, dead := f.lapses.Due(f.options.Now())
+	query, dead := f.lapses.Poll(f.options.Now())
 	f.mutex.Unlock()
 	for _, name := range query {
 		if record := f.options.Members.Record(name); record != nil {
@@ -287,16 +287,16 @@
 	ctx, cancel := context.WithTimeout(ctx, peer.PingTimeout)
 	defer cancel()
 	pong, err := f.options.Peers.Ask(ctx, record.Address)
-	answer := lapse.Reaches
+	answer := lapse.StoreReachable
 	switch {
 	case err != nil || pong.Node != record.Node:
 		answer = lapse.NoAnswer
 	case pong.StoreUnreachable:
-		answer = lapse.TurnedAway
+		answer = lapse.StoreUnreachable
 	}
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.lapses.Answered(f.options.Now(), record.Node, answer)
+	f.lapses.HandleProbe(f.options.Now(), record.Node, answer)
 }
 
 // logRoleChange logs that the node has become a follower of its zone or ceased to be one.
--- a/internal/sidecar/follower/watch.go
+++ b/internal/sidecar/follower/watch.go
@@ -62,7 +62,7 @@
 // recordFound handles a node record read from the store.
 func (f *Follower) recordFound(record *wire.NodeRecord) {
 	f.mutex.Lock()
-	f.lapses.Back(record.Node)
+	f.lapses.RecordRestored(record.Node)
 	delete(f.removed, record.Node)
 	f.mutex.Unlock()
 	f.options.Members.MergeStored(record)
@@ -82,7 +82,7 @@
 	f.options.Members.LogChange(record, "lapsed", configuration.FromStore)
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.lapses.Lapsed(f.options.Now(), name)
+	f.lapses.RecordMissing(f.options.Now(), name)
 }
 
 // followPrefix lists all items below prefix and then watches it. It lists them again if the store
