--- a/internal/core/freshness/freshness.go
+++ b/internal/core/freshness/freshness.go
@@ -37,12 +37,12 @@
 	return now - e.confirmed, e.version, e.known
 }
 
-// Within reports whether the evidence is younger than a bound.
-func (e *Evidence) Within(now, bound time.Duration) bool {
+// YoungerThan reports whether the evidence is younger than a bound.
+func (e *Evidence) YoungerThan(now, bound time.Duration) bool {
 	return e.known && now-e.confirmed < bound
 }
 
-// Told returns the time proved by another node's evidence of the given age, which was received in
+// ObservedAt returns the time proved by another node's evidence of the given age, which was received in
 // answer to a query started at asked. The age counts from asked, which precedes the answer, so
 // that the result is never too recent.
-func Told(asked, age time.Duration) time.Duration { return asked - max(age, 0) }
+func ObservedAt(asked, age time.Duration) time.Duration { return asked - max(age, 0) }
--- a/internal/core/freshness/freshness_test.go
+++ b/internal/core/freshness/freshness_test.go
@@ -24,7 +24,7 @@
 			g := NewWithT(t)
 			var e Evidence
 			g.Expect(e.Confirm(time.Second, tc.version, tc.held)).To(Equal(tc.want))
-			g.Expect(e.Within(2*time.Second, 5*time.Second)).To(Equal(tc.want))
+			g.Expect(e.YoungerThan(2*time.Second, 5*time.Second)).To(Equal(tc.want))
 		})
 	}
 }
@@ -32,10 +32,10 @@
 func TestEvidenceExpires(t *testing.T) {
 	g := NewWithT(t)
 	var e Evidence
-	g.Expect(e.Within(0, time.Hour)).To(BeFalse())
+	g.Expect(e.YoungerThan(0, time.Hour)).To(BeFalse())
 	e.Confirm(time.Second, 1, 1)
-	g.Expect(e.Within(6*time.Second-1, 5*time.Second)).To(BeTrue())
-	g.Expect(e.Within(6*time.Second, 5*time.Second)).To(BeFalse())
+	g.Expect(e.YoungerThan(6*time.Second-1, 5*time.Second)).To(BeTrue())
+	g.Expect(e.YoungerThan(6*time.Second, 5*time.Second)).To(BeFalse())
 	e.Confirm(500*time.Millisecond, 1, 1)
 	age, _, _ := e.Age(2 * time.Second)
 	g.Expect(age).To(Equal(time.Second))
@@ -43,8 +43,8 @@
 
 func TestToldSubtractsAgeFromRequestStart(t *testing.T) {
 	g := NewWithT(t)
-	g.Expect(Told(10*time.Second, 2*time.Second)).To(Equal(8 * time.Second))
-	g.Expect(Told(10*time.Second, -time.Second)).To(Equal(10 * time.Second))
+	g.Expect(ObservedAt(10*time.Second, 2*time.Second)).To(Equal(8 * time.Second))
+	g.Expect(ObservedAt(10*time.Second, -time.Second)).To(Equal(10 * time.Second))
 }
 
 const bound = 5 * time.Second
@@ -113,13 +113,13 @@
 								n.version = max(n.version, configuration)
 							}
 							if known {
-								n.evidence.Confirm(Told(asked, age), version, n.version)
+								n.evidence.Confirm(ObservedAt(asked, age), version, n.version)
 							}
 						}})
 					}})
 				}
 				// A request is sent now. A later pause of the node doesn't change its decision.
-				if !n.evidence.Within(n.now(at), bound) {
+				if !n.evidence.YoungerThan(n.now(at), bound) {
 					continue
 				}
 				for version := n.version + 1; version < uint64(len(ackedAt)); version++ {
--- a/internal/sidecar/revalidation/revalidation.go
+++ b/internal/sidecar/revalidation/revalidation.go
@@ -124,7 +124,7 @@
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.evidence.Within(r.options.Now(), bound)
+	return r.evidence.YoungerThan(r.options.Now(), bound)
 }
 
 // Age returns the age of the evidence and the version that it confirms. known is false if there
@@ -236,7 +236,7 @@
 	if uint64(answer.Version) > r.options.Configuration.Version() {
 		r.options.Fetch(address)
 	}
-	return r.confirm(freshness.Told(sentAt, time.Duration(answer.Age)*time.Microsecond), uint64(answer.Version))
+	return r.confirm(freshness.ObservedAt(sentAt, time.Duration(answer.Age)*time.Microsecond), uint64(answer.Version))
 }
 
 // confirmDirectly confirms the configuration with the store even though this node is not a
