--- a/internal/core/election/election.go
+++ b/internal/core/election/election.go
@@ -90,14 +90,14 @@
 	return known && rank < e.ranks[e.self]
 }
 
-// SetWell records whether the node itself, as a follower, reaches the store.
-func (e *Election) SetWell(reachable bool) { e.storeReachable = reachable }
+// SetStoreReachable records whether the node itself, as a follower, reaches the store.
+func (e *Election) SetStoreReachable(reachable bool) { e.storeReachable = reachable }
 
 // Resign withdraws the node from the election for good, because it is stopping.
 func (e *Election) Resign() { e.resigned, e.following = true, false }
 
-// Follows reports whether the node follows the store at now.
-func (e *Election) Follows(now time.Duration) bool {
+// IsFollower reports whether the node follows the store at now.
+func (e *Election) IsFollower(now time.Duration) bool {
 	if e.resigned {
 		return false
 	}
--- a/internal/core/election/election_test.go
+++ b/internal/core/election/election_test.go
@@ -36,10 +36,10 @@
 	for end := z.now + span; z.now < end; z.now += tick {
 		following = following[:0]
 		for name, e := range z.nodes {
-			if z.dead[name] || !e.Follows(z.now) {
+			if z.dead[name] || !e.IsFollower(z.now) {
 				continue
 			}
-			e.SetWell(!z.cutOff[name])
+			e.SetStoreReachable(!z.cutOff[name])
 			following = append(following, name)
 		}
 		for _, from := range following {
--- a/internal/sidecar/follower/follower.go
+++ b/internal/sidecar/follower/follower.go
@@ -110,14 +110,14 @@
 func (f *Follower) Reaches() bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.election != nil && f.election.Follows(f.options.Now()) && f.callSucceeded[probeSource]
+	return f.election != nil && f.election.IsFollower(f.options.Now()) && f.callSucceeded[probeSource]
 }
 
 // Follows reports whether the node is currently elected as a follower of its zone.
 func (f *Follower) Follows() bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.election != nil && f.election.Follows(f.options.Now())
+	return f.election != nil && f.election.IsFollower(f.options.Now())
 }
 
 // Run watches the store while the node is elected, until ctx is done.
@@ -210,7 +210,7 @@
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.callSucceeded[source] = succeeded
-	f.election.SetWell(f.storeHealthyLocked())
+	f.election.SetStoreReachable(f.storeHealthyLocked())
 	f.lapses.SetStoreAvailable(f.options.Now(), f.storeHealthyLocked())
 }
 
