--- a/internal/core/roster/roster.go
+++ b/internal/core/roster/roster.go
@@ -7,15 +7,15 @@
 
 // Report is a heartbeat of a target.
 type Report struct {
-	Instance string // process incarnation of the target
-	Service  string
-	Address  string // IP:port
-	Zone     string
-	Version  string // of the target's software
-	Slots    int
-	Draining bool
-	Sequence int64         // increases with each heartbeat of an instance
-	Cold     time.Duration // remaining warm-up time
+	Instance        string // process incarnation of the target
+	Service         string
+	Address         string // IP:port
+	Zone            string
+	Version         string // of the target's software
+	Slots           int
+	Draining        bool
+	Sequence        int64         // increases with each heartbeat of an instance
+	WarmupRemaining time.Duration // remaining warm-up time
 }
 
 // Result is the outcome of a heartbeat.
@@ -29,8 +29,8 @@
 	Changed
 	// Stale means that the heartbeat was late and was ignored.
 	Stale
-	// Doubtful means that another instance is registered: ask the target itself.
-	Doubtful
+	// Conflict means that another instance is registered: ask the target itself.
+	Conflict
 )
 
 // Roster is the state of the target next to a node. It is not safe for concurrent use.
@@ -49,11 +49,11 @@
 // Current returns the latest report of the current target; its Instance is empty if there is none.
 func (r *Roster) Current() Report { return r.current }
 
-// Gone reports whether an instance has left for good.
-func (r *Roster) Gone(instance string) bool { return r.departed[instance] }
+// HasDeparted reports whether an instance has left for good.
+func (r *Roster) HasDeparted(instance string) bool { return r.departed[instance] }
 
-// Empty reports that the last target has left and no other has arrived.
-func (r *Roster) Empty() bool { return r.current.Instance == "" && len(r.departed) > 0 }
+// Vacated reports that the last target has left and no other has arrived.
+func (r *Roster) Vacated() bool { return r.current.Instance == "" && len(r.departed) > 0 }
 
 // Heartbeat applies a heartbeat and returns its outcome.
 func (r *Roster) Heartbeat(report Report) Result {
@@ -65,7 +65,7 @@
 		return Changed
 	}
 	if r.current.Instance != report.Instance {
-		return Doubtful
+		return Conflict
 	}
 	return r.update(report)
 }
@@ -91,8 +91,8 @@
 	r.current = report
 }
 
-// Left records that an instance has left for good and reports whether it was the current one.
-func (r *Roster) Left(instance string) bool {
+// Depart records that an instance has left for good and reports whether it was the current one.
+func (r *Roster) Depart(instance string) bool {
 	r.markDeparted(instance)
 	if r.current.Instance != instance {
 		return false
--- a/internal/core/roster/roster_test.go
+++ b/internal/core/roster/roster_test.go
@@ -25,7 +25,7 @@
 	g := NewWithT(t)
 	r := New()
 	r.Heartbeat(heartbeat("i-1", 1, false))
-	g.Expect(r.Left("i-1")).To(BeTrue())
+	g.Expect(r.Depart("i-1")).To(BeTrue())
 	g.Expect(r.Heartbeat(heartbeat("i-1", 9, false))).To(Equal(Stale))
 	g.Expect(r.Current().Instance).To(BeEmpty())
 	g.Expect(r.Heartbeat(heartbeat("i-2", 1, false))).To(Equal(Changed))
@@ -35,7 +35,7 @@
 	g := NewWithT(t)
 	r := New()
 	r.Heartbeat(heartbeat("i-1", 5, false))
-	g.Expect(r.Heartbeat(heartbeat("i-2", 1, false))).To(Equal(Doubtful))
+	g.Expect(r.Heartbeat(heartbeat("i-2", 1, false))).To(Equal(Conflict))
 	r.Replace(heartbeat("i-2", 1, false))
 	g.Expect(r.Heartbeat(heartbeat("i-1", 6, false))).To(Equal(Stale))
 	g.Expect(r.Current().Instance).To(Equal("i-2"))
@@ -46,7 +46,7 @@
 	r := New()
 	for range 3 {
 		for number := range maxDeparted {
-			r.Left(string(rune('a' + number)))
+			r.Depart(string(rune('a' + number)))
 		}
 	}
 	g.Expect(len(r.departed)).To(BeNumerically("<=", maxDeparted))
--- a/internal/sidecar/target/target.go
+++ b/internal/sidecar/target/target.go
@@ -175,7 +175,7 @@
 func (l *Local) TargetLeft() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.roster.Empty()
+	return l.roster.Vacated()
 }
 
 // IdentifyTimeout limits an identification request; the acknowledgement of a heartbeat may
@@ -191,7 +191,7 @@
 func (l *Local) Heartbeat(report roster.Report) error {
 	l.mu.Lock()
 	verdict := l.roster.Heartbeat(report)
-	if verdict == roster.Doubtful {
+	if verdict == roster.Conflict {
 		l.mu.Unlock()
 		return l.resolveInstance(report)
 	}
@@ -229,7 +229,7 @@
 // SetIdentified sets the target from an identification response if no heartbeat has arrived yet.
 func (l *Local) SetIdentified(report roster.Report) {
 	l.mu.Lock()
-	if l.roster.Current().Instance != "" || l.roster.Gone(report.Instance) {
+	if l.roster.Current().Instance != "" || l.roster.HasDeparted(report.Instance) {
 		l.mu.Unlock()
 		return
 	}
@@ -243,7 +243,7 @@
 // Leave records that an instance leaves permanently.
 func (l *Local) Leave(instance string) error {
 	l.mu.Lock()
-	left := l.roster.Left(instance)
+	left := l.roster.Depart(instance)
 	if left && l.gate != nil {
 		l.gate.drain()
 		l.gate.Links.Close()
@@ -285,7 +285,7 @@
 // updateGate creates or updates the gate to match the roster. mu must be held.
 func (l *Local) updateGate() {
 	report := l.roster.Current()
-	l.coldUntil = l.options.Now() + report.Cold
+	l.coldUntil = l.options.Now() + report.WarmupRemaining
 	if l.gate == nil || l.gate.Instance != report.Instance || l.gate.Service != report.Service {
 		if l.gate != nil {
 			l.gate.drain()
