--- a/internal/core/importance/importance.go
+++ b/internal/core/importance/importance.go
@@ -37,7 +37,7 @@
 // shortest one. tenant is nil for a request without a tenant.
 func Of(route *intent.Route, tenant *intent.Tenant, timeout time.Duration) int {
 	rank := 0
-	if tenant != nil && tenant.Ranked {
+	if tenant != nil && tenant.HasPriority {
 		rank = min(max(tenant.Priority, 0), maxTenantRank)
 	}
 	tier := 0
--- a/internal/core/importance/importance_test.go
+++ b/internal/core/importance/importance_test.go
@@ -26,7 +26,7 @@
 func TestTenantPriorityOrdersWithinARoutePriority(t *testing.T) {
 	g := NewWithT(t)
 	route := func(priority int) *intent.Route { return &intent.Route{Priority: priority} }
-	tenant := func(priority int) *intent.Tenant { return &intent.Tenant{Priority: priority, Ranked: true} }
+	tenant := func(priority int) *intent.Tenant { return &intent.Tenant{Priority: priority, HasPriority: true} }
 	first := Of(route(1), tenant(0), time.Second)
 	late := Of(route(1), tenant(1), 25*time.Millisecond)
 	last := Of(route(1), tenant(100), time.Hour)
--- a/internal/core/intent/intent.go
+++ b/internal/core/intent/intent.go
@@ -29,8 +29,8 @@
 // Repeatable reports whether a request of the kind may run more than once.
 func (k Kind) Repeatable() bool { return k != Unsafe }
 
-// Part is a service of a route and its share of the requests.
-type Part struct {
+// Backend is a service of a route and its share of the requests.
+type Backend struct {
 	Service string
 	Weight  int
 }
@@ -46,7 +46,7 @@
 	Priority    int           // 0 is the highest priority
 	MaxAttempts int           // maximum number of targets to try per request
 	Public      bool          // no API key required
-	Parts       []Part        // at least one
+	Backends    []Backend     // at least one
 }
 
 // Service is the configuration of a service.
@@ -106,11 +106,11 @@
 	if route.Host == "" {
 		return bad("name the host", "host is missing")
 	}
-	if len(route.Parts) == 0 {
+	if len(route.Backends) == 0 {
 		return bad("name a service", "no service is named")
 	}
 	total := 0
-	for _, part := range route.Parts {
+	for _, part := range route.Backends {
 		if _, known := i.Services[part.Service]; !known {
 			return bad("add the service or correct the name", "service %q is unknown", part.Service)
 		}
@@ -125,8 +125,8 @@
 	return nil
 }
 
-// LeastPriority returns the highest priority number of any route, the least important one.
-func (i *Intent) LeastPriority() int { return i.lowestPriority }
+// LowestPriority returns the highest priority number of any route, the least important one.
+func (i *Intent) LowestPriority() int { return i.lowestPriority }
 
 // Match returns the route of a request, or nil if there is none.
 func (i *Intent) Match(host, path string) *Route {
--- a/internal/core/intent/intent_test.go
+++ b/internal/core/intent/intent_test.go
@@ -17,7 +17,7 @@
 }
 
 func route(name, host, prefix string) *Route {
-	return &Route{Name: name, Host: host, Prefix: prefix, Kind: Safe, Parts: []Part{{Service: "s", Weight: 1}}}
+	return &Route{Name: name, Host: host, Prefix: prefix, Kind: Safe, Backends: []Backend{{Service: "s", Weight: 1}}}
 }
 
 func TestMatchPrefersLongestPrefix(t *testing.T) {
@@ -35,9 +35,9 @@
 	noSlash := route("r", "a.example", "/x")
 	noHost := route("r", "", "/x/")
 	unknown := route("r", "a.example", "/x/")
-	unknown.Parts = []Part{{Service: "t", Weight: 1}}
+	unknown.Backends = []Backend{{Service: "t", Weight: 1}}
 	weightless := route("r", "a.example", "/x/")
-	weightless.Parts = []Part{{Service: "s"}}
+	weightless.Backends = []Backend{{Service: "s"}}
 	for _, invalid := range []*Route{noSlash, noHost, unknown, weightless} {
 		configuration := &Intent{Services: map[string]Service{"s": {}}, Routes: []*Route{invalid}}
 		g.Expect(failure.KindOf(configuration.Seal())).To(Equal(failure.BadInput))
--- a/internal/core/intent/tenant.go
+++ b/internal/core/intent/tenant.go
@@ -10,16 +10,16 @@
 
 // Tenant is a customer whose requests carry one of its API keys.
 type Tenant struct {
-	Name     string
-	Keys     []string // unique to the tenant; must not be logged
-	Priority int      // 0 is the highest priority; ignored unless Ranked
-	Ranked   bool     // the operators set Priority
-	Rate     float64  // requests per second over all nodes; 0: no limit
-	Burst    float64  // requests above the rate
+	Name        string
+	Keys        []string // unique to the tenant; must not be logged
+	Priority    int      // 0 is the highest priority; ignored unless Ranked
+	HasPriority bool     // the operators set Priority
+	Rate        float64  // requests per second over all nodes; 0: no limit
+	Burst       float64  // requests above the rate
 }
 
-// Limited reports whether the tenant has a rate limit.
-func (t *Tenant) Limited() bool { return t.Rate > 0 }
+// HasRateLimit reports whether the tenant has a rate limit.
+func (t *Tenant) HasRateLimit() bool { return t.Rate > 0 }
 
 // tenantIndex finds tenants by key and by name.
 type tenantIndex struct {
@@ -40,7 +40,7 @@
 			return failure.New(failure.BadInput, "give each tenant a unique name", "tenant %s is listed twice", tenant.Name)
 		}
 		x.byName[tenant.Name] = tenant
-		x.hasLimits = x.hasLimits || tenant.Limited()
+		x.hasLimits = x.hasLimits || tenant.HasRateLimit()
 		for _, key := range tenant.Keys {
 			if other := x.byKey[key]; other != nil {
 				return failure.New(failure.BadInput, "assign each key to only one tenant", "tenants %s and %s have the same key", other.Name, tenant.Name)
@@ -80,14 +80,14 @@
 	return number >= 0 && !math.IsInf(number, 0) && !math.IsNaN(number)
 }
 
-// NeedsKey reports whether client requests on the route require a tenant's API key.
-func (i *Intent) NeedsKey(route *Route) bool { return len(i.Tenants) > 0 && !route.Public }
+// RequiresKey reports whether client requests on the route require a tenant's API key.
+func (i *Intent) RequiresKey(route *Route) bool { return len(i.Tenants) > 0 && !route.Public }
 
-// Holder returns the tenant with an API key, or nil if there is none.
-func (i *Intent) Holder(key string) *Tenant { return i.tenants.byKey[key] }
+// TenantByKey returns the tenant with an API key, or nil if there is none.
+func (i *Intent) TenantByKey(key string) *Tenant { return i.tenants.byKey[key] }
 
-// Tenant returns the tenant with a name, or nil if there is none.
-func (i *Intent) Tenant(name string) *Tenant { return i.tenants.byName[name] }
+// TenantByName returns the tenant with a name, or nil if there is none.
+func (i *Intent) TenantByName(name string) *Tenant { return i.tenants.byName[name] }
 
-// Limited reports whether any tenant has a rate limit.
-func (i *Intent) Limited() bool { return i.tenants.hasLimits }
+// HasRateLimit reports whether any tenant has a rate limit.
+func (i *Intent) HasRateLimits() bool { return i.tenants.hasLimits }
--- a/internal/core/intent/tenant_test.go
+++ b/internal/core/intent/tenant_test.go
@@ -12,15 +12,15 @@
 	g := NewWithT(t)
 	configuration := &Intent{Tenants: []*Tenant{{Name: "a", Keys: []string{"k1", "k2"}}, {Name: "b", Keys: []string{"k3"}, Rate: 5}}}
 	g.Expect(configuration.Seal()).To(Succeed())
-	g.Expect(configuration.Holder("k2").Name).To(Equal("a"))
-	g.Expect(configuration.Holder("k3").Name).To(Equal("b"))
-	g.Expect(configuration.Holder("k4")).To(BeNil())
-	g.Expect(configuration.Holder("")).To(BeNil())
-	g.Expect(configuration.Tenant("b").Limited()).To(BeTrue())
-	g.Expect(configuration.Limited()).To(BeTrue())
-	g.Expect(configuration.NeedsKey(&Route{})).To(BeTrue())
-	g.Expect(configuration.NeedsKey(&Route{Public: true})).To(BeFalse())
-	g.Expect((&Intent{}).NeedsKey(&Route{})).To(BeFalse())
+	g.Expect(configuration.TenantByKey("k2").Name).To(Equal("a"))
+	g.Expect(configuration.TenantByKey("k3").Name).To(Equal("b"))
+	g.Expect(configuration.TenantByKey("k4")).To(BeNil())
+	g.Expect(configuration.TenantByKey("")).To(BeNil())
+	g.Expect(configuration.TenantByName("b").HasRateLimit()).To(BeTrue())
+	g.Expect(configuration.HasRateLimits()).To(BeTrue())
+	g.Expect(configuration.RequiresKey(&Route{})).To(BeTrue())
+	g.Expect(configuration.RequiresKey(&Route{Public: true})).To(BeFalse())
+	g.Expect((&Intent{}).RequiresKey(&Route{})).To(BeFalse())
 }
 
 func TestSealRejectsInvalidTenantsWithoutLoggingKeys(t *testing.T) {
--- a/internal/sidecar/admission/admission.go
+++ b/internal/sidecar/admission/admission.go
@@ -101,7 +101,7 @@
 	if current == nil {
 		return 0
 	}
-	return current.LeastPriority() - route.Priority
+	return current.LowestPriority() - route.Priority
 }
 
 // Needs returns the mean number of calls to each service per request of the route.
--- a/internal/sidecar/entry/quota.go
+++ b/internal/sidecar/entry/quota.go
@@ -20,7 +20,7 @@
 // checkQuota rejects a request over its tenant's rate limit: with 429 if the limit is reached, with
 // 503 if no node could decide.
 func (r *request) checkQuota() bool {
-	if r.keyTenant == nil || !r.keyTenant.Limited() {
+	if r.keyTenant == nil || !r.keyTenant.HasRateLimit() {
 		return true
 	}
 	quotas := r.options.Quotas
--- a/internal/sidecar/entry/send.go
+++ b/internal/sidecar/entry/send.go
@@ -99,7 +99,7 @@
 func (r *request) retryRank() float64 {
 	priorities := 1
 	if current := r.options.Configuration.Load(); current != nil {
-		priorities = current.LeastPriority() + 1
+		priorities = current.LowestPriority() + 1
 	}
 	root, _, _ := strings.Cut(r.id, wire.CallSeparator)
 	return repeats.Rank(r.importance/importance.Step, priorities, xxhash.Sum64String(root))
--- a/internal/sidecar/entry/splitter.go
+++ b/internal/sidecar/entry/splitter.go
@@ -16,25 +16,25 @@
 // choose returns the service for the next request. Each request credits every service with its
 // share of the total weight; the one with the most credit is chosen and pays for the request.
 func (s *weightedSplitter) choose(route *intent.Route) string {
-	if len(route.Parts) == 1 {
-		return route.Parts[0].Service
+	if len(route.Backends) == 1 {
+		return route.Backends[0].Service
 	}
 	total := 0
-	for _, part := range route.Parts {
+	for _, part := range route.Backends {
 		total += part.Weight
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	credit := s.credit[route.Name]
-	if len(credit) != len(route.Parts) {
-		credit = make([]float64, len(route.Parts))
+	if len(credit) != len(route.Backends) {
+		credit = make([]float64, len(route.Backends))
 		for index := range credit {
 			credit[index] = rand.Float64()
 		}
 		s.credit[route.Name] = credit
 	}
 	best := -1
-	for index, part := range route.Parts {
+	for index, part := range route.Backends {
 		if part.Weight == 0 {
 			continue
 		}
@@ -44,5 +44,5 @@
 		}
 	}
 	credit[best]--
-	return route.Parts[best].Service
+	return route.Backends[best].Service
 }
--- a/internal/sidecar/entry/splitter_test.go
+++ b/internal/sidecar/entry/splitter_test.go
@@ -10,7 +10,7 @@
 func TestSplitterFollowsWeights(t *testing.T) {
 	g := NewWithT(t)
 	s := &weightedSplitter{credit: map[string][]float64{}}
-	route := &intent.Route{Name: "split", Parts: []intent.Part{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}, {Service: "c", Weight: 0}}}
+	route := &intent.Route{Name: "split", Backends: []intent.Backend{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}, {Service: "c", Weight: 0}}}
 	counts := map[string]int{}
 	for range 1000 {
 		counts[s.choose(route)]++
--- a/internal/sidecar/entry/tenant.go
+++ b/internal/sidecar/entry/tenant.go
@@ -31,13 +31,13 @@
 		r.reject(http.StatusServiceUnavailable, outcome.ReasonStaleConfiguration, retryafter.NotReady())
 		return false
 	}
-	r.keyTenant = r.intent.Holder(key)
+	r.keyTenant = r.intent.TenantByKey(key)
 	if r.keyTenant != nil {
 		r.tenant = r.keyTenant.Name
 		r.applyTenantPriority()
 		return true
 	}
-	if r.intent.NeedsKey(r.route) {
+	if r.intent.RequiresKey(r.route) {
 		r.rejectKey()
 		return false
 	}
@@ -60,7 +60,7 @@
 // rejected as not run, since the parent's response can no longer be delivered.
 func (r *request) handleMissingKey() bool {
 	switch {
-	case !r.intent.NeedsKey(r.route):
+	case !r.intent.RequiresKey(r.route):
 		return true
 	case strings.Contains(r.id, wire.CallSeparator):
 		r.reject(http.StatusServiceUnavailable, outcome.ReasonParentGone, retryafter.NotReady())
--- a/internal/sidecar/quotas/limiter.go
+++ b/internal/sidecar/quotas/limiter.go
@@ -141,7 +141,7 @@
 
 // ReturnToken returns the token of an admitted request that will not be executed.
 func (l *Limiter) ReturnToken(tenant *intent.Tenant) {
-	if tenant == nil || !tenant.Limited() {
+	if tenant == nil || !tenant.HasRateLimit() {
 		return
 	}
 	l.mutex.Lock()
--- a/internal/sidecar/quotas/quotas.go
+++ b/internal/sidecar/quotas/quotas.go
@@ -71,5 +71,5 @@
 // anyTenantLimited reports whether the configuration limits any tenant.
 func (o *Options) anyTenantLimited() bool {
 	current := o.Configuration.Load()
-	return current != nil && current.Limited()
+	return current != nil && current.HasRateLimits()
 }
--- a/internal/sidecar/quotas/requests.go
+++ b/internal/sidecar/quotas/requests.go
@@ -107,7 +107,7 @@
 		if shardOf(name) != shard {
 			continue
 		}
-		if tenant := current.Tenant(name); tenant != nil {
+		if tenant := current.TenantByName(name); tenant != nil {
 			t.bucket.SetLimit(now, quota.Limit{Rate: tenant.Rate, Burst: tenant.Burst})
 		}
 		if t.bucket.Idle(now) && len(t.waiters) == 0 {
--- a/internal/sidecar/quotas/server.go
+++ b/internal/sidecar/quotas/server.go
@@ -215,7 +215,7 @@
 	for i := range request.Reports {
 		report := reportFromWire(&request.Reports[i])
 		limit := quota.Limit{}
-		if tenant := current.Tenant(report.Tenant); tenant != nil {
+		if tenant := current.TenantByName(report.Tenant); tenant != nil {
 			limit = quota.Limit{Rate: tenant.Rate, Burst: tenant.Burst}
 		}
 		answer.Allotments = append(answer.Allotments, allotmentToWire(state.keeper.Allocate(now, request.Holder, process, limit, report, remaining)))
