--- a/internal/sidecar/arrival/crash.go
+++ b/internal/sidecar/arrival/crash.go
@@ -46,7 +46,7 @@
 
 func (r *request) unansweredRun(until time.Duration) target.UnansweredRun {
 	return target.UnansweredRun{
-		Run:     heldback.Run{Fingerprint: r.Fingerprint(), Alone: r.exclusive, Route: r.Call.Route},
+		Run:     heldback.Run{Fingerprint: r.Fingerprint(), Isolated: r.exclusive, Route: r.Call.Route},
 		Request: r.Call.RequestID, Until: until,
 	}
 }
@@ -77,7 +77,7 @@
 	for _, run := range runs {
 		crashed = append(crashed, run.Run)
 	}
-	i.options.HeldBack.TargetEnded(gate.Instance, gate.Service, crashed)
+	i.options.HeldBack.RecordCrash(gate.Instance, gate.Service, crashed)
 }
 
 // maxLoggedRuns limits the requests listed in one log event.
--- a/internal/sidecar/arrival/ingress.go
+++ b/internal/sidecar/arrival/ingress.go
@@ -187,11 +187,11 @@
 	switch {
 	case !heldBack.MaySend(&req.Request):
 		return reply.NotRun(outcome.ReasonEndsTargets)
-	case heldBack.Suspected(&req.Request):
+	case heldBack.IsSuspected(&req.Request):
 		if !gate.Unanswered.AcquireSingle(ctx) {
 			return reply.NotRun(outcome.ReasonSuspectWaits)
 		}
-		if req.exclusive = heldBack.Suspected(&req.Request); req.exclusive {
+		if req.exclusive = heldBack.IsSuspected(&req.Request); req.exclusive {
 			defer gate.Unanswered.ReleaseSingle()
 		} else {
 			gate.Unanswered.ReleaseSingle() // cleared of suspicion while waiting
@@ -231,7 +231,7 @@
 	if response.Stream == nil {
 		gate.Leave(id, answered)
 		if response.Outcome == outcome.Answered {
-			i.options.HeldBack.EndedWell(&req.Request)
+			i.options.HeldBack.RecordSuccess(&req.Request)
 		}
 	} else {
 		response.Stream = &slotReader{ReadCloser: response.Stream, release: func(err error) {
@@ -271,7 +271,7 @@
 func (i *Ingress) recordStreamEnd(ctx context.Context, gate *target.Gate, req *request, err error) {
 	switch {
 	case err == io.EOF:
-		i.options.HeldBack.EndedWell(&req.Request)
+		i.options.HeldBack.RecordSuccess(&req.Request)
 	case err == nil || ctx.Err() != nil:
 		i.recordCancelled(gate, req)
 	default:
--- a/internal/sidecar/arrival/options.go
+++ b/internal/sidecar/arrival/options.go
@@ -35,9 +35,9 @@
 // HeldBack decides whether requests that may crash the target are sent, and collects the evidence.
 type HeldBack interface {
 	MaySend(r *heldback.Request) bool
-	Suspected(r *heldback.Request) bool
-	EndedWell(r *heldback.Request)
-	TargetEnded(instance, service string, runs []heldback.Run)
+	IsSuspected(r *heldback.Request) bool
+	RecordSuccess(r *heldback.Request)
+	RecordCrash(instance, service string, runs []heldback.Run)
 }
 
 // Options holds the dependencies of an Ingress.
--- a/internal/sidecar/entry/entry.go
+++ b/internal/sidecar/entry/entry.go
@@ -128,7 +128,7 @@
 // crashVerdict checks the request against the contents that are known to crash targets.
 func (r *request) crashVerdict() heldback.Verdict {
 	call := &wire.SidecarCall{Method: r.incoming.Method, URI: requestURI(r.incoming), Host: r.incoming.Host, Caller: r.options.Caller(), Tenant: r.tenant}
-	return r.options.HeldBack.AtStart(&heldback.Request{Call: call, Body: r.body})
+	return r.options.HeldBack.CheckAtEntry(&heldback.Request{Call: call, Body: r.body})
 }
 
 // countRequest credits the retry budgets for the request and its expected downstream calls. It
--- a/internal/sidecar/entry/options.go
+++ b/internal/sidecar/entry/options.go
@@ -42,7 +42,7 @@
 
 // HeldBack decides whether a request that crashed targets before may be sent again.
 type HeldBack interface {
-	AtStart(r *heldback.Request) heldback.Verdict
+	CheckAtEntry(r *heldback.Request) heldback.Verdict
 }
 
 // Quotas enforces the rate limits of tenants.
--- a/internal/sidecar/heldback/heldback.go
+++ b/internal/sidecar/heldback/heldback.go
@@ -95,9 +95,9 @@
 	return true
 }
 
-// Suspected reports whether a request was in flight at a target that crashed, so that it must be
+// IsSuspected reports whether a request was in flight at a target that crashed, so that it must be
 // the only suspect at its target.
-func (c *Control) Suspected(r *Request) bool {
+func (c *Control) IsSuspected(r *Request) bool {
 	if r.Call.Suspect && c.options.Enabled() && !c.recent.contains(c.options.Now(), r.Fingerprint().Variant) {
 		return true
 	}
@@ -112,9 +112,9 @@
 	EndTrial func()
 }
 
-// AtStart decides on a request at the node where it enters. Recent successes are known only at
+// CheckAtEntry decides on a request at the node where it enters. Recent successes are known only at
 // the nodes of the targets, so a request that could be cleared by one is not refused here.
-func (c *Control) AtStart(r *Request) Verdict {
+func (c *Control) CheckAtEntry(r *Request) Verdict {
 	if !c.suspects.Load() || !c.options.Enabled() {
 		return Verdict{}
 	}
@@ -141,22 +141,22 @@
 	delete(c.trials, content)
 }
 
-// TargetEnded adds evidence against the requests that were in flight at the local target, an
+// RecordCrash adds evidence against the requests that were in flight at the local target, an
 // instance of a service, when it crashed. Requests that have recently succeeded are skipped.
-func (c *Control) TargetEnded(instance, service string, runs []Run) {
+func (c *Control) RecordCrash(instance, service string, runs []Run) {
 	at := time.Now().UnixMilli()
 	evidence := make([]crashes.Evidence, 0, len(runs))
 	for _, run := range runs {
 		if !c.recent.contains(c.options.Now(), run.Fingerprint.Variant) {
-			evidence = append(evidence, crashes.Evidence{Fingerprint: run.Fingerprint, Instance: instance, Service: service, Route: run.Route, CrashedAtMillis: at, Isolated: run.Alone})
+			evidence = append(evidence, crashes.Evidence{Fingerprint: run.Fingerprint, Instance: instance, Service: service, Route: run.Route, CrashedAtMillis: at, Isolated: run.Isolated})
 		}
 	}
 	c.add(evidence)
 }
 
-// EndedWell records that the local target completed a request, and clears the evidence against
+// RecordSuccess records that the local target completed a request, and clears the evidence against
 // the request at all nodes.
-func (c *Control) EndedWell(r *Request) {
+func (c *Control) RecordSuccess(r *Request) {
 	if !c.options.Enabled() {
 		return
 	}
--- a/internal/sidecar/heldback/heldback_test.go
+++ b/internal/sidecar/heldback/heldback_test.go
@@ -60,7 +60,7 @@
 // crashTargets reports crashes of a number of targets, each with the request in flight.
 func crashTargets(c *Control, r *Request, targets int, alone bool) {
 	for target := range targets {
-		c.TargetEnded(fmt.Sprint("i-", target), "s", []Run{{Fingerprint: r.Fingerprint(), Alone: alone, Route: "r"}})
+		c.RecordCrash(fmt.Sprint("i-", target), "s", []Run{{Fingerprint: r.Fingerprint(), Isolated: alone, Route: "r"}})
 	}
 }
 
@@ -71,7 +71,7 @@
 		alone     bool
 		first     bool // the node ranks first for the content
 		suspected bool
-		refused   bool // by AtStart
+		refused   bool // by CheckAtEntry
 		trial     bool
 		maySend   bool // if not marked as a trial
 		held      int
@@ -88,13 +88,13 @@
 				c := newTestControl(singleNode{first: tc.first}, nil)
 				r := requestFor("/a?q", "caller")
 				crashTargets(c, r, tc.ends, tc.alone)
-				g.Expect(c.Suspected(r)).To(Equal(tc.suspected))
-				verdict := c.AtStart(r)
+				g.Expect(c.IsSuspected(r)).To(Equal(tc.suspected))
+				verdict := c.CheckAtEntry(r)
 				g.Expect(verdict.Refused).To(Equal(tc.refused))
 				g.Expect(verdict.EndTrial != nil).To(Equal(tc.trial))
 				g.Expect(c.MaySend(r)).To(Equal(tc.maySend))
 				g.Expect(c.Count()).To(Equal(tc.held))
-				g.Expect(c.AtStart(requestFor("/b", "caller"))).To(Equal(Verdict{}), "different content")
+				g.Expect(c.CheckAtEntry(requestFor("/b", "caller"))).To(Equal(Verdict{}), "different content")
 			})
 		})
 	}
@@ -108,23 +108,23 @@
 
 		other := newTestControl(singleNode{}, nil)
 		crashTargets(other, crashing, 3, false)
-		g.Expect(other.AtStart(retried).EndTrial).To(BeNil())
+		g.Expect(other.CheckAtEntry(retried).EndTrial).To(BeNil())
 
 		c := newTestControl(singleNode{first: true}, nil)
 		crashTargets(c, crashing, 3, false)
-		trial := c.AtStart(retried)
+		trial := c.CheckAtEntry(retried)
 		g.Expect(trial.Refused).To(BeFalse())
 		g.Expect(trial.EndTrial).NotTo(BeNil())
-		g.Expect(c.AtStart(retried).EndTrial).To(BeNil(), "a trial is in flight")
+		g.Expect(c.CheckAtEntry(retried).EndTrial).To(BeNil(), "a trial is in flight")
 		g.Expect(c.MaySend(retried)).To(BeFalse(), "not marked as a trial")
 		retried.Call.Trial = true
 		g.Expect(c.MaySend(retried)).To(BeTrue())
 		trial.EndTrial()
-		g.Expect(c.AtStart(retried).EndTrial).NotTo(BeNil())
+		g.Expect(c.CheckAtEntry(retried).EndTrial).NotTo(BeNil())
 
-		c.EndedWell(crashing)
+		c.RecordSuccess(crashing)
 		g.Expect(c.Count()).To(BeZero())
-		g.Expect(c.AtStart(retried)).To(Equal(Verdict{}))
+		g.Expect(c.CheckAtEntry(retried)).To(Equal(Verdict{}))
 	})
 }
 
@@ -133,9 +133,9 @@
 		g := NewWithT(t)
 		c := newTestControl(singleNode{first: true}, nil)
 		r := requestFor("/a", "caller")
-		c.EndedWell(r)
+		c.RecordSuccess(r)
 		crashTargets(c, r, 3, true)
-		g.Expect(c.Suspected(r)).To(BeFalse())
+		g.Expect(c.IsSuspected(r)).To(BeFalse())
 		time.Sleep(recentTTL)
 		crashTargets(c, r, 3, true)
 		g.Expect(c.MaySend(r)).To(BeFalse())
@@ -162,10 +162,10 @@
 		g.Expect(fakeStore.item.Key).To(Equal("ends"))
 
 		started := newTestControl(singleNode{first: true}, fakeStore)
-		started.TakeStored(&fakeStore.item)
+		started.ApplyStored(&fakeStore.item)
 		g.Expect(started.MaySend(r)).To(BeFalse())
 		g.Expect(started.stored.digest).To(Equal(crashes.DigestOf(c.ledger.Persistent())))
-		started.TakeStored(&store.Item{Key: "ends", Deleted: true})
+		started.ApplyStored(&store.Item{Key: "ends", Deleted: true})
 		g.Expect(started.MaySend(r)).To(BeFalse(), "evidence must survive its deletion from the store")
 	})
 }
--- a/internal/sidecar/heldback/request.go
+++ b/internal/sidecar/heldback/request.go
@@ -31,6 +31,6 @@
 // Run describes a request that was in flight at a target when the target crashed.
 type Run struct {
 	Fingerprint crashes.Fingerprint
-	Alone       bool // no other suspect was in flight at the target
+	Isolated    bool // no other suspect was in flight at the target
 	Route       string
 }
--- a/internal/sidecar/heldback/storage.go
+++ b/internal/sidecar/heldback/storage.go
@@ -31,9 +31,9 @@
 	saveTimeout = 400 * time.Millisecond
 )
 
-// TakeStored adds the evidence in the store. If it cannot be decoded, the error is logged and
+// ApplyStored adds the evidence in the store. If it cannot be decoded, the error is logged and
 // the item is ignored.
-func (c *Control) TakeStored(item *store.Item) {
+func (c *Control) ApplyStored(item *store.Item) {
 	if item.Deleted {
 		c.mutex.Lock()
 		c.stored.revision, c.stored.digest = 0, 0
--- a/internal/sidecar/options.go
+++ b/internal/sidecar/options.go
@@ -117,7 +117,7 @@
 // applyStoredItem applies the crash evidence and ignores other items.
 func (n *Node) applyStoredItem(item *store.Item) {
 	if item.Key == n.options.CrashKey {
-		n.heldBack.TakeStored(item)
+		n.heldBack.ApplyStored(item)
 	}
 }
 
