--- a/internal/sidecar/entry/options.go
+++ b/internal/sidecar/entry/options.go
@@ -55,7 +55,7 @@
 // Members tracks the process incarnations of the other nodes.
 type Members interface {
 	Incarnation(node string) string
-	Restarted(node, incarnation string)
+	SetIncarnation(node, incarnation string)
 }
 
 // Configuration is the routing configuration in force.
--- a/internal/sidecar/entry/send.go
+++ b/internal/sidecar/entry/send.go
@@ -181,7 +181,7 @@
 		response = r.options.Peers.Settle(ctx, choice.Address, call)
 	}
 	if response.Reason == outcome.ReasonNodeRestarted {
-		r.options.Members.Restarted(choice.Node, response.Incarnation)
+		r.options.Members.SetIncarnation(choice.Node, response.Incarnation)
 	}
 	return response
 }
--- a/internal/sidecar/follower/follower.go
+++ b/internal/sidecar/follower/follower.go
@@ -74,9 +74,9 @@
 	}
 }
 
-// Heard records a heartbeat of another follower. well reports whether that follower can reach the
+// RecordHeartbeat records a heartbeat of another follower. well reports whether that follower can reach the
 // store.
-func (f *Follower) Heard(name string, well bool) {
+func (f *Follower) RecordHeartbeat(name string, well bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	if well {
@@ -246,7 +246,7 @@
 	if message.StoreReachable {
 		return
 	}
-	if address := f.options.Members.AddressElsewhere(); address != "" {
+	if address := f.options.Members.RemoteZoneAddress(); address != "" {
 		go f.options.Exchange(ctx, address)
 	}
 }
--- a/internal/sidecar/follower/options.go
+++ b/internal/sidecar/follower/options.go
@@ -28,7 +28,7 @@
 	PeerNames() []string
 	ZonePeers() []string // the other nodes in the zone
 	ZoneCount() int      // zones with at least one node
-	AddressElsewhere() string
+	RemoteZoneAddress() string
 	MergeStored(record *wire.NodeRecord)
 	Remove(record *wire.NodeRecord)
 	MarkStoreListed()
--- a/internal/sidecar/heldback/exchange.go
+++ b/internal/sidecar/heldback/exchange.go
@@ -104,7 +104,7 @@
 		if c.empty() && c.options.Now() > startupComparePeriod {
 			continue
 		}
-		if address := c.options.Nodes.AnyAddress(); address != "" {
+		if address := c.options.Nodes.RandomAddress(); address != "" {
 			c.Compare(ctx, address)
 		}
 	}
--- a/internal/sidecar/heldback/heldback.go
+++ b/internal/sidecar/heldback/heldback.go
@@ -45,12 +45,12 @@
 
 // Nodes provides the known nodes.
 type Nodes interface {
-	// IsFirstFor reports whether this node ranks first among all nodes for a key.
-	IsFirstFor(key []byte) bool
+	// RanksFirst reports whether this node ranks first among all nodes for a key.
+	RanksFirst(key []byte) bool
 	// Addresses returns the addresses of the other nodes by zone.
 	Addresses() map[string][]string
-	// AnyAddress returns the address of a random other node, or an empty string.
-	AnyAddress() string
+	// RandomAddress returns the address of a random other node, or an empty string.
+	RandomAddress() string
 }
 
 // Options configure a Control and connect it to the other parts of a node.
@@ -128,7 +128,7 @@
 		return Verdict{Refused: true}
 	case c.ledger.State(fingerprint, false) != crashes.Doubtful:
 		return Verdict{}
-	case c.trials[content] || !c.options.Nodes.IsFirstFor(content[:]):
+	case c.trials[content] || !c.options.Nodes.RanksFirst(content[:]):
 		return Verdict{Refused: own == crashes.Doubtful}
 	}
 	c.trials[content] = true
--- a/internal/sidecar/heldback/heldback_test.go
+++ b/internal/sidecar/heldback/heldback_test.go
@@ -21,11 +21,11 @@
 // singleNode implements Nodes without other nodes.
 type singleNode struct{ first bool }
 
-func (n singleNode) IsFirstFor([]byte) bool { return n.first }
+func (n singleNode) RanksFirst([]byte) bool { return n.first }
 
 func (singleNode) Addresses() map[string][]string { return nil }
 
-func (singleNode) AnyAddress() string { return "" }
+func (singleNode) RandomAddress() string { return "" }
 
 // singleKeyStore is a store with one key. It implements only Put.
 type singleKeyStore struct {
--- a/internal/sidecar/membership/addresses.go
+++ b/internal/sidecar/membership/addresses.go
@@ -44,7 +44,7 @@
 	found := map[string][]string{}
 	m.mutex.Lock()
 	for name, record := range m.records {
-		if name != m.options.Settings().Node && !m.options.Silent(name) {
+		if name != m.options.Settings().Node && !m.options.Unresponsive(name) {
 			found[record.Zone] = append(found[record.Zone], record.Address)
 		}
 	}
@@ -59,9 +59,9 @@
 // zones is billed.
 const sameZoneProbability = 0.75
 
-// AnyAddress returns the address of a random other node and prefers the local zone. It returns an
+// RandomAddress returns the address of a random other node and prefers the local zone. It returns an
 // empty string if no other node is known.
-func (m *Members) AnyAddress() string {
+func (m *Members) RandomAddress() string {
 	local, remote := m.addressesByLocality()
 	if len(local) == 0 || len(remote) > 0 && rand.Float64() >= sameZoneProbability {
 		local = remote
@@ -69,9 +69,9 @@
 	return randomAddress(local)
 }
 
-// AddressElsewhere returns the address of a random node in another zone, or of any other node if
+// RemoteZoneAddress returns the address of a random node in another zone, or of any other node if
 // all are in the local zone. It returns an empty string if no other node is known.
-func (m *Members) AddressElsewhere() string {
+func (m *Members) RemoteZoneAddress() string {
 	local, remote := m.addressesByLocality()
 	if len(remote) == 0 {
 		remote = local
--- a/internal/sidecar/membership/broadcast.go
+++ b/internal/sidecar/membership/broadcast.go
@@ -30,9 +30,9 @@
 	fetching      atomic.Bool // a Fetch is in progress
 }
 
-// SendOwn schedules a broadcast of the local record after recordCoalesceDelay. The broadcast
+// SendLocalRecord schedules a broadcast of the local record after recordCoalesceDelay. The broadcast
 // contains all changes made until then.
-func (b *Broadcaster) SendOwn() {
+func (b *Broadcaster) SendLocalRecord() {
 	if !b.sendScheduled.CompareAndSwap(false, true) {
 		return
 	}
@@ -93,9 +93,9 @@
 	if !message.Heartbeat {
 		return
 	}
-	b.options.Follower.Heard(message.Follower, message.StoreReachable)
+	b.options.Follower.RecordHeartbeat(message.Follower, message.StoreReachable)
 	if slices.Contains(message.Missing, b.options.Settings().Node) {
-		b.options.RecordLost()
+		b.options.OnRecordLost()
 	}
 }
 
@@ -119,5 +119,5 @@
 		return
 	}
 	defer b.fetching.Store(false)
-	b.exchanger.With(context.Background(), address)
+	b.exchanger.Sync(context.Background(), address)
 }
--- a/internal/sidecar/membership/broadcast_test.go
+++ b/internal/sidecar/membership/broadcast_test.go
@@ -68,7 +68,7 @@
 				}
 			}
 			sender := nodes[0]
-			sender.membership.Changed()
+			sender.membership.AnnounceLocalRecord()
 			want := sender.membership.LocalRecord().Sequence
 			reached := func() (count int) {
 				for _, n := range nodes[1+tc.dead:] {
@@ -89,11 +89,11 @@
 	nodes := newConnectedNodes(t, 2, 1)
 	here, there := nodes[0], nodes[1]
 	there.membership.applyRemovals([]wire.NodeRecord{*here.membership.LocalRecord()})
-	g.Expect(there.membership.Others()).To(BeZero())
-	here.exchanger.With(t.Context(), there.settings().Listen.Inbound)
-	g.Expect(there.membership.Others()).To(BeZero(), "a removed record must not be re-added")
+	g.Expect(there.membership.PeerCount()).To(BeZero())
+	here.exchanger.Sync(t.Context(), there.settings().Listen.Inbound)
+	g.Expect(there.membership.PeerCount()).To(BeZero(), "a removed record must not be re-added")
 	g.Expect(here.recordLost).To(Receive())
-	here.membership.Changed()
-	here.exchanger.With(t.Context(), there.settings().Listen.Inbound)
-	g.Expect(there.membership.Others()).To(Equal(1))
+	here.membership.AnnounceLocalRecord()
+	here.exchanger.Sync(t.Context(), there.settings().Listen.Inbound)
+	g.Expect(there.membership.PeerCount()).To(Equal(1))
 }
--- a/internal/sidecar/membership/exchange.go
+++ b/internal/sidecar/membership/exchange.go
@@ -28,19 +28,19 @@
 type Exchanger struct {
 	options  Options
 	members  *Members
-	inFlight sync.Map // set of addresses with a running exchange of StartWith
+	inFlight sync.Map // set of addresses with a running exchange of SyncInBackground
 }
 
-// StartWith starts an exchange with the node at address in the background, unless an earlier call
+// SyncInBackground starts an exchange with the node at address in the background, unless an earlier call
 // for the same address is still running. Callers use it for nodes that appear to have lost their
 // state, such as nodes that restarted while the store is unreachable.
-func (e *Exchanger) StartWith(address string) {
+func (e *Exchanger) SyncInBackground(address string) {
 	if _, loaded := e.inFlight.LoadOrStore(address, true); loaded {
 		return
 	}
 	go func() {
 		defer e.inFlight.Delete(address)
-		e.With(context.Background(), address)
+		e.Sync(context.Background(), address)
 	}()
 }
 
@@ -48,17 +48,17 @@
 func (e *Exchanger) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		wait.For(ctx, exchangeInterval/2+time.Duration(rand.Int64N(int64(exchangeInterval))))
-		if address := e.members.AnyAddress(); address != "" {
-			e.With(ctx, address)
+		if address := e.members.RandomAddress(); address != "" {
+			e.Sync(ctx, address)
 		}
 	}
 }
 
-// With runs one exchange with the node at address. The first message carries the digest of all
+// Sync runs one exchange with the node at address. The first message carries the digest of all
 // records; if it differs, the other node replies with its bucket digests, and both nodes send the
 // records of the differing buckets. Errors are not logged: the next exchange repairs what a lost
 // message left out.
-func (e *Exchanger) With(ctx context.Context, address string) {
+func (e *Exchanger) Sync(ctx context.Context, address string) {
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
 	request, _ := e.newMessage()
@@ -67,7 +67,7 @@
 		return
 	}
 	if answer.Removed {
-		e.options.RecordLost()
+		e.options.OnRecordLost()
 	}
 	e.receive(answer)
 	reply, local := e.newMessage()
--- a/internal/sidecar/membership/exchange_test.go
+++ b/internal/sidecar/membership/exchange_test.go
@@ -75,10 +75,10 @@
 			there, address, bytes := newMeteredNode(t, "there")
 			addRecords(here, tc.here[0], tc.here[1])
 			addRecords(there, tc.there[0], tc.there[1])
-			here.exchanger.With(context.Background(), address)
+			here.exchanger.Sync(context.Background(), address)
 			t.Logf("%d bytes", bytes.Load())
 			g.Expect(here.membership.digests()).To(Equal(there.membership.digests()))
-			g.Expect(here.membership.Others()).To(Equal(there.membership.Others()))
+			g.Expect(here.membership.PeerCount()).To(Equal(there.membership.PeerCount()))
 			g.Expect(bytes.Load()).To(BeNumerically("<", tc.maxBytes))
 		})
 	}
@@ -100,7 +100,7 @@
 	}))
 	defer server.Close()
 	defer here.peers.Transport.CloseIdleConnections()
-	here.exchanger.With(context.Background(), strings.TrimPrefix(server.URL, "http://"))
+	here.exchanger.Sync(context.Background(), strings.TrimPrefix(server.URL, "http://"))
 	g.Expect(here.membership.Incarnation("old")).To(Equal("o"))
 	g.Expect(received).NotTo(BeNil())
 }
--- a/internal/sidecar/membership/membership.go
+++ b/internal/sidecar/membership/membership.go
@@ -46,14 +46,14 @@
 	return m, e, m.broadcaster
 }
 
-// Changed increments the sequence number of the local record, applies the change locally and
+// AnnounceLocalRecord increments the sequence number of the local record, applies the change locally and
 // broadcasts the record.
-func (m *Members) Changed() {
+func (m *Members) AnnounceLocalRecord() {
 	m.mutex.Lock()
 	m.sequence++
 	m.mutex.Unlock()
 	m.Apply()
-	m.broadcaster.SendOwn()
+	m.broadcaster.SendLocalRecord()
 }
 
 // LocalRecord returns the current record of this node.
@@ -63,7 +63,7 @@
 	record := &wire.NodeRecord{
 		Node: settings.Node, Incarnation: m.options.Incarnation,
 		Address: settings.Listen.Inbound, Zone: settings.Zone, Service: report.Service, Instance: report.Instance, Slots: report.Slots,
-		Serving:         report.Instance != "" && !report.Draining && !m.options.Leaving(),
+		Serving:         report.Instance != "" && !report.Draining && !m.options.Draining(),
 		WarmupRemaining: max(coldUntil-m.options.Now(), 0).Milliseconds(),
 	}
 	m.mutex.Lock()
@@ -165,7 +165,7 @@
 	}
 	m.mutex.Unlock()
 	if superseded {
-		m.Changed()
+		m.AnnounceLocalRecord()
 	}
 }
 
@@ -220,9 +220,9 @@
 	return slices.Collect(maps.Keys(m.records))
 }
 
-// Restarted updates the incarnation of a node that replied with a different one than its record
+// SetIncarnation updates the incarnation of a node that replied with a different one than its record
 // has.
-func (m *Members) Restarted(node, incarnation string) {
+func (m *Members) SetIncarnation(node, incarnation string) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if record := m.records[node]; record != nil && incarnation != "" {
@@ -242,9 +242,9 @@
 	return ""
 }
 
-// IsFirstFor reports whether rendezvous hashing selects this node for a key. Nodes with the same
+// RanksFirst reports whether rendezvous hashing selects this node for a key. Nodes with the same
 // view of the membership agree on the selected node.
-func (m *Members) IsFirstFor(key []byte) bool {
+func (m *Members) RanksFirst(key []byte) bool {
 	local := m.options.Settings().Node
 	localWeight := rendezvousWeight(local, key)
 	m.mutex.Lock()
@@ -262,8 +262,8 @@
 	return xxhash.Sum64(append(append([]byte(nil), key...), name...))
 }
 
-// Others returns the number of other known nodes.
-func (m *Members) Others() int {
+// PeerCount returns the number of other known nodes.
+func (m *Members) PeerCount() int {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	count := len(m.records)
@@ -273,8 +273,8 @@
 	return count
 }
 
-// All returns the records of all nodes, including the local record.
-func (m *Members) All() []wire.NodeRecord {
+// Records returns the records of all nodes, including the local record.
+func (m *Members) Records() []wire.NodeRecord {
 	local := m.LocalRecord()
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -290,7 +290,7 @@
 // digests returns the bucket digests of all records.
 func (m *Members) digests() *buckets {
 	b := &buckets{}
-	for _, r := range m.All() {
+	for _, r := range m.Records() {
 		b.add(&r)
 	}
 	return b
@@ -299,7 +299,7 @@
 // recordsInBuckets returns the records of all nodes, including this node, in the wanted buckets.
 func (m *Members) recordsInBuckets(wanted [digestBuckets]bool) []wire.NodeRecord {
 	found := []wire.NodeRecord{}
-	for _, r := range m.All() {
+	for _, r := range m.Records() {
 		if wanted[bucketOf(r.Node)] {
 			found = append(found, r)
 		}
@@ -324,9 +324,9 @@
 	}
 	m.mutex.Unlock()
 	addTarget(targets, local, now)
-	m.options.Routing.Update(targets)
+	m.options.Routing.SetTargets(targets)
 	if others > 0 || listed {
-		m.options.Routing.Count(others + 1)
+		m.options.Routing.SetNodeCount(others + 1)
 	}
 	m.options.Follower.SetMembers(m.ZonePeers())
 }
--- a/internal/sidecar/membership/membership_test.go
+++ b/internal/sidecar/membership/membership_test.go
@@ -39,12 +39,12 @@
 	started := time.Now()
 	n.membership, n.exchanger, n.broadcaster = New(Options{
 		Settings: n.settings, Incarnation: incarnation,
-		Now:        func() time.Duration { return time.Since(started) },
-		Target:     func() (roster.Report, time.Duration) { return roster.Report{}, 0 },
-		Leaving:    func() bool { return false },
-		Silent:     func(string) bool { return false },
-		RecordLost: func() { wait.Signal(n.recordLost) },
-		Routing:    n.dependents, Follower: n.dependents,
+		Now:          func() time.Duration { return time.Since(started) },
+		Target:       func() (roster.Report, time.Duration) { return roster.Report{}, 0 },
+		Draining:     func() bool { return false },
+		Unresponsive: func(string) bool { return false },
+		OnRecordLost: func() { wait.Signal(n.recordLost) },
+		Routing:      n.dependents, Follower: n.dependents,
 		Configuration: configuration.New(nil, nil), Peers: n.peers, Events: eventlog.New(name, io.Discard),
 	})
 	return n
@@ -69,15 +69,15 @@
 	heartbeats []string
 }
 
-// Update implements Routing.
-func (d *fakeDependents) Update(targets map[string][]balancer.Target) {
+// SetTargets implements Routing.
+func (d *fakeDependents) SetTargets(targets map[string][]balancer.Target) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.targets = targets
 }
 
-// Count implements Routing.
-func (d *fakeDependents) Count(nodes int) {
+// SetNodeCount implements Routing.
+func (d *fakeDependents) SetNodeCount(nodes int) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.nodeCount = nodes
@@ -90,8 +90,8 @@
 	d.zonePeers = names
 }
 
-// Heard implements Follower.
-func (d *fakeDependents) Heard(name string, _ bool) {
+// RecordHeartbeat implements Follower.
+func (d *fakeDependents) RecordHeartbeat(name string, _ bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.heartbeats = append(d.heartbeats, name)
@@ -165,11 +165,11 @@
 			first := wire.NodeRecord{Node: "me", Incarnation: "first", Sequence: 9, Started: node.membership.LocalRecord().Started - tc.step.Milliseconds()}
 			other.membership.add(&first)
 
-			node.membership.Merge(other.membership.All())
-			other.membership.Merge(node.membership.All())
+			node.membership.Merge(other.membership.Records())
+			other.membership.Merge(node.membership.Records())
 			g.Expect(other.membership.Incarnation("me")).To(Equal("second"))
 			before := node.membership.LocalRecord().Started
-			node.membership.Merge(other.membership.All())
+			node.membership.Merge(other.membership.Records())
 			g.Expect(node.membership.LocalRecord().Started).To(Equal(before), "a record of the same incarnation is not superseded")
 		})
 	}
--- a/internal/sidecar/membership/options.go
+++ b/internal/sidecar/membership/options.go
@@ -13,19 +13,19 @@
 
 // Routing selects the targets of requests.
 type Routing interface {
-	// Update replaces the targets of all services.
-	Update(targets map[string][]balancer.Target)
-	// Count sets the number of nodes, including this node.
-	Count(nodes int)
+	// SetTargets replaces the targets of all services.
+	SetTargets(targets map[string][]balancer.Target)
+	// SetNodeCount sets the number of nodes, including this node.
+	SetNodeCount(nodes int)
 }
 
 // Follower elects the nodes of the zone that watch the store.
 type Follower interface {
 	// SetMembers replaces the set of other nodes in the zone.
 	SetMembers(names []string)
-	// Heard records a heartbeat of the named follower. well reports whether the follower can
+	// RecordHeartbeat records a heartbeat of the named follower. well reports whether the follower can
 	// reach the store.
-	Heard(name string, well bool)
+	RecordHeartbeat(name string, well bool)
 }
 
 // Options holds the dependencies of Members, Exchanger and Broadcaster.
@@ -34,9 +34,9 @@
 	Incarnation   string                                // identifies this process of the node
 	Now           func() time.Duration                  // monotonic clock that includes time suspended
 	Target        func() (roster.Report, time.Duration) // state of the local target, and the end of its warm-up
-	Leaving       func() bool                           // reports whether the node no longer accepts requests
-	Silent        func(node string) bool                // reports whether a node is considered dead
-	RecordLost    func()                                // called when the store has no record of this node
+	Draining      func() bool                           // reports whether the node no longer accepts requests
+	Unresponsive  func(node string) bool                // reports whether a node is considered dead
+	OnRecordLost  func()                                // called when the store has no record of this node
 	Routing       Routing
 	Follower      Follower
 	Configuration *configuration.InForce
--- a/internal/sidecar/node.go
+++ b/internal/sidecar/node.go
@@ -163,7 +163,7 @@
 	n.currentSettings.Store(&merged)
 	n.services.SetBudget(budget(&merged))
 	n.events.Add(eventlog.Node{Change: "reloaded", Incarnation: n.incarnation}, eventlog.State)
-	n.membership.Changed()
+	n.membership.AnnounceLocalRecord()
 }
 
 // ReloadFailed logs that changed settings were rejected; the previous ones stay in effect.
@@ -184,7 +184,7 @@
 func (n *Node) Version() uint64 { return n.configuration.Version() }
 
 // Peers returns the number of other known nodes.
-func (n *Node) Peers() int { return n.membership.Others() }
+func (n *Node) Peers() int { return n.membership.PeerCount() }
 
 // Follows reports whether the node reads the store on behalf of its zone.
 func (n *Node) Follows() bool { return n.follower.Follows() }
--- a/internal/sidecar/observe.go
+++ b/internal/sidecar/observe.go
@@ -14,7 +14,7 @@
 func (n *Node) gauges() metrics.Gauges {
 	return metrics.Gauges{
 		Version:  func() float64 { return float64(n.configuration.Version()) },
-		Peers:    func() float64 { return float64(n.membership.Others()) },
+		Peers:    func() float64 { return float64(n.membership.PeerCount()) },
 		Slots:    func() float64 { return float64(n.gateLoad().Slots) },
 		Running:  func() float64 { return float64(n.gateLoad().Running) },
 		Waiting:  func() float64 { return float64(n.gateLoad().Waiting) },
@@ -55,7 +55,7 @@
 		change = "draining"
 	}
 	n.events.Add(eventlog.Target{Instance: report.Instance, Service: report.Service, Change: change, Slots: report.Slots, Sequence: report.Sequence}, eventlog.State)
-	n.membership.Changed()
+	n.membership.AnnounceLocalRecord()
 }
 
 // peerSilent records that another node is unresponsive.
--- a/internal/sidecar/options.go
+++ b/internal/sidecar/options.go
@@ -54,11 +54,11 @@
 func (n *Node) membershipOptions() membership.Options {
 	return membership.Options{
 		Settings: n.settings, Incarnation: n.incarnation, Now: n.now,
-		Target:     func() (roster.Report, time.Duration) { return n.target.Report() },
-		Leaving:    n.shutdown.leaving.Load,
-		Silent:     func(node string) bool { return n.liveness.Silent(node) },
-		RecordLost: func() { n.registration.Lost() },
-		Routing:    n.services, Follower: deferredFollower{n},
+		Target:       func() (roster.Report, time.Duration) { return n.target.Report() },
+		Draining:     n.shutdown.leaving.Load,
+		Unresponsive: func(node string) bool { return n.liveness.Silent(node) },
+		OnRecordLost: func() { n.registration.Lost() },
+		Routing:      n.services, Follower: deferredFollower{n},
 		Configuration: n.configuration, Peers: n.peers, Events: n.events,
 	}
 }
@@ -69,8 +69,10 @@
 // SetMembers implements membership.Follower.
 func (f deferredFollower) SetMembers(names []string) { f.node.follower.SetMembers(names) }
 
-// Heard implements membership.Follower.
-func (f deferredFollower) Heard(name string, well bool) { f.node.follower.Heard(name, well) }
+// RecordHeartbeat implements membership.Follower.
+func (f deferredFollower) RecordHeartbeat(name string, well bool) {
+	f.node.follower.RecordHeartbeat(name, well)
+}
 
 func (n *Node) followerOptions() follower.Options {
 	return follower.Options{
@@ -78,7 +80,7 @@
 		RecordPrefix: n.options.RecordPrefix, NodePrefix: n.options.NodePrefix, ConfigurationKey: n.options.ConfigurationKey,
 		Version:       n.configuration.Version,
 		InstallStored: func(item *store.Item) (uint64, error) { return n.freshness.InstallStored(item) },
-		SendZone:      n.broadcaster.SendZone, SendAll: n.broadcaster.SendAll, Exchange: n.exchanger.With,
+		SendZone:      n.broadcaster.SendZone, SendAll: n.broadcaster.SendAll, Exchange: n.exchanger.Sync,
 		RecordLost: func() { n.registration.Lost() },
 		TakeStored: n.applyStoredItems, Heartbeat: n.followerHeartbeat,
 	}
@@ -127,12 +129,12 @@
 // exchangeWithPeers synchronizes state with a few nodes and sends this node's record to all.
 func (n *Node) exchangeWithPeers(ctx context.Context) {
 	for range exchangePeers {
-		if address := n.membership.AnyAddress(); address != "" {
-			go n.exchanger.With(ctx, address)
+		if address := n.membership.RandomAddress(); address != "" {
+			go n.exchanger.Sync(ctx, address)
 			go n.heldBack.Compare(ctx, address)
 		}
 	}
-	n.broadcaster.SendOwn()
+	n.broadcaster.SendLocalRecord()
 }
 
 func (n *Node) heldBackOptions() heldback.Options {
@@ -157,7 +159,7 @@
 	return entry.Options{
 		Node: n.settings().Node, Now: n.now, Headers: n.options.Headers, Caller: n.localService, Configuration: n.configuration, Fresh: n.freshness.Fresh,
 		Arrivals: n.ingress, HeldBack: n.heldBack, Quotas: n.quotas, Services: n.services, Overload: n.admission, Liveness: n.liveness,
-		Peers: n.peers, Members: n.membership, Exchange: n.exchanger.StartWith, PolicyOn: n.policyOn, Metrics: n.metrics, Events: n.events,
+		Peers: n.peers, Members: n.membership, Exchange: n.exchanger.SyncInBackground, PolicyOn: n.policyOn, Metrics: n.metrics, Events: n.events,
 		Begin: func(w http.ResponseWriter, r *http.Request) (*duplex.Writer, *http.Request, func(), bool) {
 			return n.beginRequest(w, r, n.shutdown.stopping.Load, &n.shutdown.rejectClients)
 		},
--- a/internal/sidecar/quotas/quotas.go
+++ b/internal/sidecar/quotas/quotas.go
@@ -50,10 +50,10 @@
 
 // Membership provides the known nodes.
 type Membership interface {
-	All() []wire.NodeRecord   // including this node
-	Others() int              // number of other nodes
-	ZoneNames() []string      // sorted
-	AddressElsewhere() string // address of a node in another zone, or empty
+	Records() []wire.NodeRecord // including this node
+	PeerCount() int             // number of other nodes
+	ZoneNames() []string        // sorted
+	RemoteZoneAddress() string  // address of a node in another zone, or empty
 }
 
 // Follower provides the state of the zone's follower, the node elected to watch the store.
--- a/internal/sidecar/quotas/requests.go
+++ b/internal/sidecar/quotas/requests.go
@@ -49,7 +49,7 @@
 // batchDelay returns how long to collect waiters of a shard before requesting tokens for all
 // of them.
 func (l *Limiter) batchDelay(shard int) time.Duration {
-	delay := min(max(time.Duration(l.options.Membership.Others())*batchDelayPerNode, minBatchDelay), maxBatchDelay)
+	delay := min(max(time.Duration(l.options.Membership.PeerCount())*batchDelayPerNode, minBatchDelay), maxBatchDelay)
 	if l.shortage[shard].Load() {
 		delay = min(shortageFactor*delay, maxBatchDelay)
 	}
@@ -182,7 +182,7 @@
 func (l *Limiter) findKeeper(ctx context.Context, shard int) {
 	address := l.options.Follower.Address()
 	if address == "" {
-		address = l.options.Membership.AddressElsewhere()
+		address = l.options.Membership.RemoteZoneAddress()
 	}
 	l.options.PollPeer(ctx, address)
 	if l.keepers.Get(shard) == nil {
--- a/internal/sidecar/quotas/takeover.go
+++ b/internal/sidecar/quotas/takeover.go
@@ -188,7 +188,7 @@
 		t.holders, t.maxShare = t.prior.Listed, t.prior.MaxFraction
 		return
 	}
-	for _, record := range s.options.Membership.All() {
+	for _, record := range s.options.Membership.Records() {
 		t.holders = append(t.holders, holderName(record.Node, record.Address))
 	}
 	t.maxShare = quota.MaxShareFraction(len(t.holders))
--- a/internal/sidecar/registration/registration.go
+++ b/internal/sidecar/registration/registration.go
@@ -52,12 +52,12 @@
 type Members interface {
 	// LocalRecord returns the current record of this node.
 	LocalRecord() *wire.NodeRecord
-	// Changed broadcasts the local record to the other nodes with a new sequence number.
-	Changed()
+	// AnnounceLocalRecord broadcasts the local record to the other nodes with a new sequence number.
+	AnnounceLocalRecord()
 	// Supersede makes the local record newer than one of an earlier process of this node.
 	Supersede(record *wire.NodeRecord)
-	// Others returns the number of other known nodes.
-	Others() int
+	// PeerCount returns the number of other known nodes.
+	PeerCount() int
 	// MergeStored adds the record of another node that was read from the store.
 	MergeStored(record *wire.NodeRecord)
 	// MarkStoreListed records that all records of the store have been read.
@@ -113,7 +113,7 @@
 			continue
 		}
 		r.lease.Store(nil)
-		r.options.Members.Changed()
+		r.options.Members.AnnounceLocalRecord()
 		r.register(ctx)
 	}
 }
@@ -121,7 +121,7 @@
 // discoverPeers lists the records of all nodes, unless other nodes are already known, and then
 // exchanges state with some of them.
 func (r *Registration) discoverPeers(ctx context.Context) {
-	for ctx.Err() == nil && r.options.Members.Others() == 0 {
+	for ctx.Err() == nil && r.options.Members.PeerCount() == 0 {
 		callCtx, cancel := context.WithTimeout(ctx, storehealth.CallTimeout)
 		items, _, err := r.options.Store.List(callCtx, r.options.RecordPrefix)
 		cancel()
--- a/internal/sidecar/registration/registration_test.go
+++ b/internal/sidecar/registration/registration_test.go
@@ -94,14 +94,14 @@
 	return &wire.NodeRecord{Node: "me", Incarnation: "second"}
 }
 
-// Changed implements Members.
-func (m *fakeMembers) Changed() { m.changed++ }
+// AnnounceLocalRecord implements Members.
+func (m *fakeMembers) AnnounceLocalRecord() { m.changed++ }
 
 // Supersede implements Members.
 func (m *fakeMembers) Supersede(*wire.NodeRecord) { m.superseded++ }
 
-// Others implements Members.
-func (m *fakeMembers) Others() int { return len(m.merged) }
+// PeerCount implements Members.
+func (m *fakeMembers) PeerCount() int { return len(m.merged) }
 
 // MergeStored implements Members.
 func (m *fakeMembers) MergeStored(record *wire.NodeRecord) { m.merged = append(m.merged, record.Node) }
--- a/internal/sidecar/revalidation/revalidation.go
+++ b/internal/sidecar/revalidation/revalidation.go
@@ -74,7 +74,7 @@
 
 // Membership provides the known nodes.
 type Membership interface {
-	AddressElsewhere() string // address of a node in another zone, or empty
+	RemoteZoneAddress() string // address of a node in another zone, or empty
 }
 
 // Follower provides the state of the zone's follower, the node elected to watch the store.
@@ -202,7 +202,7 @@
 	}
 	age, _, known := r.Age()
 	if !known || age > crossZoneAge || followerAddress == "" {
-		if r.PollPeer(ctx, r.options.Membership.AddressElsewhere()) {
+		if r.PollPeer(ctx, r.options.Membership.RemoteZoneAddress()) {
 			return pollInterval
 		}
 	}
--- a/internal/sidecar/services/liveness_test.go
+++ b/internal/sidecar/services/liveness_test.go
@@ -31,7 +31,7 @@
 				started := time.Now()
 				now := func() time.Duration { return time.Since(started) }
 				s := New(Options{Node: "me", Zone: "a", Now: now, Budget: repeats.Config{Window: 10 * time.Second}, FirstStart: true})
-				s.Update(map[string][]balancer.Target{"s": {
+				s.SetTargets(map[string][]balancer.Target{"s": {
 					{Node: "well", Address: "well:1", Zone: "b", Instance: "i-1", Slots: 10}, {Node: "silent", Address: "silent:1", Zone: "a", Instance: "i-2", Slots: 10},
 				}})
 				var pings atomic.Int32
--- a/internal/sidecar/services/services.go
+++ b/internal/sidecar/services/services.go
@@ -91,8 +91,8 @@
 	return config
 }
 
-// Update replaces the targets of all services.
-func (s *Services) Update(targets map[string][]balancer.Target) {
+// SetTargets replaces the targets of all services.
+func (s *Services) SetTargets(targets map[string][]balancer.Target) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for name := range targets {
@@ -105,8 +105,8 @@
 	}
 }
 
-// Count sets the number of nodes, including this one.
-func (s *Services) Count(members int) {
+// SetNodeCount sets the number of nodes, including this one.
+func (s *Services) SetNodeCount(members int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.allowance.SetMembers(s.now(), members)
--- a/internal/sidecar/services/services_test.go
+++ b/internal/sidecar/services/services_test.go
@@ -26,7 +26,7 @@
 		Node: "me", Zone: "a", Now: now, Budget: repeats.Config{Ratio: 0.2, Allowance: allowance, Window: 10 * time.Second}, FirstStart: first,
 	})
 	if members > 0 {
-		c.Count(members)
+		c.SetNodeCount(members)
 	}
 	return c
 }
@@ -108,7 +108,7 @@
 			g := NewWithT(t)
 			now := time.Duration(0)
 			s := New(Options{Node: "me", Zone: "a", Now: func() time.Duration { return now }, Budget: repeats.Config{Window: 10 * time.Second}, FirstStart: true})
-			s.Update(map[string][]balancer.Target{"s": {
+			s.SetTargets(map[string][]balancer.Target{"s": {
 				{Node: "bad", Address: "bad:1", Zone: "a", Instance: "i-1", Slots: 40}, {Node: "other", Address: "other:1", Zone: "a", Instance: "i-2", Slots: 40},
 			}})
 			toBad := 0
--- a/internal/sidecar/stop.go
+++ b/internal/sidecar/stop.go
@@ -57,7 +57,7 @@
 	n.shutdown.rejectClients.Store(true)
 	waitForZero(force, &n.clients, start.Add(grace-drainReserve))
 	n.shutdown.leaving.Store(true)
-	n.membership.Changed()
+	n.membership.AnnounceLocalRecord()
 	wait.For(force, leaveNoticeDelay)
 	n.shutdown.rejectAll.Store(true)
 	waitForZero(force, &n.inFlight, deadline)
