--- a/internal/sidecar/follower/follower.go
+++ b/internal/sidecar/follower/follower.go
@@ -46,8 +46,8 @@
 	until  time.Duration
 }
 
-// Begin makes the node take part in the election. It is called once the other nodes are known.
-func (f *Follower) Begin() {
+// JoinElection makes the node take part in the election. It is called once the other nodes are known.
+func (f *Follower) JoinElection() {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	if f.election == nil {
@@ -91,9 +91,9 @@
 // for the network delay.
 const healthyPeerTTL = 3*heartbeatInterval + 100*time.Millisecond
 
-// Address returns the address of another follower of the zone that can reach the store, or an
+// HealthyPeerAddress returns the address of another follower of the zone that can reach the store, or an
 // empty string if none is known.
-func (f *Follower) Address() string {
+func (f *Follower) HealthyPeerAddress() string {
 	f.mutex.Lock()
 	name, recent := f.healthyPeer, f.options.Now()-f.healthyPeerAt < healthyPeerTTL
 	f.mutex.Unlock()
@@ -106,15 +106,15 @@
 	return ""
 }
 
-// Reaches reports whether the node is an elected follower and the store answered its last probe.
-func (f *Follower) Reaches() bool {
+// StoreReachable reports whether the node is an elected follower and the store answered its last probe.
+func (f *Follower) StoreReachable() bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.election != nil && f.election.IsFollower(f.options.Now()) && f.callSucceeded[probeSource]
 }
 
-// Follows reports whether the node is currently elected as a follower of its zone.
-func (f *Follower) Follows() bool {
+// IsFollower reports whether the node is currently elected as a follower of its zone.
+func (f *Follower) IsFollower() bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.election != nil && f.election.IsFollower(f.options.Now())
@@ -128,7 +128,7 @@
 	defer func() { stop() }()
 	lastHeartbeat := time.Duration(0)
 	for ; ctx.Err() == nil; wait.For(ctx, electionInterval) {
-		follows := f.Follows()
+		follows := f.IsFollower()
 		if follows != f.following {
 			f.following = follows
 			f.logRoleChange(follows)
@@ -141,7 +141,7 @@
 		if now := f.options.Now(); follows && now-lastHeartbeat >= heartbeatInterval {
 			lastHeartbeat = now
 			f.resolveMissing(ctx)
-			f.options.Heartbeat(ctx)
+			f.options.OnHeartbeat(ctx)
 			f.sendHeartbeat(ctx)
 		}
 	}
--- a/internal/sidecar/follower/options.go
+++ b/internal/sidecar/follower/options.go
@@ -58,11 +58,11 @@
 	SendZone, SendAll func(message *wire.Broadcast)
 	// Exchange runs an anti-entropy exchange with the node at address.
 	Exchange func(ctx context.Context, address string)
-	// RecordLost is called when the store has no record of this node.
-	RecordLost func()
-	// TakeStored is called with the changed items below RecordPrefix, or with all of them if
+	// OnRecordLost is called when the store has no record of this node.
+	OnRecordLost func()
+	// ApplyStored is called with the changed items below RecordPrefix, or with all of them if
 	// snapshot is set, as of the given store revision.
-	TakeStored func(items []store.Item, snapshot bool, revision int64)
-	// Heartbeat is called before each heartbeat that this node sends as a follower.
-	Heartbeat func(ctx context.Context)
+	ApplyStored func(items []store.Item, snapshot bool, revision int64)
+	// OnHeartbeat is called before each heartbeat that this node sends as a follower.
+	OnHeartbeat func(ctx context.Context)
 }
--- a/internal/sidecar/follower/watch.go
+++ b/internal/sidecar/follower/watch.go
@@ -31,7 +31,7 @@
 	prefix := f.options.NodePrefix
 	m := f.options.Members
 	f.followPrefix(ctx, f.options.RecordPrefix, recordWatchInterval, func(items []store.Item, snapshot bool, revision int64) {
-		f.options.TakeStored(items, snapshot, revision)
+		f.options.ApplyStored(items, snapshot, revision)
 		seen := map[string]bool{}
 		for _, item := range items {
 			name, found := strings.CutPrefix(item.Key, prefix)
@@ -72,7 +72,7 @@
 // is rewritten.
 func (f *Follower) recordMissing(name string) {
 	if name == f.options.Settings().Node {
-		f.options.RecordLost()
+		f.options.OnRecordLost()
 		return
 	}
 	record := f.options.Members.Record(name)
--- a/internal/sidecar/membership/membership_test.go
+++ b/internal/sidecar/membership/membership_test.go
@@ -29,7 +29,7 @@
 	exchanger   *Exchanger
 	broadcaster *Broadcaster
 	dependents  *fakeDependents
-	recordLost  chan struct{} // signaled by Options.RecordLost
+	recordLost  chan struct{} // signaled by Options.OnRecordLost
 }
 
 // newTestNode returns a node that does not serve HTTP.
--- a/internal/sidecar/node.go
+++ b/internal/sidecar/node.go
@@ -186,8 +186,8 @@
 // Peers returns the number of other known nodes.
 func (n *Node) Peers() int { return n.membership.PeerCount() }
 
-// Follows reports whether the node reads the store on behalf of its zone.
-func (n *Node) Follows() bool { return n.follower.Follows() }
+// IsFollower reports whether the node reads the store on behalf of its zone.
+func (n *Node) Follows() bool { return n.follower.IsFollower() }
 
 // localService returns the service of the local target.
 func (n *Node) localService() string {
--- a/internal/sidecar/options.go
+++ b/internal/sidecar/options.go
@@ -81,8 +81,8 @@
 		Version:       n.configuration.Version,
 		InstallStored: func(item *store.Item) (uint64, error) { return n.freshness.InstallStored(item) },
 		SendZone:      n.broadcaster.SendZone, SendAll: n.broadcaster.SendAll, Exchange: n.exchanger.Sync,
-		RecordLost: func() { n.registration.Lost() },
-		TakeStored: n.applyStoredItems, Heartbeat: n.followerHeartbeat,
+		OnRecordLost: func() { n.registration.Lost() },
+		ApplyStored:  n.applyStoredItems, OnHeartbeat: n.followerHeartbeat,
 	}
 }
 
@@ -102,7 +102,7 @@
 // shards without a keeper and saves crash evidence.
 func (n *Node) followerHeartbeat(ctx context.Context) {
 	n.quotaServer.TakeOverAbsent(ctx)
-	if n.follower.Reaches() {
+	if n.follower.StoreReachable() {
 		n.heldBack.Save(ctx)
 	}
 }
@@ -111,7 +111,7 @@
 	return registration.Options{
 		Settings: n.settings, Store: n.store, Health: n.storeHealth, Probe: func(ctx context.Context) bool { return n.storeHealth.Probe(ctx, n.store) },
 		RecordPrefix: n.options.RecordPrefix, NodePrefix: n.options.NodePrefix,
-		Members: n.membership, TakeOther: n.applyStoredItem, Meet: n.exchangeWithPeers, Listed: n.follower.Begin,
+		Members: n.membership, TakeOther: n.applyStoredItem, Meet: n.exchangeWithPeers, Listed: n.follower.JoinElection,
 		TargetLeft: func() bool { return n.target.TargetLeft() },
 	}
 }
--- a/internal/sidecar/quotas/quotas.go
+++ b/internal/sidecar/quotas/quotas.go
@@ -58,8 +58,8 @@
 
 // Follower provides the state of the zone's follower, the node elected to watch the store.
 type Follower interface {
-	Address() string // address of another follower in the zone that is connected to the store, or empty
-	Reaches() bool   // this node is a follower and the store answers
+	HealthyPeerAddress() string // address of another follower in the zone that is connected to the store, or empty
+	StoreReachable() bool       // this node is a follower and the store answers
 }
 
 // quotaConfig returns the bound on requests per window from the current settings.
--- a/internal/sidecar/quotas/requests.go
+++ b/internal/sidecar/quotas/requests.go
@@ -180,7 +180,7 @@
 // findKeeper asks the zone's follower, or a node in another zone, for the keepers it knows. If
 // the shard still has no known keeper, it reads the records from the store.
 func (l *Limiter) findKeeper(ctx context.Context, shard int) {
-	address := l.options.Follower.Address()
+	address := l.options.Follower.HealthyPeerAddress()
 	if address == "" {
 		address = l.options.Membership.RemoteZoneAddress()
 	}
--- a/internal/sidecar/quotas/takeover.go
+++ b/internal/sidecar/quotas/takeover.go
@@ -57,7 +57,7 @@
 // does nothing unless this node is the follower of its zone. The new keeper learns from the
 // nodes' reports which shares are allocated.
 func (s *Server) Replace(ctx context.Context, failed *wire.Keeper) {
-	if s.options.Stopping() || !s.options.Follower.Reaches() {
+	if s.options.Stopping() || !s.options.Follower.StoreReachable() {
 		return
 	}
 	rank := zoneRank(failed.Shard, s.options.Settings().Zone, s.options.Membership.ZoneNames())
--- a/internal/sidecar/revalidation/revalidation.go
+++ b/internal/sidecar/revalidation/revalidation.go
@@ -79,8 +79,8 @@
 
 // Follower provides the state of the zone's follower, the node elected to watch the store.
 type Follower interface {
-	Address() string // address of another follower in the zone that is connected to the store, or empty
-	Reaches() bool   // this node is a follower and the store answers
+	HealthyPeerAddress() string // address of another follower in the zone that is connected to the store, or empty
+	StoreReachable() bool       // this node is a follower and the store answers
 }
 
 // Keepers caches the keepers of quotas, which are included in freshness answers to save a
@@ -191,9 +191,9 @@
 // refresh obtains newer evidence, from the store if this node is a follower and otherwise from
 // other nodes, falling back to a direct read. It returns the delay until the next attempt.
 func (r *Revalidator) refresh(ctx context.Context) time.Duration {
-	followerAddress := r.options.Follower.Address()
+	followerAddress := r.options.Follower.HealthyPeerAddress()
 	switch {
-	case r.options.Follower.Reaches():
+	case r.options.Follower.StoreReachable():
 		if r.confirmAtStore(ctx) {
 			return confirmInterval
 		}
