--- a/internal/sidecar/node.go
+++ b/internal/sidecar/node.go
@@ -248,7 +248,7 @@
 // servePing responds to a ping of another node.
 func (n *Node) servePing(w http.ResponseWriter, _ *http.Request) {
 	w.Header()["Date"] = nil
-	pong := &wire.Pong{Node: n.settings().Node, StoreUnreachable: n.registration.TurnedAway()}
+	pong := &wire.Pong{Node: n.settings().Node, StoreUnreachable: n.registration.StoreUnreachable()}
 	if head, err := wire.PongCodec.EncodeHeader(pong); err == nil {
 		w.Header().Set(wire.HeaderSidecarPong, head)
 	}
--- a/internal/sidecar/options.go
+++ b/internal/sidecar/options.go
@@ -57,7 +57,7 @@
 		Target:       func() (roster.Report, time.Duration) { return n.target.Report() },
 		Draining:     n.shutdown.leaving.Load,
 		Unresponsive: func(node string) bool { return n.liveness.Silent(node) },
-		OnRecordLost: func() { n.registration.Lost() },
+		OnRecordLost: func() { n.registration.MarkLost() },
 		Routing:      n.services, Follower: deferredFollower{n},
 		Configuration: n.configuration, Peers: n.peers, Events: n.events,
 	}
@@ -81,7 +81,7 @@
 		Version:       n.configuration.Version,
 		InstallStored: func(item *store.Item) (uint64, error) { return n.freshness.InstallStored(item) },
 		SendZone:      n.broadcaster.SendZone, SendAll: n.broadcaster.SendAll, Exchange: n.exchanger.Sync,
-		OnRecordLost: func() { n.registration.Lost() },
+		OnRecordLost: func() { n.registration.MarkLost() },
 		ApplyStored:  n.applyStoredItems, OnHeartbeat: n.followerHeartbeat,
 	}
 }
@@ -111,7 +111,7 @@
 	return registration.Options{
 		Settings: n.settings, Store: n.store, Health: n.storeHealth, Probe: func(ctx context.Context) bool { return n.storeHealth.Probe(ctx, n.store) },
 		RecordPrefix: n.options.RecordPrefix, NodePrefix: n.options.NodePrefix,
-		Members: n.membership, TakeOther: n.applyStoredItem, Meet: n.exchangeWithPeers, Listed: n.follower.JoinElection,
+		Members: n.membership, ApplyOther: n.applyStoredItem, SyncWithPeers: n.exchangeWithPeers, OnListed: n.follower.JoinElection,
 		TargetLeft: func() bool { return n.target.TargetLeft() },
 	}
 }
--- a/internal/sidecar/registration/registration.go
+++ b/internal/sidecar/registration/registration.go
@@ -68,17 +68,17 @@
 
 // Options holds the configuration and the dependencies of a Registration.
 type Options struct {
-	Settings     func() *settings.Settings // returns the current settings
-	Store        store.Store               // Run must not be called if nil
-	Health       *storehealth.Health
-	Probe        func(ctx context.Context) bool // reports whether the store answers
-	RecordPrefix string                         // key prefix of all data that nodes keep in the store
-	NodePrefix   string                         // key prefix of the node records; starts with RecordPrefix
-	Members      Members
-	TakeOther    func(item *store.Item)    // handles a listed item that is not a node record
-	Meet         func(ctx context.Context) // exchanges state with other nodes after they are known
-	Listed       func()                    // called once, after peer discovery
-	TargetLeft   func() bool               // reports whether the target has left permanently
+	Settings      func() *settings.Settings // returns the current settings
+	Store         store.Store               // Run must not be called if nil
+	Health        *storehealth.Health
+	Probe         func(ctx context.Context) bool // reports whether the store answers
+	RecordPrefix  string                         // key prefix of all data that nodes keep in the store
+	NodePrefix    string                         // key prefix of the node records; starts with RecordPrefix
+	Members       Members
+	ApplyOther    func(item *store.Item)    // handles a listed item that is not a node record
+	SyncWithPeers func(ctx context.Context) // exchanges state with other nodes after they are known
+	OnListed      func()                    // called once, after peer discovery
+	TargetLeft    func() bool               // reports whether the target has left permanently
 }
 
 // New returns a Registration that holds no lease yet.
@@ -86,14 +86,16 @@
 	return &Registration{options: options, recordLost: make(chan struct{}, 1), renewNow: make(chan struct{}, 1)}
 }
 
-// Lost reports that the store has no record of this node. Run rewrites the record.
-func (r *Registration) Lost() { wait.Signal(r.recordLost) }
+// MarkLost reports that the store has no record of this node. Run rewrites the record.
+func (r *Registration) MarkLost() { wait.Signal(r.recordLost) }
 
 // RenewNow makes Run renew the lease immediately. It does not wait for the renewal.
 func (r *Registration) RenewNow() { wait.Signal(r.renewNow) }
 
-// TurnedAway reports whether the store is unavailable to this node, according to its latest calls.
-func (r *Registration) TurnedAway() bool { return r.writeFailed.Load() || r.options.Health.Away() }
+// StoreUnreachable reports whether the store is unavailable to this node, according to its latest calls.
+func (r *Registration) StoreUnreachable() bool {
+	return r.writeFailed.Load() || r.options.Health.Away()
+}
 
 // Run discovers the other nodes, then keeps the local record and its lease until ctx is done.
 func (r *Registration) Run(ctx context.Context) {
@@ -102,10 +104,10 @@
 		r.register(ctx)
 		wait.For(ctx, time.Duration(rand.Int64N(int64(listJitter))))
 		r.discoverPeers(ctx)
-		r.options.Listed()
+		r.options.OnListed()
 	} else {
 		r.discoverPeers(ctx)
-		r.options.Listed()
+		r.options.OnListed()
 		r.register(ctx)
 	}
 	for ctx.Err() == nil {
@@ -133,7 +135,7 @@
 		r.loadListed(items)
 		break
 	}
-	r.options.Meet(ctx)
+	r.options.SyncWithPeers(ctx)
 }
 
 // loadListed merges the records read from the store. If an earlier process of this node wrote one
@@ -143,7 +145,7 @@
 	for _, item := range items {
 		name, found := strings.CutPrefix(item.Key, r.options.NodePrefix)
 		if !found {
-			r.options.TakeOther(&item)
+			r.options.ApplyOther(&item)
 			continue
 		}
 		record, err := wire.NodeRecordCodec.Decode(item.Value)
@@ -250,9 +252,9 @@
 	return !errors.Is(err, store.ErrLeaseExpired)
 }
 
-// Withdraw revokes the lease, and thereby deletes the record, if the target has left permanently.
+// Deregister revokes the lease, and thereby deletes the record, if the target has left permanently.
 // The machine is then about to be shut down. If the call fails, the lease expires on its own.
-func (r *Registration) Withdraw() {
+func (r *Registration) Deregister() {
 	lease := r.lease.Load()
 	if lease == nil || !r.options.TargetLeft() {
 		return
--- a/internal/sidecar/registration/registration_test.go
+++ b/internal/sidecar/registration/registration_test.go
@@ -134,10 +134,10 @@
 		Settings: func() *settings.Settings { return checked }, Store: n.store, Health: storehealth.New(events, calls),
 		Probe:        func(context.Context) bool { return true },
 		RecordPrefix: "p/", NodePrefix: "p/nodes/", Members: n.members,
-		TakeOther:  func(item *store.Item) { n.otherKeys = append(n.otherKeys, item.Key) },
-		Meet:       func(context.Context) { n.meetCalls++ },
-		Listed:     func() { n.listedCalls++ },
-		TargetLeft: func() bool { return n.targetLeft },
+		ApplyOther:    func(item *store.Item) { n.otherKeys = append(n.otherKeys, item.Key) },
+		SyncWithPeers: func(context.Context) { n.meetCalls++ },
+		OnListed:      func() { n.listedCalls++ },
+		TargetLeft:    func() bool { return n.targetLeft },
 	})
 	return n
 }
@@ -193,7 +193,7 @@
 		lose func(n *testNode)
 		wait time.Duration // until the record is rewritten
 	}{
-		{"the store has no record", func(n *testNode) { n.Lost() }, time.Millisecond},
+		{"the store has no record", func(n *testNode) { n.MarkLost() }, time.Millisecond},
 		{"the lease has expired", func(n *testNode) { n.store.expire(1) }, 10 * time.Second},
 		{"RenewNow finds the lease expired", func(n *testNode) { n.store.expire(1); n.RenewNow() }, time.Millisecond},
 	} {
@@ -228,13 +228,13 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		go n.Run(ctx)
 		time.Sleep(5 * time.Second)
-		g.Expect(n.TurnedAway()).To(BeTrue())
+		g.Expect(n.StoreUnreachable()).To(BeTrue())
 		n.store.mutex.Lock()
 		n.store.grantErr = nil
 		n.store.mutex.Unlock()
 		time.Sleep(retryMinDelay + retryJitter)
 		synctest.Wait()
-		g.Expect(n.TurnedAway()).To(BeFalse())
+		g.Expect(n.StoreUnreachable()).To(BeFalse())
 		g.Expect(n.store.written).To(HaveLen(1))
 		cancel()
 		synctest.Wait()
@@ -247,14 +247,14 @@
 			g := NewWithT(t)
 			n := newTestNode(recordItem(t, wire.NodeRecord{Node: "other"}, 3))
 			n.targetLeft = left
-			n.Withdraw()
+			n.Deregister()
 			g.Expect(n.store.revoked).To(BeEmpty(), "no lease is held yet")
 			ctx, cancel := context.WithCancel(t.Context())
 			go n.Run(ctx)
 			time.Sleep(time.Second)
 			cancel()
 			synctest.Wait()
-			n.Withdraw()
+			n.Deregister()
 			g.Expect(len(n.store.revoked) == 1).To(Equal(left))
 		})
 	}
--- a/internal/sidecar/stop.go
+++ b/internal/sidecar/stop.go
@@ -51,7 +51,7 @@
 	grace := time.Duration(n.settings().Bounds.Grace)
 	deadline := start.Add(grace - exitReserve)
 	if n.store != nil {
-		n.registration.Withdraw()
+		n.registration.Deregister()
 	}
 	wait.For(force, min(notReadyDelay, grace/2))
 	n.shutdown.rejectClients.Store(true)
