--- a/internal/sidecar/follower/watch.go
+++ b/internal/sidecar/follower/watch.go
@@ -101,7 +101,7 @@
 			if ctx.Err() != nil {
 				return
 			}
-			f.options.Health.Note("read", err)
+			f.options.Health.Record("read", err)
 			f.noteCall(prefix, err == nil)
 			if err != nil {
 				wait.For(ctx, retryMinDelay+time.Duration(rand.Int64N(int64(retryJitter))))
@@ -114,7 +114,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		f.options.Health.Note("watch", err)
+		f.options.Health.Record("watch", err)
 		f.noteCall(prefix, err == nil || errors.Is(err, store.ErrCompacted))
 		switch {
 		case errors.Is(err, store.ErrCompacted):
--- a/internal/sidecar/heldback/storage.go
+++ b/internal/sidecar/heldback/storage.go
@@ -84,7 +84,7 @@
 	defer cancel()
 	written, err := c.put(ctx, lasting, revision)
 	if !errors.Is(err, store.ErrConflict) {
-		c.options.Health.Note("crashes", err)
+		c.options.Health.Record("crashes", err)
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/sidecar/quotas/record.go
+++ b/internal/sidecar/quotas/record.go
@@ -12,7 +12,7 @@
 	call, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	item, _, err := s.options.Store.Get(call, s.keepers.key(shard))
-	s.options.StoreHealth.Note("read", err)
+	s.options.StoreHealth.Record("read", err)
 	if err != nil || item == nil {
 		return nil, nil, err
 	}
@@ -40,6 +40,6 @@
 	call, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	written, err := s.options.Store.Put(call, store.Write{Key: s.keepers.key(shard), Value: value, Lease: lease, IfRevision: &revision})
-	s.options.StoreHealth.Note("keeper", err)
+	s.options.StoreHealth.Record("keeper", err)
 	return written, err
 }
--- a/internal/sidecar/quotas/requests.go
+++ b/internal/sidecar/quotas/requests.go
@@ -199,7 +199,7 @@
 	call, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	items, _, err := l.options.Store.List(call, l.keepers.prefix)
-	l.options.StoreHealth.Note("read", err)
+	l.options.StoreHealth.Record("read", err)
 	if err == nil {
 		l.keepers.ApplyStored(items)
 	}
--- a/internal/sidecar/quotas/server.go
+++ b/internal/sidecar/quotas/server.go
@@ -116,7 +116,7 @@
 	call, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	lease, err := s.options.Store.Grant(call, leaseTTL)
-	s.options.StoreHealth.Note("lease", err)
+	s.options.StoreHealth.Record("lease", err)
 	if err != nil {
 		return nil, err
 	}
@@ -161,7 +161,7 @@
 	call, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	err := s.options.Store.KeepAlive(call, lease.ID)
-	s.options.StoreHealth.Note("lease", err)
+	s.options.StoreHealth.Record("lease", err)
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	switch {
--- a/internal/sidecar/registration/registration.go
+++ b/internal/sidecar/registration/registration.go
@@ -94,7 +94,7 @@
 
 // StoreUnreachable reports whether the store is unavailable to this node, according to its latest calls.
 func (r *Registration) StoreUnreachable() bool {
-	return r.writeFailed.Load() || r.options.Health.Away()
+	return r.writeFailed.Load() || r.options.Health.Unavailable()
 }
 
 // Run discovers the other nodes, then keeps the local record and its lease until ctx is done.
@@ -127,7 +127,7 @@
 		callCtx, cancel := context.WithTimeout(ctx, storehealth.CallTimeout)
 		items, _, err := r.options.Store.List(callCtx, r.options.RecordPrefix)
 		cancel()
-		r.options.Health.Note("read", err)
+		r.options.Health.Record("read", err)
 		if err != nil {
 			r.waitForStore(ctx)
 			continue
@@ -186,7 +186,7 @@
 func (r *Registration) register(ctx context.Context) {
 	for ctx.Err() == nil {
 		err := r.writeRecord(ctx)
-		r.options.Health.Note("record", err)
+		r.options.Health.Record("record", err)
 		r.writeFailed.Store(err != nil)
 		if err == nil {
 			r.clearLost()
@@ -248,7 +248,7 @@
 	callCtx, cancel := context.WithTimeout(ctx, storehealth.CallTimeout)
 	defer cancel()
 	err := r.options.Store.KeepAlive(callCtx, lease.ID)
-	r.options.Health.Note("lease", err)
+	r.options.Health.Record("lease", err)
 	return !errors.Is(err, store.ErrLeaseExpired)
 }
 
@@ -261,5 +261,5 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), revokeTimeout)
 	defer cancel()
-	r.options.Health.Note("revoke", r.options.Store.Revoke(ctx, lease.ID))
+	r.options.Health.Record("revoke", r.options.Store.Revoke(ctx, lease.ID))
 }
--- a/internal/sidecar/revalidation/revalidation.go
+++ b/internal/sidecar/revalidation/revalidation.go
@@ -266,7 +266,7 @@
 		return r.ReadStored(call, sentAt)
 	}
 	newer, err := r.options.Store.CheckRevision(call, r.options.ConfigurationKey, revision)
-	r.options.StoreHealth.Note("confirm", err)
+	r.options.StoreHealth.Record("confirm", err)
 	switch {
 	case err == nil:
 		return r.confirm(sentAt, version)
@@ -280,7 +280,7 @@
 // node that has just started need not poll first. sentAt is when the call began.
 func (r *Revalidator) ReadStored(ctx context.Context, sentAt time.Duration) bool {
 	item, _, err := r.options.Store.Get(ctx, r.options.ConfigurationKey)
-	r.options.StoreHealth.Note("read", err)
+	r.options.StoreHealth.Record("read", err)
 	if err != nil || item == nil {
 		return false
 	}
--- a/internal/sidecar/storehealth/storehealth.go
+++ b/internal/sidecar/storehealth/storehealth.go
@@ -42,16 +42,16 @@
 	return time.Since(h.lastSuccess)
 }
 
-// Away reports whether the last call failed.
-func (h *Health) Away() bool {
+// Unavailable reports whether the last call failed.
+func (h *Health) Unavailable() bool {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	return !h.failedSince.IsZero()
 }
 
-// Note records the result of a store call. It logs the first failure in a row and the first
+// Record records the result of a store call. It logs the first failure in a row and the first
 // success after failures.
-func (h *Health) Note(call string, err error) {
+func (h *Health) Record(call string, err error) {
 	h.calls.WithLabelValues(call, resultLabel(err)).Inc()
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -106,6 +106,6 @@
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	err := s.Probe(ctx)
-	h.Note("probe", err)
+	h.Record("probe", err)
 	return err == nil
 }
