--- a/internal/sidecar/follower/follower.go
+++ b/internal/sidecar/follower/follower.go
@@ -286,7 +286,7 @@
 func (f *Follower) queryNode(ctx context.Context, record *wire.NodeRecord) {
 	ctx, cancel := context.WithTimeout(ctx, peer.PingTimeout)
 	defer cancel()
-	pong, err := f.options.Peers.Ask(ctx, record.Address)
+	pong, err := f.options.Peers.Identify(ctx, record.Address)
 	answer := lapse.StoreReachable
 	switch {
 	case err != nil || pong.Node != record.Node:
--- a/internal/sidecar/heldback/exchange.go
+++ b/internal/sidecar/heldback/exchange.go
@@ -79,7 +79,7 @@
 		peer.WriteMessage(w, wire.CrashesCodec, c.evidenceFor(message.Digest))
 		return
 	}
-	peer.BareAnswer(w)
+	peer.OmitDefaultHeaders(w)
 	w.Header().Set("Content-Length", "0")
 	broadcast.ToNodes(message.Forward, c.sender(message))
 }
--- a/internal/sidecar/membership/broadcast.go
+++ b/internal/sidecar/membership/broadcast.go
@@ -81,7 +81,7 @@
 	if !ok {
 		return
 	}
-	peer.BareAnswer(w)
+	peer.OmitDefaultHeaders(w)
 	b.receive(message)
 	go b.forward(message)
 }
--- a/internal/sidecar/membership/exchange.go
+++ b/internal/sidecar/membership/exchange.go
@@ -97,7 +97,7 @@
 }
 
 func (e *Exchanger) send(ctx context.Context, address string, message *wire.Exchange) (*wire.Exchange, error) {
-	return peer.Ask(ctx, e.options.Peers, address, ExchangePath, wire.ExchangeCodec, message, wire.ExchangeCodec)
+	return peer.RoundTrip(ctx, e.options.Peers, address, ExchangePath, wire.ExchangeCodec, message, wire.ExchangeCodec)
 }
 
 // receive applies the records and the configuration of a message.
--- a/internal/sidecar/node.go
+++ b/internal/sidecar/node.go
@@ -102,7 +102,7 @@
 // New creates a node and opens its listeners.
 func New(settings *settings.Settings, options Options) (*Node, error) {
 	if options.Dial == nil {
-		options.Dial = (&net.Dialer{Control: peer.BoundSilence}).DialContext
+		options.Dial = (&net.Dialer{Control: peer.SetUserTimeout}).DialContext
 	}
 	if options.Listen == nil {
 		options.Listen = func(address string) (net.Listener, error) { return net.Listen("tcp", address) }
@@ -129,7 +129,7 @@
 	n.quotaServer = quotas.NewServer(n.quotaOptions(), n.keepers)
 	n.quotas = quotas.NewLimiter(n.quotaOptions(), n.keepers, n.quotaServer)
 	n.heldBack = heldback.New(n.heldBackOptions())
-	n.liveness = peer.NewLiveness(n.now, n.peers.PingPeer, peer.Events{Lost: n.peerSilent, Still: n.services.Suspect, Back: n.peerRecovered})
+	n.liveness = peer.NewLiveness(n.now, n.peers.PingPeer, peer.Events{Unresponsive: n.peerSilent, PingFailed: n.services.Suspect, Recovered: n.peerRecovered})
 	n.target = target.New(target.Options{
 		Now: n.now, OnChange: n.targetChanged, NewLink: n.newLink, Identify: n.identify, SkipDeadlineCheck: !n.policyOn(inTime),
 		OnReplaced: func(gate *target.Gate) { n.ingress.InstanceReplaced(gate) },
--- a/internal/sidecar/node_test.go
+++ b/internal/sidecar/node_test.go
@@ -26,7 +26,7 @@
 	n.services = services.New(services.Options{Node: name, Zone: "a", Now: n.now, Budget: repeats.Config{Ratio: 0.2, Allowance: 10, Window: 10 * time.Second}, FirstStart: true})
 	n.target = target.New(target.Options{Now: n.now})
 	n.peers = peer.NewClient((&net.Dialer{}).DialContext, headers.Names{})
-	n.liveness = peer.NewLiveness(n.now, n.peers.PingPeer, peer.Events{Lost: n.services.Suspect, Still: n.services.Suspect, Back: n.services.ClearSuspicion})
+	n.liveness = peer.NewLiveness(n.now, n.peers.PingPeer, peer.Events{Unresponsive: n.services.Suspect, PingFailed: n.services.Suspect, Recovered: n.services.ClearSuspicion})
 	n.ingress = arrival.New(n.arrivalOptions())
 	n.membership, n.exchanger, n.broadcaster = membership.New(n.membershipOptions())
 	n.follower = follower.New(n.followerOptions())
--- a/internal/sidecar/options.go
+++ b/internal/sidecar/options.go
@@ -56,7 +56,7 @@
 		Settings: n.settings, Incarnation: n.incarnation, Now: n.now,
 		Target:       func() (roster.Report, time.Duration) { return n.target.Report() },
 		Draining:     n.shutdown.leaving.Load,
-		Unresponsive: func(node string) bool { return n.liveness.Silent(node) },
+		Unresponsive: func(node string) bool { return n.liveness.Unresponsive(node) },
 		OnRecordLost: func() { n.registration.MarkLost() },
 		Routing:      n.services, Follower: deferredFollower{n},
 		Configuration: n.configuration, Peers: n.peers, Events: n.events,
--- a/internal/sidecar/peer/client.go
+++ b/internal/sidecar/peer/client.go
@@ -135,8 +135,8 @@
 	return content, nil
 }
 
-// BareAnswer keeps net/http from adding default headers to a response.
-func BareAnswer(w http.ResponseWriter) {
+// OmitDefaultHeaders keeps net/http from adding default headers to a response.
+func OmitDefaultHeaders(w http.ResponseWriter) {
 	w.Header()["Date"] = nil
 	w.Header()["Content-Type"] = nil
 }
--- a/internal/sidecar/peer/liveness.go
+++ b/internal/sidecar/peer/liveness.go
@@ -40,9 +40,9 @@
 
 // Events holds the callbacks of Liveness. They are called without holding locks.
 type Events struct {
-	Lost  func(node string) // a node became unresponsive
-	Still func(node string) // another ping to an unresponsive node failed
-	Back  func(node string) // a node responds again
+	Unresponsive func(node string) // a node became unresponsive
+	PingFailed   func(node string) // another ping to an unresponsive node failed
+	Recovered    func(node string) // a node responds again
 }
 
 type peerState struct {
@@ -94,7 +94,7 @@
 		case <-time.After(RecoveryPingInterval):
 		}
 		if err = l.pingOnce(address); err != nil {
-			l.events.Still(node)
+			l.events.PingFailed(node)
 		}
 	}
 	l.mutex.Lock()
@@ -105,7 +105,7 @@
 	}
 	l.mutex.Unlock()
 	if err == nil {
-		l.events.Back(node)
+		l.events.Recovered(node)
 	}
 }
 
@@ -195,7 +195,7 @@
 		watches = append(watches, w)
 	}
 	l.mutex.Unlock()
-	l.events.Lost(node)
+	l.events.Unresponsive(node)
 	l.StartRecovery(node, address)
 	for _, w := range watches {
 		if w.cancel != nil {
@@ -204,16 +204,16 @@
 	}
 }
 
-// Silent reports whether a node is considered unresponsive.
-func (l *Liveness) Silent(node string) bool {
+// Unresponsive reports whether a node is considered unresponsive.
+func (l *Liveness) Unresponsive(node string) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	peer := l.peers[node]
 	return peer != nil && peer.recovering
 }
 
-// Ask requests a node's identity and whether it is connected to the store.
-func (c *Client) Ask(ctx context.Context, address string) (*wire.Pong, error) {
+// Identify requests a node's identity and whether it is connected to the store.
+func (c *Client) Identify(ctx context.Context, address string) (*wire.Pong, error) {
 	response, err := c.ping(ctx, address)
 	if err != nil {
 		return nil, err
--- a/internal/sidecar/peer/message.go
+++ b/internal/sidecar/peer/message.go
@@ -32,13 +32,13 @@
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
-	BareAnswer(w)
+	OmitDefaultHeaders(w)
 	w.Header().Set("Content-Length", strconv.Itoa(len(encoded)))
 	_, _ = w.Write(encoded) // a disconnected sender retries
 }
 
-// Ask sends a control message to a node and decodes its response.
-func Ask[Q, A any](ctx context.Context, client *Client, address, path string, questions *codec.Codec[Q], question *Q, answers *codec.Codec[A]) (*A, error) {
+// RoundTrip sends a control message to a node and decodes its response.
+func RoundTrip[Q, A any](ctx context.Context, client *Client, address, path string, questions *codec.Codec[Q], question *Q, answers *codec.Codec[A]) (*A, error) {
 	data, err := questions.Encode(question)
 	if err != nil {
 		return nil, err
--- a/internal/sidecar/quotas/requests.go
+++ b/internal/sidecar/quotas/requests.go
@@ -88,7 +88,7 @@
 	if address == l.options.Settings().Listen.Inbound {
 		return l.server.Answer(request), nil
 	}
-	return peer.Ask(ctx, l.options.Peers, address, Path, wire.QuotaRequestCodec, request, wire.QuotaResponseCodec)
+	return peer.RoundTrip(ctx, l.options.Peers, address, Path, wire.QuotaRequestCodec, request, wire.QuotaResponseCodec)
 }
 
 // newRequest builds the next request for a shard. It reports the tenants that need tokens or,
--- a/internal/sidecar/services/liveness_test.go
+++ b/internal/sidecar/services/liveness_test.go
@@ -43,7 +43,7 @@
 					}
 					return nil
 				}
-				l := peer.NewLiveness(now, ping, peer.Events{Lost: s.Suspect, Still: s.Suspect, Back: s.ClearSuspicion})
+				l := peer.NewLiveness(now, ping, peer.Events{Unresponsive: s.Suspect, PingFailed: s.Suspect, Recovered: s.ClearSuspicion})
 				defer l.Close()
 				l.StartRecovery("silent", "silent:1")
 				s.Suspect("silent")
