--- a/internal/sidecar/arrival/crash.go
+++ b/internal/sidecar/arrival/crash.go
@@ -77,7 +77,7 @@
 	for _, run := range runs {
 		crashed = append(crashed, run.Run)
 	}
-	i.options.HeldBack.RecordCrash(gate.Instance, gate.Service, crashed)
+	i.options.Quarantine.RecordCrash(gate.Instance, gate.Service, crashed)
 }
 
 // maxLoggedRuns limits the requests listed in one log event.
--- a/internal/sidecar/arrival/ingress.go
+++ b/internal/sidecar/arrival/ingress.go
@@ -21,15 +21,15 @@
 
 // Ingress is the HTTP handler for requests to the local target.
 type Ingress struct {
-	options Options
-	Running runningTable
-	Once    *onceHandler
+	options       Options
+	Running       runningTable
+	SettleHandler *onceHandler
 }
 
 // New returns the ingress handler of a node.
 func New(options Options) *Ingress {
 	i := &Ingress{options: options, Running: runningTable{requests: map[string]*Running{}}}
-	i.Once = newOnceHandler(i)
+	i.SettleHandler = newOnceHandler(i)
 	return i
 }
 
@@ -142,7 +142,7 @@
 	case call.Idempotent || call.Key == "":
 		return i.admit(ctx, call, header, body, nil)
 	default:
-		return i.Once.serve(ctx, call, header, body)
+		return i.SettleHandler.serve(ctx, call, header, body)
 	}
 }
 
@@ -183,7 +183,7 @@
 		return reply.NotRun(outcome.ReasonWrongService)
 	}
 	req.instance = gate.Instance
-	heldBack := i.options.HeldBack
+	heldBack := i.options.Quarantine
 	switch {
 	case !heldBack.MaySend(&req.Request):
 		return reply.NotRun(outcome.ReasonEndsTargets)
@@ -231,7 +231,7 @@
 	if response.Stream == nil {
 		gate.Leave(id, answered)
 		if response.Outcome == outcome.Answered {
-			i.options.HeldBack.RecordSuccess(&req.Request)
+			i.options.Quarantine.RecordSuccess(&req.Request)
 		}
 	} else {
 		response.Stream = &slotReader{ReadCloser: response.Stream, release: func(err error) {
@@ -271,7 +271,7 @@
 func (i *Ingress) recordStreamEnd(ctx context.Context, gate *target.Gate, req *request, err error) {
 	switch {
 	case err == io.EOF:
-		i.options.HeldBack.RecordSuccess(&req.Request)
+		i.options.Quarantine.RecordSuccess(&req.Request)
 	case err == nil || ctx.Err() != nil:
 		i.recordCancelled(gate, req)
 	default:
--- a/internal/sidecar/arrival/options.go
+++ b/internal/sidecar/arrival/options.go
@@ -47,7 +47,7 @@
 	Headers     headers.Names
 	Version     func() uint64 // version of the configuration in force; 0 if none is known
 	Target      Target
-	HeldBack    HeldBack
+	Quarantine  HeldBack
 	Metrics     *metrics.Metrics
 	Events      *eventlog.Log
 	// Begin counts a request of another node as in flight until end is called. draining reports
--- a/internal/sidecar/node.go
+++ b/internal/sidecar/node.go
@@ -235,7 +235,7 @@
 func (n *Node) inbound() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("POST "+peer.CallPath, n.ingress)
-	mux.Handle("POST "+peer.SettlePath, n.ingress.Once)
+	mux.Handle("POST "+peer.SettlePath, n.ingress.SettleHandler)
 	mux.Handle("POST "+membership.ExchangePath, n.exchanger)
 	mux.Handle("POST "+membership.BroadcastPath, n.broadcaster)
 	mux.Handle("POST "+revalidation.Path, n.freshness)
--- a/internal/sidecar/options.go
+++ b/internal/sidecar/options.go
@@ -148,7 +148,7 @@
 func (n *Node) arrivalOptions() arrival.Options {
 	return arrival.Options{
 		Incarnation: n.incarnation, Now: n.now, Headers: n.options.Headers, Version: n.configuration.Version,
-		Target: n.target, HeldBack: n.heldBack, Metrics: n.metrics, Events: n.events,
+		Target: n.target, Quarantine: n.heldBack, Metrics: n.metrics, Events: n.events,
 		Begin: func(w http.ResponseWriter, r *http.Request) (*duplex.Writer, *http.Request, func(), bool) {
 			return n.beginRequest(w, r, n.shutdown.leaving.Load, &n.shutdown.rejectAll)
 		},
