--- a/internal/sidecar/entry/entry.go
+++ b/internal/sidecar/entry/entry.go
@@ -79,7 +79,7 @@
 	w, r, end, closing := e.options.Begin(writer, received)
 	defer end()
 	id := r.Header.Get(e.options.Headers.RequestID)
-	isCall := e.options.Arrivals.IsCall(id)
+	isCall := e.options.Ingress.IsCall(id)
 	if !isCall {
 		defer e.options.CountClient()()
 	}
@@ -128,14 +128,14 @@
 // crashVerdict checks the request against the contents that are known to crash targets.
 func (r *request) crashVerdict() heldback.Verdict {
 	call := &wire.SidecarCall{Method: r.incoming.Method, URI: requestURI(r.incoming), Host: r.incoming.Host, Caller: r.options.Caller(), Tenant: r.tenant}
-	return r.options.HeldBack.CheckAtEntry(&heldback.Request{Call: call, Body: r.body})
+	return r.options.Quarantine.CheckAtEntry(&heldback.Request{Call: call, Body: r.body})
 }
 
 // countRequest credits the retry budgets for the request and its expected downstream calls. It
 // returns the share of the budgets that is left to downstream nodes.
 func (r *request) countRequest() float64 {
 	return r.options.Services.RecordRequest(r.service, r.inheritedRetryGrant(), func(f func(name string, calls float64)) {
-		r.options.Overload.EachNeed(r.route, f)
+		r.options.Admission.EachNeed(r.route, f)
 	})
 }
 
@@ -150,7 +150,7 @@
 // releaseWindow reports the end of an admitted client request to the overload controller. A
 // timeout counts as missing capacity, since it is unknown which service the request waited for.
 func (r *request) releaseWindow() {
-	r.options.Overload.End(admission.Completion{
+	r.options.Admission.End(admission.Completion{
 		Route: r.route, LatencyBudget: r.latencyBudget(), Latency: r.options.Now() - r.started, Needs: r.needs,
 		NoCapacity: r.noCapacity || r.status == http.StatusGatewayTimeout, Abandoned: r.incoming.Context().Err() != nil,
 	})
@@ -185,7 +185,7 @@
 	if r.parent != nil {
 		r.parent.AddNeeds(needs)
 	}
-	r.options.Overload.RecordNeeds(r.route, needs, response.Outcome == outcome.Answered && response.Status < http.StatusBadRequest)
+	r.options.Admission.RecordNeeds(r.route, needs, response.Outcome == outcome.Answered && response.Status < http.StatusBadRequest)
 }
 
 // resolveParent looks up the request at the local target that made this call and derives the
@@ -196,7 +196,7 @@
 		limit = 0
 	}
 	r.importance = importance.Of(r.route, nil, limit)
-	parent := r.options.Arrivals.Parent(r.id)
+	parent := r.options.Ingress.Parent(r.id)
 	if parent == nil {
 		return
 	}
--- a/internal/sidecar/entry/options.go
+++ b/internal/sidecar/entry/options.go
@@ -71,16 +71,16 @@
 	Headers       headers.Names
 	Caller        func() string // service name of the local target
 	Configuration Configuration
-	Fresh         func() bool // whether the configuration was revalidated recently enough to trust client keys
-	Arrivals      Arrivals
-	HeldBack      HeldBack
+	ConfigFresh   func() bool // whether the configuration was revalidated recently enough to trust client keys
+	Ingress       Arrivals
+	Quarantine    HeldBack
 	Quotas        Quotas
 	Services      *services.Services
-	Overload      *admission.Control
+	Admission     *admission.Control
 	Liveness      *peer.Liveness
-	Peers         *peer.Client
+	PeerClient    *peer.Client
 	Members       Members
-	Exchange      func(address string)            // synchronizes with a node that has no configuration
+	SyncWith      func(address string)            // synchronizes with a node that has no configuration
 	PolicyOn      func(m settings.Mechanism) bool // whether a mechanism is enabled
 	Metrics       *metrics.Metrics
 	Events        *eventlog.Log
--- a/internal/sidecar/entry/send.go
+++ b/internal/sidecar/entry/send.go
@@ -75,7 +75,7 @@
 // takeRetry deducts a retry from the budgets. declined means that the target declined the previous
 // attempt.
 func (r *request) takeRetry(declined bool) bool {
-	if !r.options.Services.TakeRetry(r.service, r.options.Overload.Needs(r.route), r.retryRank(), declined) {
+	if !r.options.Services.TakeRetry(r.service, r.options.Admission.Needs(r.route), r.retryRank(), declined) {
 		r.options.Metrics.Denied.WithLabelValues(r.service).Inc()
 		return false
 	}
@@ -125,7 +125,7 @@
 		Version: int64(r.intent.Version), RetryGrant: r.retryGrant, Tenant: r.tenant, Suspect: suspect, Trial: r.trial,
 	}
 	if choice.Node == r.options.Node {
-		return r.options.Arrivals.Serve(ctx, call, r.header.Clone(), r.body)
+		return r.options.Ingress.Serve(ctx, call, r.header.Clone(), r.body)
 	}
 	if repeatable {
 		return r.sendRepeatable(ctx, choice, call)
@@ -145,7 +145,7 @@
 // syncIfUnconfigured synchronizes with a node that replied without having a configuration.
 func (r *request) syncIfUnconfigured(choice *services.Choice, response *reply.Reply) {
 	if response.Incarnation != "" && response.Version == 0 && choice.Node != r.options.Node {
-		r.options.Exchange(choice.Address)
+		r.options.SyncWith(choice.Address)
 	}
 }
 
@@ -154,7 +154,7 @@
 func (r *request) sendRepeatable(ctx context.Context, choice *services.Choice, call *wire.SidecarCall) *reply.Reply {
 	ctx, abandon := context.WithCancelCause(ctx)
 	watch := r.options.Liveness.Watch(choice.Node, choice.Address, abandon)
-	response := r.options.Peers.Call(ctx, choice.Address, call, r.header, r.body)
+	response := r.options.PeerClient.Call(ctx, choice.Address, call, r.header, r.body)
 	watch.End(response.Incarnation != "")
 	if response.Outcome == outcome.Unknown && errors.Is(context.Cause(ctx), peer.ErrUnresponsive) {
 		response.Reason = outcome.ReasonSilent
@@ -172,13 +172,13 @@
 	call.Incarnation = r.options.Members.Incarnation(choice.Node)
 	watch := r.options.Liveness.Watch(choice.Node, choice.Address, nil)
 	defer func() { watch.End(false) }()
-	response := r.options.Peers.Call(ctx, choice.Address, call, r.header, r.body)
+	response := r.options.PeerClient.Call(ctx, choice.Address, call, r.header, r.body)
 	for range maxSettleQueries {
 		if response.Outcome != outcome.Unknown || response.Reason != outcome.ReasonLost || call.Incarnation == "" || ctx.Err() != nil {
 			break
 		}
 		call.Remaining = r.remaining(ctx).Microseconds()
-		response = r.options.Peers.Settle(ctx, choice.Address, call)
+		response = r.options.PeerClient.Settle(ctx, choice.Address, call)
 	}
 	if response.Reason == outcome.ReasonNodeRestarted {
 		r.options.Members.SetIncarnation(choice.Node, response.Incarnation)
--- a/internal/sidecar/entry/steps.go
+++ b/internal/sidecar/entry/steps.go
@@ -53,7 +53,7 @@
 // checkReady loads the configuration that applies to the request. Freshness is read first: a
 // configuration loaded afterwards is at least as new as the one that was revalidated.
 func (r *request) checkReady() bool {
-	r.configFresh = r.options.Fresh()
+	r.configFresh = r.options.ConfigFresh()
 	r.intent = r.options.Configuration.Load()
 	switch {
 	case r.draining:
@@ -160,7 +160,7 @@
 		return true
 	}
 	var admitted bool
-	admitted, r.decision = r.options.Overload.Admit(r.route)
+	admitted, r.decision = r.options.Admission.Admit(r.route)
 	if !admitted {
 		r.options.Quotas.ReturnToken(r.keyTenant)
 		r.reject(http.StatusServiceUnavailable, outcome.ReasonOverload, retryafter.Shed(r.clientTimeout()))
--- a/internal/sidecar/entry/window_test.go
+++ b/internal/sidecar/entry/window_test.go
@@ -30,7 +30,7 @@
 			now := func() time.Duration { return 0 }
 			control := admission.New(now, configuration.New(nil, nil), false)
 			route := &intent.Route{Name: "read", Objective: time.Second}
-			r := &request{options: &Options{Now: now, Overload: control}, route: route, incoming: httptest.NewRequest(http.MethodGet, "/", nil), timeout: time.Second, status: tc.status, noCapacity: tc.noCapacity}
+			r := &request{options: &Options{Now: now, Admission: control}, route: route, incoming: httptest.NewRequest(http.MethodGet, "/", nil), timeout: time.Second, status: tc.status, noCapacity: tc.noCapacity}
 			admitted, _ := control.Admit(route)
 			g.Expect(admitted).To(BeTrue())
 			_, before := control.Window(route)
--- a/internal/sidecar/options.go
+++ b/internal/sidecar/options.go
@@ -157,9 +157,9 @@
 
 func (n *Node) entryOptions() entry.Options {
 	return entry.Options{
-		Node: n.settings().Node, Now: n.now, Headers: n.options.Headers, Caller: n.localService, Configuration: n.configuration, Fresh: n.freshness.Fresh,
-		Arrivals: n.ingress, HeldBack: n.heldBack, Quotas: n.quotas, Services: n.services, Overload: n.admission, Liveness: n.liveness,
-		Peers: n.peers, Members: n.membership, Exchange: n.exchanger.SyncInBackground, PolicyOn: n.policyOn, Metrics: n.metrics, Events: n.events,
+		Node: n.settings().Node, Now: n.now, Headers: n.options.Headers, Caller: n.localService, Configuration: n.configuration, ConfigFresh: n.freshness.Fresh,
+		Ingress: n.ingress, Quarantine: n.heldBack, Quotas: n.quotas, Services: n.services, Admission: n.admission, Liveness: n.liveness,
+		PeerClient: n.peers, Members: n.membership, SyncWith: n.exchanger.SyncInBackground, PolicyOn: n.policyOn, Metrics: n.metrics, Events: n.events,
 		Begin: func(w http.ResponseWriter, r *http.Request) (*duplex.Writer, *http.Request, func(), bool) {
 			return n.beginRequest(w, r, n.shutdown.stopping.Load, &n.shutdown.rejectClients)
 		},
