--- a/internal/sidecar/heldback/request.go
+++ b/internal/sidecar/heldback/request.go
@@ -19,7 +19,7 @@
 func (r *Request) Fingerprint() crashes.Fingerprint {
 	if r.fingerprint == nil {
 		path, query, _ := strings.Cut(r.Call.URI, "?")
-		prefix, length := r.Body.Begin()
+		prefix, length := r.Body.Prefix()
 		fingerprint := crashes.FingerprintOf(crashes.Request{
 			Method: r.Call.Method, Host: r.Call.Host, Path: path, Query: query, Body: prefix, Length: length, Caller: r.Call.Caller, Tenant: r.Call.Tenant,
 		})
--- a/internal/sidecar/reply/reply.go
+++ b/internal/sidecar/reply/reply.go
@@ -86,8 +86,8 @@
 	Length int64
 }
 
-// Begin returns the buffered prefix of the body and the length of the body, or -1 if unknown.
-func (p *Payload) Begin() ([]byte, int64) {
+// Prefix returns the buffered prefix of the body and the length of the body, or -1 if unknown.
+func (p *Payload) Prefix() ([]byte, int64) {
 	if p.Stream != nil {
 		return p.Head, p.Length
 	}
