--- a/internal/sidecar/node.go
+++ b/internal/sidecar/node.go
@@ -151,7 +151,7 @@
 // policyOn reports whether a mechanism is enabled.
 func (n *Node) policyOn(m settings.Mechanism) bool {
 	s := n.currentSettings.Load()
-	return s == nil || s.Policy.On(m)
+	return s == nil || s.Policy.Enabled(m)
 }
 
 // Reload applies changed settings. Node name, zone, listen addresses, store, first start and policy
--- a/internal/sidecar/revalidation/revalidation.go
+++ b/internal/sidecar/revalidation/revalidation.go
@@ -118,7 +118,7 @@
 // Fresh reports whether the configuration is fresh enough to accept a key. It is always true if
 // keys.fail_closed is off.
 func (r *Revalidator) Fresh() bool {
-	bound := r.options.Settings().Keys.Bound()
+	bound := r.options.Settings().Keys.MaxConfigurationAge()
 	if bound == 0 {
 		return true
 	}
@@ -165,7 +165,7 @@
 // needed reports whether evidence is required: there are tenants, and keys.fail_closed is on.
 func (r *Revalidator) needed() bool {
 	current := r.options.Configuration.Load()
-	return current != nil && len(current.Tenants) > 0 && r.options.Settings().Keys.Bound() > 0
+	return current != nil && len(current.Tenants) > 0 && r.options.Settings().Keys.MaxConfigurationAge() > 0
 }
 
 // Run refreshes the evidence until ctx is done. It starts with a random delay, so that nodes
@@ -296,7 +296,7 @@
 
 // logChange logs when requests with keys start or stop being refused for lack of evidence.
 func (r *Revalidator) logChange() {
-	bound := r.options.Settings().Keys.Bound()
+	bound := r.options.Settings().Keys.MaxConfigurationAge()
 	age, version, known := r.Age()
 	unconfirmed := r.needed() && (!known || age >= bound)
 	if unconfirmed == r.unconfirmed {
--- a/internal/sidecar/services/budgets.go
+++ b/internal/sidecar/services/budgets.go
@@ -30,7 +30,7 @@
 func (s *Services) retainedShare(now time.Duration) float64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if !s.policy.On(settings.Grants) {
+	if !s.policy.Enabled(settings.Grants) {
 		return wire.DefaultGrant
 	}
 	return s.retention.Fraction(now)
@@ -47,7 +47,7 @@
 	defer s.mutex.Unlock()
 	now := s.now()
 	target := s.getLocked(service)
-	if s.policy.On(settings.Ration) && !target.ration.Allows(now, rank) {
+	if s.policy.Enabled(settings.Ration) && !target.ration.Allows(now, rank) {
 		return false
 	}
 	allowance := s.allowance.Part(now, s.config.Allowance)
--- a/internal/sidecar/services/services.go
+++ b/internal/sidecar/services/services.go
@@ -85,9 +85,9 @@
 // balancerConfig returns the balancer configuration under the current policy.
 func (s *Services) balancerConfig() balancer.Config {
 	config := balancer.DefaultConfig()
-	config.NoSamples = !s.policy.On(settings.Samples)
-	config.NoZones = !s.policy.On(settings.Zones)
-	config.NoLosses = !s.policy.On(settings.Losses)
+	config.NoSamples = !s.policy.Enabled(settings.Samples)
+	config.NoZones = !s.policy.Enabled(settings.Zones)
+	config.NoLosses = !s.policy.Enabled(settings.Losses)
 	return config
 }
 
@@ -161,7 +161,7 @@
 
 // Suspect stops sending to the target of an unresponsive node.
 func (s *Services) Suspect(node string) {
-	if !s.policy.On(settings.Suspicion) {
+	if !s.policy.Enabled(settings.Suspicion) {
 		return
 	}
 	s.forEachEndpoint(node, func(b *balancer.Balancer, e *balancer.Endpoint) { b.Suspect(s.now(), e) })
--- a/internal/sidecar/settings/policy.go
+++ b/internal/sidecar/settings/policy.go
@@ -40,8 +40,8 @@
 
 var mechanisms = []Mechanism{Window, Urgency, Grants, Ration, Declined, Repeats, Samples, Zones, Losses, Suspicion, InTime, TenantOrder, HoldBack}
 
-// On reports whether m is enabled.
-func (p Policy) On(m Mechanism) bool { return !slices.Contains(p.Off, m) }
+// Enabled reports whether m is enabled.
+func (p Policy) Enabled(m Mechanism) bool { return !slices.Contains(p.Off, m) }
 
 func (p Policy) validate() error {
 	for _, m := range p.Off {
--- a/internal/sidecar/settings/policy_test.go
+++ b/internal/sidecar/settings/policy_test.go
@@ -9,8 +9,8 @@
 func TestMechanismsEnabledByDefault(t *testing.T) {
 	g := NewWithT(t)
 	for _, m := range mechanisms {
-		g.Expect(Policy{}.On(m)).To(BeTrue())
-		g.Expect(Policy{Off: []Mechanism{m}}.On(m)).To(BeFalse())
+		g.Expect(Policy{}.Enabled(m)).To(BeTrue())
+		g.Expect(Policy{Off: []Mechanism{m}}.Enabled(m)).To(BeFalse())
 	}
 }
 
--- a/internal/sidecar/settings/settings.go
+++ b/internal/sidecar/settings/settings.go
@@ -98,9 +98,9 @@
 	Revoke units.Duration `yaml:"revoke"`
 }
 
-// Bound returns the maximum age of a configuration used to authenticate keys, or 0 if
+// MaxConfigurationAge returns the maximum age of a configuration used to authenticate keys, or 0 if
 // there is no limit.
-func (k Keys) Bound() time.Duration {
+func (k Keys) MaxConfigurationAge() time.Duration {
 	if !k.FailClosed {
 		return 0
 	}
@@ -126,16 +126,16 @@
 
 // Default values.
 const (
-	DefaultLease          = 30 * time.Second
-	DefaultDrain          = 2 * time.Second
-	DefaultGrace          = 6 * time.Second
-	DefaultRatio          = 0.2
-	DefaultAllowance      = 50
-	DefaultWindow         = 10 * time.Second
-	DefaultRevoke         = 5 * time.Second
-	DefaultQuotaWindow    = 5 * time.Second
-	DefaultQuotaOvershoot = 0.1
-	DefaultQuotaSlack     = 20
+	DefaultLease               = 30 * time.Second
+	DefaultDrain               = 2 * time.Second
+	DefaultGrace               = 6 * time.Second
+	DefaultRetryRatio          = 0.2
+	DefaultRetryAllowance      = 50
+	DefaultRetryWindow         = 10 * time.Second
+	DefaultMaxConfigurationAge = 5 * time.Second
+	DefaultQuotaWindow         = 5 * time.Second
+	DefaultQuotaOvershoot      = 0.1
+	DefaultQuotaSlack          = 20
 )
 
 // Load reads and validates a settings file.
@@ -174,8 +174,8 @@
 	setDefaultDuration(&s.Store.Lease, DefaultLease)
 	setDefaultDuration(&s.Bounds.Drain, DefaultDrain)
 	setDefaultDuration(&s.Bounds.Grace, DefaultGrace)
-	setDefaultDuration(&s.Retries.Window, DefaultWindow)
-	setDefaultDuration(&s.Keys.Revoke, DefaultRevoke)
+	setDefaultDuration(&s.Retries.Window, DefaultRetryWindow)
+	setDefaultDuration(&s.Keys.Revoke, DefaultMaxConfigurationAge)
 	setDefaultDuration(&s.Quotas.Window, DefaultQuotaWindow)
 	if s.Quotas.Overshoot == 0 {
 		s.Quotas.Overshoot = DefaultQuotaOvershoot
@@ -184,10 +184,10 @@
 		s.Quotas.Slack = DefaultQuotaSlack
 	}
 	if s.Retries.Ratio == 0 {
-		s.Retries.Ratio = DefaultRatio
+		s.Retries.Ratio = DefaultRetryRatio
 	}
 	if s.Retries.Allowance == 0 {
-		s.Retries.Allowance = DefaultAllowance
+		s.Retries.Allowance = DefaultRetryAllowance
 	}
 }
 
--- a/internal/sidecar/settings/settings_test.go
+++ b/internal/sidecar/settings/settings_test.go
@@ -22,7 +22,7 @@
 	settings, err := Parse([]byte(validSettings))
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(time.Duration(settings.Bounds.Drain)).To(Equal(DefaultDrain))
-	g.Expect(settings.Retries.Ratio).To(Equal(DefaultRatio))
+	g.Expect(settings.Retries.Ratio).To(Equal(DefaultRetryRatio))
 }
 
 func TestValidationErrorNamesKeyAndRemedy(t *testing.T) {
--- a/internal/testbed/judge/budget.go
+++ b/internal/testbed/judge/budget.go
@@ -55,7 +55,7 @@
 func (j *Judge) checkBudget(service string, asks, repeats []time.Time) {
 	within := func(times []time.Time, end time.Time) (n int) {
 		for _, at := range times {
-			if !at.After(end) && at.After(end.Add(-settings.DefaultWindow)) {
+			if !at.After(end) && at.After(end.Add(-settings.DefaultRetryWindow)) {
 				n++
 			}
 		}
@@ -64,9 +64,9 @@
 	if len(repeats) == 0 {
 		return
 	}
-	for end := repeats[0]; end.Before(repeats[len(repeats)-1].Add(settings.DefaultWindow)); end = end.Add(windowStep) {
-		most := max(within(asks, end), within(asks, end.Add(-settings.DefaultWindow/2)), within(asks, end.Add(-settings.DefaultWindow)))
-		if n := within(repeats, end); float64(n) > settings.DefaultRatio*float64(most)+settings.DefaultAllowance {
+	for end := repeats[0]; end.Before(repeats[len(repeats)-1].Add(settings.DefaultRetryWindow)); end = end.Add(windowStep) {
+		most := max(within(asks, end), within(asks, end.Add(-settings.DefaultRetryWindow/2)), within(asks, end.Add(-settings.DefaultRetryWindow)))
+		if n := within(repeats, end); float64(n) > settings.DefaultRetryRatio*float64(most)+settings.DefaultRetryAllowance {
 			j.violate("BUDGET", "%s got %d retries for %d requests in a window", service, n, most)
 			return
 		}
--- a/internal/testbed/judge/tenants.go
+++ b/internal/testbed/judge/tenants.go
@@ -10,7 +10,7 @@
 
 // Default limits for key revocation and quotas.
 const (
-	RevokeBound    = settings.DefaultRevoke
+	RevokeBound    = settings.DefaultMaxConfigurationAge
 	QuotaWindow    = settings.DefaultQuotaWindow
 	QuotaOvershoot = settings.DefaultQuotaOvershoot
 	QuotaSlack     = settings.DefaultQuotaSlack
