--- a/internal/sidecar/arrival/crash.go
+++ b/internal/sidecar/arrival/crash.go
@@ -67,7 +67,7 @@
 	}
 	event := eventlog.Crash{Instance: gate.Instance, Service: gate.Service, Requests: len(runs)}
 	for _, run := range runs[:min(len(runs), maxLoggedRuns)] {
-		event.Running = append(event.Running, eventlog.CrashRun{Request: run.Request, Route: run.Route, Digest: run.Fingerprint.Content.String()})
+		event.Runs = append(event.Runs, eventlog.CrashRun{Request: run.Request, Route: run.Route, Digest: run.Fingerprint.Content.String()})
 	}
 	if first {
 		i.options.Metrics.Crashes.Inc()
--- a/internal/sidecar/arrival/ingress.go
+++ b/internal/sidecar/arrival/ingress.go
@@ -290,12 +290,12 @@
 	if response.Outcome != outcome.Answered || response.Status >= http.StatusInternalServerError {
 		weight = eventlog.Failure
 	}
-	if !i.options.Events.Wants(eventlog.Run{}.Kind(), weight) {
+	if !i.options.Events.Allow(eventlog.Run{}.Kind(), weight) {
 		return
 	}
 	i.options.Events.Add(eventlog.Run{
 		Request: req.Call.RequestID, From: req.Call.From, Service: req.Call.Service, Instance: req.instance, Outcome: string(response.Outcome),
 		Reason: string(response.Reason), Status: response.Status, Importance: req.Call.Importance, WaitMS: eventlog.Milliseconds(waited), TookMS: eventlog.Milliseconds(elapsed),
-		LeftMS: float64(req.Call.Remaining) / 1000, Running: response.Load.Running, Waiting: response.Load.Waiting, Slots: response.Load.Slots, Repeat: req.Call.IsRetry,
+		RemainingMS: float64(req.Call.Remaining) / 1000, Running: response.Load.Running, Waiting: response.Load.Waiting, Slots: response.Load.Slots, Retry: req.Call.IsRetry,
 	}, weight)
 }
--- a/internal/sidecar/configuration/configuration.go
+++ b/internal/sidecar/configuration/configuration.go
@@ -56,7 +56,7 @@
 func (c *InForce) Install(data []byte, source string) (uint64, error) {
 	parsed, err := c.parse(data)
 	if err != nil {
-		c.events.Add(eventlog.Configuration{Before: c.Version(), Source: source, Error: err.Error()}, eventlog.State)
+		c.events.Add(eventlog.Configuration{Previous: c.Version(), Source: source, Error: err.Error()}, eventlog.State)
 		return 0, err
 	}
 	parsed.Source = data
@@ -70,7 +70,7 @@
 			if current != nil {
 				before = current.Version
 			}
-			c.events.Add(eventlog.Configuration{Version: parsed.Version, Before: before, Routes: len(parsed.Routes), Tenants: len(parsed.Tenants), Source: source}, eventlog.State)
+			c.events.Add(eventlog.Configuration{Version: parsed.Version, Previous: before, Routes: len(parsed.Routes), Tenants: len(parsed.Tenants), Source: source}, eventlog.State)
 			return parsed.Version, nil
 		}
 	}
--- a/internal/sidecar/entry/entry.go
+++ b/internal/sidecar/entry/entry.go
@@ -64,7 +64,7 @@
 	// Recorded in the request's log event.
 	timeout  time.Duration
 	decision admission.Decision
-	attempts []eventlog.Send
+	attempts []eventlog.Attempt
 }
 
 const (
--- a/internal/sidecar/entry/log.go
+++ b/internal/sidecar/entry/log.go
@@ -23,13 +23,13 @@
 	if label != "ok" || len(r.attempts) > 1 || (r.route != nil && r.route.Objective > 0 && elapsed > r.route.Objective) {
 		weight = eventlog.Failure
 	}
-	if !r.options.Events.Wants(eventlog.Request{}.Kind(), weight) {
+	if !r.options.Events.Allow(eventlog.Request{}.Kind(), weight) {
 		return
 	}
 	event := eventlog.Request{
 		Request: r.id, Tenant: r.tenant, Service: r.service, Version: r.options.Configuration.Version(), Importance: r.importance, Status: status, Reason: string(reason),
-		TookMS: eventlog.Milliseconds(elapsed), HoldMS: eventlog.Milliseconds(r.timeout), Share: r.decision.Probability, Decisive: r.decision.Bottleneck, Occupancy: r.decision.Occupancy,
-		RetryAfterMS: eventlog.Milliseconds(retryAfter), Sends: r.attempts, InFlight: r.decision.InFlight, Fits: r.decision.WindowSize,
+		TookMS: eventlog.Milliseconds(elapsed), TimeLimitMS: eventlog.Milliseconds(r.timeout), AdmitProbability: r.decision.Probability, BottleneckService: r.decision.Bottleneck, Occupancy: r.decision.Occupancy,
+		RetryAfterMS: eventlog.Milliseconds(retryAfter), Attempts: r.attempts, InFlight: r.decision.InFlight, WindowSize: r.decision.WindowSize,
 	}
 	if r.route != nil {
 		event.Route = r.route.Name
--- a/internal/sidecar/entry/send.go
+++ b/internal/sidecar/entry/send.go
@@ -136,7 +136,7 @@
 // recordAttempt counts an attempt and keeps it for the log event.
 func (r *request) recordAttempt(choice *services.Choice, response *reply.Reply, elapsed time.Duration) {
 	r.options.Metrics.Sends.WithLabelValues(r.service, string(response.Outcome), string(response.Reason)).Inc()
-	r.attempts = append(r.attempts, eventlog.Send{
+	r.attempts = append(r.attempts, eventlog.Attempt{
 		Node: choice.Node, Outcome: string(response.Outcome), Reason: string(response.Reason), Arrived: response.Arrived, Status: response.Status,
 		TookMS: eventlog.Milliseconds(elapsed), Occupancy: response.Load.Occupancy(),
 	})
--- a/internal/sidecar/eventlog/events.go
+++ b/internal/sidecar/eventlog/events.go
@@ -13,29 +13,29 @@
 
 // Request reports the completion of a request at its entry node.
 type Request struct {
-	Request      string  `json:"request" doc:"id of the client's request, or of the call made by the target"`
-	Tenant       string  `json:"tenant,omitempty" doc:"tenant whose key was on the first request of the call chain"`
-	Parent       string  `json:"parent,omitempty" doc:"id of the request at the local target that made the call"`
-	Route        string  `json:"route,omitempty" doc:"matching route"`
-	Service      string  `json:"service,omitempty" doc:"destination service"`
-	Version      uint64  `json:"version" doc:"version of the configuration that was applied"`
-	Importance   int     `json:"importance" doc:"queue priority; lower goes first"`
-	Status       int     `json:"status" doc:"status sent to the client; 0 if the client disconnected first"`
-	Reason       string  `json:"reason" doc:"why no response of a target was returned; none if one was"`
-	TookMS       float64 `json:"took_ms" doc:"time from arrival to response"`
-	HoldMS       float64 `json:"hold_ms" doc:"time limit: the client's deadline or the route's timeout"`
-	ObjectiveMS  float64 `json:"objective_ms,omitempty" doc:"latency objective of the route"`
-	Share        float64 `json:"share" doc:"admission probability: 1 unless the route's window is full"`
-	Decisive     string  `json:"decisive,omitempty" doc:"service that caused the longest slot wait in the route's call chains, if the window is enforced"`
-	Occupancy    float64 `json:"occupancy,omitempty" doc:"mean occupancy of that service: running and waiting requests over slots"`
-	InFlight     int     `json:"in_flight,omitempty" doc:"requests of the route in flight from this node when it was rejected"`
-	Fits         float64 `json:"fits,omitempty" doc:"size of the route's window at that time"`
-	RetryAfterMS float64 `json:"retry_after_ms,omitempty" doc:"value of Retry-After sent to the client"`
-	Sends        []Send  `json:"sends,omitempty" doc:"attempts, in order"`
-}
-
-// Send is one attempt to run a request at a target.
-type Send struct {
+	Request           string    `json:"request" doc:"id of the client's request, or of the call made by the target"`
+	Tenant            string    `json:"tenant,omitempty" doc:"tenant whose key was on the first request of the call chain"`
+	Parent            string    `json:"parent,omitempty" doc:"id of the request at the local target that made the call"`
+	Route             string    `json:"route,omitempty" doc:"matching route"`
+	Service           string    `json:"service,omitempty" doc:"destination service"`
+	Version           uint64    `json:"version" doc:"version of the configuration that was applied"`
+	Importance        int       `json:"importance" doc:"queue priority; lower goes first"`
+	Status            int       `json:"status" doc:"status sent to the client; 0 if the client disconnected first"`
+	Reason            string    `json:"reason" doc:"why no response of a target was returned; none if one was"`
+	TookMS            float64   `json:"took_ms" doc:"time from arrival to response"`
+	TimeLimitMS       float64   `json:"hold_ms" doc:"time limit: the client's deadline or the route's timeout"`
+	ObjectiveMS       float64   `json:"objective_ms,omitempty" doc:"latency objective of the route"`
+	AdmitProbability  float64   `json:"share" doc:"admission probability: 1 unless the route's window is full"`
+	BottleneckService string    `json:"decisive,omitempty" doc:"service that caused the longest slot wait in the route's call chains, if the window is enforced"`
+	Occupancy         float64   `json:"occupancy,omitempty" doc:"mean occupancy of that service: running and waiting requests over slots"`
+	InFlight          int       `json:"in_flight,omitempty" doc:"requests of the route in flight from this node when it was rejected"`
+	WindowSize        float64   `json:"fits,omitempty" doc:"size of the route's window at that time"`
+	RetryAfterMS      float64   `json:"retry_after_ms,omitempty" doc:"value of Retry-After sent to the client"`
+	Attempts          []Attempt `json:"sends,omitempty" doc:"attempts, in order"`
+}
+
+// Attempt is one attempt to run a request at a target.
+type Attempt struct {
 	Node      string  `json:"node" doc:"node of the target"`
 	Outcome   string  `json:"outcome" doc:"answered, not_run or unknown"`
 	Reason    string  `json:"reason" doc:"why"`
@@ -47,21 +47,21 @@
 
 // Run reports the completion of a request at the node of its target.
 type Run struct {
-	Request    string  `json:"request" doc:"id of the request"`
-	From       string  `json:"from" doc:"node that sent it"`
-	Service    string  `json:"service" doc:"destination service"`
-	Instance   string  `json:"instance,omitempty" doc:"instance of the target"`
-	Outcome    string  `json:"outcome" doc:"answered, not_run or unknown"`
-	Reason     string  `json:"reason" doc:"why"`
-	Status     int     `json:"status,omitempty" doc:"of the target's answer"`
-	Importance int     `json:"importance" doc:"queue priority; lower goes first"`
-	WaitMS     float64 `json:"wait_ms" doc:"time spent waiting for a slot"`
-	TookMS     float64 `json:"took_ms" doc:"time from arrival to reply"`
-	LeftMS     float64 `json:"left_ms" doc:"time to the deadline at arrival"`
-	Running    int     `json:"running" doc:"requests running at the target on completion"`
-	Waiting    int     `json:"waiting" doc:"requests waiting for a slot on completion"`
-	Slots      int     `json:"slots" doc:"available slots of the target"`
-	Repeat     bool    `json:"repeat,omitempty" doc:"whether it, or a request upstream in the call chain, is a retry"`
+	Request     string  `json:"request" doc:"id of the request"`
+	From        string  `json:"from" doc:"node that sent it"`
+	Service     string  `json:"service" doc:"destination service"`
+	Instance    string  `json:"instance,omitempty" doc:"instance of the target"`
+	Outcome     string  `json:"outcome" doc:"answered, not_run or unknown"`
+	Reason      string  `json:"reason" doc:"why"`
+	Status      int     `json:"status,omitempty" doc:"of the target's answer"`
+	Importance  int     `json:"importance" doc:"queue priority; lower goes first"`
+	WaitMS      float64 `json:"wait_ms" doc:"time spent waiting for a slot"`
+	TookMS      float64 `json:"took_ms" doc:"time from arrival to reply"`
+	RemainingMS float64 `json:"left_ms" doc:"time to the deadline at arrival"`
+	Running     int     `json:"running" doc:"requests running at the target on completion"`
+	Waiting     int     `json:"waiting" doc:"requests waiting for a slot on completion"`
+	Slots       int     `json:"slots" doc:"available slots of the target"`
+	Retry       bool    `json:"repeat,omitempty" doc:"whether it, or a request upstream in the call chain, is a retry"`
 }
 
 // Crash reports that the local target exited while it ran requests.
@@ -69,7 +69,7 @@
 	Instance string     `json:"instance" doc:"instance that exited"`
 	Service  string     `json:"service" doc:"its service"`
 	Requests int        `json:"requests" doc:"requests that were running, or whose clients had disconnected less than a second before"`
-	Running  []CrashRun `json:"running" doc:"the first 100 of them"`
+	Runs     []CrashRun `json:"running" doc:"the first 100 of them"`
 }
 
 // CrashRun is a request that was running when its target exited.
@@ -85,7 +85,7 @@
 	Digest  string `json:"digest,omitempty" doc:"digest of method, host, path and body"`
 	Service string `json:"service,omitempty" doc:"service of the crashed targets"`
 	Route   string `json:"route,omitempty" doc:"route of the request"`
-	Ends    int    `json:"ends,omitempty" doc:"number of target crashes it was involved in"`
+	Crashes int    `json:"ends,omitempty" doc:"number of target crashes it was involved in"`
 	Error   string `json:"error,omitempty" doc:"read error"`
 }
 
@@ -99,12 +99,12 @@
 
 // Configuration reports that a configuration was applied or rejected.
 type Configuration struct {
-	Version uint64 `json:"version" doc:"its version"`
-	Before  uint64 `json:"before" doc:"previously applied version"`
-	Routes  int    `json:"routes" doc:"number of routes"`
-	Tenants int    `json:"tenants,omitempty" doc:"number of tenants"`
-	Source  string `json:"source" doc:"store or peer"`
-	Error   string `json:"error,omitempty" doc:"why it was rejected"`
+	Version  uint64 `json:"version" doc:"its version"`
+	Previous uint64 `json:"before" doc:"previously applied version"`
+	Routes   int    `json:"routes" doc:"number of routes"`
+	Tenants  int    `json:"tenants,omitempty" doc:"number of tenants"`
+	Source   string `json:"source" doc:"store or peer"`
+	Error    string `json:"error,omitempty" doc:"why it was rejected"`
 }
 
 // Target reports a change of the local target.
@@ -129,10 +129,10 @@
 
 // Store reports a change in the availability of the store.
 type Store struct {
-	Change string  `json:"change" doc:"lost, limited (rate limited), regained, followed (the node reads the store for its zone) or unfollowed"`
-	Call   string  `json:"call,omitempty" doc:"failed call"`
-	Error  string  `json:"error,omitempty" doc:"error of the call"`
-	AwayMS float64 `json:"away_ms,omitempty" doc:"duration of the outage"`
+	Change   string  `json:"change" doc:"lost, limited (rate limited), regained, followed (the node reads the store for its zone) or unfollowed"`
+	Call     string  `json:"call,omitempty" doc:"failed call"`
+	Error    string  `json:"error,omitempty" doc:"error of the call"`
+	OutageMS float64 `json:"away_ms,omitempty" doc:"duration of the outage"`
 }
 
 // Freshness reports whether requests with keys are rejected because the configuration has
--- a/internal/sidecar/eventlog/writer.go
+++ b/internal/sidecar/eventlog/writer.go
@@ -58,9 +58,9 @@
 	return l
 }
 
-// Wants reports whether an event of class would be accepted now, and otherwise counts it as
+// Allow reports whether an event of class would be accepted now, and otherwise counts it as
 // omitted. Callers use it to avoid building events that would be dropped.
-func (l *Log) Wants(kind string, class Class) bool {
+func (l *Log) Allow(kind string, class Class) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.rollSecond(time.Now())
--- a/internal/sidecar/heldback/heldback.go
+++ b/internal/sidecar/heldback/heldback.go
@@ -225,7 +225,7 @@
 	for content, evidence := range held {
 		if !c.held[content] {
 			c.held[content] = true
-			c.options.Events.Add(eventlog.HeldBack{Change: "held back", Digest: content.String(), Service: evidence[0].Service, Route: evidence[0].Route, Ends: len(evidence)}, eventlog.State)
+			c.options.Events.Add(eventlog.HeldBack{Change: "held back", Digest: content.String(), Service: evidence[0].Service, Route: evidence[0].Route, Crashes: len(evidence)}, eventlog.State)
 		}
 	}
 	for content := range c.held {
--- a/internal/sidecar/storehealth/storehealth.go
+++ b/internal/sidecar/storehealth/storehealth.go
@@ -59,7 +59,7 @@
 	if err == nil || errors.Is(err, store.ErrCompacted) || errors.Is(err, store.ErrLeaseExpired) {
 		h.lastSuccess = now
 		if !h.failedSince.IsZero() {
-			h.events.Add(eventlog.Store{Change: "regained", Call: call, AwayMS: eventlog.Milliseconds(now.Sub(h.failedSince))}, eventlog.State)
+			h.events.Add(eventlog.Store{Change: "regained", Call: call, OutageMS: eventlog.Milliseconds(now.Sub(h.failedSince))}, eventlog.State)
 			h.failedSince = time.Time{}
 		}
 		return
