--- a/internal/sidecar/arrival/ingress.go
+++ b/internal/sidecar/arrival/ingress.go
@@ -283,8 +283,8 @@
 func (i *Ingress) recordRun(req *request, response *reply.Reply) {
 	waited, elapsed := req.waited, i.options.Now()-req.arrivedAt
 	if response.Arrived {
-		i.options.Metrics.Waited.Observe(waited.Seconds())
-		i.options.Metrics.Held.Observe((elapsed - waited).Seconds())
+		i.options.Metrics.SlotWait.Observe(waited.Seconds())
+		i.options.Metrics.TargetDuration.Observe((elapsed - waited).Seconds())
 	}
 	weight := eventlog.Success
 	if response.Outcome != outcome.Answered || response.Status >= http.StatusInternalServerError {
--- a/internal/sidecar/entry/log.go
+++ b/internal/sidecar/entry/log.go
@@ -18,7 +18,7 @@
 		service = "none"
 	}
 	r.options.Metrics.Requests.WithLabelValues(service, label, string(reason)).Inc()
-	r.options.Metrics.Took.WithLabelValues(service).Observe(elapsed.Seconds())
+	r.options.Metrics.RequestDuration.WithLabelValues(service).Observe(elapsed.Seconds())
 	weight := eventlog.Success
 	if label != "ok" || len(r.attempts) > 1 || (r.route != nil && r.route.Objective > 0 && elapsed > r.route.Objective) {
 		weight = eventlog.Failure
--- a/internal/sidecar/entry/send.go
+++ b/internal/sidecar/entry/send.go
@@ -76,10 +76,10 @@
 // attempt.
 func (r *request) takeRetry(declined bool) bool {
 	if !r.options.Services.TakeRetry(r.service, r.options.Admission.Needs(r.route), r.retryRank(), declined) {
-		r.options.Metrics.Denied.WithLabelValues(r.service).Inc()
+		r.options.Metrics.RetriesDenied.WithLabelValues(r.service).Inc()
 		return false
 	}
-	r.options.Metrics.Repeats.WithLabelValues(r.service).Inc()
+	r.options.Metrics.Retries.WithLabelValues(r.service).Inc()
 	return true
 }
 
@@ -135,7 +135,7 @@
 
 // recordAttempt counts an attempt and keeps it for the log event.
 func (r *request) recordAttempt(choice *services.Choice, response *reply.Reply, elapsed time.Duration) {
-	r.options.Metrics.Sends.WithLabelValues(r.service, string(response.Outcome), string(response.Reason)).Inc()
+	r.options.Metrics.Attempts.WithLabelValues(r.service, string(response.Outcome), string(response.Reason)).Inc()
 	r.attempts = append(r.attempts, eventlog.Attempt{
 		Node: choice.Node, Outcome: string(response.Outcome), Reason: string(response.Reason), Arrived: response.Arrived, Status: response.Status,
 		TookMS: eventlog.Milliseconds(elapsed), Occupancy: response.Load.Occupancy(),
--- a/internal/sidecar/metrics/metrics.go
+++ b/internal/sidecar/metrics/metrics.go
@@ -14,14 +14,14 @@
 	registry *prometheus.Registry
 	// Requests counts requests that entered at this node, by service, outcome and reason.
 	Requests *prometheus.CounterVec
-	// Took is the time from a request's arrival to its response in seconds, by service.
-	Took *prometheus.HistogramVec
-	// Sends counts attempts by service, outcome and reason.
-	Sends *prometheus.CounterVec
-	// Repeats counts retries by service; Denied counts retries rejected by the retry budget.
-	Repeats, Denied *prometheus.CounterVec
-	// Waited is the wait for a slot of the target, Held the time at the target, in seconds.
-	Waited, Held prometheus.Histogram
+	// RequestDuration is the time from a request's arrival to its response in seconds, by service.
+	RequestDuration *prometheus.HistogramVec
+	// Attempts counts attempts by service, outcome and reason.
+	Attempts *prometheus.CounterVec
+	// Retries counts retries by service; Denied counts retries rejected by the retry budget.
+	Retries, RetriesDenied *prometheus.CounterVec
+	// SlotWait is the wait for a slot of the target, Held the time at the target, in seconds.
+	SlotWait, TargetDuration prometheus.Histogram
 	// Connections counts new connections to the target.
 	Connections prometheus.Counter
 	// StoreCalls counts store calls by call and result.
@@ -61,22 +61,22 @@
 	m := &Metrics{
 		registry: prometheus.NewRegistry(),
 		Requests: counters("requests_total", "Requests that began at this node, by how they ended.", "service", "outcome", "reason"),
-		Took: prometheus.NewHistogramVec(prometheus.HistogramOpts{
+		RequestDuration: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Namespace: namespace, Name: "request_seconds", Help: "Time from a request's arrival to its answer.", Buckets: durationBuckets,
 		}, []string{"service"}),
-		Sends:       counters("sends_total", "Sendings to targets' nodes, by how they ended.", "service", "outcome", "reason"),
-		Repeats:     counters("repeats_total", "Requests sent to a second target.", "service"),
-		Denied:      counters("repeats_denied_total", "Repeats that the budget did not allow.", "service"),
-		Waited:      histogram("slot_wait_seconds", "Wait for a slot of the target."),
-		Held:        histogram("target_seconds", "Time of a request at the target."),
-		Connections: counter("target_connections_total", "New connections to the target."),
-		StoreCalls:  counters("store_calls_total", "Calls of the store.", "call", "result"),
-		Crashes:     counter("target_crashes_total", "Ends of the target while it ran requests."),
-		Resumes:     counter("wakes_total", "Suspensions of the machine that the node woke from."),
-		SilentNodes: counter("silent_nodes_total", "Times that another node was taken for dead."),
-		Omitted:     counters("log_lines_omitted_total", "Log lines that were left out.", "kind"),
+		Attempts:       counters("sends_total", "Sendings to targets' nodes, by how they ended.", "service", "outcome", "reason"),
+		Retries:        counters("repeats_total", "Requests sent to a second target.", "service"),
+		RetriesDenied:  counters("repeats_denied_total", "Repeats that the budget did not allow.", "service"),
+		SlotWait:       histogram("slot_wait_seconds", "Wait for a slot of the target."),
+		TargetDuration: histogram("target_seconds", "Time of a request at the target."),
+		Connections:    counter("target_connections_total", "New connections to the target."),
+		StoreCalls:     counters("store_calls_total", "Calls of the store.", "call", "result"),
+		Crashes:        counter("target_crashes_total", "Ends of the target while it ran requests."),
+		Resumes:        counter("wakes_total", "Suspensions of the machine that the node woke from."),
+		SilentNodes:    counter("silent_nodes_total", "Times that another node was taken for dead."),
+		Omitted:        counters("log_lines_omitted_total", "Log lines that were left out.", "kind"),
 	}
-	m.registry.MustRegister(m.Requests, m.Took, m.Sends, m.Repeats, m.Denied, m.Waited, m.Held, m.Connections, m.StoreCalls, m.Crashes, m.Resumes, m.SilentNodes, m.Omitted)
+	m.registry.MustRegister(m.Requests, m.RequestDuration, m.Attempts, m.Retries, m.RetriesDenied, m.SlotWait, m.TargetDuration, m.Connections, m.StoreCalls, m.Crashes, m.Resumes, m.SilentNodes, m.Omitted)
 	for _, gauge := range []struct {
 		name, help string
 		read       func() float64
