--- a/internal/sidecar/arrival/crash.go
+++ b/internal/sidecar/arrival/crash.go
@@ -24,7 +24,7 @@
 func (i *Ingress) recordLost(gate *target.Gate, req *request) outcome.Reason {
 	now := i.options.Now()
 	gate.Unanswered.Add(now, req.unansweredRun(now+lostRunTTL))
-	if !gate.Unanswered.Ended(gate.Links.Listens) {
+	if !gate.Unanswered.TargetExited(gate.Link.Listens) {
 		return outcome.ReasonLost
 	}
 	i.recordCrash(gate)
@@ -39,7 +39,7 @@
 
 // handleUnreachable reports a crash if connections are refused while runs are unanswered.
 func (i *Ingress) handleUnreachable(gate *target.Gate, err error) {
-	if target.IsRefused(err) && gate.Unanswered.HoldsAny(i.options.Now()) {
+	if target.IsConnectionRefused(err) && gate.Unanswered.HasRuns(i.options.Now()) {
 		i.recordCrash(gate)
 	}
 }
@@ -47,21 +47,21 @@
 func (r *request) unansweredRun(until time.Duration) target.UnansweredRun {
 	return target.UnansweredRun{
 		Run:     heldback.Run{Fingerprint: r.Fingerprint(), Isolated: r.exclusive, Route: r.Call.Route},
-		Request: r.Call.RequestID, Until: until,
+		Request: r.Call.RequestID, ExpiresAt: until,
 	}
 }
 
 // InstanceReplaced reports a crash if another instance serves the target's address while runs are
 // unanswered and the previous instance did not announce its shutdown.
 func (i *Ingress) InstanceReplaced(gate *target.Gate) {
-	if gate.Unanswered.HoldsAny(i.options.Now()) {
+	if gate.Unanswered.HasRuns(i.options.Now()) {
 		i.recordCrash(gate)
 	}
 }
 
 // recordCrash records the requests that were in progress when the target crashed.
 func (i *Ingress) recordCrash(gate *target.Gate) {
-	runs, first := gate.Unanswered.Take(i.options.Now())
+	runs, first := gate.Unanswered.TakeRuns(i.options.Now())
 	if len(runs) == 0 {
 		return
 	}
--- a/internal/sidecar/arrival/ingress.go
+++ b/internal/sidecar/arrival/ingress.go
@@ -188,17 +188,17 @@
 	case !heldBack.MaySend(&req.Request):
 		return reply.NotRun(outcome.ReasonEndsTargets)
 	case heldBack.IsSuspected(&req.Request):
-		if !gate.Unanswered.AcquireSingle(ctx) {
+		if !gate.Unanswered.AcquireSuspectSlot(ctx) {
 			return reply.NotRun(outcome.ReasonSuspectWaits)
 		}
 		if req.exclusive = heldBack.IsSuspected(&req.Request); req.exclusive {
-			defer gate.Unanswered.ReleaseSingle()
+			defer gate.Unanswered.ReleaseSuspectSlot()
 		} else {
-			gate.Unanswered.ReleaseSingle() // cleared of suspicion while waiting
+			gate.Unanswered.ReleaseSuspectSlot() // cleared of suspicion while waiting
 		}
 	}
 	now := i.options.Now()
-	id, decision := gate.Enter(ctx, slots.Request{Importance: call.Importance, Deadline: now + req.remaining(ctx, now), Class: call.Route})
+	id, decision := gate.Acquire(ctx, slots.Request{Importance: call.Importance, Deadline: now + req.remaining(ctx, now), Class: call.Route})
 	req.waited = decision.Waited
 	var response *reply.Reply
 	switch {
@@ -207,10 +207,10 @@
 	case !decision.Send:
 		response = reply.NotRun(outcome.Reason(decision.Reason))
 	case claimSend != nil && !claimSend():
-		gate.Leave(id, false)
+		gate.Release(id, false)
 		response = reply.NotRun(outcome.ReasonFenced)
 	case !heldBack.MaySend(&req.Request): // evidence may have arrived while waiting
-		gate.Leave(id, false)
+		gate.Release(id, false)
 		response = reply.NotRun(outcome.ReasonEndsTargets)
 	default:
 		response = i.run(ctx, gate, id, req, header)
@@ -229,13 +229,13 @@
 	i.Running.remove(call.RequestID, running)
 	answered := response.Outcome == outcome.Answered
 	if response.Stream == nil {
-		gate.Leave(id, answered)
+		gate.Release(id, answered)
 		if response.Outcome == outcome.Answered {
 			i.options.Quarantine.RecordSuccess(&req.Request)
 		}
 	} else {
 		response.Stream = &slotReader{ReadCloser: response.Stream, release: func(err error) {
-			gate.Leave(id, answered)
+			gate.Release(id, answered)
 			i.recordStreamEnd(ctx, gate, req, err)
 		}}
 	}
--- a/internal/sidecar/arrival/options.go
+++ b/internal/sidecar/arrival/options.go
@@ -28,8 +28,8 @@
 type Target interface {
 	// Current returns the gate of the target, or nil if no target is known.
 	Current() *target.Gate
-	// Replaced reports that another instance now serves the target's address.
-	Replaced(instance string)
+	// MarkReplaced reports that another instance now serves the target's address.
+	MarkReplaced(instance string)
 }
 
 // HeldBack decides whether requests that may crash the target are sent, and collects the evidence.
--- a/internal/sidecar/arrival/send.go
+++ b/internal/sidecar/arrival/send.go
@@ -28,7 +28,7 @@
 	if call.Tenant != "" {
 		header.Set(names.Tenant, call.Tenant)
 	}
-	answer, err := gate.Links.Do(ctx, &targetlink.Request{
+	answer, err := gate.Link.Do(ctx, &targetlink.Request{
 		ID: call.RequestID, Method: call.Method, URI: call.URI, Host: call.Host, Header: header,
 		Body: body.Data, Stream: body.Stream, Length: body.Length,
 	})
@@ -96,7 +96,7 @@
 	_ = answer.Body.Close()
 	if reason == outcome.ReasonMisdirected {
 		if other := answer.Header.Get(i.options.Headers.Instance); other != "" && other != gate.Instance {
-			i.options.Target.Replaced(gate.Instance)
+			i.options.Target.MarkReplaced(gate.Instance)
 		}
 	}
 	declined := reply.NotRun(reason)
--- a/internal/sidecar/target/target.go
+++ b/internal/sidecar/target/target.go
@@ -53,7 +53,7 @@
 	now      func() time.Duration
 	Instance string           // instance of the target
 	Service  string           // service of the target
-	Links    *targetlink.Link // connections to the target
+	Link     *targetlink.Link // connections to the target
 
 	mu          sync.Mutex
 	core        *slots.Gate
@@ -69,13 +69,13 @@
 
 func newGate(now func() time.Duration, report roster.Report, link *targetlink.Link) *Gate {
 	return &Gate{
-		now: now, Instance: report.Instance, Service: report.Service, Links: link,
+		now: now, Instance: report.Instance, Service: report.Service, Link: link,
 		core: slots.New(report.Slots), waiting: map[uint64]chan slots.Decision{}, Unanswered: Unanswered{suspectSlot: make(chan struct{}, 1)},
 	}
 }
 
-// Enter waits for a slot. The caller must call Leave if the decision is to send.
-func (g *Gate) Enter(ctx context.Context, request slots.Request) (uint64, slots.Decision) {
+// Acquire waits for a slot. The caller must call Leave if the decision is to send.
+func (g *Gate) Acquire(ctx context.Context, request slots.Request) (uint64, slots.Decision) {
 	g.mu.Lock()
 	g.nextID++
 	request.ID = g.nextID
@@ -109,9 +109,9 @@
 	return slots.Decision{ID: id, Reason: slots.ReasonExpired}
 }
 
-// Leave releases the slot of an admitted request. If learn is set, its duration updates the
+// Release releases the slot of an admitted request. If learn is set, its duration updates the
 // estimate of the hold time.
-func (g *Gate) Leave(id uint64, learn bool) {
+func (g *Gate) Release(id uint64, learn bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.apply(g.core.Finish(g.now(), id, learn))
@@ -246,7 +246,7 @@
 	left := l.roster.Depart(instance)
 	if left && l.gate != nil {
 		l.gate.drain()
-		l.gate.Links.Close()
+		l.gate.Link.Close()
 		l.gate = nil
 	}
 	l.mu.Unlock()
@@ -261,12 +261,12 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.gate != nil {
-		l.gate.Links.Close()
+		l.gate.Link.Close()
 	}
 }
 
-// Replaced records that another instance holds the target's address.
-func (l *Local) Replaced(instance string) {
+// MarkReplaced records that another instance holds the target's address.
+func (l *Local) MarkReplaced(instance string) {
 	l.mu.Lock()
 	if l.gate != nil && l.gate.Instance == instance {
 		l.notifyReplaced()
@@ -289,7 +289,7 @@
 	if l.gate == nil || l.gate.Instance != report.Instance || l.gate.Service != report.Service {
 		if l.gate != nil {
 			l.gate.drain()
-			l.gate.Links.Close()
+			l.gate.Link.Close()
 			l.notifyReplaced()
 		}
 		l.gate = newGate(l.options.Now, report, l.options.NewLink())
--- a/internal/sidecar/target/unanswered.go
+++ b/internal/sidecar/target/unanswered.go
@@ -21,8 +21,8 @@
 // UnansweredRun is a run that ended without a response.
 type UnansweredRun struct {
 	heldback.Run
-	Request string        // id of the request
-	Until   time.Duration // time of expiry
+	Request   string        // id of the request
+	ExpiresAt time.Duration // time of expiry
 }
 
 // Unanswered records the runs of one target that ended without a response, until it is known
@@ -39,9 +39,9 @@
 // the request. It is half of the shortest objective, one second, of retryable routes.
 const suspectSlotTimeout = 500 * time.Millisecond
 
-// AcquireSingle waits until no other suspected request runs at the target, so that a crash can be
+// AcquireSuspectSlot waits until no other suspected request runs at the target, so that a crash can be
 // attributed to a single request. It returns false on timeout or cancellation.
-func (u *Unanswered) AcquireSingle(ctx context.Context) bool {
+func (u *Unanswered) AcquireSuspectSlot(ctx context.Context) bool {
 	timer := time.NewTimer(suspectSlotTimeout)
 	defer timer.Stop()
 	select {
@@ -53,8 +53,8 @@
 	return false
 }
 
-// ReleaseSingle releases the slot taken by AcquireSingle.
-func (u *Unanswered) ReleaseSingle() { <-u.suspectSlot }
+// ReleaseSuspectSlot releases the slot taken by AcquireSuspectSlot.
+func (u *Unanswered) ReleaseSuspectSlot() { <-u.suspectSlot }
 
 // exitCheck is a check whether the target listens, shared by concurrent callers.
 type exitCheck struct {
@@ -68,7 +68,7 @@
 	defer u.mu.Unlock()
 	live := u.runs[:0]
 	for _, r := range u.runs {
-		if r.Until > now {
+		if r.ExpiresAt > now {
 			live = append(live, r)
 		}
 	}
@@ -77,14 +77,14 @@
 	}
 }
 
-// Take marks the target as exited and removes and returns the unexpired runs. first is true
+// TakeRuns marks the target as exited and removes and returns the unexpired runs. first is true
 // for the first call.
-func (u *Unanswered) Take(now time.Duration) (taken []UnansweredRun, first bool) {
+func (u *Unanswered) TakeRuns(now time.Duration) (taken []UnansweredRun, first bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	first, u.exited = !u.exited, true
 	for _, r := range u.runs {
-		if r.Until > now {
+		if r.ExpiresAt > now {
 			taken = append(taken, r)
 		}
 	}
@@ -92,20 +92,20 @@
 	return taken, first
 }
 
-// HoldsAny reports whether an unexpired run is recorded.
-func (u *Unanswered) HoldsAny(now time.Duration) bool {
+// HasRuns reports whether an unexpired run is recorded.
+func (u *Unanswered) HasRuns(now time.Duration) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for _, r := range u.runs {
-		if r.Until > now {
+		if r.ExpiresAt > now {
 			return true
 		}
 	}
 	return false
 }
 
-// Ended reports whether the target no longer listens. Concurrent calls share one check.
-func (u *Unanswered) Ended(listens func(ctx context.Context) error) bool {
+// TargetExited reports whether the target no longer listens. Concurrent calls share one check.
+func (u *Unanswered) TargetExited(listens func(ctx context.Context) error) bool {
 	u.mu.Lock()
 	if u.exited {
 		u.mu.Unlock()
@@ -121,7 +121,7 @@
 	u.check = check
 	u.mu.Unlock()
 	ctx, cancel := context.WithTimeout(context.Background(), exitCheckTimeout)
-	check.exited = IsRefused(listens(ctx))
+	check.exited = IsConnectionRefused(listens(ctx))
 	cancel()
 	u.mu.Lock()
 	u.check = nil
@@ -130,5 +130,5 @@
 	return check.exited
 }
 
-// IsRefused reports whether err means that the port is closed; a timeout does not count.
-func IsRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
+// IsConnectionRefused reports whether err means that the port is closed; a timeout does not count.
+func IsConnectionRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
--- a/internal/sidecar/target/unanswered_test.go
+++ b/internal/sidecar/target/unanswered_test.go
@@ -39,15 +39,15 @@
 				var group sync.WaitGroup
 				for range 20 {
 					group.Go(func() {
-						u.Add(0, UnansweredRun{Until: retention})
-						exited := u.Ended(func(context.Context) error {
+						u.Add(0, UnansweredRun{ExpiresAt: retention})
+						exited := u.TargetExited(func(context.Context) error {
 							checks.Add(1)
 							time.Sleep(time.Millisecond)
 							return tc.err
 						})
 						g.Expect(exited).To(Equal(tc.exited))
 						if exited {
-							taken, first := u.Take(time.Millisecond)
+							taken, first := u.TakeRuns(time.Millisecond)
 							runs.Add(int32(len(taken)))
 							if first {
 								firsts.Add(1)
@@ -61,8 +61,8 @@
 					g.Expect(runs.Load()).To(Equal(int32(20)))
 					g.Expect(firsts.Load()).To(Equal(int32(1)))
 				} else {
-					g.Expect(u.HoldsAny(retention - 1)).To(BeTrue())
-					g.Expect(u.HoldsAny(retention)).To(BeFalse())
+					g.Expect(u.HasRuns(retention - 1)).To(BeTrue())
+					g.Expect(u.HasRuns(retention)).To(BeFalse())
 				}
 			})
 		})
@@ -73,11 +73,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		u := &Unanswered{suspectSlot: make(chan struct{}, 1)}
-		g.Expect(u.AcquireSingle(context.Background())).To(BeTrue())
+		g.Expect(u.AcquireSuspectSlot(context.Background())).To(BeTrue())
 		start := time.Now()
-		g.Expect(u.AcquireSingle(context.Background())).To(BeFalse())
+		g.Expect(u.AcquireSuspectSlot(context.Background())).To(BeFalse())
 		g.Expect(time.Since(start)).To(Equal(suspectSlotTimeout))
-		u.ReleaseSingle()
-		g.Expect(u.AcquireSingle(context.Background())).To(BeTrue())
+		u.ReleaseSuspectSlot()
+		g.Expect(u.AcquireSuspectSlot(context.Background())).To(BeTrue())
 	})
 }
