--- a/cmd/landingmastd/sidecar.go
+++ b/cmd/landingmastd/sidecar.go
@@ -73,7 +73,7 @@
 	node, err := sidecar.New(loaded, sidecar.Options{
 		Headers: platform.Headers(), Store: platform.NewStore(loaded.Store.Address, peer.DialKeepAlive),
 		ConfigurationKey: platform.ConfigurationKey, RecordPrefix: platform.RecordPrefix, NodePrefix: platform.NodePrefix,
-		QuotaPrefix: platform.QuotaPrefix, CrashKey: platform.CrashKey, ReadIntent: platform.ReadIntent,
+		QuotaPrefix: platform.QuotaPrefix, CrashKey: platform.CrashKey, ParseIntent: platform.ReadIntent,
 		Control: func(targets *sidecar.Targets) http.Handler { return platform.Heartbeats(targets) },
 		Ready:   platform.Readiness, Output: os.Stdout, Clock: source,
 	})
--- a/internal/sidecar/node.go
+++ b/internal/sidecar/node.go
@@ -51,7 +51,7 @@
 	NodePrefix       string      // prefix of node records, below RecordPrefix
 	QuotaPrefix      string      // prefix of quota keepers, below RecordPrefix
 	CrashKey         string      // key of the crash evidence, below RecordPrefix
-	ReadIntent       configuration.Reader
+	ParseIntent      configuration.Reader
 	Control          func(targets *Targets) http.Handler  // serves target heartbeats
 	Ready            func(ready func() bool) http.Handler // serves the readiness check
 	Output           io.Writer                            // destination of the log
@@ -113,7 +113,7 @@
 	}
 	n.currentSettings.Store(settings)
 	n.events = eventlog.New(settings.Node, options.Output)
-	n.configuration = configuration.New(options.ReadIntent, n.events)
+	n.configuration = configuration.New(options.ParseIntent, n.events)
 	n.metrics = metrics.New(n.gauges())
 	n.storeHealth = storehealth.New(n.events, n.metrics.StoreCalls)
 	n.admission = admission.New(n.now, n.configuration, !n.policyOn(window))
@@ -187,7 +187,7 @@
 func (n *Node) Peers() int { return n.membership.PeerCount() }
 
 // IsFollower reports whether the node reads the store on behalf of its zone.
-func (n *Node) Follows() bool { return n.follower.IsFollower() }
+func (n *Node) IsFollower() bool { return n.follower.IsFollower() }
 
 // localService returns the service of the local target.
 func (n *Node) localService() string {
--- a/internal/testbed/mesh.go
+++ b/internal/testbed/mesh.go
@@ -252,7 +252,7 @@
 func (m *Mesh) Followers() (found []*Machine) {
 	for _, machine := range m.Machines {
 		machine.mu.Lock()
-		if machine.node.Follows() {
+		if machine.node.IsFollower() {
 			found = append(found, machine)
 		}
 		machine.mu.Unlock()
