--- a/internal/mesh/core/gate/gate.go
+++ b/internal/mesh/core/gate/gate.go
@@ -71,8 +71,8 @@
 	return g.observe(now, g.limiter.Finish(now, id, serviceTime, complete, rejected))
 }
 
-// Withdraw removes a call from the queue.
-func (g *Gate) Withdraw(id uint64) { g.limiter.Withdraw(id) }
+// Cancel removes a call from the queue.
+func (g *Gate) Withdraw(id uint64) { g.limiter.Cancel(id) }
 
 // Tick handles timeouts and preemption; see limiter.Limiter.Tick.
 func (g *Gate) Tick(now time.Duration) []limiter.Action { return g.observe(now, g.limiter.Tick(now)) }
--- a/internal/mesh/core/limiter/limiter.go
+++ b/internal/mesh/core/limiter/limiter.go
@@ -167,8 +167,8 @@
 	return append(l.dropExpired(now), l.dispatchQueued(now)...)
 }
 
-// Withdraw removes a call from the queue, for callers that disconnected.
-func (l *Limiter) Withdraw(id uint64) {
+// Cancel removes a call from the queue, for callers that disconnected.
+func (l *Limiter) Cancel(id uint64) {
 	for index, item := range l.queue {
 		if item.call.ID == id {
 			l.queue = append(l.queue[:index], l.queue[index+1:]...)
--- a/internal/mesh/dataplane/call.go
+++ b/internal/mesh/dataplane/call.go
@@ -25,7 +25,7 @@
 	ctx       context.Context // done when the caller no longer waits for the response
 
 	mutex      sync.Mutex
-	own        limiter.OwnTime
+	own        limiter.SelfTime
 	pathCursor int // lowest admission cursor reported downstream; -1 if none
 }
 
@@ -33,7 +33,7 @@
 func (c *callContext) downstreamStarted(now time.Duration) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.own.DeeperBegins(now)
+	c.own.DownstreamStarted(now)
 }
 
 // downstreamEnded records the end of a call made by the target and the admission cursor
@@ -41,7 +41,7 @@
 func (c *callContext) downstreamEnded(now time.Duration, cursor int) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.own.DeeperEnds(now)
+	c.own.DownstreamEnded(now)
 	if cursor >= 0 && (c.pathCursor < 0 || cursor < c.pathCursor) {
 		c.pathCursor = cursor
 	}
@@ -51,7 +51,7 @@
 func (c *callContext) ownTime(now, started time.Duration) time.Duration {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.own.Since(started, now)
+	return c.own.Elapsed(started, now)
 }
 
 func (c *callContext) lowestCursor() int {
@@ -63,7 +63,7 @@
 func (c *callContext) madeDownstreamCall() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.own.MadeDeeper()
+	return c.own.HasDownstream()
 }
 
 // callTable indexes the calls being served by the target by call ID and counts the calls
--- a/internal/mesh/lab/emulator/outbound.go
+++ b/internal/mesh/lab/emulator/outbound.go
@@ -56,9 +56,9 @@
 		out.rank = s.randomRank(out.level)
 	}
 	parent.children = append(parent.children, out)
-	parent.own.DeeperBegins(s.clock.Now())
+	parent.own.DownstreamStarted(s.clock.Now())
 	out.done = func(ok bool, _ outcome.Reason) {
-		parent.own.DeeperEnds(s.clock.Now())
+		parent.own.DownstreamEnded(s.clock.Now())
 		parent.lowerPathCursor(from.routes[wanted.Service].Cursor(s.clock.Now()))
 		done(ok)
 	}
--- a/internal/mesh/lab/emulator/simulation.go
+++ b/internal/mesh/lab/emulator/simulation.go
@@ -62,7 +62,7 @@
 	job        *job
 	children   []*outboundCall
 	abandoned  bool
-	own        limiter.OwnTime
+	own        limiter.SelfTime
 	pathCursor int
 }
 
@@ -260,7 +260,7 @@
 func (n *node) dispatch(in *ingress) {
 	started := n.sim.clock.Now()
 	in.call.job = &job{call: in.call, route: in.route, finish: func(result backendResult) {
-		own := in.call.own.Since(started, n.sim.clock.Now())
+		own := in.call.own.Elapsed(started, n.sim.clock.Now())
 		delete(n.active, in.id)
 		n.sim.stats.Received++
 		if !n.sim.mechanisms.isBaseline() {
