--- a/internal/mesh/core/gate/gate.go
+++ b/internal/mesh/core/gate/gate.go
@@ -17,8 +17,8 @@
 type Config struct {
 	Limiter   limiter.Config
 	Admission admission.Config
-	// Open disables the admission controller, so that only the limiter refuses calls.
-	Open bool
+	// DisableAdmission disables the admission controller, so that only the limiter refuses calls.
+	DisableAdmission bool
 }
 
 // DefaultConfig returns the default parameters, which the results in
@@ -57,7 +57,7 @@
 // Arrive refuses a call whose rank is above the cursor and passes any other on to
 // the limiter. A draining limiter refuses all calls itself.
 func (g *Gate) Arrive(now time.Duration, call limiter.Call, rank admission.Rank) []limiter.Action {
-	if !g.controller.Admit(now, rank) && !g.config.Open && !g.limiter.Draining() {
+	if !g.controller.Admit(now, rank) && !g.config.DisableAdmission && !g.limiter.Draining() {
 		return []limiter.Action{{
 			Kind: limiter.Refuse, ID: call.ID, Reason: outcome.ReasonOverloadCursor, Limit: g.limiter.Limit(),
 			Active: g.limiter.Active(), Queued: g.limiter.Queued(),
@@ -72,7 +72,7 @@
 }
 
 // Cancel removes a call from the queue.
-func (g *Gate) Withdraw(id uint64) { g.limiter.Cancel(id) }
+func (g *Gate) Cancel(id uint64) { g.limiter.Cancel(id) }
 
 // Tick handles timeouts and preemption; see limiter.Limiter.Tick.
 func (g *Gate) Tick(now time.Duration) []limiter.Action { return g.observe(now, g.limiter.Tick(now)) }
--- a/internal/mesh/dataplane/gate.go
+++ b/internal/mesh/dataplane/gate.go
@@ -83,7 +83,7 @@
 			g.apply(g.core.Finish(now, id, 0, false, false))
 		}
 	default:
-		g.core.Withdraw(id)
+		g.core.Cancel(id)
 	}
 	delete(g.waiting, id)
 	delete(g.running, id)
--- a/internal/mesh/lab/emulator/simulation.go
+++ b/internal/mesh/lab/emulator/simulation.go
@@ -111,7 +111,7 @@
 
 func (s *simulation) newGate() *gate.Gate {
 	config := gate.DefaultConfig(len(s.bundle.Levels))
-	config.Open = !s.mechanisms.Cursor
+	config.DisableAdmission = !s.mechanisms.Cursor
 	if !s.mechanisms.Limit {
 		config.Limiter.InitialLimit, config.Limiter.MinLimit, config.Limiter.MaxLimit = maxConnections, maxConnections, maxConnections
 	}
@@ -291,7 +291,7 @@
 // withdraw removes a queued call or cancels a running one.
 func (n *node) withdraw(in *ingress) {
 	if n.waiting[in.id] != nil {
-		n.gate.Withdraw(in.id)
+		n.gate.Cancel(in.id)
 		delete(n.waiting, in.id)
 		in.ended = true
 		return
