--- a/internal/mesh/core/routing/route.go
+++ b/internal/mesh/core/routing/route.go
@@ -25,7 +25,7 @@
 // Pick selects a target for a call of the class and counts the call as in flight
 // there.
 func (r *Route) Pick(now time.Duration, class string, request Request) (Choice, outcome.Reason) {
-	if view := r.pathCursors[class]; view != nil && request.Only == "" && !view.Admit(now, request.Rank) {
+	if view := r.pathCursors[class]; view != nil && request.Node == "" && !view.Admit(now, request.Rank) {
 		return Choice{}, outcome.ReasonOverloadCursor
 	}
 	choice, reason := r.Balancer.Pick(now, request)
--- a/internal/mesh/core/routing/routing.go
+++ b/internal/mesh/core/routing/routing.go
@@ -15,28 +15,28 @@
 
 // Config holds the parameters of a Balancer.
 type Config struct {
-	SubsetSize        int           // maximum number of targets of a service that a node connects to
-	ZonePenalty       float64       // cost factor for targets in other zones
-	EjectAfter        int           // consecutive failures that eject a target
-	BaseEjectionTime  time.Duration // duration of the first ejection; doubles with each further one
-	MaxEjectionTime   time.Duration // maximum duration of an ejection
-	MaxEjectionShare  float64       // maximum share of targets ejected at the same time
-	DrainBackoff      time.Duration // time without calls for a target that reported that it is draining
-	SlowStart         time.Duration // time in which a new or returning target ramps up to its full share
-	InitialLatency    time.Duration // estimate for targets without samples
-	LatencyWeight     float64       // weight of a sample in the moving mean of the latency
-	SuccessWeight     float64       // weight of a sample in the moving success and decline rates
-	EjectBelow        float64       // success rate below which a target is ejected
-	MinSuccessSamples int           // samples required before EjectBelow applies
+	SubsetSize          int           // maximum number of targets of a service that a node connects to
+	ZonePenalty         float64       // cost factor for targets in other zones
+	ConsecutiveFailures int           // consecutive failures that eject a target
+	BaseEjectionTime    time.Duration // duration of the first ejection; doubles with each further one
+	MaxEjectionTime     time.Duration // maximum duration of an ejection
+	MaxEjectionShare    float64       // maximum share of targets ejected at the same time
+	DrainBackoff        time.Duration // time without calls for a target that reported that it is draining
+	SlowStart           time.Duration // time in which a new or returning target ramps up to its full share
+	InitialLatency      time.Duration // estimate for targets without samples
+	LatencyWeight       float64       // weight of a sample in the moving mean of the latency
+	SuccessWeight       float64       // weight of a sample in the moving success and decline rates
+	MinSuccessRate      float64       // success rate below which a target is ejected
+	MinSuccessSamples   int           // samples required before MinSuccessRate applies
 }
 
 // DefaultConfig returns the default parameters, which the results in
 // docs/mesh/OVERLOAD.md apply to.
 func DefaultConfig() Config {
 	return Config{
-		SubsetSize: 16, ZonePenalty: 1.25, EjectAfter: 4, BaseEjectionTime: time.Second, MaxEjectionTime: 30 * time.Second,
+		SubsetSize: 16, ZonePenalty: 1.25, ConsecutiveFailures: 4, BaseEjectionTime: time.Second, MaxEjectionTime: 30 * time.Second,
 		MaxEjectionShare: 0.5, DrainBackoff: 3 * time.Second, SlowStart: 5 * time.Second, InitialLatency: 10 * time.Millisecond,
-		LatencyWeight: 0.1, SuccessWeight: 0.1, EjectBelow: 0.4, MinSuccessSamples: 10,
+		LatencyWeight: 0.1, SuccessWeight: 0.1, MinSuccessRate: 0.4, MinSuccessSamples: 10,
 	}
 }
 
@@ -166,11 +166,11 @@
 
 // Choice is a selected target with the values that led to its selection.
 type Choice struct {
-	Target   Target
-	Cost     float64 // estimated wait in milliseconds
-	InFlight int
-	Latency  time.Duration
-	Rivals   int
+	Target     Target
+	Cost       float64 // estimated wait in milliseconds
+	InFlight   int
+	Latency    time.Duration
+	Candidates int
 }
 
 // Request holds the properties of a call that affect routing.
@@ -178,14 +178,14 @@
 	Rank    admission.Rank
 	Key     string          // idempotency key of an at-most-once request; selects the target by hash
 	Exclude map[string]bool // nodes already tried
-	Only    string          // the only node allowed; empty for any
+	Node    string          // the only node allowed; empty for any
 }
 
 // Pick selects a target. Without one it returns ReasonOverloadCursor if a target
 // was excluded by its cursor, and ReasonNoTarget otherwise.
 func (b *Balancer) Pick(now time.Duration, request Request) (Choice, outcome.Reason) {
-	if request.Only != "" {
-		return b.pickOnly(request.Only)
+	if request.Node != "" {
+		return b.pickOnly(request.Node)
 	}
 	if request.Key != "" {
 		return b.pickByKey(now, request)
@@ -208,7 +208,7 @@
 func (b *Balancer) newChoice(now time.Duration, ep *endpoint, candidates int) Choice {
 	return Choice{
 		Target: ep.target, Cost: b.cost(now, ep) / float64(time.Millisecond), InFlight: ep.inFlight,
-		Latency: time.Duration(ep.latency), Rivals: candidates,
+		Latency: time.Duration(ep.latency), Candidates: candidates,
 	}
 }
 
@@ -217,7 +217,7 @@
 	if ep == nil {
 		return Choice{}, outcome.ReasonNoTarget
 	}
-	return Choice{Target: ep.target, InFlight: ep.inFlight, Latency: time.Duration(ep.latency), Rivals: 1}, outcome.ReasonNone
+	return Choice{Target: ep.target, InFlight: ep.inFlight, Latency: time.Duration(ep.latency), Candidates: 1}, outcome.ReasonNone
 }
 
 // pickByKey selects a target by rendezvous hash of the key, so that a repeated
@@ -361,8 +361,8 @@
 // ejectIfOutlier ejects a target after consecutive failures or for a low success
 // rate, unless too many targets are ejected already.
 func (b *Balancer) ejectIfOutlier(now time.Duration, ep *endpoint) bool {
-	outlier := ep.consecutiveFailures >= b.config.EjectAfter ||
-		(ep.samples >= b.config.MinSuccessSamples && ep.successRate < b.config.EjectBelow)
+	outlier := ep.consecutiveFailures >= b.config.ConsecutiveFailures ||
+		(ep.samples >= b.config.MinSuccessSamples && ep.successRate < b.config.MinSuccessRate)
 	if !outlier || now < ep.ejectedUntil {
 		return false
 	}
--- a/internal/mesh/dataplane/outbound.go
+++ b/internal/mesh/dataplane/outbound.go
@@ -183,7 +183,7 @@
 	now := c.plane.now()
 	choice, reason := c.route.pick(now, c.class.Name, request)
 	if reason != outcome.ReasonNone {
-		if request.Only != "" {
+		if request.Node != "" {
 			unknown := newRefusal(outcome.Unknown, outcome.ReasonExecutorLost)
 			return nil, &unknown
 		}
@@ -192,7 +192,7 @@
 	sent := &attempt{plane: c.plane, outbound: c, choice: choice, loan: c.context.ledger.lend(), callID: newID()}
 	c.plane.record(c.context, explain.Route, "lowest_cost", c.service, choice.Target.Node,
 		number("cost_ms", choice.Cost), number("in_flight", float64(choice.InFlight)), number("latency_ms", milliseconds(choice.Latency)),
-		number("candidates", float64(choice.Rivals)), number("rank", float64(c.context.rank)), number("credits_lent", float64(sent.loan.Amount())),
+		number("candidates", float64(choice.Candidates)), number("rank", float64(c.context.rank)), number("credits_lent", float64(sent.loan.Amount())),
 		number("remaining_ms", milliseconds(c.context.deadline-now)))
 	sent.send(ctx)
 	c.peerTime += c.plane.now() - sent.started
@@ -202,12 +202,12 @@
 // retryOrRefuse reports whether the call is retried after a failed attempt. If not, it has
 // written a refusal.
 func (c *outboundCall) retryOrRefuse(ctx context.Context, failed *attempt, request *routing.Request) bool {
-	if failed.head != nil && failed.head.Executor != "" && request.Only == "" && c.body.replayable() {
-		request.Only = failed.head.Executor
-		c.plane.record(c.context, explain.Route, "claimed_by_executor", c.service, request.Only)
+	if failed.head != nil && failed.head.Executor != "" && request.Node == "" && c.body.replayable() {
+		request.Node = failed.head.Executor
+		c.plane.record(c.context, explain.Route, "claimed_by_executor", c.service, request.Node)
 		return true
 	}
-	if request.Only != "" || (failed.head != nil && failed.head.Executor != "") {
+	if request.Node != "" || (failed.head != nil && failed.head.Executor != "") {
 		// An earlier request with the same key may have run, so the outcome is unknown.
 		unknown := newRefusal(outcome.Unknown, failed.reason)
 		c.refuse(unknown)
--- a/internal/mesh/lab/emulator/simulation.go
+++ b/internal/mesh/lab/emulator/simulation.go
@@ -125,7 +125,7 @@
 func (n *node) connect() {
 	config := routing.DefaultConfig()
 	if !n.sim.mechanisms.Outlier {
-		config.EjectAfter, config.EjectBelow = 1<<30, -1
+		config.ConsecutiveFailures, config.MinSuccessRate = 1<<30, -1
 	}
 	for _, service := range n.sim.bundle.Services {
 		balancer := routing.New(config, n.name, n.zone, n.sim.random)
