--- a/internal/mesh/core/drain/drain.go
+++ b/internal/mesh/core/drain/drain.go
@@ -12,30 +12,30 @@
 
 // State is the progress of a shutdown.
 type State struct {
-	InFlight int           // ingress and egress calls in progress
-	Began    time.Duration // time since the shutdown began
-	Kept     time.Duration // time since the end of the last response that left its connection open for reuse
+	InFlight       int           // ingress and egress calls in progress
+	SinceStop      time.Duration // time since the shutdown began
+	SinceKeepAlive time.Duration // time since the end of the last response that left its connection open for reuse
 }
 
-// Awaits is the condition that a stopping node waits for before it closes its
+// WaitCondition is the condition that a stopping node waits for before it closes its
 // connections.
-type Awaits string
+type WaitCondition string
 
 const (
-	Nothing Awaits = "nothing"
-	Calls   Awaits = "calls"   // calls in flight
-	Senders Awaits = "senders" // clients that may still reuse a connection
+	WaitNone    WaitCondition = "nothing"
+	WaitCalls   WaitCondition = "calls"   // calls in flight
+	WaitClients WaitCondition = "senders" // clients that may still reuse a connection
 )
 
-// For returns what the node waits for. A response whose headers were sent before
+// NextWait returns what the node waits for. A response whose headers were sent before
 // the shutdown began could not ask the client to close the connection, so the
 // grace period restarts at the end of that response.
-func For(s State) Awaits {
+func NextWait(s State) WaitCondition {
 	switch {
 	case s.InFlight > 0:
-		return Calls
-	case min(s.Began, s.Kept) < Grace:
-		return Senders
+		return WaitCalls
+	case min(s.SinceStop, s.SinceKeepAlive) < Grace:
+		return WaitClients
 	}
-	return Nothing
+	return WaitNone
 }
--- a/internal/mesh/core/drain/drain_test.go
+++ b/internal/mesh/core/drain/drain_test.go
@@ -11,18 +11,18 @@
 	for _, tc := range []struct {
 		name  string
 		state State
-		want  Awaits
+		want  WaitCondition
 	}{
-		{"shutdown begins", State{Began: 0, Kept: time.Hour}, Senders},
-		{"within the grace period", State{Began: Grace - 1, Kept: time.Hour}, Senders},
-		{"after the grace period", State{Began: Grace, Kept: time.Hour}, Nothing},
-		{"call in flight after the grace period", State{InFlight: 1, Began: 3 * Grace, Kept: time.Hour}, Calls},
-		{"last response closed its connection", State{Began: 3 * Grace, Kept: 4 * Grace}, Nothing},
-		{"last response left its connection open", State{Began: 3 * Grace, Kept: 0}, Senders},
-		{"grace period after the last response passed", State{Began: 4 * Grace, Kept: Grace}, Nothing},
+		{"shutdown begins", State{SinceStop: 0, SinceKeepAlive: time.Hour}, WaitClients},
+		{"within the grace period", State{SinceStop: Grace - 1, SinceKeepAlive: time.Hour}, WaitClients},
+		{"after the grace period", State{SinceStop: Grace, SinceKeepAlive: time.Hour}, WaitNone},
+		{"call in flight after the grace period", State{InFlight: 1, SinceStop: 3 * Grace, SinceKeepAlive: time.Hour}, WaitCalls},
+		{"last response closed its connection", State{SinceStop: 3 * Grace, SinceKeepAlive: 4 * Grace}, WaitNone},
+		{"last response left its connection open", State{SinceStop: 3 * Grace, SinceKeepAlive: 0}, WaitClients},
+		{"grace period after the last response passed", State{SinceStop: 4 * Grace, SinceKeepAlive: Grace}, WaitNone},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			NewWithT(t).Expect(For(tc.state)).To(Equal(tc.want))
+			NewWithT(t).Expect(NextWait(tc.state)).To(Equal(tc.want))
 		})
 	}
 }
--- a/internal/mesh/node/node.go
+++ b/internal/mesh/node/node.go
@@ -188,7 +188,7 @@
 	}
 	drainCtx, cancel := context.WithTimeout(force, drainTimeout)
 	defer cancel()
-	for began := time.Now(); drainCtx.Err() == nil && n.drainPending(began) != drain.Nothing; {
+	for began := time.Now(); drainCtx.Err() == nil && n.drainPending(began) != drain.WaitNone; {
 		time.Sleep(drainPollInterval)
 	}
 	n.log.WithField("in_flight", n.dataPlane.InFlight()).Info("closing connections")
@@ -198,8 +198,8 @@
 }
 
 // drainPending returns what a shutdown that started at began still waits for.
-func (n *Node) drainPending(began time.Time) drain.Awaits {
-	return drain.For(drain.State{InFlight: n.dataPlane.InFlight(), Began: time.Since(began), Kept: n.dataPlane.SinceKept()})
+func (n *Node) drainPending(began time.Time) drain.WaitCondition {
+	return drain.NextWait(drain.State{InFlight: n.dataPlane.InFlight(), SinceStop: time.Since(began), SinceKeepAlive: n.dataPlane.SinceKept()})
 }
 
 // drain makes the node refuse new calls. Only the first call has an effect.
