--- a/internal/mesh/claims/manager.go
+++ b/internal/mesh/claims/manager.go
@@ -104,21 +104,21 @@
 func (m *Manager) Lookup(key string) (claim.Phase, *claim.Answer) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.table.Peek(key)
+	return m.table.Lookup(key)
 }
 
 // NotStarted implements dataplane.Claims.
 func (m *Manager) NotStarted(key string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.table.NotStarted(key)
+	m.table.Release(key)
 }
 
 // Lose implements dataplane.Claims.
 func (m *Manager) Lose(key string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.table.Lose(key)
+	m.table.MarkUnknown(key)
 }
 
 // Complete implements dataplane.Claims.
@@ -174,11 +174,11 @@
 	if executor == m.options.Self && ctx.Err() == nil && m.table.Grant(key) {
 		return dataplane.Claimed{Run: true, Reason: outcome.ReasonGranted, Executor: executor.Node, Numbers: numbers}
 	}
-	m.table.GiveUp(key)
+	m.table.Abandon(key)
 	result := claimResult(outcome.NotRun, outcome.ReasonNoQuorum)
 	result.Numbers = numbers
 	switch {
-	case executor == m.options.Self, executor.Zero():
+	case executor == m.options.Self, executor.IsZero():
 		if refusal == claim.RefusedFull {
 			result.Reason = outcome.ReasonClaimsFull
 		}
@@ -232,9 +232,9 @@
 	for range set.Members {
 		step := claim.StepWait
 		if reply := <-replies; reply != nil {
-			step = proposal.Reply(*reply)
+			step = proposal.HandleReply(*reply)
 		} else {
-			step = proposal.Lost()
+			step = proposal.HandleNoReply()
 		}
 		if step != claim.StepWait {
 			return step
--- a/internal/mesh/claims/reconfigure.go
+++ b/internal/mesh/claims/reconfigure.go
@@ -71,7 +71,7 @@
 		m.activate(ctx, record, index)
 		return
 	}
-	next := claim.Plan(service, record, alive, len(nodes))
+	next := claim.PlanVoterSet(service, record, alive, len(nodes))
 	if next == nil {
 		return
 	}
--- a/internal/mesh/core/claim/claim.go
+++ b/internal/mesh/core/claim/claim.go
@@ -17,8 +17,8 @@
 	Incarnation string `avro:"incarnation" json:"incarnation"`
 }
 
-// Zero reports whether e is the zero value, which stands for no executor.
-func (e Executor) Zero() bool { return e.Node == "" && e.Incarnation == "" }
+// IsZero reports whether e is the zero value, which stands for no executor.
+func (e Executor) IsZero() bool { return e.Node == "" && e.Incarnation == "" }
 
 // Ballot is a Paxos ballot number. Round 0 is reserved for the owner of the key and
 // needs no prepare phase, because no lower ballot of the epoch exists.
@@ -113,7 +113,7 @@
 	if request.Ballot.Less(entry.Promised) {
 		return Reply{Refusal: RefusedBallot, Promised: entry.Promised, Accepted: entry.Accepted, Executor: entry.Executor, Epoch: v.epoch}
 	}
-	if skipsPrepare(request) && !entry.Executor.Zero() && entry.Accepted != request.Ballot {
+	if skipsPrepare(request) && !entry.Executor.IsZero() && entry.Accepted != request.Ballot {
 		// A claim carried over from an earlier epoch must be learned by a prepare phase.
 		return Reply{Refusal: RefusedBallot, Promised: entry.Promised, Accepted: entry.Accepted, Executor: entry.Executor, Epoch: v.epoch}
 	}
@@ -145,7 +145,7 @@
 func (v *Voter) acceptedEntries() []Entry {
 	entries := make([]Entry, 0, len(v.entries))
 	for _, entry := range v.entries {
-		if !entry.Executor.Zero() {
+		if !entry.Executor.IsZero() {
 			entries = append(entries, *entry)
 		}
 	}
--- a/internal/mesh/core/claim/claim_test.go
+++ b/internal/mesh/core/claim/claim_test.go
@@ -18,9 +18,9 @@
 		step := StepWait
 		for _, voter := range voters {
 			if reachable() {
-				step = proposal.Reply(voter.Handle(request))
+				step = proposal.HandleReply(voter.Handle(request))
 			} else {
-				step = proposal.Lost()
+				step = proposal.HandleNoReply()
 			}
 			if step != StepWait {
 				break
@@ -103,7 +103,7 @@
 	table.Begin("k")
 	g.Expect(table.Grant("k")).To(BeTrue())
 	g.Expect(table.Grant("k")).To(BeFalse())
-	table.GiveUp("k") // no effect: the key is granted
+	table.Abandon("k") // no effect: the key is granted
 	g.Expect(table.Grant("k")).To(BeFalse())
 	table.Complete("k", &Answer{Status: 200, Body: make([]byte, 40)})
 	phase, answer, _ := table.Begin("k")
@@ -120,10 +120,10 @@
 		table.Grant(key)
 		table.Complete(key, &Answer{Body: make([]byte, 40)})
 	}
-	phase, answer := table.Peek("0")
+	phase, answer := table.Lookup("0")
 	g.Expect(phase).To(Equal(PhaseDone))
 	g.Expect(answer).To(BeNil())
-	_, answer = table.Peek("4")
+	_, answer = table.Lookup("4")
 	g.Expect(answer).NotTo(BeNil())
 	g.Expect(table.records).To(HaveLen(5))
 }
@@ -133,13 +133,13 @@
 	members := []Executor{executor("a"), executor("b"), executor("c")}
 	current := &VoterSet{Service: "s", Epoch: 4, Active: true, Members: members}
 	restarted := Executor{Node: "c", Incarnation: "c/2"}
-	g.Expect(Plan("s", current, members, 3)).To(BeNil())
-	next := Plan("s", current, []Executor{members[0], members[1], restarted}, 3)
+	g.Expect(PlanVoterSet("s", current, members, 3)).To(BeNil())
+	next := PlanVoterSet("s", current, []Executor{members[0], members[1], restarted}, 3)
 	g.Expect(next.Epoch).To(Equal(int64(5)))
 	g.Expect(next.Previous).To(Equal(members))
-	g.Expect(Plan("s", current, []Executor{members[0], {Node: "b", Incarnation: "b/2"}, restarted}, 3)).To(BeNil())
-	g.Expect(Plan("s", nil, members[:1], 3)).To(BeNil())
-	g.Expect(Plan("s", nil, members, 3).Epoch).To(Equal(int64(1)))
+	g.Expect(PlanVoterSet("s", current, []Executor{members[0], {Node: "b", Incarnation: "b/2"}, restarted}, 3)).To(BeNil())
+	g.Expect(PlanVoterSet("s", nil, members[:1], 3)).To(BeNil())
+	g.Expect(PlanVoterSet("s", nil, members, 3).Epoch).To(Equal(int64(1)))
 }
 
 // network simulates one key of a service: voters restart, messages are delayed,
@@ -201,7 +201,7 @@
 			if done {
 				return
 			}
-			switch step := proposal.Reply(reply); step {
+			switch step := proposal.HandleReply(reply); step {
 			case StepSend:
 				done = true
 				n.send(proposal, self, members)
--- a/internal/mesh/core/claim/proposal.go
+++ b/internal/mesh/core/claim/proposal.go
@@ -68,8 +68,8 @@
 // Refusal returns the reason of the latest refusal in the current phase.
 func (p *Proposal) Refusal() Refusal { return p.refusal }
 
-// Reply processes the reply of a voter to the current request.
-func (p *Proposal) Reply(reply Reply) Step {
+// HandleReply processes the reply of a voter to the current request.
+func (p *Proposal) HandleReply(reply Reply) Step {
 	p.replies++
 	if reply.Refusal != RefusedNone {
 		p.refusal = reply.Refusal
@@ -79,14 +79,14 @@
 		return p.nextStep()
 	}
 	p.acks++
-	if p.prepare && !reply.Executor.Zero() && p.accepted.Less(reply.Accepted) {
+	if p.prepare && !reply.Executor.IsZero() && p.accepted.Less(reply.Accepted) {
 		p.accepted, p.value = reply.Accepted, reply.Executor
 	}
 	return p.nextStep()
 }
 
-// Lost records that a voter did not reply to the current request.
-func (p *Proposal) Lost() Step {
+// HandleNoReply records that a voter did not reply to the current request.
+func (p *Proposal) HandleNoReply() Step {
 	p.replies++
 	return p.nextStep()
 }
--- a/internal/mesh/core/claim/table.go
+++ b/internal/mesh/core/claim/table.go
@@ -71,8 +71,8 @@
 	return rec.phase, rec.answer, false
 }
 
-// Peek returns the phase and stored answer of a key without registering it.
-func (t *Table) Peek(key string) (Phase, *Answer) {
+// Lookup returns the phase and stored answer of a key without registering it.
+func (t *Table) Lookup(key string) (Phase, *Answer) {
 	rec := t.records[key]
 	if rec == nil {
 		return PhaseAbsent, nil
@@ -80,8 +80,8 @@
 	return rec.phase, rec.answer
 }
 
-// GiveUp removes a key that was not granted, so that a later request can claim it.
-func (t *Table) GiveUp(key string) {
+// Abandon removes a key that was not granted, so that a later request can claim it.
+func (t *Table) Abandon(key string) {
 	if rec := t.records[key]; rec != nil && rec.phase == PhaseClaiming {
 		delete(t.records, key)
 	}
@@ -97,16 +97,16 @@
 	return true
 }
 
-// NotStarted removes a granted key whose request provably did not reach the target, so
+// Release removes a granted key whose request provably did not reach the target, so
 // that a later request can claim it.
-func (t *Table) NotStarted(key string) {
+func (t *Table) Release(key string) {
 	if rec := t.records[key]; rec != nil && rec.phase == PhaseRunning {
 		delete(t.records, key)
 	}
 }
 
-// Lose records that the request was sent to the target and its outcome is unknown.
-func (t *Table) Lose(key string) {
+// MarkUnknown records that the request was sent to the target and its outcome is unknown.
+func (t *Table) MarkUnknown(key string) {
 	if rec := t.records[key]; rec != nil && rec.phase == PhaseRunning {
 		rec.phase = PhaseUnknown
 	}
--- a/internal/mesh/core/claim/voterset.go
+++ b/internal/mesh/core/claim/voterset.go
@@ -31,18 +31,18 @@
 	var owner Executor
 	var highest uint64
 	for _, member := range s.Members {
-		if weight := xxhash.Sum64String(key + "\x00" + member.Node); owner.Zero() || weight > highest {
+		if weight := xxhash.Sum64String(key + "\x00" + member.Node); owner.IsZero() || weight > highest {
 			owner, highest = member, weight
 		}
 	}
 	return owner
 }
 
-// Plan returns the next voter set of a service, or nil if no change is needed or
+// PlanVoterSet returns the next voter set of a service, or nil if no change is needed or
 // safe: claims would be lost unless a majority of the current members can be sealed.
 // current is the stored record or nil, alive the responsive executors of the service
 // and targets the number of its targets.
-func Plan(service string, current *VoterSet, alive []Executor, targets int) *VoterSet {
+func PlanVoterSet(service string, current *VoterSet, alive []Executor, targets int) *VoterSet {
 	if current == nil {
 		if len(alive) < Majority(targets) {
 			return nil
