--- a/internal/mesh/core/dissemination/dissemination.go
+++ b/internal/mesh/core/dissemination/dissemination.go
@@ -47,8 +47,8 @@
 const (
 	// ReadPlatform reads the current version from the platform.
 	ReadPlatform ActionKind = iota + 1
-	// Tell sends Version to the peer and passes the version in its reply to Heard.
-	Tell
+	// SendVersion sends Version to the peer and passes the version in its reply to Heard.
+	SendVersion
 	// Fetch requests the peer's version, as a delta to Version where possible.
 	Fetch
 )
@@ -135,9 +135,9 @@
 // Version returns the installed version, or 0.
 func (s *State) Version() int64 { return s.version }
 
-// Installed records an installed version and starts pushing it. It ignores versions
+// HandleInstalled records an installed version and starts pushing it. It ignores versions
 // that are not newer than the current one.
-func (s *State) Installed(now time.Duration, version int64) {
+func (s *State) HandleInstalled(now time.Duration, version int64) {
 	if version <= s.version {
 		return
 	}
@@ -147,10 +147,10 @@
 	clear(s.fetching)
 }
 
-// Heard processes a version number received from a peer and returns a Fetch if it is
+// HandleVersion processes a version number received from a peer and returns a Fetch if it is
 // newer and no other fetch is pending. A peer with an older version gets no message,
 // because it learns the newer version in the same exchange.
-func (s *State) Heard(now time.Duration, peer string, version int64) []Action {
+func (s *State) HandleVersion(now time.Duration, peer string, version int64) []Action {
 	s.peerVersions[peer] = version
 	if version <= s.version {
 		return nil
@@ -193,7 +193,7 @@
 	if now >= s.nextAntiEntropy {
 		s.nextAntiEntropy = now + time.Duration(float64(s.antiEntropyInterval())*(0.5+s.random.Float64()))
 		peer := s.neighbors[s.random.IntN(len(s.neighbors))]
-		actions = append(actions, Action{Kind: Tell, Peer: peer, Version: s.version})
+		actions = append(actions, Action{Kind: SendVersion, Peer: peer, Version: s.version})
 	}
 	return actions
 }
@@ -204,7 +204,7 @@
 	if s.peerVersions[peer] >= s.version {
 		return actions
 	}
-	return append(actions, Action{Kind: Tell, Peer: peer, Version: s.version})
+	return append(actions, Action{Kind: SendVersion, Peer: peer, Version: s.version})
 }
 
 func (s *State) antiEntropyInterval() time.Duration {
--- a/internal/mesh/core/dissemination/dissemination_test.go
+++ b/internal/mesh/core/dissemination/dissemination_test.go
@@ -48,15 +48,15 @@
 		switch action.Kind {
 		case ReadPlatform:
 			m.reads++
-			state.Installed(now, m.platformVersion)
-		case Tell:
+			state.HandleInstalled(now, m.platformVersion)
+		case SendVersion:
 			if other := m.states[action.Peer]; !m.isolated[action.Peer] {
-				m.perform(now, action.Peer, other.Heard(now, name, action.Version))
-				m.perform(now, name, state.Heard(now, action.Peer, other.Version()))
+				m.perform(now, action.Peer, other.HandleVersion(now, name, action.Version))
+				m.perform(now, name, state.HandleVersion(now, action.Peer, other.Version()))
 			}
 		case Fetch:
 			if !m.isolated[action.Peer] {
-				state.Installed(now, m.states[action.Peer].Version())
+				state.HandleInstalled(now, m.states[action.Peer].Version())
 			}
 		}
 	}
@@ -107,7 +107,7 @@
 	m.isolated["n3"] = false
 	m.run(20*time.Second, 30*time.Second)
 	g.Expect(m.countOutdated()).To(BeZero())
-	m.states["n3"].Installed(31*time.Second, 2)
+	m.states["n3"].HandleInstalled(31*time.Second, 2)
 	g.Expect(m.states["n3"].Version()).To(Equal(int64(5)))
 }
 
@@ -116,10 +116,10 @@
 func TestLowerVersionFromPeerSendsNoReply(t *testing.T) {
 	g := NewWithT(t)
 	m := newMesh(2, 1)
-	m.states["n0"].Installed(0, 7)
-	g.Expect(m.states["n0"].Heard(time.Second, "n1", 3)).To(BeEmpty())
-	g.Expect(m.states["n1"].Heard(time.Second, "n0", 7)).To(Equal([]Action{{Kind: Fetch, Peer: "n0", Version: 0}}))
-	g.Expect(m.states["n1"].Heard(time.Second, "n0", 7)).To(BeEmpty()) // a fetch is pending
+	m.states["n0"].HandleInstalled(0, 7)
+	g.Expect(m.states["n0"].HandleVersion(time.Second, "n1", 3)).To(BeEmpty())
+	g.Expect(m.states["n1"].HandleVersion(time.Second, "n0", 7)).To(Equal([]Action{{Kind: Fetch, Peer: "n0", Version: 0}}))
+	g.Expect(m.states["n1"].HandleVersion(time.Second, "n0", 7)).To(BeEmpty()) // a fetch is pending
 }
 
 // TestMeshGrowthLeavesNoHubs guards against nodes that keep the first nodes of a small
@@ -153,7 +153,7 @@
 	m := newMesh(50, 2)
 	m.platformVersion = 1
 	m.run(0, 10*time.Second)
-	m.states["n7"].Installed(10*time.Second, 2)
+	m.states["n7"].HandleInstalled(10*time.Second, 2)
 	m.platformVersion = 0 // reads return no newer version
 	m.run(10*time.Second, 15*time.Second)
 	for _, state := range m.states {
--- a/internal/mesh/node/dissemination.go
+++ b/internal/mesh/node/dissemination.go
@@ -93,7 +93,7 @@
 func (d *disseminator) markInstalled(topic wire.Topic, version int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.states[topic].Installed(d.now(), version)
+	d.states[topic].HandleInstalled(d.now(), version)
 }
 
 func (d *disseminator) version(topic wire.Topic) int64 {
@@ -107,7 +107,7 @@
 		switch action.Kind {
 		case dissemination.ReadPlatform:
 			d.wg.Go(func() { d.readPlatform(ctx, topic) })
-		case dissemination.Tell:
+		case dissemination.SendVersion:
 			d.wg.Go(func() { d.exchangeVersions(ctx, topic, action) })
 		case dissemination.Fetch:
 			d.wg.Go(func() { d.fetch(ctx, topic, d.peerAddress(action.Peer)) })
@@ -135,7 +135,7 @@
 
 func (d *disseminator) handleVersion(ctx context.Context, topic wire.Topic, peer string, version int64) {
 	actions := d.step(topic, func(state *dissemination.State, now time.Duration) []dissemination.Action {
-		return state.Heard(now, peer, version)
+		return state.HandleVersion(now, peer, version)
 	})
 	d.execute(ctx, topic, actions)
 }
