--- a/internal/mesh/claims/manager.go
+++ b/internal/mesh/claims/manager.go
@@ -68,7 +68,7 @@
 	wake     chan struct{}
 }
 
-var _ dataplane.Claims = (*Manager)(nil)
+var _ dataplane.ClaimStore = (*Manager)(nil)
 
 // New returns a Manager without claims or voter set. Claims aren't persisted across restarts.
 func New(options Options) *Manager {
@@ -107,15 +107,15 @@
 	return m.table.Lookup(key)
 }
 
-// NotStarted implements dataplane.Claims.
-func (m *Manager) NotStarted(key string) {
+// Release implements dataplane.Claims.
+func (m *Manager) Release(key string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.table.Release(key)
 }
 
-// Lose implements dataplane.Claims.
-func (m *Manager) Lose(key string) {
+// MarkUnknown implements dataplane.Claims.
+func (m *Manager) MarkUnknown(key string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.table.MarkUnknown(key)
@@ -129,7 +129,7 @@
 }
 
 // Begin implements dataplane.Claims.
-func (m *Manager) Begin(ctx context.Context, key string) dataplane.Claimed {
+func (m *Manager) Begin(ctx context.Context, key string) dataplane.ClaimResult {
 	m.mu.Lock()
 	phase, answer, full := m.table.Begin(key)
 	set, service := m.voterSet, m.service
@@ -138,7 +138,7 @@
 	case full:
 		return m.countResult(claimResult(outcome.NotRun, outcome.ReasonClaimsFull))
 	case phase == claim.PhaseDone && answer != nil:
-		return m.countResult(dataplane.Claimed{Kept: answer, Reason: outcome.ReasonKept})
+		return m.countResult(dataplane.ClaimResult{StoredAnswer: answer, Reason: outcome.ReasonKept})
 	case phase == claim.PhaseDone:
 		return m.countResult(claimResult(outcome.Unknown, outcome.ReasonAnswerNotKept))
 	case phase == claim.PhaseUnknown:
@@ -149,18 +149,18 @@
 	return m.countResult(m.claimKey(ctx, key, service, set))
 }
 
-func claimResult(result outcome.Outcome, reason outcome.Reason) dataplane.Claimed {
-	return dataplane.Claimed{Outcome: result, Reason: reason}
+func claimResult(result outcome.Outcome, reason outcome.Reason) dataplane.ClaimResult {
+	return dataplane.ClaimResult{Outcome: result, Reason: reason}
 }
 
-func (m *Manager) countResult(result dataplane.Claimed) dataplane.Claimed {
+func (m *Manager) countResult(result dataplane.ClaimResult) dataplane.ClaimResult {
 	m.options.Metrics.Claims.WithLabelValues(string(result.Reason)).Inc()
 	return result
 }
 
 // claimKey has the voters choose the executor of the key and grants the key if this node is
 // chosen [Run]. Otherwise it releases the key locally.
-func (m *Manager) claimKey(ctx context.Context, key, service string, set *claim.VoterSet) dataplane.Claimed {
+func (m *Manager) claimKey(ctx context.Context, key, service string, set *claim.VoterSet) dataplane.ClaimResult {
 	started := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
@@ -172,7 +172,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if executor == m.options.Self && ctx.Err() == nil && m.table.Grant(key) {
-		return dataplane.Claimed{Run: true, Reason: outcome.ReasonGranted, Executor: executor.Node, Numbers: numbers}
+		return dataplane.ClaimResult{Granted: true, Reason: outcome.ReasonGranted, Executor: executor.Node, Numbers: numbers}
 	}
 	m.table.Abandon(key)
 	result := claimResult(outcome.NotRun, outcome.ReasonNoQuorum)
--- a/internal/mesh/core/claim/table.go
+++ b/internal/mesh/core/claim/table.go
@@ -40,7 +40,7 @@
 
 // Table holds the keys of an executor. At-most-once execution follows from two
 // invariants: each key has one executor, and a table grants a key once, except after
-// NotStarted [Run]. It is not safe for concurrent use.
+// Release [Run]. It is not safe for concurrent use.
 type Table struct {
 	records        map[string]*record
 	answerOrder    *list.List // keys with stored answers, oldest first
--- a/internal/mesh/dataplane/ingress.go
+++ b/internal/mesh/dataplane/ingress.go
@@ -170,10 +170,10 @@
 		claimed := c.plane.claims.Begin(ctx, c.wire.Key)
 		c.plane.record(c.context, explain.Claim, string(claimed.Reason), c.wire.Service, claimed.Executor, claimed.Numbers...)
 		switch {
-		case claimed.Kept != nil:
-			c.writeStoredAnswer(claimed.Kept)
+		case claimed.StoredAnswer != nil:
+			c.writeStoredAnswer(claimed.StoredAnswer)
 			return runResult{}
-		case !claimed.Run:
+		case !claimed.Granted:
 			final := newRefusal(claimed.Outcome, claimed.Reason)
 			return runResult{final: &final, executor: claimed.Executor}
 		}
@@ -227,7 +227,7 @@
 // notStarted releases the claim of a call that the target did not start.
 func (c *ingressCall) notStarted(reason outcome.Reason) runResult {
 	if c.wire.AtMostOnce {
-		c.plane.claims.NotStarted(c.wire.Key)
+		c.plane.claims.Release(c.wire.Key)
 	}
 	final := newRefusal(outcome.NotRun, reason)
 	return runResult{final: &final}
@@ -236,7 +236,7 @@
 // noResponse handles a call that was sent to the target but got no response.
 func (c *ingressCall) noResponse(ctx context.Context, started time.Duration) runResult {
 	if c.wire.AtMostOnce {
-		c.plane.claims.Lose(c.wire.Key)
+		c.plane.claims.MarkUnknown(c.wire.Key)
 	}
 	reason := cancelReason(ctx, outcome.ReasonReset)
 	final := newRefusal(outcome.Unknown, reason)
@@ -288,7 +288,7 @@
 
 func (c *ingressCall) storeAnswer(response *http.Response, stored *boundedCopy, relayErr error) {
 	if relayErr != nil && relayErr != errClientGone {
-		c.plane.claims.Lose(c.wire.Key)
+		c.plane.claims.MarkUnknown(c.wire.Key)
 		return
 	}
 	if relayErr != nil || stored.exceeded {
--- a/internal/mesh/dataplane/overload_test.go
+++ b/internal/mesh/dataplane/overload_test.go
@@ -335,7 +335,7 @@
 func (o *overloadRun) startNode(installed *bundle.Bundle, node bundle.Node, target *overloadTarget) (entryAddress string) {
 	host := node.Address[:len(node.Address)-len(":1")]
 	options := Options{
-		Node: node.Name, Zone: node.Zone, Connections: targetConnections, Metrics: telemetry.NewMetrics(),
+		Node: node.Name, Zone: node.Zone, MaxConnections: targetConnections, Metrics: telemetry.NewMetrics(),
 		Recorder: explain.NewRecorder(explain.DefaultRequests), Peers: PeerTransport(o.network.Dialer(host)),
 	}
 	if target != nil {
--- a/internal/mesh/dataplane/plane.go
+++ b/internal/mesh/dataplane/plane.go
@@ -31,41 +31,41 @@
 	SideIngress Side = "ingress"
 )
 
-// Claims grants the right to run at-most-once calls. Implementations must be safe for
+// ClaimStore grants the right to run at-most-once calls. Implementations must be safe for
 // concurrent use.
-type Claims interface {
+type ClaimStore interface {
 	// Lookup returns the local phase of a key without claiming it.
 	Lookup(key string) (claim.Phase, *claim.Answer)
 	// Begin claims the key; it may contact the voters of the service.
-	Begin(ctx context.Context, key string) Claimed
-	// NotStarted releases the claim of a call that was not forwarded to the target.
-	NotStarted(key string)
-	// Lose records that the outcome of the call is unknown.
-	Lose(key string)
+	Begin(ctx context.Context, key string) ClaimResult
+	// Release releases the claim of a call that was not forwarded to the target.
+	Release(key string)
+	// MarkUnknown records that the outcome of the call is unknown.
+	MarkUnknown(key string)
 	// Complete stores the answer; a nil answer means that it was too large to store.
 	Complete(key string, answer *claim.Answer)
 }
 
-// Claimed is the result of Claims.Begin.
-type Claimed struct {
-	Run      bool          // the caller may run the call
-	Kept     *claim.Answer // stored answer of an earlier run
-	Executor string        // node that holds the claim, if it is another one
-	Outcome  outcome.Outcome
-	Reason   outcome.Reason
-	Numbers  []explain.Number
+// ClaimResult is the result of Claims.Begin.
+type ClaimResult struct {
+	Granted      bool          // the caller may run the call
+	StoredAnswer *claim.Answer // stored answer of an earlier run
+	Executor     string        // node that holds the claim, if it is another one
+	Outcome      outcome.Outcome
+	Reason       outcome.Reason
+	Numbers      []explain.Number
 }
 
 // Options configures a Plane.
 type Options struct {
-	Node        string
-	Zone        string
-	Target      string // IP:port of the local target; empty for an entry
-	Connections int    // maximum number of connections to the target
-	Metrics     *telemetry.Metrics
-	Recorder    *explain.Recorder
-	Peers       *http.Transport // mutual TLS transport to other nodes
-	Claims      Claims          // nil for an entry
+	Node           string
+	Zone           string
+	Target         string // IP:port of the local target; empty for an entry
+	MaxConnections int    // maximum number of connections to the target
+	Metrics        *telemetry.Metrics
+	Recorder       *explain.Recorder
+	Peers          *http.Transport // mutual TLS transport to other nodes
+	Claims         ClaimStore      // nil for an entry
 }
 
 // Plane is the data plane of one node.
@@ -80,7 +80,7 @@
 	peers           *http.Transport
 	atMostOncePeers *http.Transport // for at-most-once calls
 	local           *http.Transport
-	claims          Claims
+	claims          ClaimStore
 	index           atomic.Pointer[bundle.Index]
 	service         atomic.Pointer[string]
 	calls           *callTable
@@ -94,14 +94,14 @@
 // New returns a Plane. It refuses calls until SetBundle is called.
 func New(options Options) *Plane {
 	plane := &Plane{
-		node: options.Node, zone: options.Zone, target: options.Target, maxConnections: options.Connections, started: time.Now(), metrics: options.Metrics,
+		node: options.Node, zone: options.Zone, target: options.Target, maxConnections: options.MaxConnections, started: time.Now(), metrics: options.Metrics,
 		recorder: options.Recorder, peers: options.Peers, claims: options.Claims, calls: newCallTable(), resends: newResendTable(),
 	}
 	plane.atMostOncePeers = atMostOnceTransport(options.Peers)
 	plane.router = newRouter(options.Node, options.Zone, plane.now)
 	plane.service.Store(new(string))
 	if options.Target != "" {
-		plane.local = localTransport(options.Connections)
+		plane.local = localTransport(options.MaxConnections)
 	}
 	return plane
 }
@@ -200,8 +200,10 @@
 	}
 }
 
-// SinceKept returns the time since the last response that kept its connection open.
-func (p *Plane) SinceKept() time.Duration { return p.now() - time.Duration(p.lastKeptAlive.Load()) }
+// SinceKeepAlive returns the time since the last response that kept its connection open.
+func (p *Plane) SinceKeepAlive() time.Duration {
+	return p.now() - time.Duration(p.lastKeptAlive.Load())
+}
 
 // bodyReadGrace is how long a request body may still be read after the call deadline.
 const bodyReadGrace = 50 * time.Millisecond
--- a/internal/mesh/node/node.go
+++ b/internal/mesh/node/node.go
@@ -88,7 +88,7 @@
 			Mesh: settings.Mesh, Self: claim.Executor{Node: settings.Node, Incarnation: n.incarnation}, Store: n.store, Peers: n.controlClient,
 			Metrics: n.metrics, Log: n.log,
 		})
-		options.Target, options.Connections, options.Claims = settings.Target.Address, settings.Target.Connections, n.claims
+		options.Target, options.MaxConnections, options.Claims = settings.Target.Address, settings.Target.Connections, n.claims
 	}
 	n.dataPlane = dataplane.New(options)
 	n.disseminator = newDisseminator(n)
@@ -199,7 +199,7 @@
 
 // drainPending returns what a shutdown that started at began still waits for.
 func (n *Node) drainPending(began time.Time) drain.WaitCondition {
-	return drain.NextWait(drain.State{InFlight: n.dataPlane.InFlight(), SinceStop: time.Since(began), SinceKeepAlive: n.dataPlane.SinceKept()})
+	return drain.NextWait(drain.State{InFlight: n.dataPlane.InFlight(), SinceStop: time.Since(began), SinceKeepAlive: n.dataPlane.SinceKeepAlive()})
 }
 
 // drain makes the node refuse new calls. Only the first call has an effect.
