--- a/internal/mesh/dataplane/ingress.go
+++ b/internal/mesh/dataplane/ingress.go
@@ -277,7 +277,7 @@
 		reason = cancelReason(ctx, outcome.ReasonTruncated)
 	}
 	c.count(outcome.Answered, reason)
-	c.plane.metrics.Added.WithLabelValues(string(SideIngress)).Observe((started - c.started).Seconds())
+	c.plane.metrics.AddedLatency.WithLabelValues(string(SideIngress)).Observe((started - c.started).Seconds())
 	c.plane.record(c.context, explain.Answer, string(reason), c.wire.Service, c.plane.node, number("status", float64(response.StatusCode)),
 		number("bytes", float64(sum.length)), number("own_ms", milliseconds(own)), number("took_ms", milliseconds(c.plane.now()-started)))
 	return runResult{own: own, healthy: err == nil && response.StatusCode < http.StatusInternalServerError}
--- a/internal/mesh/dataplane/outbound.go
+++ b/internal/mesh/dataplane/outbound.go
@@ -312,7 +312,7 @@
 	sent.reportResult()
 	c.count(outcome.Answered, outcome.Reason(sent.head.Reason))
 	took := c.plane.now() - c.started
-	c.plane.metrics.Added.WithLabelValues(string(c.side)).Observe((took - c.peerTime).Seconds())
+	c.plane.metrics.AddedLatency.WithLabelValues(string(c.side)).Observe((took - c.peerTime).Seconds())
 	c.plane.record(c.context, explain.Answer, sent.head.Reason, c.service, sent.choice.Target.Node, number("status", float64(sent.head.Status)),
 		number("bytes", float64(sum.length)), number("took_ms", milliseconds(took)), number("retries", float64(c.retries)),
 		number("credits_held", float64(c.context.ledger.held())))
--- a/internal/mesh/node/node.go
+++ b/internal/mesh/node/node.go
@@ -74,7 +74,7 @@
 	}
 	n := &Node{
 		settings: settings, keyring: keyring, incarnation: strconv.FormatUint(rand.Uint64(), 36), startTime: time.Now(),
-		log: telemetry.NewLog(settings.Log, settings.Node, output), metrics: telemetry.NewMetrics(),
+		log: telemetry.NewLogger(settings.Log, settings.Node, output), metrics: telemetry.NewMetrics(),
 		recorder: explain.NewRecorder(explain.DefaultRequests),
 	}
 	if settings.Platform.Address != "" {
--- a/internal/mesh/telemetry/telemetry.go
+++ b/internal/mesh/telemetry/telemetry.go
@@ -15,9 +15,9 @@
 	Registry         *prometheus.Registry
 	Calls            *prometheus.CounterVec   // side, service, class, outcome, reason
 	Retries          *prometheus.CounterVec   // service, class
-	Lost             *prometheus.CounterVec   // service, reason, connection
+	LostCalls        *prometheus.CounterVec   // service, reason, connection
 	Shed             *prometheus.CounterVec   // level, reason
-	Added            *prometheus.HistogramVec // side; time spent in the node, in seconds
+	AddedLatency     *prometheus.HistogramVec // side; time spent in the node, in seconds
 	QueueWait        prometheus.Histogram     // in seconds
 	Limit            prometheus.Gauge
 	Active           prometheus.Gauge
@@ -48,12 +48,12 @@
 	}
 	buckets := []float64{.00005, .0001, .0002, .0004, .0008, .0012, .002, .004, .008, .016, .032, .064, .128, .256}
 	m := &Metrics{
-		Registry: prometheus.NewRegistry(),
-		Calls:    counters("calls_total", "Calls by side (entry, egress, ingress) and how they ended.", "side", "service", "class", "outcome", "reason"),
-		Retries:  counters("retries_total", "Calls tried again by this hop.", "service", "class"),
-		Lost:     counters("lost_total", "Calls that were handed over and got no answer, by the connection that they went over (new_connection, rested_connection).", "service", "reason", "connection"),
-		Shed:     counters("shed_total", "Calls refused as not run, by importance level.", "level", "reason"),
-		Added: prometheus.NewHistogramVec(prometheus.HistogramOpts{
+		Registry:  prometheus.NewRegistry(),
+		Calls:     counters("calls_total", "Calls by side (entry, egress, ingress) and how they ended.", "side", "service", "class", "outcome", "reason"),
+		Retries:   counters("retries_total", "Calls tried again by this hop.", "service", "class"),
+		LostCalls: counters("lost_total", "Calls that were handed over and got no answer, by the connection that they went over (new_connection, rested_connection).", "service", "reason", "connection"),
+		Shed:      counters("shed_total", "Calls refused as not run, by importance level.", "level", "reason"),
+		AddedLatency: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Namespace: namespace, Name: "added_seconds", Help: "Time that the node itself added to a call.", Buckets: buckets,
 		}, []string{"side"}),
 		QueueWait:        prometheus.NewHistogram(prometheus.HistogramOpts{Namespace: namespace, Name: "queue_wait_seconds", Help: "Wait for a slot of the target.", Buckets: buckets}),
@@ -70,7 +70,7 @@
 		ControlBytes:     counters("control_bytes_total", "Bytes of control messages, without headers.", "message", "direction"),
 		StrippedHeaders:  counter("stripped_headers_total", "Reserved headers that callers had set."),
 	}
-	m.Registry.MustRegister(m.Calls, m.Retries, m.Lost, m.Shed, m.Added, m.QueueWait, m.Limit, m.Active, m.Queued, m.Cursor, m.BundleVersion,
+	m.Registry.MustRegister(m.Calls, m.Retries, m.LostCalls, m.Shed, m.AddedLatency, m.QueueWait, m.Limit, m.Active, m.Queued, m.Cursor, m.BundleVersion,
 		m.BundlesRejected, m.Ejections, m.Claims, m.VoterEpoch, m.PlatformRequests, m.ControlBytes, m.StrippedHeaders)
 	return m
 }
@@ -78,8 +78,8 @@
 // timestampFormat includes milliseconds, to order a node's stop and the calls lost to it.
 const timestampFormat = "2006-01-02T15:04:05.000Z07:00"
 
-// NewLog returns the logger of a node. An unknown level selects info.
-func NewLog(settings config.Log, node string, output io.Writer) *logrus.Entry {
+// NewLogger returns the logger of a node. An unknown level selects info.
+func NewLogger(settings config.Log, node string, output io.Writer) *logrus.Entry {
 	log := logrus.New()
 	log.SetOutput(output)
 	if settings.Format == "json" {
