--- a/cmd/landingmast-lab/demo.go
+++ b/cmd/landingmast-lab/demo.go
@@ -94,7 +94,7 @@
 	}
 	for _, check := range result.Checks {
 		verdict := "ok  "
-		if !check.Held {
+		if !check.Passed {
 			verdict = "FAIL"
 			failed++
 		}
--- a/internal/mesh/lab/check/check.go
+++ b/internal/mesh/lab/check/check.go
@@ -15,22 +15,22 @@
 // Check is the result of checking one guarantee.
 type Check struct {
 	Name   string
-	Held   bool
+	Passed bool
 	Detail string
 }
 
 // All runs every check.
 func All(d *deployment.Deployment, answers []load.Answer, executions []standin.Execution) []Check {
 	return []Check{
-		OwnAnswers(answers),
-		NotRunMeansNowhere(answers, executions),
+		NoMisdeliveredResponses(answers),
+		NotRunNeverExecuted(answers, executions),
 		AtMostOnce(executions),
 		RetriesBounded(d, executions),
 	}
 }
 
-// OwnAnswers checks that no caller received any part of another caller's response.
-func OwnAnswers(answers []load.Answer) Check {
+// NoMisdeliveredResponses checks that no caller received any part of another caller's response.
+func NoMisdeliveredResponses(answers []load.Answer) Check {
 	misdelivered := 0
 	for _, answer := range answers {
 		if answer.Foreign {
@@ -40,9 +40,9 @@
 	return Check{"every answer is the caller's own", misdelivered == 0, fmt.Sprintf("%d answers, %d of others", len(answers), misdelivered)}
 }
 
-// NotRunMeansNowhere checks that no attempt answered "not run" was executed by any
+// NotRunNeverExecuted checks that no attempt answered "not run" was executed by any
 // backend at any depth. Every attempt has its own token.
-func NotRunMeansNowhere(answers []load.Answer, executions []standin.Execution) Check {
+func NotRunNeverExecuted(answers []load.Answer, executions []standin.Execution) Check {
 	executed := map[string]bool{}
 	for _, execution := range executions {
 		executed[execution.Token] = true
--- a/internal/mesh/lab/demo/demo.go
+++ b/internal/mesh/lab/demo/demo.go
@@ -110,7 +110,7 @@
 	}
 	r.Checks = check.All(running.Deployment, answers, executions)
 	r.Checks = append(r.Checks, check.Check{
-		Name: "bundle in force everywhere within 5s", Held: r.RolloutDuration > 0 && r.RolloutDuration <= rolloutLimit, Detail: r.RolloutDuration.Round(time.Millisecond).String(),
+		Name: "bundle in force everywhere within 5s", Passed: r.RolloutDuration > 0 && r.RolloutDuration <= rolloutLimit, Detail: r.RolloutDuration.Round(time.Millisecond).String(),
 	})
 	whole := 0
 	for _, answer := range answers {
@@ -119,7 +119,7 @@
 		}
 	}
 	r.Checks = append(r.Checks, check.Check{
-		Name: "at least 99% of the answers are whole", Held: whole*100 >= len(answers)*99 && whole > 0, Detail: fmt.Sprintf("%d of %d", whole, len(answers)),
+		Name: "at least 99% of the answers are whole", Passed: whole*100 >= len(answers)*99 && whole > 0, Detail: fmt.Sprintf("%d of %d", whole, len(answers)),
 	})
 	r.buildRows(ctx, running, answers)
 	return r.explain(ctx, running, answers)
@@ -205,7 +205,7 @@
 		for _, decision := range decisions {
 			r.Explained = append(r.Explained, adminapi.DecisionLine(decision))
 		}
-		r.Checks = append(r.Checks, check.Check{Name: "a request can be explained at every hop", Held: len(decisions) >= 6, Detail: fmt.Sprintf("%d decisions", len(decisions))})
+		r.Checks = append(r.Checks, check.Check{Name: "a request can be explained at every hop", Passed: len(decisions) >= 6, Detail: fmt.Sprintf("%d decisions", len(decisions))})
 		return nil
 	}
 	return fmt.Errorf("no request with an idempotency key was answered")
--- a/internal/mesh/lab/faults/evaluate.go
+++ b/internal/mesh/lab/faults/evaluate.go
@@ -68,7 +68,7 @@
 	if behind != "" {
 		detail = "behind:" + behind
 	}
-	return check.Check{Name: "rolled bundle in force everywhere within 5s of the last fault", Held: behind == "", Detail: detail}
+	return check.Check{Name: "rolled bundle in force everywhere within 5s of the last fault", Passed: behind == "", Detail: detail}
 }
 
 func (m *versionMonitor) checkRollbacks() check.Check {
@@ -78,7 +78,7 @@
 	if len(m.reverted) > 0 {
 		detail += ": " + strings.Join(m.reverted, "; ")
 	}
-	return check.Check{Name: "no node goes back to an older bundle", Held: len(m.reverted) == 0 && m.observations > 0, Detail: detail}
+	return check.Check{Name: "no node goes back to an older bundle", Passed: len(m.reverted) == 0 && m.observations > 0, Detail: detail}
 }
 
 // attemptInput is the input of an operation in the history of a key.
@@ -167,7 +167,7 @@
 	if len(illegal) > 0 {
 		detail += ": " + strings.Join(illegal, " | ")
 	}
-	return check.Check{Name: "history of each key fits one run of it", Held: len(illegal) == 0, Detail: detail}
+	return check.Check{Name: "history of each key fits one run of it", Passed: len(illegal) == 0, Detail: detail}
 }
 
 func formatHistory(history []porcupine.Operation) string {
--- a/internal/mesh/lab/faults/faults.go
+++ b/internal/mesh/lab/faults/faults.go
@@ -68,7 +68,7 @@
 func (r *Result) Violations() int {
 	count := 0
 	for _, one := range r.Checks {
-		if !one.Held {
+		if !one.Passed {
 			count++
 		}
 	}
--- a/internal/mesh/lab/faults/faults_test.go
+++ b/internal/mesh/lab/faults/faults_test.go
@@ -92,7 +92,7 @@
 		})
 		NewWithT(t).Expect(err).NotTo(HaveOccurred())
 		for _, one := range result.Checks {
-			if !one.Held {
+			if !one.Passed {
 				t.Errorf("%s: %s: %s", d.Mesh, one.Name, one.Detail)
 			}
 		}
@@ -283,27 +283,27 @@
 	g := NewWithT(t)
 	g.Expect(History([]load.Answer{
 		newAnswer("k", "1", load.Unknown, "", 0, 1), newAnswer("k", "2", load.Answered, "1", 2, 1), newAnswer("k", "3", load.NotRun, "", 4, 1),
-	}).Held).To(BeTrue())
+	}).Passed).To(BeTrue())
 	g.Expect(History([]load.Answer{
 		newAnswer("k", "1", load.Answered, "1", 0, 1), newAnswer("k", "2", load.Answered, "2", 2, 1),
-	}).Held).To(BeFalse())
+	}).Passed).To(BeFalse())
 	g.Expect(History([]load.Answer{
 		newAnswer("k", "1", load.NotRun, "", 0, 1), newAnswer("k", "2", load.Answered, "1", 2, 1),
-	}).Held).To(BeFalse())
+	}).Passed).To(BeFalse())
 }
 
 func TestTheChecksCanFail(t *testing.T) {
 	g := NewWithT(t)
 	d := deployment.CoreArchive()
 	twice := []standin.Execution{{Key: "k", Path: "/reservations", Token: "a"}, {Key: "k", Path: "/reservations", Token: "b"}}
-	g.Expect(check.AtMostOnce(twice).Held).To(BeFalse())
-	g.Expect(check.AtMostOnce(twice[:1]).Held).To(BeTrue())
-	g.Expect(check.NotRunMeansNowhere([]load.Answer{{Outcome: load.NotRun, Token: "a"}}, twice).Held).To(BeFalse())
-	g.Expect(check.OwnAnswers([]load.Answer{{Foreign: true}}).Held).To(BeFalse())
+	g.Expect(check.AtMostOnce(twice).Passed).To(BeFalse())
+	g.Expect(check.AtMostOnce(twice[:1]).Passed).To(BeTrue())
+	g.Expect(check.NotRunNeverExecuted([]load.Answer{{Outcome: load.NotRun, Token: "a"}}, twice).Passed).To(BeFalse())
+	g.Expect(check.NoMisdeliveredResponses([]load.Answer{{Foreign: true}}).Passed).To(BeFalse())
 	var many []standin.Execution
 	for range 6 {
 		many = append(many, standin.Execution{RequestID: "r.c", Method: "GET", Path: "/logs/1"})
 	}
-	g.Expect(check.RetriesBounded(d, many).Held).To(BeFalse())
-	g.Expect(check.RetriesBounded(d, many[:4]).Held).To(BeTrue())
+	g.Expect(check.RetriesBounded(d, many).Passed).To(BeFalse())
+	g.Expect(check.RetriesBounded(d, many[:4]).Passed).To(BeTrue())
 }
