--- a/cmd/landingmast-lab/main.go
+++ b/cmd/landingmast-lab/main.go
@@ -57,7 +57,7 @@
 }
 
 func backendHandlers(mesh string, backends []string) (map[string]http.Handler, error) {
-	meshDeployment, err := deployment.Named(mesh)
+	meshDeployment, err := deployment.ByName(mesh)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/mesh/lab/bench/bench.go
+++ b/internal/mesh/lab/bench/bench.go
@@ -95,9 +95,9 @@
 		address, traffic, key := target, ping, ""
 		switch kind {
 		case proxied:
-			address = running.Entries()[number%deployment.Entries]
+			address = running.Entries()[number%deployment.EntryCount]
 		case atMostOnce:
-			address, traffic, key = running.Entries()[number%deployment.Entries], keyed, "k"+strconv.Itoa(number)
+			address, traffic, key = running.Entries()[number%deployment.EntryCount], keyed, "k"+strconv.Itoa(number)
 		}
 		group.Go(func() {
 			answer := load.Send(ctx, client, address, traffic, "user", key, "t-"+strconv.Itoa(number)+"-0")
@@ -136,7 +136,7 @@
 	start := time.Now()
 	for worker := range options.Connections {
 		group.Go(func() {
-			entry := running.Entries()[worker%deployment.Entries]
+			entry := running.Entries()[worker%deployment.EntryCount]
 			for time.Since(start) < throughputDuration && ctx.Err() == nil {
 				if load.Send(ctx, client, entry, ping, "u"+strconv.Itoa(worker), "", "t-1-0").Whole {
 					counts[worker]++
--- a/internal/mesh/lab/cluster/cluster.go
+++ b/internal/mesh/lab/cluster/cluster.go
@@ -90,7 +90,7 @@
 // assignPorts allocates addresses, starts the relays and writes keys and settings.
 func (c *Cluster) assignPorts(ports *load.Ports, relays bool) error {
 	c.PlatformAddr = ports.Next()
-	for index := range deployment.Entries {
+	for index := range deployment.EntryCount {
 		c.Nodes = append(c.Nodes, &Process{Name: fmt.Sprintf("entry-%d", index+1), Callers: ports.Next()})
 	}
 	for _, service := range c.Deployment.Services {
--- a/internal/mesh/lab/deployment/deployment.go
+++ b/internal/mesh/lab/deployment/deployment.go
@@ -35,16 +35,16 @@
 
 // Route describes how a backend serves one kind of request.
 type Route struct {
-	Method string
-	Path   string // prefix
-	Mean   time.Duration
-	Bytes  int
-	Calls  []DeepCall // sequential, or concurrent if AtOnce is set
-	AtOnce bool
+	Method     string
+	Path       string // prefix
+	Mean       time.Duration
+	Bytes      int
+	Calls      []DownstreamCall // sequential, or concurrent if Concurrent is set
+	Concurrent bool
 }
 
-// DeepCall is a call that a backend makes to another service.
-type DeepCall struct {
+// DownstreamCall is a call that a backend makes to another service.
+type DownstreamCall struct {
 	Service string
 	Method  string
 	Path    string
@@ -91,8 +91,8 @@
 	return nil
 }
 
-// Named returns the deployment with the given mesh name.
-func Named(name string) (*Deployment, error) {
+// ByName returns the deployment with the given mesh name.
+func ByName(name string) (*Deployment, error) {
 	for _, candidate := range []*Deployment{CoreArchive(), ExpenseClaims(), Bench()} {
 		if candidate.Mesh == name {
 			return candidate, nil
@@ -111,14 +111,14 @@
 // starting it.
 const ShedHeader = "X-Load-Shed"
 
-// Entries is the number of entry nodes in a deployment.
-const Entries = 2
+// EntryCount is the number of entry nodes in a deployment.
+const EntryCount = 2
 
 // Bundle returns a bundle of the deployment with the given version. The address
 // function returns the peer address of a node.
 func (d *Deployment) Bundle(version int64, address func(node string) string) *bundle.Bundle {
 	result := &bundle.Bundle{Mesh: d.Mesh, Version: version, Levels: d.Levels, MaxDepth: bundle.DefaultMaxDepth, UserHeader: "X-User", Classes: slices.Clone(d.Classes)}
-	for index := range Entries {
+	for index := range EntryCount {
 		result.Entries = append(result.Entries, d.node(fmt.Sprintf("entry-%d", index+1), index, address))
 	}
 	for _, service := range d.Services {
@@ -173,9 +173,9 @@
 	return seconds
 }
 
-// Pick selects a kind of request by a point in [0, 1), in proportion to the shares of
+// PickTraffic selects a kind of request by a point in [0, 1), in proportion to the shares of
 // the mix, which need not sum to 1.
-func Pick(mix []Traffic, point float64) *Traffic {
+func PickTraffic(mix []Traffic, point float64) *Traffic {
 	total := 0.0
 	for index := range mix {
 		total += mix[index].Share
--- a/internal/mesh/lab/deployment/deployment_test.go
+++ b/internal/mesh/lab/deployment/deployment_test.go
@@ -12,7 +12,7 @@
 	mix := []Traffic{{Class: "a", Share: 1}, {Class: "b", Share: 3}}
 	counts := map[string]int{}
 	for point := range 1000 {
-		counts[Pick(mix, float64(point)/1000).Class]++
+		counts[PickTraffic(mix, float64(point)/1000).Class]++
 	}
 	g.Expect(counts).To(Equal(map[string]int{"a": 250, "b": 750}))
 }
--- a/internal/mesh/lab/deployment/meshes.go
+++ b/internal/mesh/lab/deployment/meshes.go
@@ -33,14 +33,14 @@
 		Levels: []string{"critical", "high", "normal", "bulk"},
 		Services: []Service{
 			{Name: "logbook", Targets: 5, MinSlots: 6, MaxSlots: 10, Connections: 120, Routes: []Route{
-				{Method: get, Path: "/logs/", Mean: 12 * time.Millisecond, Bytes: 8 << 10, Calls: []DeepCall{{"assayhub", get, "/assays/1", false}}},
-				{Method: get, Path: "/boxes/", Mean: 5 * time.Millisecond, Bytes: 1 << 10, Calls: []DeepCall{{"assayhub", get, "/samples/1", false}}},
+				{Method: get, Path: "/logs/", Mean: 12 * time.Millisecond, Bytes: 8 << 10, Calls: []DownstreamCall{{"assayhub", get, "/assays/1", false}}},
+				{Method: get, Path: "/boxes/", Mean: 5 * time.Millisecond, Bytes: 1 << 10, Calls: []DownstreamCall{{"assayhub", get, "/samples/1", false}}},
 			}},
 			{Name: "splitdesk", Targets: 4, MinSlots: 6, MaxSlots: 10, Connections: 120, Routes: []Route{
-				{Method: post, Path: "/reservations", Mean: 10 * time.Millisecond, Bytes: 512, Calls: []DeepCall{{"logbook", get, "/boxes/1", false}}},
+				{Method: post, Path: "/reservations", Mean: 10 * time.Millisecond, Bytes: 512, Calls: []DownstreamCall{{"logbook", get, "/boxes/1", false}}},
 			}},
 			{Name: "boxshots", Targets: 4, MinSlots: 6, MaxSlots: 10, Connections: 120, Routes: []Route{
-				{Method: get, Path: "/photos/", Mean: 30 * time.Millisecond, Bytes: 128 << 10, Calls: []DeepCall{{"logbook", get, "/boxes/1", false}}},
+				{Method: get, Path: "/photos/", Mean: 30 * time.Millisecond, Bytes: 128 << 10, Calls: []DownstreamCall{{"logbook", get, "/boxes/1", false}}},
 			}},
 			{Name: "assayhub", Targets: 4, MinSlots: 6, MaxSlots: 10, Connections: 120, Routes: []Route{
 				{Method: get, Path: "/assays/", Mean: 8 * time.Millisecond, Bytes: 2 << 10},
@@ -73,17 +73,17 @@
 		Levels: []string{"critical", "high", "normal", "bulk"},
 		Services: []Service{
 			{Name: "claims-portal", Targets: 6, MinSlots: 13, MaxSlots: 23, Connections: 130, Routes: []Route{
-				{Method: get, Path: "/claims", Mean: 10 * time.Millisecond, Bytes: 6 << 10, Calls: []DeepCall{{"policy-svc", get, "/lookups/1", false}}},
-				{Method: post, Path: "/approvals", Mean: 12 * time.Millisecond, Bytes: 512, Calls: []DeepCall{
+				{Method: get, Path: "/claims", Mean: 10 * time.Millisecond, Bytes: 6 << 10, Calls: []DownstreamCall{{"policy-svc", get, "/lookups/1", false}}},
+				{Method: post, Path: "/approvals", Mean: 12 * time.Millisecond, Bytes: 512, Calls: []DownstreamCall{
 					{"policy-svc", get, "/checks/1", false}, {"payout-svc", post, "/payments", true},
 				}},
-				{Method: get, Path: "/fraud-flags/", Mean: 4 * time.Millisecond, Bytes: 256, Calls: []DeepCall{{"policy-svc", get, "/lookups/2", false}}},
+				{Method: get, Path: "/fraud-flags/", Mean: 4 * time.Millisecond, Bytes: 256, Calls: []DownstreamCall{{"policy-svc", get, "/lookups/2", false}}},
 			}},
 			{Name: "payout-svc", Targets: 4, MinSlots: 13, MaxSlots: 23, Connections: 130, Routes: []Route{
-				{Method: post, Path: "/payments", Mean: 15 * time.Millisecond, Bytes: 256, Calls: []DeepCall{{"policy-svc", get, "/lookups/3", false}}},
+				{Method: post, Path: "/payments", Mean: 15 * time.Millisecond, Bytes: 256, Calls: []DownstreamCall{{"policy-svc", get, "/lookups/3", false}}},
 			}},
 			{Name: "receipt-store", Targets: 3, MinSlots: 13, MaxSlots: 23, Connections: 130, Routes: []Route{
-				{Method: get, Path: "/scans/", Mean: 25 * time.Millisecond, Bytes: 96 << 10, Calls: []DeepCall{{"policy-svc", get, "/lookups/4", false}}},
+				{Method: get, Path: "/scans/", Mean: 25 * time.Millisecond, Bytes: 96 << 10, Calls: []DownstreamCall{{"policy-svc", get, "/lookups/4", false}}},
 			}},
 			{Name: "policy-svc", Targets: 3, MinSlots: 13, MaxSlots: 23, Connections: 130, Routes: []Route{
 				{Method: get, Path: "/checks/", Mean: 8 * time.Millisecond, Bytes: 1 << 10},
--- a/internal/mesh/lab/emulator/backend.go
+++ b/internal/mesh/lab/emulator/backend.go
@@ -143,7 +143,7 @@
 		b.release(j, result)
 		return
 	}
-	if !j.route.AtOnce {
+	if !j.route.Concurrent {
 		b.sim.outbound(j.call.node, j.call, calls[next], func(ok bool) {
 			if !ok {
 				j.failed = true
--- a/internal/mesh/lab/emulator/callers.go
+++ b/internal/mesh/lab/emulator/callers.go
@@ -40,7 +40,7 @@
 			return
 		}
 		current := callers()
-		traffic := deployment.Pick(current.Mix, s.random.Float64())
+		traffic := deployment.PickTraffic(current.Mix, s.random.Float64())
 		request := &userRequest{
 			traffic: traffic, class: s.bundle.Match(traffic.Service, traffic.Method, traffic.Path),
 			user: "user-" + strconv.Itoa(s.random.IntN(users)), arrived: s.clock.Now(),
--- a/internal/mesh/lab/emulator/outbound.go
+++ b/internal/mesh/lab/emulator/outbound.go
@@ -38,7 +38,7 @@
 }
 
 // outbound makes a downstream call of a back end through its node.
-func (s *simulation) outbound(from *node, parent *call, wanted deployment.DeepCall, done func(ok bool)) {
+func (s *simulation) outbound(from *node, parent *call, wanted deployment.DownstreamCall, done func(ok bool)) {
 	if parent.abandoned {
 		return
 	}
--- a/internal/mesh/lab/experiment/demand.go
+++ b/internal/mesh/lab/experiment/demand.go
@@ -19,7 +19,7 @@
 
 // demandAt returns the demand of an experiment at a time after its start.
 func demandAt(e *Experiment, at time.Duration) (*demand, error) {
-	d, err := deployment.Named(e.Deployment)
+	d, err := deployment.ByName(e.Deployment)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/mesh/lab/experiment/emulated.go
+++ b/internal/mesh/lab/experiment/emulated.go
@@ -15,7 +15,7 @@
 // Trace is Emulate with a callback that samples the state of every service at
 // each interval.
 func Trace(e *Experiment, variant emulator.Variant, seed uint64, interval time.Duration, onSample func([]emulator.Sample)) (*emulator.Result, error) {
-	d, err := deployment.Named(e.Deployment)
+	d, err := deployment.ByName(e.Deployment)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/mesh/lab/experiment/experiment.go
+++ b/internal/mesh/lab/experiment/experiment.go
@@ -86,7 +86,7 @@
 	if e.Name == "" || len(e.Seeds) == 0 || e.Length <= 0 || e.Load <= 0 {
 		return invalid("set name, seeds, length and load", "a required setting is missing")
 	}
-	d, err := deployment.Named(e.Deployment)
+	d, err := deployment.ByName(e.Deployment)
 	if err != nil {
 		return invalid("use core-archive or expense-claims", "deployment %q is unknown", e.Deployment)
 	}
--- a/internal/mesh/lab/experiment/real.go
+++ b/internal/mesh/lab/experiment/real.go
@@ -34,7 +34,7 @@
 // the emulator, and the failed attempts by class and reason. Rates are those of
 // the emulator divided by RealScale.
 func Real(ctx context.Context, e *Experiment, options cluster.Options, seed uint64) (*emulator.Result, map[string]int, error) {
-	d, err := deployment.Named(e.Deployment)
+	d, err := deployment.ByName(e.Deployment)
 	if err != nil {
 		return nil, nil, err
 	}
--- a/internal/mesh/lab/load/load.go
+++ b/internal/mesh/lab/load/load.go
@@ -67,7 +67,7 @@
 	for number := 0; time.Since(start) < options.Duration && ctx.Err() == nil; number++ {
 		next = next.Add(time.Duration(random.ExpFloat64() / options.Rate * float64(time.Second)))
 		time.Sleep(time.Until(next))
-		traffic := deployment.Pick(options.Deployment.Mix, random.Float64())
+		traffic := deployment.PickTraffic(options.Deployment.Mix, random.Float64())
 		user := fmt.Sprintf("user-%d", random.IntN(max(options.Users, 1)))
 		entry := random.IntN(len(options.Entries))
 		group.Go(func() { runner.request(ctx, traffic, user, entry, number) })
--- a/internal/mesh/lab/standin/backend.go
+++ b/internal/mesh/lab/standin/backend.go
@@ -187,7 +187,7 @@
 
 // callDownstream makes the downstream calls of a route and returns the first error.
 func (b *Backend) callDownstream(r *http.Request, route *deployment.Route) error {
-	if !route.AtOnce {
+	if !route.Concurrent {
 		for _, call := range route.Calls {
 			if err := b.call(r, call); err != nil {
 				return err
@@ -210,7 +210,7 @@
 
 // call makes one downstream call. It propagates the request id and the echo token, and
 // derives an idempotency key if the call needs one.
-func (b *Backend) call(r *http.Request, call deployment.DeepCall) error {
+func (b *Backend) call(r *http.Request, call deployment.DownstreamCall) error {
 	request, err := http.NewRequestWithContext(r.Context(), call.Method, "http://"+b.egress+call.Path, nil)
 	if err != nil {
 		return err
