--- a/cmd/landingmast-lab/demo.go
+++ b/cmd/landingmast-lab/demo.go
@@ -83,7 +83,7 @@
 	table := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(table, "class\tsent\twhole\tnot run\tunknown\tbroken\tfailed\tretries\tadded p50\tadded p99\ttotal p50\ttotal p99\t")
 	for _, row := range result.Rows {
-		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s\t%s\t%s\t%s\t\n", row.Class, row.Sent, row.Whole, row.NotRun, row.Unknown, row.Broken,
+		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s\t%s\t%s\t%s\t\n", row.Class, row.Sent, row.Complete, row.NotRun, row.Unknown, row.Broken,
 			row.Failed, row.Retries, formatDuration(row.AddedP50), formatDuration(row.AddedP99), formatDuration(row.P50), formatDuration(row.P99))
 	}
 	_ = table.Flush()
--- a/internal/mesh/lab/bench/bench.go
+++ b/internal/mesh/lab/bench/bench.go
@@ -101,12 +101,12 @@
 		}
 		group.Go(func() {
 			answer := load.Send(ctx, client, address, traffic, "user", key, "t-"+strconv.Itoa(number)+"-0")
-			if !answer.Whole || answer.Sent.Before(warmUpEnd) {
+			if !answer.Complete || answer.Sent.Before(warmUpEnd) {
 				return
 			}
 			mutex.Lock()
 			defer mutex.Unlock()
-			_ = histograms[kind].RecordValue(int64(answer.Took / time.Microsecond))
+			_ = histograms[kind].RecordValue(int64(answer.Latency / time.Microsecond))
 		})
 	}
 	group.Wait()
@@ -138,7 +138,7 @@
 		group.Go(func() {
 			entry := running.Entries()[worker%deployment.EntryCount]
 			for time.Since(start) < throughputDuration && ctx.Err() == nil {
-				if load.Send(ctx, client, entry, ping, "u"+strconv.Itoa(worker), "", "t-1-0").Whole {
+				if load.Send(ctx, client, entry, ping, "u"+strconv.Itoa(worker), "", "t-1-0").Complete {
 					counts[worker]++
 				}
 			}
--- a/internal/mesh/lab/check/check.go
+++ b/internal/mesh/lab/check/check.go
@@ -33,7 +33,7 @@
 func NoMisdeliveredResponses(answers []load.Answer) Check {
 	misdelivered := 0
 	for _, answer := range answers {
-		if answer.Foreign {
+		if answer.Misdelivered {
 			misdelivered++
 		}
 	}
--- a/internal/mesh/lab/demo/demo.go
+++ b/internal/mesh/lab/demo/demo.go
@@ -59,7 +59,7 @@
 	go func() { rolloutDone <- rollOutBundle(ctx, running, options.Duration/2, result) }()
 	answers := load.Run(ctx, load.Options{
 		Deployment: options.Cluster.Deployment, Entries: running.Entries(), Rate: options.Rate, Duration: options.Duration, Users: 200,
-		Resend: 1, Seed: options.Seed, Progress: options.Progress,
+		MaxRetries: 1, Seed: options.Seed, Progress: options.Progress,
 	})
 	if err := <-rolloutDone; err != nil {
 		result.Err = err
@@ -114,7 +114,7 @@
 	})
 	whole := 0
 	for _, answer := range answers {
-		if answer.Whole {
+		if answer.Complete {
 			whole++
 		}
 	}
@@ -156,7 +156,7 @@
 	client := adminapi.New(running.Nodes[0].Admin)
 	for index := len(answers) - 1; index >= 0; index-- {
 		answer := answers[index]
-		if !answer.Whole || counts[answer.Class] >= maxSamples {
+		if !answer.Complete || counts[answer.Class] >= maxSamples {
 			continue
 		}
 		counts[answer.Class]++
@@ -194,7 +194,7 @@
 // explain reads the decision records of the last answered keyed request.
 func (r *Result) explain(ctx context.Context, running *cluster.Cluster, answers []load.Answer) error {
 	for index := len(answers) - 1; index >= 0; index-- {
-		if !answers[index].Whole || answers[index].Key == "" {
+		if !answers[index].Complete || answers[index].Key == "" {
 			continue
 		}
 		decisions, err := adminapi.New(running.Nodes[len(running.Nodes)-1].Admin).Explain(ctx, answers[index].RequestID)
--- a/internal/mesh/lab/experiment/real.go
+++ b/internal/mesh/lab/experiment/real.go
@@ -65,7 +65,7 @@
 func (r *realRun) failures() map[string]int {
 	counts := map[string]int{}
 	for _, answer := range r.answers {
-		if !answer.Whole {
+		if !answer.Complete {
 			reason := answer.Reason
 			if answer.Outcome == load.Answered {
 				reason = fmt.Sprint(answer.Status)
@@ -183,7 +183,7 @@
 	capacity, _ := r.deployment.Capacity(r.deployment.Mix)
 	mesh := *r.deployment
 	options := load.Options{
-		Deployment: &mesh, Entries: r.cluster.Entries(), Rate: capacity * r.experiment.Load / RealScale, Duration: until - from, Users: 500, Resend: r.experiment.Resend,
+		Deployment: &mesh, Entries: r.cluster.Entries(), Rate: capacity * r.experiment.Load / RealScale, Duration: until - from, Users: 500, MaxRetries: r.experiment.Resend,
 		Backoff: time.Duration(r.experiment.Backoff),
 	}
 	for _, event := range r.experiment.Events {
@@ -194,7 +194,7 @@
 		case "surge":
 			options.Rate *= event.Factor
 		case "resend":
-			options.Resend, options.Backoff = event.Resend, time.Duration(event.Backoff)
+			options.MaxRetries, options.Backoff = event.Resend, time.Duration(event.Backoff)
 		case "mix":
 			mesh.Mix = mixWithShares(r.deployment, event.Mix)
 		}
@@ -248,7 +248,7 @@
 		if answer.Sent.Before(request.first) {
 			request.first = answer.Sent
 		}
-		request.whole = request.whole || answer.Whole
+		request.whole = request.whole || answer.Complete
 	}
 	return joined
 }
--- a/internal/mesh/lab/faults/evaluate.go
+++ b/internal/mesh/lab/faults/evaluate.go
@@ -35,7 +35,7 @@
 	r.Answers = len(answers)
 	for _, answer := range answers {
 		switch {
-		case answer.Whole:
+		case answer.Complete:
 			r.Whole++
 		case answer.Outcome == load.NotRun:
 			r.NotRun++
@@ -148,8 +148,8 @@
 		if answer.Key == "" {
 			continue
 		}
-		result := attemptOutput{outcome: answer.Outcome, executedToken: answer.Run, detail: fmt.Sprintf("%d %s %s", answer.Status, answer.Reason, answer.RequestID)}
-		ended := answer.Sent.Add(answer.Took).UnixNano()
+		result := attemptOutput{outcome: answer.Outcome, executedToken: answer.ExecutedToken, detail: fmt.Sprintf("%d %s %s", answer.Status, answer.Reason, answer.RequestID)}
+		ended := answer.Sent.Add(answer.Latency).UnixNano()
 		if answer.Outcome != load.Answered && answer.Outcome != load.NotRun {
 			ended = math.MaxInt64 // may still be executed later
 		}
--- a/internal/mesh/lab/faults/faults.go
+++ b/internal/mesh/lab/faults/faults.go
@@ -107,7 +107,7 @@
 	traffic := make(chan []load.Answer, 1)
 	go func() {
 		traffic <- load.Run(ctx, load.Options{
-			Deployment: running.Deployment, Entries: running.Entries(), Rate: options.Rate, Duration: options.Duration, Users: 100, Resend: 4, Seed: options.Seed,
+			Deployment: running.Deployment, Entries: running.Entries(), Rate: options.Rate, Duration: options.Duration, Users: 100, MaxRetries: 4, Seed: options.Seed,
 		})
 	}()
 	faultInjector.schedule(ctx, options)
--- a/internal/mesh/lab/faults/faults_test.go
+++ b/internal/mesh/lab/faults/faults_test.go
@@ -186,7 +186,7 @@
 func countComplete(answers []load.Answer) int {
 	count := 0
 	for _, answer := range answers {
-		if answer.Whole {
+		if answer.Complete {
 			count++
 		}
 	}
@@ -256,7 +256,7 @@
 // logDecisions logs the recorded decisions for a request and the shutdown log lines of all nodes.
 func logDecisions(t *testing.T, running *cluster.Cluster, answer load.Answer) {
 	t.Helper()
-	t.Logf("request %s, sent %s, took %s", answer.RequestID, answer.Sent.Format(time.StampMilli), answer.Took)
+	t.Logf("request %s, sent %s, took %s", answer.RequestID, answer.Sent.Format(time.StampMilli), answer.Latency)
 	decisions, err := adminapi.New(running.Nodes[0].Admin).Explain(context.Background(), answer.RequestID)
 	if err != nil {
 		t.Log(err)
@@ -276,7 +276,7 @@
 }
 
 func newAnswer(key, token, outcome, run string, from, took int) load.Answer {
-	return load.Answer{Key: key, Token: token, Outcome: outcome, Run: run, Sent: time.Unix(int64(from), 0), Took: time.Duration(took) * time.Second}
+	return load.Answer{Key: key, Token: token, Outcome: outcome, ExecutedToken: run, Sent: time.Unix(int64(from), 0), Latency: time.Duration(took) * time.Second}
 }
 
 func TestTheHistoryCheckTellsGoodFromBad(t *testing.T) {
@@ -299,7 +299,7 @@
 	g.Expect(check.AtMostOnce(twice).Passed).To(BeFalse())
 	g.Expect(check.AtMostOnce(twice[:1]).Passed).To(BeTrue())
 	g.Expect(check.NotRunNeverExecuted([]load.Answer{{Outcome: load.NotRun, Token: "a"}}, twice).Passed).To(BeFalse())
-	g.Expect(check.NoMisdeliveredResponses([]load.Answer{{Foreign: true}}).Passed).To(BeFalse())
+	g.Expect(check.NoMisdeliveredResponses([]load.Answer{{Misdelivered: true}}).Passed).To(BeFalse())
 	var many []standin.Execution
 	for range 6 {
 		many = append(many, standin.Execution{RequestID: "r.c", Method: "GET", Path: "/logs/1"})
--- a/internal/mesh/lab/load/load.go
+++ b/internal/mesh/lab/load/load.go
@@ -21,18 +21,18 @@
 
 // Answer is the result of one attempt of a request, as its caller saw it.
 type Answer struct {
-	Class     string
-	Token     string // identifies the attempt
-	Key       string
-	RequestID string
-	Outcome   string // Answered, NotRun, Unknown or Broken
-	Reason    string
-	Status    int
-	Whole     bool   // body complete, with matching digest and token
-	Foreign   bool   // response to another caller
-	Run       string // token of the attempt whose execution produced the response
-	Sent      time.Time
-	Took      time.Duration
+	Class         string
+	Token         string // identifies the attempt
+	Key           string
+	RequestID     string
+	Outcome       string // Answered, NotRun, Unknown or Broken
+	Reason        string
+	Status        int
+	Complete      bool   // body complete, with matching digest and token
+	Misdelivered  bool   // response to another caller
+	ExecutedToken string // token of the attempt whose execution produced the response
+	Sent          time.Time
+	Latency       time.Duration
 }
 
 // Outcomes of an attempt.
@@ -50,7 +50,7 @@
 	Rate       float64  // new requests per second over all classes
 	Duration   time.Duration
 	Users      int
-	Resend     int           // retries of a caller without a complete response, each at another entry
+	MaxRetries int           // retries of a caller without a complete response, each at another entry
 	Backoff    time.Duration // before a retry; at least 20ms
 	Seed       uint64
 	Progress   func(sent, whole int)
@@ -100,16 +100,16 @@
 	if traffic.Keyed {
 		key = fmt.Sprintf("key-%d-%d", r.options.Seed, number)
 	}
-	for attempt := 0; attempt <= r.options.Resend; attempt++ {
+	for attempt := 0; attempt <= r.options.MaxRetries; attempt++ {
 		token := fmt.Sprintf("t%d-%d-%d", r.options.Seed, number, attempt)
 		answer := Send(ctx, r.client, r.options.Entries[(entry+attempt)%len(r.options.Entries)], traffic, user, key, token)
 		r.mutex.Lock()
 		r.answers = append(r.answers, answer)
-		if answer.Whole {
+		if answer.Complete {
 			r.whole++
 		}
 		r.mutex.Unlock()
-		if answer.Whole || ctx.Err() != nil {
+		if answer.Complete || ctx.Err() != nil {
 			return
 		}
 		time.Sleep(max(r.options.Backoff, minBackoff))
@@ -124,7 +124,7 @@
 // Send sends one request to an entry and verifies the response.
 func Send(ctx context.Context, client *http.Client, entry string, traffic *deployment.Traffic, user, key, token string) Answer {
 	answer := Answer{Class: traffic.Class, Token: token, Key: key, Outcome: Broken, Sent: time.Now()}
-	defer func() { answer.Took = time.Since(answer.Sent) }()
+	defer func() { answer.Latency = time.Since(answer.Sent) }()
 	ctx, cancel := context.WithTimeout(ctx, clientTimeout)
 	defer cancel()
 	var body io.Reader
@@ -152,7 +152,7 @@
 	}
 	defer response.Body.Close()
 	answer.read(response, token)
-	answer.Took = time.Since(answer.Sent)
+	answer.Latency = time.Since(answer.Sent)
 	return answer
 }
 
@@ -170,13 +170,13 @@
 		outcome = Answered
 	}
 	a.Outcome = outcome
-	a.Run = response.Header.Get(standin.HeaderEcho)
+	a.ExecutedToken = response.Header.Get(standin.HeaderEcho)
 	if outcome != Answered || response.StatusCode != http.StatusOK {
 		return
 	}
 	stored := a.Reason == "kept_answer" // belongs to an earlier attempt with the same key
-	a.Foreign = a.Run != token && !(stored && sameRequest(a.Run, token))
-	a.Whole = response.Header.Get(standin.HeaderDigest) != "" && !a.Foreign
+	a.Misdelivered = a.ExecutedToken != token && !(stored && sameRequest(a.ExecutedToken, token))
+	a.Complete = response.Header.Get(standin.HeaderDigest) != "" && !a.Misdelivered
 }
 
 // Request returns the token of the attempt without the attempt number, which
@@ -192,16 +192,16 @@
 
 // Summary aggregates the answers of one class.
 type Summary struct {
-	Class   string
-	Sent    int
-	Whole   int
-	Failed  int // answered with a status other than 200 or without a digest
-	NotRun  int
-	Unknown int
-	Broken  int
-	Foreign int
-	P50     time.Duration
-	P99     time.Duration
+	Class        string
+	Sent         int
+	Complete     int
+	Failed       int // answered with a status other than 200 or without a digest
+	NotRun       int
+	Unknown      int
+	Broken       int
+	Misdelivered int
+	P50          time.Duration
+	P99          time.Duration
 }
 
 // Summarize aggregates answers by class, in the order of the mix.
@@ -217,8 +217,8 @@
 	for _, answer := range answers {
 		index := positions[answer.Class]
 		summaries[index].add(answer)
-		if answer.Whole {
-			_ = histograms[index].RecordValue(int64(answer.Took / time.Microsecond))
+		if answer.Complete {
+			_ = histograms[index].RecordValue(int64(answer.Latency / time.Microsecond))
 		}
 	}
 	for index := range summaries {
@@ -231,10 +231,10 @@
 func (s *Summary) add(answer Answer) {
 	s.Sent++
 	switch {
-	case answer.Foreign:
-		s.Foreign++
-	case answer.Whole:
-		s.Whole++
+	case answer.Misdelivered:
+		s.Misdelivered++
+	case answer.Complete:
+		s.Complete++
 	case answer.Outcome == NotRun:
 		s.NotRun++
 	case answer.Outcome == Unknown:
