--- a/internal/mesh/lab/faults/faults.go
+++ b/internal/mesh/lab/faults/faults.go
@@ -140,9 +140,9 @@
 	case StoreRateLimited:
 		i.storeFault(kind, standin.Faults{RateLimit: 2}, span)
 	case StoreDropsResponses:
-		i.storeFault(kind, standin.Faults{LoseAnswers: true}, span)
+		i.storeFault(kind, standin.Faults{DropResponses: true}, span)
 	case StaleMachineList:
-		i.storeFault(kind, standin.Faults{MachineLag: time.Hour}, span)
+		i.storeFault(kind, standin.Faults{CatalogLag: time.Hour}, span)
 	case ConcurrentRolls:
 		i.concurrentRolls(ctx)
 	default:
--- a/internal/mesh/lab/standin/platform.go
+++ b/internal/mesh/lab/standin/platform.go
@@ -19,11 +19,11 @@
 // Faults configures the faults that the fake platform injects. They may be changed at
 // run time with PUT /lab/faults.
 type Faults struct {
-	Down        bool          `json:"down"`         // abort every request
-	Delay       time.Duration `json:"delay"`        // added to every response, ns
-	LoseAnswers bool          `json:"lose_answers"` // apply writes, but abort their responses
-	RateLimit   float64       `json:"rate_limit"`   // requests per second; 0 means unlimited
-	MachineLag  time.Duration `json:"machine_lag"`  // staleness of the machine list, ns
+	Down          bool          `json:"down"`         // abort every request
+	Delay         time.Duration `json:"delay"`        // added to every response, ns
+	DropResponses bool          `json:"lose_answers"` // apply writes, but abort their responses
+	RateLimit     float64       `json:"rate_limit"`   // requests per second; 0 means unlimited
+	CatalogLag    time.Duration `json:"machine_lag"`  // staleness of the machine list, ns
 }
 
 type keyValue struct {
@@ -126,7 +126,7 @@
 			http.Error(w, `{"name":"limited","id":"1","message":"rate limit","temporary":true,"timeout":false,"fault":false}`, http.StatusTooManyRequests)
 			return
 		}
-		if faults.LoseAnswers && r.Method == http.MethodPut {
+		if faults.DropResponses && r.Method == http.MethodPut {
 			next.ServeHTTP(&discardWriter{header: http.Header{}}, r)
 			panic(http.ErrAbortHandler)
 		}
@@ -225,11 +225,11 @@
 	return false, errSessionsUnsupported()
 }
 
-// CatalogNodes implements api.Service. It returns the machine list as it was MachineLag ago.
+// CatalogNodes implements api.Service. It returns the machine list as it was CatalogLag ago.
 func (p *Platform) CatalogNodes(context.Context) (*api.CatalogNodesResult, error) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	horizon := time.Now().Add(-p.faults.MachineLag)
+	horizon := time.Now().Add(-p.faults.CatalogLag)
 	states := map[string]string{}
 	result := &api.CatalogNodesResult{Nodes: []*api.CatalogNode{}}
 	index := uint64(1)
