--- a/internal/logquery/logquery.go
+++ b/internal/logquery/logquery.go
@@ -99,9 +99,9 @@
 	return line, true
 }
 
-// Story writes the events of a request and of its nested calls, indented by call depth.
+// WriteTrace writes the events of a request and of its nested calls, indented by call depth.
 // It returns a failure of kind Missing if there are none.
-func Story(output io.Writer, lines []Line, id string) error {
+func WriteTrace(output io.Writer, lines []Line, id string) error {
 	matched := 0
 	for _, line := range lines {
 		request := line.field("request")
@@ -158,7 +158,7 @@
 
 // Count is the number of lines in one group of a summary.
 type Count struct {
-	What  string
+	Label string
 	Lines int
 }
 
@@ -215,13 +215,13 @@
 func sortedCounts(counts map[string]int) []Count {
 	rows := make([]Count, 0, len(counts))
 	for what, lines := range counts {
-		rows = append(rows, Count{What: what, Lines: lines})
+		rows = append(rows, Count{Label: what, Lines: lines})
 	}
 	sort.Slice(rows, func(a, b int) bool {
 		if rows[a].Lines != rows[b].Lines {
 			return rows[a].Lines > rows[b].Lines
 		}
-		return rows[a].What < rows[b].What
+		return rows[a].Label < rows[b].Label
 	})
 	return rows
 }
--- a/internal/logquery/lost.go
+++ b/internal/logquery/lost.go
@@ -11,7 +11,7 @@
 // Loss is a client request that was not answered successfully in time, with its cause.
 type Loss struct {
 	At      time.Time
-	Ended   string // refused, failed or late
+	Kind    string // refused, failed or late
 	Service string // service causing the loss: the request's own or one downstream
 	Reason  string
 }
@@ -32,8 +32,8 @@
 		if line.Kind != "request" || line.field("parent") != "" || line.field("route") == "" {
 			continue
 		}
-		loss := Loss{At: line.Time, Ended: classifyLoss(line)}
-		switch loss.Ended {
+		loss := Loss{At: line.Time, Kind: classifyLoss(line)}
+		switch loss.Kind {
 		case "":
 			continue
 		case "late":
@@ -139,7 +139,7 @@
 func LostByCause(losses []Loss) []Count {
 	counts := map[string]int{}
 	for _, loss := range losses {
-		counts[fmt.Sprintf("%-8s %s %s", loss.Ended, loss.Service, loss.Reason)]++
+		counts[fmt.Sprintf("%-8s %s %s", loss.Kind, loss.Service, loss.Reason)]++
 	}
 	return sortedCounts(counts)
 }
@@ -160,11 +160,11 @@
 	for _, second := range ordered {
 		ended := map[string]int{}
 		for _, loss := range seconds[second] {
-			ended[loss.Ended]++
+			ended[loss.Kind]++
 		}
 		topCause := LostByCause(seconds[second])[0]
 		rows = append(rows, fmt.Sprintf("%s refused %4d failed %4d late %4d; most: %4d %s", time.Unix(second, 0).UTC().Format("15:04:05"),
-			ended["refused"], ended["failed"], ended["late"], topCause.Lines, strings.Join(strings.Fields(topCause.What), " ")))
+			ended["refused"], ended["failed"], ended["late"], topCause.Lines, strings.Join(strings.Fields(topCause.Label), " ")))
 	}
 	return rows
 }
--- a/internal/logquery/lost_test.go
+++ b/internal/logquery/lost_test.go
@@ -30,27 +30,27 @@
 	}{
 		{"refused at entry because a downstream service is overloaded", []Line{
 			newLine("request", "10:00:00", map[string]any{"request": "a", "route": "r", "service": "front", "status": 503.0, "reason": "overload", "decisive": "deep"}),
-		}, []Loss{{Ended: "refused", Service: "deep", Reason: "overload"}}},
+		}, []Loss{{Kind: "refused", Service: "deep", Reason: "overload"}}},
 		{"nested call lost", []Line{
 			newRequestLine("10:00:00", "a.1.1", "a.1", "deep", 502, "lost"),
 			newRequestLine("10:00:00", "a.1", "a", "middle", 500, "none"),
 			newRequestLine("10:00:00", "a", "", "front", 500, "none"),
-		}, []Loss{{Ended: "failed", Service: "deep", Reason: "lost"}}},
+		}, []Loss{{Kind: "failed", Service: "deep", Reason: "lost"}}},
 		{"last of two failed calls", []Line{
 			newRequestLine("10:00:00", "a.1", "a", "one", 503, "too_long"),
 			newRequestLine("10:00:01", "a.2", "a", "two", 504, "timeout"),
 			newRequestLine("10:00:01", "a", "", "front", 500, "none"),
-		}, []Loss{{Ended: "failed", Service: "two", Reason: "timeout"}}},
+		}, []Loss{{Kind: "failed", Service: "two", Reason: "timeout"}}},
 		{"call cancelled after another call failed", []Line{
 			newRequestLine("10:00:00", "a.1", "a", "one", 502, "lost"),
 			newRequestLine("10:00:01", "a.2", "a", "two", 0, "cancelled"),
 			newRequestLine("10:00:01", "a", "", "front", 500, "none"),
-		}, []Loss{{Ended: "failed", Service: "one", Reason: "lost"}}},
-		{"nested calls not logged", []Line{newRequestLine("10:00:00", "a", "", "front", 500, "none")}, []Loss{{Ended: "failed", Service: "front", Reason: "status 500"}}},
+		}, []Loss{{Kind: "failed", Service: "one", Reason: "lost"}}},
+		{"nested calls not logged", []Line{newRequestLine("10:00:00", "a", "", "front", 500, "none")}, []Loss{{Kind: "failed", Service: "front", Reason: "status 500"}}},
 		{"late after waiting for a slot", []Line{
 			newLine("run", "10:00:00", map[string]any{"request": "a.1", "service": "deep", "wait_ms": 300.0}),
 			newLine("request", "10:00:01", map[string]any{"request": "a", "route": "r", "service": "front", "status": 200.0, "reason": "none", "took_ms": 900.0, "objective_ms": 800.0}),
-		}, []Loss{{Ended: "late", Service: "deep", Reason: "waited"}}},
+		}, []Loss{{Kind: "late", Service: "deep", Reason: "waited"}}},
 		{"in time, cancelled by the client, without a route", []Line{
 			newLine("request", "10:00:01", map[string]any{"request": "a", "route": "r", "service": "front", "status": 200.0, "reason": "none", "took_ms": 700.0, "objective_ms": 800.0}),
 			newRequestLine("10:00:01", "b", "", "front", 0, "cancelled"),
@@ -76,7 +76,7 @@
 		newRequestLine("10:00:01", "b", "", "front", 503, "too_long"),
 		newRequestLine("10:00:01", "c", "", "front", 502, "lost"),
 	})
-	g.Expect(LostByCause(losses)).To(Equal([]Count{{What: "refused  front too_long", Lines: 2}, {What: "failed   front lost", Lines: 1}}))
+	g.Expect(LostByCause(losses)).To(Equal([]Count{{Label: "refused  front too_long", Lines: 2}, {Label: "failed   front lost", Lines: 1}}))
 	rows := LostBySecond(losses)
 	g.Expect(rows).To(HaveLen(2))
 	g.Expect(rows[1]).To(ContainSubstring("refused    1 failed    1 late    0"))
--- a/internal/operator/logs.go
+++ b/internal/operator/logs.go
@@ -21,7 +21,7 @@
 		if err != nil {
 			return err
 		}
-		return logquery.Story(c.output, lines, *id)
+		return logquery.WriteTrace(c.output, lines, *id)
 	})
 }
 
@@ -56,7 +56,7 @@
 
 func printCounts(output io.Writer, counts []logquery.Count) {
 	for _, row := range counts {
-		_, _ = fmt.Fprintf(output, "%7d %s\n", row.Lines, row.What)
+		_, _ = fmt.Fprintf(output, "%7d %s\n", row.Lines, row.Label)
 	}
 }
 
--- a/internal/testbed/fleet/story_test.go
+++ b/internal/testbed/fleet/story_test.go
@@ -69,7 +69,7 @@
 func requestStory(t *testing.T, lines []logquery.Line, id string) string {
 	t.Helper()
 	var text strings.Builder
-	if err := logquery.Story(&text, lines, id); err != nil {
+	if err := logquery.WriteTrace(&text, lines, id); err != nil {
 		t.Fatal(err)
 	}
 	return text.String()
@@ -145,7 +145,7 @@
 	g.Expect(requestStory(t, lines, id)).To(MatchRegexp("status 429, reason over_quota, .*of tenant tenant0, told to come back after"))
 	byTenant := 0
 	for _, loss := range logquery.Lost(lines) {
-		if loss.Ended == "refused" && loss.Service == "tenant tenant0" && loss.Reason == "over_quota" {
+		if loss.Kind == "refused" && loss.Service == "tenant tenant0" && loss.Reason == "over_quota" {
 			byTenant++
 		}
 	}
