--- a/cmd/landingmast-lab/experiments.go
+++ b/cmd/landingmast-lab/experiments.go
@@ -61,10 +61,10 @@
 		return err
 	}
 	for _, class := range result.Classes {
-		fmt.Printf("%-16s %6d requests, %6d whole\n", class.Class, class.Requests, class.Whole)
+		fmt.Printf("%-16s %6d requests, %6d whole\n", class.Class, class.Requests, class.Complete)
 	}
 	fmt.Printf("%d attempts, %d received by backends, %d retries, %d refused early, %.2f%% of the work wasted, %d events\n",
-		result.Sendings, result.Received, result.Retries, result.RefusedEarly, result.Wasted*100, result.Events)
+		result.Attempts, result.Received, result.Retries, result.RefusedEarly, result.Wasted*100, result.Events)
 	return nil
 }
 
--- a/internal/mesh/lab/emulator/callers.go
+++ b/internal/mesh/lab/emulator/callers.go
@@ -54,7 +54,7 @@
 // send makes one attempt of a user request at a random reachable entry.
 func (s *simulation) send(request *userRequest, callers Callers) {
 	request.attempts++
-	s.stats.Sendings++
+	s.stats.Attempts++
 	entry := s.entries[s.random.IntN(len(s.entries))]
 	for s.cutZones[entry.zone] && s.anyEntryUp() {
 		entry = s.entries[s.random.IntN(len(s.entries))]
--- a/internal/mesh/lab/emulator/stats.go
+++ b/internal/mesh/lab/emulator/stats.go
@@ -8,7 +8,7 @@
 
 // Stats holds the counters of a run.
 type Stats struct {
-	Sendings        int
+	Attempts        int
 	Received        int // calls completed by back ends, whatever the result
 	Retries         int // by nodes
 	RefusedEarly    int // by upstream hops
@@ -31,7 +31,7 @@
 type ClassResult struct {
 	Class    string
 	Requests int
-	Whole    int
+	Complete int
 }
 
 // Result holds the results of a run.
@@ -40,7 +40,7 @@
 	Events     uint64
 	Classes    []ClassResult
 	Offered    int
-	Whole      int
+	Complete   int
 	Wasted     float64 // share of back-end work spent on requests that did not complete
 	MaxRetries int     // highest number of retries by nodes for one user request
 	Windows    []Window
@@ -48,9 +48,9 @@
 
 // Window counts the user requests that arrived in a time window.
 type Window struct {
-	Start   time.Duration
-	Offered int
-	Whole   int
+	Start    time.Duration
+	Offered  int
+	Complete int
 }
 
 // Share returns the share of requests that completed, or 1 for an empty window.
@@ -58,7 +58,7 @@
 	if w.Offered == 0 {
 		return 1
 	}
-	return float64(w.Whole) / float64(w.Offered)
+	return float64(w.Complete) / float64(w.Offered)
 }
 
 // WindowLength is the duration of a Window.
@@ -96,9 +96,9 @@
 	window := min(int(request.arrived/WindowLength), len(r.Windows)-1)
 	r.Windows[window].Offered++
 	if request.whole {
-		class.Whole++
-		r.Whole++
-		r.Windows[window].Whole++
+		class.Complete++
+		r.Complete++
+		r.Windows[window].Complete++
 	}
 }
 
@@ -109,10 +109,10 @@
 	for _, window := range r.Windows {
 		if window.Start >= from && window.Start < to {
 			sum.Offered += window.Offered
-			sum.Whole += window.Whole
+			sum.Complete += window.Complete
 		}
 	}
-	return sum.Share(), float64(sum.Whole) / (to - from).Seconds()
+	return sum.Share(), float64(sum.Complete) / (to - from).Seconds()
 }
 
 // Recovery returns the time from the end of the trigger until the share of
@@ -126,7 +126,7 @@
 		sum := Window{}
 		for _, window := range r.Windows[index : index+stableWindows] {
 			sum.Offered += window.Offered
-			sum.Whole += window.Whole
+			sum.Complete += window.Complete
 		}
 		if sum.Share() >= 0.95*normal && r.Windows[index].Share() >= 0.9*normal {
 			return r.Windows[index].Start - end, true
--- a/internal/mesh/lab/experiment/measure.go
+++ b/internal/mesh/lab/experiment/measure.go
@@ -82,7 +82,7 @@
 	if best < 0 || classes[best].Requests == 0 {
 		return 1
 	}
-	return float64(classes[best].Whole) / float64(classes[best].Requests)
+	return float64(classes[best].Complete) / float64(classes[best].Requests)
 }
 
 // spread returns the median, the highest and the lowest value over all runs.
--- a/internal/mesh/lab/experiment/real.go
+++ b/internal/mesh/lab/experiment/real.go
@@ -221,9 +221,9 @@
 		index := min(max(int(request.first.Sub(r.startTime)/emulator.WindowLength), 0), len(result.Windows)-1)
 		result.Windows[index].Offered++
 		if request.whole {
-			class.Whole++
-			result.Whole++
-			result.Windows[index].Whole++
+			class.Complete++
+			result.Complete++
+			result.Windows[index].Complete++
 		}
 	}
 	return result
--- a/internal/mesh/lab/experiment/report.go
+++ b/internal/mesh/lab/experiment/report.go
@@ -166,7 +166,7 @@
 		sum := emulator.Window{}
 		for _, window := range windows[index-smoothingWindows+1 : index+1] {
 			sum.Offered += window.Offered
-			sum.Whole += window.Whole
+			sum.Complete += window.Complete
 		}
 		line = append(line, plotter.XY{X: windows[index].Start.Seconds(), Y: sum.Share()})
 	}
