--- a/cmd/landingmast-lab/faults.go
+++ b/cmd/landingmast-lab/faults.go
@@ -64,7 +64,7 @@
 			injected += count
 		}
 		violations += result.Violations()
-		fmt.Fprintf(table, "%d\t%s\t%d\t%d\t%d\t%d\t%d\t%d\n", result.Seed, mesh.Mesh, injected, result.Answers, result.Whole, result.NotRun, result.Unknown, result.Violations())
+		fmt.Fprintf(table, "%d\t%s\t%d\t%d\t%d\t%d\t%d\t%d\n", result.Seed, mesh.Mesh, injected, result.Answers, result.Complete, result.NotRun, result.Unknown, result.Violations())
 		for _, check := range result.Checks {
 			if !check.Passed {
 				failed = append(failed, fmt.Sprintf("seed %d: %s (%s)", result.Seed, check.Name, check.Detail))
--- a/internal/mesh/lab/faults/evaluate.go
+++ b/internal/mesh/lab/faults/evaluate.go
@@ -36,7 +36,7 @@
 	for _, answer := range answers {
 		switch {
 		case answer.Complete:
-			r.Whole++
+			r.Complete++
 		case answer.Outcome == load.NotRun:
 			r.NotRun++
 		default:
--- a/internal/mesh/lab/faults/faults.go
+++ b/internal/mesh/lab/faults/faults.go
@@ -55,13 +55,13 @@
 
 // Result summarizes a run.
 type Result struct {
-	Seed    uint64
-	Faults  map[Kind]int
-	Answers int
-	Whole   int
-	Unknown int
-	NotRun  int
-	Checks  []check.Check
+	Seed     uint64
+	Faults   map[Kind]int
+	Answers  int
+	Complete int
+	Unknown  int
+	NotRun   int
+	Checks   []check.Check
 }
 
 // Violations returns the number of failed checks.
--- a/internal/mesh/lab/faults/faults_test.go
+++ b/internal/mesh/lab/faults/faults_test.go
@@ -96,7 +96,7 @@
 				t.Errorf("%s: %s: %s", d.Mesh, one.Name, one.Detail)
 			}
 		}
-		if result.Whole == 0 {
+		if result.Complete == 0 {
 			t.Error("nothing was served")
 		}
 	}
