--- a/internal/testbed/client/client.go
+++ b/internal/testbed/client/client.go
@@ -29,7 +29,7 @@
 // Clients generates load on the nodes of a deployment.
 type Clients struct {
 	Judge *judge.Judge
-	Tally *Tally
+	Tally *Stats
 	// Dialer returns the dial function of a host.
 	Dialer func(from string) func(ctx context.Context, network, to string) (net.Conn, error)
 	// PickOrigin returns a machine that is in rotation.
@@ -41,12 +41,12 @@
 	abandonAfter atomic.Int64 // nanoseconds after which some clients disconnect; 0 disables this
 }
 
-// SetBurst multiplies the route rates by factor; 0 and 1 leave them unchanged.
-func (c *Clients) SetBurst(factor int64) { c.rateFactor.Store(factor) }
+// SetRateFactor multiplies the route rates by factor; 0 and 1 leave them unchanged.
+func (c *Clients) SetRateFactor(factor int64) { c.rateFactor.Store(factor) }
 
-// SetGiveUp makes one in abandonOneIn clients disconnect after the given time; 0 disables
+// SetAbandonAfter makes one in abandonOneIn clients disconnect after the given time; 0 disables
 // this.
-func (c *Clients) SetGiveUp(after time.Duration) { c.abandonAfter.Store(int64(after)) }
+func (c *Clients) SetAbandonAfter(after time.Duration) { c.abandonAfter.Store(int64(after)) }
 
 // KeyScheme is the Authorization scheme of API keys.
 const KeyScheme = "Bearer "
@@ -77,7 +77,7 @@
 func (c *Clients) request(ctx context.Context, origin Origin, route deployment.Route) {
 	began := time.Now()
 	deadline := began.Add(route.Deadline)
-	c.Tally.count(c.Tally.Asked, route.Prefix)
+	c.Tally.count(c.Tally.Sent, route.Prefix)
 	tenant, key := c.PickCredentials()
 	uri := route.Prefix + randomPathSuffix()
 	for attempt := range 2 {
@@ -196,8 +196,8 @@
 	request.Header["x_tenant"] = []string{"claimed"}
 }
 
-// SendHarmful sends a request that crashes its target and retries it once on another machine.
-func (c *Clients) SendHarmful(ctx context.Context, origin Origin, route deployment.Route, path string) {
+// SendCrashing sends a request that crashes its target and retries it once on another machine.
+func (c *Clients) SendCrashing(ctx context.Context, origin Origin, route deployment.Route, path string) {
 	deadline := time.Now().Add(route.Deadline)
 	for range 2 {
 		tenant, key := c.PickCredentials()
--- a/internal/testbed/client/keep.go
+++ b/internal/testbed/client/keep.go
@@ -17,9 +17,9 @@
 	reconnectDelay  = 50 * time.Millisecond // before a new connection is opened
 )
 
-// Keep sends sequential requests on a persistent connection until ctx is done. When the
+// SendPersistent sends sequential requests on a persistent connection until ctx is done. When the
 // connection closes, it connects to another machine.
-func (c *Clients) Keep(ctx context.Context, route deployment.Route) {
+func (c *Clients) SendPersistent(ctx context.Context, route deployment.Route) {
 	for ctx.Err() == nil {
 		origin := c.PickOrigin()
 		if conn, err := c.Dialer(origin.IP)(ctx, "tcp", origin.Outbound); err == nil {
--- a/internal/testbed/fleet/randomdays_test.go
+++ b/internal/testbed/fleet/randomdays_test.go
@@ -25,7 +25,7 @@
 			t.Parallel()
 			mesh := runDay(t, day)
 			asked, served := 0, 0
-			for _, count := range mesh.Tally.Asked {
+			for _, count := range mesh.Tally.Sent {
 				asked += count
 			}
 			for _, count := range mesh.Tally.Served {
--- a/internal/testbed/fleet/shortage_test.go
+++ b/internal/testbed/fleet/shortage_test.go
@@ -54,7 +54,7 @@
 				answers += count
 			}
 			failed := answers - refused - mesh.Tally.Status[200]
-			t.Logf("lists %.2f served, %d in time of %d, orders %.2f, answers %v", mesh.Tally.Share("/list/"), mesh.Tally.InTime["/list/"], mesh.Tally.Asked["/list/"], mesh.Tally.Share("/order/"), mesh.Tally.Status)
+			t.Logf("lists %.2f served, %d in time of %d, orders %.2f, answers %v", mesh.Tally.Share("/list/"), mesh.Tally.InTime["/list/"], mesh.Tally.Sent["/list/"], mesh.Tally.Share("/order/"), mesh.Tally.Status)
 			g.Expect(mesh.Tally.Share("/list/")).To(BeNumerically(">=", tc.served))
 			g.Expect(mesh.Tally.Share("/order/")).To(BeNumerically(">=", tc.orders))
 			g.Expect(float64(refused) / float64(answers)).To(BeNumerically("<=", tc.refused))
@@ -97,7 +97,7 @@
 	plan.Routes[0].Timeout = 500 * time.Millisecond
 	mesh := runMesh(t, plan, 5*time.Second, func(mesh *testbed.Mesh) {
 		time.Sleep(2 * time.Second)
-		mesh.Clients.SetBurst(3)
+		mesh.Clients.SetRateFactor(3)
 	})
 	answers, refused := 0, mesh.Tally.Status[503]
 	for _, count := range mesh.Tally.Status {
--- a/internal/testbed/mesh.go
+++ b/internal/testbed/mesh.go
@@ -30,7 +30,7 @@
 	Judge    *judge.Judge
 	Harmful  *target.Harmful
 	Machines []*Machine
-	Tally    *client.Tally
+	Tally    *client.Stats
 	Clients  *client.Clients
 
 	mu          sync.Mutex   // guards version and the routes and tenants of Plan
@@ -150,7 +150,7 @@
 
 // SendHarmful sends a request that crashes its target and retries it once on another machine.
 func (m *Mesh) SendHarmful(machine *Machine, route deployment.Route, path string) {
-	m.Clients.SendHarmful(m.ctx, machine.origin(), route, path)
+	m.Clients.SendCrashing(m.ctx, machine.origin(), route, path)
 }
 
 // AddHarmful makes requests with the given path on a route crash their targets.
--- a/internal/testbed/soak/troubles.go
+++ b/internal/testbed/soak/troubles.go
@@ -26,7 +26,7 @@
 	for _, route := range s.mesh.Plan.Routes {
 		if route.PerSecond > 0 {
 			for range 4 {
-				clients.Go(func() { s.mesh.Clients.Keep(ctx, route) })
+				clients.Go(func() { s.mesh.Clients.SendPersistent(ctx, route) })
 			}
 		}
 	}
@@ -72,9 +72,9 @@
 
 // servedAfterRecovery returns the share of requests served during a few seconds of load.
 func (s *soak) servedAfterRecovery() float64 {
-	s.mesh.Tally.ClearServed()
+	s.mesh.Tally.ResetRequests()
 	s.mesh.Load(3 * time.Second)
-	served, asked := s.mesh.Tally.Sums()
+	served, asked := s.mesh.Tally.Totals()
 	return float64(served) / float64(max(asked, 1))
 }
 
@@ -258,13 +258,13 @@
 		}
 	}},
 	{"burst", func(s *soak, _ *rand.Rand) {
-		s.mesh.Clients.SetBurst(2)
+		s.mesh.Clients.SetRateFactor(2)
 		time.Sleep(2 * time.Second)
-		s.mesh.Clients.SetBurst(0)
+		s.mesh.Clients.SetRateFactor(0)
 	}},
 	{"clients disconnect", func(s *soak, _ *rand.Rand) {
-		s.mesh.Clients.SetGiveUp(20 * time.Millisecond)
+		s.mesh.Clients.SetAbandonAfter(20 * time.Millisecond)
 		time.Sleep(2 * time.Second)
-		s.mesh.Clients.SetGiveUp(0)
+		s.mesh.Clients.SetAbandonAfter(0)
 	}},
 }
--- a/internal/testbed/trouble/trouble.go
+++ b/internal/testbed/trouble/trouble.go
@@ -148,16 +148,16 @@
 			mesh.Store.Set(func(s *store.Store) { clear(s.Refuse) })
 		}},
 		{"burst", 0.9, func(mesh *testbed.Mesh, _ *rand.Rand) {
-			mesh.Clients.SetBurst(2)
+			mesh.Clients.SetRateFactor(2)
 			time.Sleep(3 * time.Second)
-			mesh.Clients.SetBurst(0)
+			mesh.Clients.SetRateFactor(0)
 		}},
 		// Abandoned requests are not served; the judge checks that none is executed after the client
 		// has left.
 		{"give_up", 0, func(mesh *testbed.Mesh, _ *rand.Rand) {
-			mesh.Clients.SetGiveUp(20 * time.Millisecond)
+			mesh.Clients.SetAbandonAfter(20 * time.Millisecond)
 			time.Sleep(4 * time.Second)
-			mesh.Clients.SetGiveUp(0)
+			mesh.Clients.SetAbandonAfter(0)
 		}},
 		{"hup", 0.99, func(mesh *testbed.Mesh, random *rand.Rand) {
 			for _, machine := range mesh.Some(random, 0.5) {
