--- a/internal/testbed/fleet/alone_test.go
+++ b/internal/testbed/fleet/alone_test.go
@@ -24,7 +24,7 @@
 			t.Fatal(err)
 		}
 		defer mesh.Close()
-		time.Sleep(testbed.Settle)
+		time.Sleep(testbed.StartupTime)
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
@@ -34,7 +34,7 @@
 		}()
 		mesh.Load(span)
 		<-done
-		mesh.CheckEnd()
+		mesh.CheckFinal()
 		result = mesh
 	})
 	return result
--- a/internal/testbed/fleet/crash_test.go
+++ b/internal/testbed/fleet/crash_test.go
@@ -49,7 +49,7 @@
 	}{
 		{"several concurrently", []string{"/front/a", "/front/b", "/deep/c"}, func(*testbed.Mesh) {}},
 		{"as a call", []string{"/deep/harmful"}, func(*testbed.Mesh) {}},
-		{"targets restart immediately", []string{"/front/a", "/deep/c"}, func(mesh *testbed.Mesh) { mesh.Harmful.BringBackAfter(0) }},
+		{"targets restart immediately", []string{"/front/a", "/deep/c"}, func(mesh *testbed.Mesh) { mesh.CrashSet.BringBackAfter(0) }},
 		{"all nodes are killed", []string{"/front/a"}, func(mesh *testbed.Mesh) {
 			time.Sleep(6 * time.Second)
 			testbed.KillAndRestart(all(mesh))
@@ -69,7 +69,7 @@
 		}},
 		{"some nodes are disconnected during the crashes", []string{"/front/a"}, func(mesh *testbed.Mesh) {
 			time.Sleep(3 * time.Second)
-			trouble.CutFromOthers(mesh, mesh.Some(rand.New(rand.NewPCG(2, 2)), 0.3), 5*time.Second)
+			trouble.CutFromOthers(mesh, mesh.RandomMachines(rand.New(rand.NewPCG(2, 2)), 0.3), 5*time.Second)
 		}},
 		{"writes of the store are lost, then all nodes are killed", []string{"/front/a"}, func(mesh *testbed.Mesh) {
 			mesh.Store.Set(func(s *store.Store) { s.LoseWrites = true })
@@ -106,7 +106,7 @@
 		random := rand.New(rand.NewPCG(4, 4))
 		for range 8 {
 			time.Sleep(3 * time.Second)
-			chosen := mesh.Some(random, 0.3)
+			chosen := mesh.RandomMachines(random, 0.3)
 			for _, machine := range chosen {
 				machine.Target.Stop()
 			}
@@ -130,7 +130,7 @@
 	if strings.HasPrefix(path, "/deep/") {
 		route = routes[3]
 	}
-	m.AddHarmful(route, path)
+	m.AddCrashing(route, path)
 	sent := path
 	if path == "/deep/harmful" {
 		route, sent = routes[0], "/front/chain"
@@ -138,7 +138,7 @@
 	for range times {
 		time.Sleep(3500 * time.Millisecond)
 		for range 2 {
-			m.Go(func() { m.SendHarmful(m.Any(), route, sent) })
+			m.Go(func() { m.SendCrashing(m.RandomMachine(), route, sent) })
 		}
 	}
 }
@@ -153,9 +153,9 @@
 // sendHarmfulRepeatedly sends a harmful request every few seconds through any machine.
 func sendHarmfulRepeatedly(m *testbed.Mesh, route deployment.Route, times int) {
 	path := route.Prefix + "harmful"
-	m.AddHarmful(route, path)
+	m.AddCrashing(route, path)
 	for range times {
 		time.Sleep(3500 * time.Millisecond)
-		m.SendHarmful(m.Any(), route, path)
+		m.SendCrashing(m.RandomMachine(), route, path)
 	}
 }
--- a/internal/testbed/fleet/held_test.go
+++ b/internal/testbed/fleet/held_test.go
@@ -71,8 +71,8 @@
 		mesh, err := testbed.New(plan)
 		g.Expect(err).NotTo(HaveOccurred())
 		defer mesh.Close()
-		time.Sleep(testbed.Settle)
-		mesh.Harmful.Add("/order/harmful", "bad")
+		time.Sleep(testbed.StartupTime)
+		mesh.CrashSet.Add("/order/harmful", "bad")
 		for range 5 {
 			sendRequest(mesh, mesh.Machines[0], http.MethodPost, "/order/harmful", "bad")
 			time.Sleep(4 * time.Second)
@@ -111,7 +111,7 @@
 		_, err = runCommand(mesh, g, "", "held", "lift", "--yes", "0a", "--store", testbed.StoreAddress)
 		g.Expect(err).To(MatchError(ContainSubstring("no digest")))
 
-		mesh.Harmful.Remove("/order/harmful", "bad")
+		mesh.CrashSet.Remove("/order/harmful", "bad")
 		_, err = runCommand(mesh, g, "yes\n", "held", "lift", held[0].Digest, "--store", testbed.StoreAddress)
 		g.Expect(err).NotTo(HaveOccurred())
 		time.Sleep(2 * time.Second)
@@ -140,9 +140,9 @@
 				mesh, err := testbed.New(largePlan(tc.nodes))
 				g.Expect(err).NotTo(HaveOccurred())
 				defer mesh.Close()
-				time.Sleep(testbed.Settle)
+				time.Sleep(testbed.StartupTime)
 				path := mesh.Plan.Routes[0].Prefix + "harmful"
-				mesh.Harmful.Add(path, "")
+				mesh.CrashSet.Add(path, "")
 				before := mesh.Store.Writes()
 				for range 3 { // in a large mesh a node's retry budget does not cover a retry
 					sendRequest(mesh, mesh.Machines[0], http.MethodGet, path, "")
--- a/internal/testbed/fleet/judges_test.go
+++ b/internal/testbed/fleet/judges_test.go
@@ -51,9 +51,9 @@
 				mesh, err := testbed.New(deployment.ThreeDeep())
 				g.Expect(err).NotTo(HaveOccurred())
 				defer mesh.Close()
-				time.Sleep(testbed.Settle)
+				time.Sleep(testbed.StartupTime)
 				tc.inject(mesh)
-				mesh.CheckEnd()
+				mesh.CheckFinal()
 				violations := mesh.Judge.Broken()
 				if tc.rule == "" {
 					g.Expect(violations).To(BeEmpty())
--- a/internal/testbed/fleet/keys_test.go
+++ b/internal/testbed/fleet/keys_test.go
@@ -51,7 +51,7 @@
 		mesh, err := testbed.New(plan)
 		g.Expect(err).NotTo(HaveOccurred())
 		defer mesh.Close()
-		time.Sleep(testbed.Settle)
+		time.Sleep(testbed.StartupTime)
 		machine := mesh.Machines[0]
 		for _, tc := range []struct {
 			name, uri, key string
@@ -66,7 +66,7 @@
 		} {
 			g.Expect(statusWithKey(mesh, machine, tc.uri, tc.key)).To(Equal(tc.want), tc.name)
 		}
-		mesh.TakeKey(0, 0)
+		mesh.RevokeKey(0, 0)
 		time.Sleep(judge.RevokeBound)
 		g.Expect(statusWithKey(mesh, machine, "/deep/x", "key-tenant0-a")).To(Equal(http.StatusUnauthorized))
 		g.Expect(statusWithKey(mesh, machine, "/deep/x", "key-tenant0-b")).To(Equal(http.StatusOK))
@@ -121,7 +121,7 @@
 			t.Parallel()
 			g := NewWithT(t)
 			mesh := runMesh(t, withTenants(4), 14*time.Second, func(mesh *testbed.Mesh) {
-				chosen := mesh.Some(rand.New(rand.NewPCG(5, 6)), 0.35)
+				chosen := mesh.RandomMachines(rand.New(rand.NewPCG(5, 6)), 0.35)
 				time.Sleep(time.Second)
 				done := make(chan struct{})
 				go func() {
@@ -129,8 +129,8 @@
 					tc.begin(mesh, chosen)
 				}()
 				time.Sleep(100 * time.Millisecond)
-				mesh.TakeKey(0, 0)
-				mesh.TakeKey(1, 1)
+				mesh.RevokeKey(0, 0)
+				mesh.RevokeKey(1, 1)
 				time.Sleep(9 * time.Second)
 				<-done
 				tc.end(mesh, chosen)
--- a/internal/testbed/fleet/quota_test.go
+++ b/internal/testbed/fleet/quota_test.go
@@ -63,7 +63,7 @@
 	var from time.Time
 	mesh := runMesh(t, withOverLimitTenant(), 14*time.Second, func(mesh *testbed.Mesh) {
 		time.Sleep(3 * time.Second)
-		mesh.Retenant(func(tenants []deployment.Tenant) []deployment.Tenant {
+		mesh.UpdateTenants(func(tenants []deployment.Tenant) []deployment.Tenant {
 			tenants[0].Rate, tenants[0].Burst = 10, 5
 			return tenants
 		})
@@ -92,7 +92,7 @@
 		time.Sleep(2 * time.Second)
 		for _, machine := range mesh.Machines[:3] {
 			mesh.Network.Dark(machine.IP, true)
-			machine.TakeOut()
+			machine.RemoveFromRotation()
 			machine.Kill()
 		}
 		time.Sleep(10 * time.Second)
--- a/internal/testbed/fleet/randomdays_test.go
+++ b/internal/testbed/fleet/randomdays_test.go
@@ -50,9 +50,9 @@
 			t.Fatal(err)
 		}
 		defer mesh.Close()
-		time.Sleep(testbed.Settle)
+		time.Sleep(testbed.StartupTime)
 		day.Play(mesh)
-		mesh.CheckEnd()
+		mesh.CheckFinal()
 		result = mesh
 	})
 	return result
--- a/internal/testbed/fleet/scale_test.go
+++ b/internal/testbed/fleet/scale_test.go
@@ -52,11 +52,11 @@
 			}
 		}},
 		{"mass restart", func(mesh *testbed.Mesh, random *rand.Rand) {
-			testbed.KillAndRestart(mesh.Some(random, 0.6))
+			testbed.KillAndRestart(mesh.RandomMachines(random, 0.6))
 			trouble.NewRoute(mesh, random)
 		}},
 		{"all restart in turn", func(mesh *testbed.Mesh, random *rand.Rand) {
-			for _, m := range mesh.Some(random, 0.5) {
+			for _, m := range mesh.RandomMachines(random, 0.5) {
 				testbed.KillAndRestart([]*testbed.Machine{m})
 			}
 			trouble.NewRoute(mesh, random)
@@ -69,7 +69,7 @@
 				mesh, err := testbed.New(largePlan(nodes))
 				g.Expect(err).NotTo(HaveOccurred())
 				defer mesh.Close()
-				time.Sleep(testbed.Settle)
+				time.Sleep(testbed.StartupTime)
 				mesh.Store.Set(func(s *store.Store) { s.Limited, s.Calls = 0, map[string]int{} })
 				tc.disturb(mesh, rand.New(rand.NewPCG(1, 2)))
 				time.Sleep(applyBound)
--- a/internal/testbed/fleet/story_test.go
+++ b/internal/testbed/fleet/story_test.go
@@ -158,7 +158,7 @@
 	g := NewWithT(t)
 	lines := collectLogs(t, withTenants(3), func(mesh *testbed.Mesh) {
 		time.Sleep(2 * time.Second)
-		mesh.TakeKey(0, 0)
+		mesh.RevokeKey(0, 0)
 	})
 	id := firstRequest(t, lines, func(fields map[string]any) bool { return fields["status"] == 401.0 })
 	text := requestStory(t, lines, id)
@@ -174,7 +174,7 @@
 	plan := overloadedPlan()
 	mesh := runMesh(t, plan, 16*time.Second, func(mesh *testbed.Mesh) {
 		time.Sleep(2 * time.Second)
-		testbed.KillAndRestart(mesh.Some(rand.New(rand.NewPCG(3, 4)), 1))
+		testbed.KillAndRestart(mesh.RandomMachines(rand.New(rand.NewPCG(3, 4)), 1))
 	})
 	g.Expect(mesh.Judge.Broken()).To(BeEmpty())
 	g.Expect(mesh.Tally.Share("/order/")).To(BeNumerically(">", 0.9))
--- a/internal/testbed/fleet/suspend_test.go
+++ b/internal/testbed/fleet/suspend_test.go
@@ -25,10 +25,10 @@
 				mesh, err := testbed.New(withTenants(2))
 				g.Expect(err).NotTo(HaveOccurred())
 				defer mesh.Close()
-				time.Sleep(testbed.Settle)
+				time.Sleep(testbed.StartupTime)
 				machine := mesh.Machines[0]
 				g.Expect(statusWithKey(mesh, machine, "/front/x", "key-tenant0-a")).To(Equal(http.StatusOK))
-				mesh.TakeKey(0, 0)
+				mesh.RevokeKey(0, 0)
 				mesh.Suspend([]*testbed.Machine{machine}, span)
 				g.Expect(statusWithKey(mesh, machine, "/front/x", "key-tenant0-a")).NotTo(Equal(http.StatusOK))
 				time.Sleep(judge.Contact)
@@ -48,7 +48,7 @@
 		g.Expect(err).NotTo(HaveOccurred())
 		defer mesh.Close()
 		go mesh.Load(4 * time.Second)
-		time.Sleep(testbed.Settle + 4*time.Second)
+		time.Sleep(testbed.StartupTime + 4*time.Second)
 		for shard := range 4 {
 			var keepers []*testbed.Machine
 			for _, machine := range mesh.Machines {
@@ -78,7 +78,7 @@
 		mesh, err := testbed.New(plan)
 		g.Expect(err).NotTo(HaveOccurred())
 		defer mesh.Close()
-		time.Sleep(testbed.Settle)
+		time.Sleep(testbed.StartupTime)
 		machine := mesh.Machines[0]
 		mesh.Suspend([]*testbed.Machine{machine}, 8*time.Second)
 		resumed := time.Now()
--- a/internal/testbed/machine.go
+++ b/internal/testbed/machine.go
@@ -121,8 +121,8 @@
 // Inbound returns the node address for requests from other nodes.
 func (m *Machine) Inbound() string { return m.IP + ":" + portInbound }
 
-// TakeOut takes the machine out of rotation until the next readiness probe.
-func (m *Machine) TakeOut() { m.outOfRotation.Store(true) }
+// RemoveFromRotation takes the machine out of rotation until the next readiness probe.
+func (m *Machine) RemoveFromRotation() { m.outOfRotation.Store(true) }
 
 // origin returns the machine as an origin of client requests.
 func (m *Machine) origin() client.Origin {
--- a/internal/testbed/mesh.go
+++ b/internal/testbed/mesh.go
@@ -28,7 +28,7 @@
 	Network  *memnet.Network // nil unless the deployment runs in memory
 	Store    *store.Store
 	Judge    *judge.Judge
-	Harmful  *target.Harmful
+	CrashSet *target.Harmful
 	Machines []*Machine
 	Tally    *client.Stats
 	Clients  *client.Clients
@@ -49,8 +49,8 @@
 // StoreAddress is the listen address of the in-memory store.
 const StoreAddress = StoreHost + ":80"
 
-// Settle is the startup time of a deployment before the load begins.
-const Settle = 3 * time.Second
+// StartupTime is the startup time of a deployment before the load begins.
+const StartupTime = 3 * time.Second
 
 // DrainGracePeriod is how long a draining target may still receive requests after its
 // heartbeat is acknowledged.
@@ -75,8 +75,8 @@
 	return m, m.start()
 }
 
-// NewIn starts a deployment in an environment. On success the caller must call Close.
-func NewIn(plan deployment.Plan, env Environment) (*Mesh, error) {
+// NewInEnvironment starts a deployment in an environment. On success the caller must call Close.
+func NewInEnvironment(plan deployment.Plan, env Environment) (*Mesh, error) {
 	m := newMesh(plan, env)
 	return m, m.start()
 }
@@ -85,11 +85,11 @@
 func newMesh(plan deployment.Plan, env Environment) *Mesh {
 	ctx, cancel := context.WithCancel(context.Background())
 	m := &Mesh{
-		Plan: plan, Store: store.New(), Judge: judge.New(DrainGracePeriod), Harmful: target.NewHarmful(), ctx: ctx, cancel: cancel,
+		Plan: plan, Store: store.New(), Judge: judge.New(DrainGracePeriod), CrashSet: target.NewHarmful(), ctx: ctx, cancel: cancel,
 		Tally: client.NewTally(), env: env,
 	}
 	m.Store.ReadsPerSecond = plan.ReadsPerSecond
-	m.Clients = &client.Clients{Judge: m.Judge, Tally: m.Tally, Dialer: env.Network.Dialer, PickCredentials: m.pickCredentials, PickOrigin: func() client.Origin { return m.Any().origin() }}
+	m.Clients = &client.Clients{Judge: m.Judge, Tally: m.Tally, Dialer: env.Network.Dialer, PickCredentials: m.pickCredentials, PickOrigin: func() client.Origin { return m.RandomMachine().origin() }}
 	m.server = &http.Server{Handler: m.Store}
 	m.placeTargets()
 	for _, tenant := range plan.Tenants {
@@ -120,8 +120,8 @@
 	return nil
 }
 
-// Any returns a random machine in rotation, or any machine if none is.
-func (m *Mesh) Any() *Machine {
+// RandomMachine returns a random machine in rotation, or any machine if none is.
+func (m *Mesh) RandomMachine() *Machine {
 	candidates := make([]*Machine, 0, len(m.Machines))
 	for _, machine := range m.Machines {
 		if !machine.outOfRotation.Load() {
@@ -148,20 +148,20 @@
 	m.Clients.Attempt(m.ctx, machine.origin(), route, uri, "", "", deadline)
 }
 
-// SendHarmful sends a request that crashes its target and retries it once on another machine.
-func (m *Mesh) SendHarmful(machine *Machine, route deployment.Route, path string) {
+// SendCrashing sends a request that crashes its target and retries it once on another machine.
+func (m *Mesh) SendCrashing(machine *Machine, route deployment.Route, path string) {
 	m.Clients.SendCrashing(m.ctx, machine.origin(), route, path)
 }
 
-// AddHarmful makes requests with the given path on a route crash their targets.
-func (m *Mesh) AddHarmful(route deployment.Route, path string) {
+// AddCrashing makes requests with the given path on a route crash their targets.
+func (m *Mesh) AddCrashing(route deployment.Route, path string) {
 	body := client.RequestBody(route)
 	m.Judge.ExpectHarmful(path, body)
-	m.Harmful.Add(path, body)
+	m.CrashSet.Add(path, body)
 }
 
-// Some returns a random share of the machines, at least one.
-func (m *Mesh) Some(random *rand.Rand, share float64) []*Machine {
+// RandomMachines returns a random share of the machines, at least one.
+func (m *Mesh) RandomMachines(random *rand.Rand, share float64) []*Machine {
 	count := max(int(share*float64(len(m.Machines))+0.5), 1)
 	chosen := make([]*Machine, 0, count)
 	for _, index := range random.Perm(len(m.Machines))[:count] {
@@ -206,7 +206,7 @@
 			}
 			m.Machines = append(m.Machines, &Machine{mesh: m, IP: ip, Zone: zone, firstStart: true, clock: newMachineClock(), Target: &target.Target{
 				Service: name, Address: ip + ":" + portTarget, Outbound: ip + ":" + portOutbound, Control: ip + ":" + portControl,
-				Zone: zone, Slots: service.Slots, Speed: speed, Works: service.Works, Judge: m.Judge, Harmful: m.Harmful,
+				Zone: zone, Slots: service.Slots, Speed: speed, Works: service.Works, Judge: m.Judge, Harmful: m.CrashSet,
 				Dial: m.env.Network.Dialer(ip), Listen: m.env.Network.Listen,
 			}})
 		}
@@ -232,7 +232,7 @@
 // Close stops clients, targets, nodes and the store.
 func (m *Mesh) Close() {
 	m.cancel()
-	m.Harmful.Close()
+	m.CrashSet.Close()
 	for _, machine := range m.Machines {
 		machine.Target.Stop()
 		machine.Kill()
@@ -264,9 +264,9 @@
 // 2 s, plus 5 s for recovery from store faults.
 const convergenceTimeout = 7 * time.Second
 
-// CheckEnd runs the final checks: the invariants over the whole run and, after
+// CheckFinal runs the final checks: the invariants over the whole run and, after
 // convergenceTimeout, that every node has activated the last configuration.
-func (m *Mesh) CheckEnd() {
+func (m *Mesh) CheckFinal() {
 	m.Judge.CheckDay()
 	time.Sleep(convergenceTimeout)
 	last := uint64(m.Version())
--- a/internal/testbed/soak/soak_test.go
+++ b/internal/testbed/soak/soak_test.go
@@ -62,7 +62,7 @@
 // runSoak runs the faults of a seed and checks the observations of clients and targets.
 func runSoak(t *testing.T, daemon, folder string, seed uint64) {
 	soak := newSoak(daemon, folder)
-	mesh, err := testbed.NewIn(soakPlan(*soakMachines), testbed.Environment{Network: loopback{}, StoreAddress: soak.storeAddress(), MachineIP: soak.machineIP, Nodes: soak})
+	mesh, err := testbed.NewInEnvironment(soakPlan(*soakMachines), testbed.Environment{Network: loopback{}, StoreAddress: soak.storeAddress(), MachineIP: soak.machineIP, Nodes: soak})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -77,13 +77,13 @@
 	defer closeAll()
 	soak.mesh = mesh
 	mesh.Judge.Late = lateTolerance
-	time.Sleep(testbed.Settle)
+	time.Sleep(testbed.StartupTime)
 	injected := soak.runFaults(*soakFor, seed, *soakActors)
 	if !soak.waitReady() {
 		t.Error("not all machines became ready after the last fault")
 	}
 	served := soak.servedAfterRecovery()
-	mesh.CheckEnd()
+	mesh.CheckFinal()
 	crashes, falsePositives := mesh.Judge.HarmFigures()
 	t.Logf("seed %d: %s; responses %v; %.3f served after recovery; %d crashes by harmful requests, %d harmless requests rejected, %d cut by planned stops", seed, injected, mesh.Tally.Status, served, crashes, falsePositives, mesh.Judge.LostAroundStops())
 	closeAll()
--- a/internal/testbed/soak/troubles.go
+++ b/internal/testbed/soak/troubles.go
@@ -88,7 +88,7 @@
 // fault has reserved.
 func (s *soak) onReserved(random *rand.Rand, share float64, f func(machine *testbed.Machine)) {
 	var group sync.WaitGroup
-	for _, machine := range s.mesh.Some(random, share) {
+	for _, machine := range s.mesh.RandomMachines(random, share) {
 		release, taken := s.reserve(machine)
 		if !taken {
 			continue
@@ -150,7 +150,7 @@
 	return func(s *soak, random *rand.Rand) {
 		span := time.Duration(1+random.IntN(4)) * time.Second
 		var group sync.WaitGroup
-		for _, machine := range s.mesh.Some(random, share) {
+		for _, machine := range s.mesh.RandomMachines(random, share) {
 			relays, err := s.relaysOf(machine)
 			if err != nil {
 				continue
@@ -189,7 +189,7 @@
 		})
 	}},
 	{"rolling stop", func(s *soak, random *rand.Rand) {
-		for _, machine := range s.mesh.Some(random, 0.3) {
+		for _, machine := range s.mesh.RandomMachines(random, 0.3) {
 			if release, taken := s.reserve(machine); taken {
 				machine.Stop()
 				restart(machine)
@@ -213,7 +213,7 @@
 	}},
 	{"settings", func(s *soak, random *rand.Rand) {
 		allowance := float64(30 + random.IntN(30))
-		for _, machine := range s.mesh.Some(random, 0.5) {
+		for _, machine := range s.mesh.RandomMachines(random, 0.5) {
 			if release, taken := s.reserve(machine); taken {
 				machine.Reload(func(s *settings.Settings) { s.Retries.Allowance = allowance })
 				release()
@@ -251,9 +251,9 @@
 	{"harmful request", func(s *soak, random *rand.Rand) {
 		route := s.mesh.Plan.Routes[[]int{0, 1, 3}[random.IntN(3)]]
 		path := fmt.Sprintf("%sharmful-%d", route.Prefix, random.IntN(1000))
-		s.mesh.AddHarmful(route, path)
+		s.mesh.AddCrashing(route, path)
 		for range 4 {
-			s.mesh.SendHarmful(s.mesh.Any(), route, path)
+			s.mesh.SendCrashing(s.mesh.RandomMachine(), route, path)
 			time.Sleep(time.Second)
 		}
 	}},
--- a/internal/testbed/tenants.go
+++ b/internal/testbed/tenants.go
@@ -7,9 +7,9 @@
 	"github.com/landingmast/landingmast/internal/testbed/judge"
 )
 
-// Retenant publishes a configuration with changed tenants. The judge applies the new rate
+// UpdateTenants publishes a configuration with changed tenants. The judge applies the new rate
 // limits from then on.
-func (m *Mesh) Retenant(change func(tenants []deployment.Tenant) []deployment.Tenant) {
+func (m *Mesh) UpdateTenants(change func(tenants []deployment.Tenant) []deployment.Tenant) {
 	m.mu.Lock()
 	before := m.Plan.Tenants
 	after := make([]deployment.Tenant, len(before))
@@ -29,9 +29,9 @@
 	return judged
 }
 
-// TakeKey revokes an API key of a tenant; both are given by index.
-func (m *Mesh) TakeKey(tenant int, key int) {
-	m.Retenant(func(tenants []deployment.Tenant) []deployment.Tenant {
+// RevokeKey revokes an API key of a tenant; both are given by index.
+func (m *Mesh) RevokeKey(tenant int, key int) {
+	m.UpdateTenants(func(tenants []deployment.Tenant) []deployment.Tenant {
 		keys := append([]string(nil), tenants[tenant].Keys...)
 		tenants[tenant].Keys = append(keys[:key], keys[key+1:]...)
 		return tenants
--- a/internal/testbed/trouble/day.go
+++ b/internal/testbed/trouble/day.go
@@ -75,10 +75,10 @@
 		route = m.Plan.Routes[0]
 		harmful, sent = fmt.Sprintf("/s%d/harmful-call", deepest), "/s0/chain"
 	}
-	m.AddHarmful(route, harmful)
+	m.AddCrashing(route, harmful)
 	for end := time.Now().Add(span); time.Now().Before(end); time.Sleep(req.interval) {
 		for range req.concurrency {
-			m.Go(func() { m.SendHarmful(m.Any(), route, sent) })
+			m.Go(func() { m.SendCrashing(m.RandomMachine(), route, sent) })
 		}
 	}
 }
--- a/internal/testbed/trouble/trouble.go
+++ b/internal/testbed/trouble/trouble.go
@@ -27,7 +27,7 @@
 // Faulty injects target faults into a random share of the targets for the given time.
 func Faulty(faults target.Faults, share float64, span time.Duration) func(*testbed.Mesh, *rand.Rand) {
 	return func(mesh *testbed.Mesh, random *rand.Rand) {
-		chosen := mesh.Some(random, share)
+		chosen := mesh.RandomMachines(random, share)
 		for _, machine := range chosen {
 			machine.Target.SetFaults(faults)
 		}
@@ -59,17 +59,17 @@
 // All returns all types of faults. The platform's names are used where it has one.
 func All() []Kind {
 	return []Kind{
-		{"node_kill", 0.97, func(mesh *testbed.Mesh, random *rand.Rand) { testbed.KillAndRestart(mesh.Some(random, 0.1)) }},
-		{"herd_kill", 0.85, func(mesh *testbed.Mesh, random *rand.Rand) { testbed.KillAndRestart(mesh.Some(random, 0.6)) }},
+		{"node_kill", 0.97, func(mesh *testbed.Mesh, random *rand.Rand) { testbed.KillAndRestart(mesh.RandomMachines(random, 0.1)) }},
+		{"herd_kill", 0.85, func(mesh *testbed.Mesh, random *rand.Rand) { testbed.KillAndRestart(mesh.RandomMachines(random, 0.6)) }},
 		{"roll_term", 0.98, func(mesh *testbed.Mesh, random *rand.Rand) {
-			for _, machine := range mesh.Some(random, 0.4) {
+			for _, machine := range mesh.RandomMachines(random, 0.4) {
 				machine.Stop()
 				time.Sleep(testbed.RestartAfter)
 				_ = machine.Start()
 			}
 		}},
 		{"node_freeze", 0.9, func(mesh *testbed.Mesh, random *rand.Rand) {
-			chosen := mesh.Some(random, 0.1)
+			chosen := mesh.RandomMachines(random, 0.1)
 			for _, machine := range chosen {
 				mesh.Network.Dark(machine.IP, true)
 			}
@@ -79,13 +79,13 @@
 			}
 		}},
 		{"suspended", 0.9, func(mesh *testbed.Mesh, random *rand.Rand) {
-			mesh.Suspend(mesh.Some(random, 0.1), time.Duration(1+random.IntN(6))*time.Second)
+			mesh.Suspend(mesh.RandomMachines(random, 0.1), time.Duration(1+random.IntN(6))*time.Second)
 		}},
 		{"node_cut", 0.85, func(mesh *testbed.Mesh, random *rand.Rand) {
-			CutFromOthers(mesh, mesh.Some(random, 0.2), 3*time.Second)
+			CutFromOthers(mesh, mesh.RandomMachines(random, 0.2), 3*time.Second)
 		}},
 		{"core_cut", 0.99, func(mesh *testbed.Mesh, random *rand.Rand) {
-			chosen := mesh.Some(random, 0.2)
+			chosen := mesh.RandomMachines(random, 0.2)
 			for _, machine := range chosen {
 				mesh.Network.Cut(machine.IP, testbed.StoreHost, true)
 				mesh.Network.Cut(testbed.StoreHost, machine.IP, true)
@@ -97,13 +97,13 @@
 			}
 		}},
 		{"reset_conns", 0.9, func(mesh *testbed.Mesh, random *rand.Rand) {
-			for _, machine := range mesh.Some(random, 0.4) {
+			for _, machine := range mesh.RandomMachines(random, 0.4) {
 				mesh.Network.Reset(machine.IP, func() bool { return random.IntN(2) == 0 })
 			}
 		}},
 		{"srv_slow", 0.97, Faulty(target.Faults{Slow: 5}, 0.15, 4*time.Second)},
 		{"srv_crash", 0.9, func(mesh *testbed.Mesh, random *rand.Rand) {
-			chosen := mesh.Some(random, 0.15)
+			chosen := mesh.RandomMachines(random, 0.15)
 			for _, machine := range chosen {
 				machine.Target.Stop()
 			}
@@ -117,7 +117,7 @@
 		{"garble", 0.95, Faulty(target.Faults{CutShort: 0.02, Garbage: 0.02}, 0.5, 3*time.Second)},
 		{"garble extra late", 0.95, Faulty(target.Faults{DuplicateResponse: 0.2}, 0.6, 4*time.Second)},
 		{"scale_in", 0.98, func(mesh *testbed.Mesh, random *rand.Rand) {
-			target := mesh.Some(random, 0.05)[0].Target
+			target := mesh.RandomMachines(random, 0.05)[0].Target
 			target.Drain(testbed.DrainGracePeriod + time.Second)
 			_ = target.Start()
 		}},
@@ -137,7 +137,7 @@
 			mesh.Store.Compact()
 		}},
 		{"store refuses some", 0.97, func(mesh *testbed.Mesh, random *rand.Rand) {
-			chosen := mesh.Some(random, 0.3)
+			chosen := mesh.RandomMachines(random, 0.3)
 			mesh.Store.Set(func(s *store.Store) {
 				for _, machine := range chosen {
 					s.Refuse[machine.IP] = true
@@ -160,7 +160,7 @@
 			mesh.Clients.SetAbandonAfter(0)
 		}},
 		{"hup", 0.99, func(mesh *testbed.Mesh, random *rand.Rand) {
-			for _, machine := range mesh.Some(random, 0.5) {
+			for _, machine := range mesh.RandomMachines(random, 0.5) {
 				machine.Reload(func(s *settings.Settings) { s.Retries.Allowance = 40 })
 				time.Sleep(200 * time.Millisecond)
 			}
