--- a/internal/testbed/client/client.go
+++ b/internal/testbed/client/client.go
@@ -57,13 +57,13 @@
 	var requests sync.WaitGroup
 	var senders sync.WaitGroup
 	for _, route := range routes {
-		if route.PerSecond <= 0 {
+		if route.RequestsPerSecond <= 0 {
 			continue
 		}
 		senders.Go(func() {
 			end := time.Now().Add(span)
 			for time.Now().Before(end) && ctx.Err() == nil {
-				time.Sleep(time.Duration(rand.ExpFloat64() / route.PerSecond / float64(max(c.rateFactor.Load(), 1)) * float64(time.Second)))
+				time.Sleep(time.Duration(rand.ExpFloat64() / route.RequestsPerSecond / float64(max(c.rateFactor.Load(), 1)) * float64(time.Second)))
 				origin := c.PickOrigin()
 				requests.Go(func() { c.request(ctx, origin, route) })
 			}
--- a/internal/testbed/deployment/deployment.go
+++ b/internal/testbed/deployment/deployment.go
@@ -24,27 +24,27 @@
 
 // Route is a route and its client load.
 type Route struct {
-	Prefix      string        // path prefix
-	Kind        string        // Safe or Unsafe
-	Service     string        // service that handles the requests
-	Priority    int           // 0 is the most important
-	MaxAttempts int           // maximum number of targets tried per request
-	Timeout     time.Duration // per request, enforced by the node
-	Objective   time.Duration // latency objective
-	Deadline    time.Duration // client deadline
-	PerSecond   float64       // request rate of all clients; 0: only targets call the route
-	Body        int           // request body size in bytes
-	Public      bool          // requires no API key
+	Prefix            string        // path prefix
+	Kind              string        // Safe or Unsafe
+	Service           string        // service that handles the requests
+	Priority          int           // 0 is the most important
+	MaxAttempts       int           // maximum number of targets tried per request
+	Timeout           time.Duration // per request, enforced by the node
+	Objective         time.Duration // latency objective
+	Deadline          time.Duration // client deadline
+	RequestsPerSecond float64       // request rate of all clients; 0: only targets call the route
+	Body              int           // request body size in bytes
+	Public            bool          // requires no API key
 }
 
 // Plan describes a deployment.
 type Plan struct {
-	Zones    []string
-	Services map[string]Service
-	Routes   []Route
-	Tenants  []Tenant      // empty: clients send no API keys
-	Delay    time.Duration // one-way latency between zones; within a zone it is a fifth of this
-	Output   io.Writer     // destination of the node logs; nil discards them
+	Zones     []string
+	Services  map[string]Service
+	Routes    []Route
+	Tenants   []Tenant      // empty: clients send no API keys
+	Delay     time.Duration // one-way latency between zones; within a zone it is a fifth of this
+	LogOutput io.Writer     // destination of the node logs; nil discards them
 	// ReadsPerSecond limits the read requests served by the store; 0 means no limit.
 	ReadsPerSecond int
 }
--- a/internal/testbed/deployment/examples.go
+++ b/internal/testbed/deployment/examples.go
@@ -6,9 +6,9 @@
 	"github.com/landingmast/landingmast/internal/testbed/target"
 )
 
-// ThreeDeep returns a small three-tier deployment: front calls middle, middle calls deep
+// ThreeTier returns a small three-tier deployment: front calls middle, middle calls deep
 // twice, and the unsafe order route calls deep once.
-func ThreeDeep() Plan {
+func ThreeTier() Plan {
 	return Plan{
 		Zones: []string{"a", "b"}, Delay: time.Millisecond,
 		Services: map[string]Service{
@@ -17,10 +17,10 @@
 			"deep":   {Targets: 3, Slots: 8, Speeds: []float64{1.4, 1.4, 0.6}, Works: []target.Work{{Prefix: "/deep/", Time: 10 * time.Millisecond, Bytes: 200}}},
 		},
 		Routes: []Route{
-			{Prefix: "/front/", Kind: Safe, Service: "front", Priority: 2, MaxAttempts: 2, Timeout: time.Second, Objective: 500 * time.Millisecond, Deadline: 3 * time.Second, PerSecond: 100},
-			{Prefix: "/order/", Kind: Unsafe, Service: "middle", Priority: 0, MaxAttempts: 2, Timeout: time.Second, Objective: 500 * time.Millisecond, Deadline: 3 * time.Second, PerSecond: 40, Body: 300},
+			{Prefix: "/front/", Kind: Safe, Service: "front", Priority: 2, MaxAttempts: 2, Timeout: time.Second, Objective: 500 * time.Millisecond, Deadline: 3 * time.Second, RequestsPerSecond: 100},
+			{Prefix: "/order/", Kind: Unsafe, Service: "middle", Priority: 0, MaxAttempts: 2, Timeout: time.Second, Objective: 500 * time.Millisecond, Deadline: 3 * time.Second, RequestsPerSecond: 40, Body: 300},
 			{Prefix: "/middle/", Kind: Safe, Service: "middle", Priority: 1, MaxAttempts: 2, Timeout: time.Second, Objective: 500 * time.Millisecond},
-			{Prefix: "/deep/", Kind: Safe, Service: "deep", Priority: 1, MaxAttempts: 2, Timeout: time.Second, Objective: 300 * time.Millisecond, Deadline: time.Second, PerSecond: 50},
+			{Prefix: "/deep/", Kind: Safe, Service: "deep", Priority: 1, MaxAttempts: 2, Timeout: time.Second, Objective: 300 * time.Millisecond, Deadline: time.Second, RequestsPerSecond: 50},
 		},
 	}
 }
@@ -29,10 +29,10 @@
 // and depend on which requests crash targets rather than on the request rate.
 const reducedLoad = 0.25
 
-// WithSpares returns ThreeDeep with enough targets to lose some of each service and up to
+// ThreeTierWithSpares returns ThreeDeep with enough targets to lose some of each service and up to
 // three attempts per request. Requests to /front/chain call /deep/harmful.
-func WithSpares() Plan {
-	plan := ThreeDeep()
+func ThreeTierWithSpares() Plan {
+	plan := ThreeTier()
 	for _, name := range []string{"front", "middle", "deep"} {
 		service := plan.Services[name]
 		service.Targets = 6
@@ -43,7 +43,7 @@
 	plan.Services["front"] = front
 	for index := range plan.Routes {
 		plan.Routes[index].MaxAttempts = 3
-		plan.Routes[index].PerSecond *= reducedLoad
+		plan.Routes[index].RequestsPerSecond *= reducedLoad
 	}
 	return plan
 }
--- a/internal/testbed/fleet/alone_test.go
+++ b/internal/testbed/fleet/alone_test.go
@@ -43,7 +43,7 @@
 func TestAllServedWithoutFaults(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
-	mesh := runMesh(t, deployment.ThreeDeep(), 10*time.Second, nil)
+	mesh := runMesh(t, deployment.ThreeTier(), 10*time.Second, nil)
 	g.Expect(mesh.Judge.Broken()).To(BeEmpty())
 	for _, prefix := range []string{"/front/", "/order/", "/deep/"} {
 		g.Expect(mesh.Tally.Share(prefix)).To(BeNumerically(">", 0.99), "%s: %v", prefix, mesh.Tally.Status)
@@ -58,7 +58,7 @@
 		t.Run(kind.Name, func(t *testing.T) {
 			t.Parallel()
 			g := NewWithT(t)
-			mesh := runMesh(t, deployment.ThreeDeep(), 10*time.Second, func(mesh *testbed.Mesh) {
+			mesh := runMesh(t, deployment.ThreeTier(), 10*time.Second, func(mesh *testbed.Mesh) {
 				time.Sleep(2 * time.Second)
 				kind.Play(mesh, rand.New(rand.NewPCG(1, 2)))
 			})
--- a/internal/testbed/fleet/crash_test.go
+++ b/internal/testbed/fleet/crash_test.go
@@ -28,7 +28,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
 			g := NewWithT(t)
-			plan := deployment.WithSpares()
+			plan := deployment.ThreeTierWithSpares()
 			mesh := runMesh(t, plan, 30*time.Second, func(mesh *testbed.Mesh) { sendHarmfulRepeatedly(mesh, plan.Routes[tc.route], 7) })
 			g.Expect(mesh.Judge.Broken()).To(BeEmpty())
 			ended, falsePositives := mesh.Judge.HarmFigures()
@@ -81,7 +81,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
 			g := NewWithT(t)
-			plan := deployment.WithSpares()
+			plan := deployment.ThreeTierWithSpares()
 			mesh := runMesh(t, plan, 30*time.Second, func(mesh *testbed.Mesh) {
 				var group sync.WaitGroup
 				for _, path := range tc.paths {
@@ -102,7 +102,7 @@
 func TestPopularRequestsAreNotHeldBack(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
-	mesh := runMesh(t, deployment.WithSpares(), 30*time.Second, func(mesh *testbed.Mesh) {
+	mesh := runMesh(t, deployment.ThreeTierWithSpares(), 30*time.Second, func(mesh *testbed.Mesh) {
 		random := rand.New(rand.NewPCG(4, 4))
 		for range 8 {
 			time.Sleep(3 * time.Second)
--- a/internal/testbed/fleet/held_test.go
+++ b/internal/testbed/fleet/held_test.go
@@ -64,9 +64,9 @@
 func TestHeldRequestCanBeListedAndLifted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		plan := deployment.WithSpares()
+		plan := deployment.ThreeTierWithSpares()
 		for index := range plan.Routes {
-			plan.Routes[index].PerSecond = 0
+			plan.Routes[index].RequestsPerSecond = 0
 		}
 		mesh, err := testbed.New(plan)
 		g.Expect(err).NotTo(HaveOccurred())
--- a/internal/testbed/fleet/judges_test.go
+++ b/internal/testbed/fleet/judges_test.go
@@ -48,7 +48,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
-				mesh, err := testbed.New(deployment.ThreeDeep())
+				mesh, err := testbed.New(deployment.ThreeTier())
 				g.Expect(err).NotTo(HaveOccurred())
 				defer mesh.Close()
 				time.Sleep(testbed.StartupTime)
--- a/internal/testbed/fleet/keys_test.go
+++ b/internal/testbed/fleet/keys_test.go
@@ -21,7 +21,7 @@
 
 // withTenants returns the small mesh with tenants that stay far below their limits.
 func withTenants(count int) deployment.Plan {
-	plan := deployment.ThreeDeep()
+	plan := deployment.ThreeTier()
 	plan.Tenants = deployment.Tenants(count, 200, 100)
 	return plan
 }
@@ -33,7 +33,7 @@
 	g := NewWithT(t)
 	plan := withTenants(6)
 	logs := &logBuffer{}
-	plan.Output = logs
+	plan.LogOutput = logs
 	mesh := runMesh(t, plan, 8*time.Second, nil)
 	g.Expect(mesh.Judge.Broken()).To(BeEmpty())
 	for _, prefix := range []string{"/front/", "/order/", "/deep/"} {
--- a/internal/testbed/fleet/quota_test.go
+++ b/internal/testbed/fleet/quota_test.go
@@ -16,13 +16,13 @@
 // withOverLimitTenant returns the small mesh with one tenant far above its limit and others below
 // theirs.
 func withOverLimitTenant() deployment.Plan {
-	plan := deployment.ThreeDeep()
+	plan := deployment.ThreeTier()
 	plan.Tenants = deployment.Tenants(4, 40, 20)
 	plan.Tenants[0].Share = 6
 	for index := range plan.Routes {
-		plan.Routes[index].PerSecond /= 2
+		plan.Routes[index].RequestsPerSecond /= 2
 	}
-	plan.Routes[3].PerSecond = 150
+	plan.Routes[3].RequestsPerSecond = 150
 	return plan
 }
 
@@ -86,7 +86,7 @@
 	plan := largePlan(20)
 	plan.Tenants = deployment.Tenants(6, 200, 100)
 	for index := range plan.Routes {
-		plan.Routes[index].PerSecond = 100
+		plan.Routes[index].RequestsPerSecond = 100
 	}
 	mesh := runMesh(t, plan, 20*time.Second, func(mesh *testbed.Mesh) {
 		time.Sleep(2 * time.Second)
--- a/internal/testbed/fleet/refused_test.go
+++ b/internal/testbed/fleet/refused_test.go
@@ -24,7 +24,7 @@
 	g := NewWithT(t)
 	const requests = 50
 	dialled, lost, refused := 0, 0, 0
-	runMesh(t, deployment.ThreeDeep(), 2*time.Second, func(mesh *testbed.Mesh) {
+	runMesh(t, deployment.ThreeTier(), 2*time.Second, func(mesh *testbed.Mesh) {
 		machine := mesh.Machines[0]
 		dial := mesh.Network.Dialer(machine.IP)
 		transport := &http.Transport{DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
--- a/internal/testbed/fleet/shortage_test.go
+++ b/internal/testbed/fleet/shortage_test.go
@@ -24,8 +24,8 @@
 			"deep":   {Targets: 4, Slots: 12, Speeds: []float64{0.7, 1, 1, 1.3}, Works: []target.Work{{Prefix: "/deep/", Time: 50 * time.Millisecond, Bytes: 200}}},
 		},
 		Routes: []deployment.Route{
-			{Prefix: "/list/", Kind: deployment.Safe, Service: "front", Priority: 2, MaxAttempts: 2, Timeout: 1500 * time.Millisecond, Objective: 1200 * time.Millisecond, Deadline: 3 * time.Second, PerSecond: listsPerSecond},
-			{Prefix: "/order/", Kind: deployment.Unsafe, Service: "orders", Priority: 0, MaxAttempts: 2, Timeout: 1500 * time.Millisecond, Objective: 600 * time.Millisecond, Deadline: 3 * time.Second, PerSecond: 40, Body: 300},
+			{Prefix: "/list/", Kind: deployment.Safe, Service: "front", Priority: 2, MaxAttempts: 2, Timeout: 1500 * time.Millisecond, Objective: 1200 * time.Millisecond, Deadline: 3 * time.Second, RequestsPerSecond: listsPerSecond},
+			{Prefix: "/order/", Kind: deployment.Unsafe, Service: "orders", Priority: 0, MaxAttempts: 2, Timeout: 1500 * time.Millisecond, Objective: 600 * time.Millisecond, Deadline: 3 * time.Second, RequestsPerSecond: 40, Body: 300},
 			{Prefix: "/deep/", Kind: deployment.Safe, Service: "deep", Priority: 1, MaxAttempts: 2, Timeout: time.Second, Objective: 300 * time.Millisecond},
 		},
 	}
@@ -73,7 +73,7 @@
 	front.Works = append(front.Works, target.Work{Prefix: "/order/", Time: 30 * time.Millisecond, Bytes: 500, Calls: front.Works[0].Calls})
 	plan.Services["front"] = front
 	plan.Routes[1].Service = "front"
-	plan.Routes[0].PerSecond, plan.Routes[1].PerSecond = 80, 15
+	plan.Routes[0].RequestsPerSecond, plan.Routes[1].RequestsPerSecond = 80, 15
 	mesh := runMesh(t, plan, 10*time.Second, func(mesh *testbed.Mesh) {
 		for _, machine := range mesh.Machines {
 			if machine.Target.Service == "deep" {
--- a/internal/testbed/fleet/stop_test.go
+++ b/internal/testbed/fleet/stop_test.go
@@ -14,7 +14,7 @@
 func TestStoppingNodeEndsThoughClientsGoOn(t *testing.T) {
 	g := NewWithT(t)
 	var took time.Duration
-	mesh := runMesh(t, deployment.ThreeDeep(), 10*time.Second, func(mesh *testbed.Mesh) {
+	mesh := runMesh(t, deployment.ThreeTier(), 10*time.Second, func(mesh *testbed.Mesh) {
 		machine, ended := mesh.Machines[0], make(chan struct{})
 		go func() {
 			for {
@@ -41,7 +41,7 @@
 // requests. Guards against rolling restarts that take several targets out of service at once.
 func TestTargetIsReachedWhileItsNodeStops(t *testing.T) {
 	g := NewWithT(t)
-	plan := deployment.ThreeDeep()
+	plan := deployment.ThreeTier()
 	deep := plan.Services["deep"]
 	deep.Targets, deep.Slots, deep.Speeds = 1, 24, nil
 	plan.Services["deep"] = deep
--- a/internal/testbed/fleet/story_test.go
+++ b/internal/testbed/fleet/story_test.go
@@ -41,7 +41,7 @@
 func collectLogs(t *testing.T, plan deployment.Plan, disturb func(mesh *testbed.Mesh)) []logquery.Line {
 	t.Helper()
 	logs := &logBuffer{}
-	plan.Output = logs
+	plan.LogOutput = logs
 	runMesh(t, plan, 8*time.Second, disturb)
 	file := filepath.Join(t.TempDir(), "nodes.log")
 	if err := os.WriteFile(file, logs.Bytes(), 0o600); err != nil {
@@ -77,11 +77,11 @@
 
 // overloadedPlan returns a mesh whose last service can serve half of its load.
 func overloadedPlan() deployment.Plan {
-	plan := deployment.ThreeDeep()
+	plan := deployment.ThreeTier()
 	deep := plan.Services["deep"]
 	deep.Slots = 3
 	plan.Services["deep"] = deep
-	plan.Routes[0].PerSecond = 300
+	plan.Routes[0].RequestsPerSecond = 300
 	return plan
 }
 
@@ -104,7 +104,7 @@
 func TestStoryOfUnknownOutcomeShowsLostConnection(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
-	lines := collectLogs(t, deployment.ThreeDeep(), func(mesh *testbed.Mesh) {
+	lines := collectLogs(t, deployment.ThreeTier(), func(mesh *testbed.Mesh) {
 		for range 6 {
 			time.Sleep(time.Second)
 			testbed.KillAndRestart([]*testbed.Machine{mesh.Machines[len(mesh.Machines)-1], mesh.Machines[len(mesh.Machines)-2]}) // nodes of the middle service
@@ -119,7 +119,7 @@
 	t.Parallel()
 	g := NewWithT(t)
 	var slow string
-	lines := collectLogs(t, deployment.ThreeDeep(), func(mesh *testbed.Mesh) {
+	lines := collectLogs(t, deployment.ThreeTier(), func(mesh *testbed.Mesh) {
 		faulty := mesh.Machines[0].Target
 		slow = faulty.Instance()
 		faulty.SetFaults(target.Faults{Slow: 200})
--- a/internal/testbed/fleet/suspend_test.go
+++ b/internal/testbed/fleet/suspend_test.go
@@ -74,7 +74,7 @@
 		g := NewWithT(t)
 		plan := withTenants(2)
 		logs := &logBuffer{}
-		plan.Output = logs
+		plan.LogOutput = logs
 		mesh, err := testbed.New(plan)
 		g.Expect(err).NotTo(HaveOccurred())
 		defer mesh.Close()
--- a/internal/testbed/mesh.go
+++ b/internal/testbed/mesh.go
@@ -66,7 +66,7 @@
 		return plan.Delay
 	})
 	machineIP := func(number int) string { return fmt.Sprintf("10.1.%d.%d", number/200, number%200+1) }
-	nodes := &inProcess{network: network, output: plan.Output}
+	nodes := &inProcess{network: network, output: plan.LogOutput}
 	m := newMesh(plan, Environment{Network: network, StoreAddress: StoreAddress, MachineIP: machineIP, Nodes: nodes})
 	m.Network = network
 	for _, machine := range m.Machines {
--- a/internal/testbed/soak/soak_test.go
+++ b/internal/testbed/soak/soak_test.go
@@ -50,7 +50,7 @@
 
 // soakPlan returns a deployment of about the given number of machines, at least one per service.
 func soakPlan(machines int) deployment.Plan {
-	plan := deployment.WithSpares()
+	plan := deployment.ThreeTierWithSpares()
 	for _, name := range []string{"front", "middle", "deep"} {
 		service := plan.Services[name]
 		service.Targets = max(machines/3, 1)
--- a/internal/testbed/soak/troubles.go
+++ b/internal/testbed/soak/troubles.go
@@ -24,7 +24,7 @@
 	defer end()
 	var clients, actors sync.WaitGroup
 	for _, route := range s.mesh.Plan.Routes {
-		if route.PerSecond > 0 {
+		if route.RequestsPerSecond > 0 {
 			for range 4 {
 				clients.Go(func() { s.mesh.Clients.SendPersistent(ctx, route) })
 			}
--- a/internal/testbed/trouble/day.go
+++ b/internal/testbed/trouble/day.go
@@ -105,10 +105,10 @@
 		tries := 1 + random.IntN(3)
 		plan.Routes = append(plan.Routes, deployment.Route{
 			Prefix: read.Prefix, Kind: deployment.Safe, Service: name, Priority: random.IntN(3), MaxAttempts: tries, Timeout: time.Second,
-			Objective: 500 * time.Millisecond, Deadline: 3 * time.Second, PerSecond: float64(random.IntN(60)),
+			Objective: 500 * time.Millisecond, Deadline: 3 * time.Second, RequestsPerSecond: float64(random.IntN(60)),
 		}, deployment.Route{
 			Prefix: order.Prefix, Kind: deployment.Unsafe, Service: name, Priority: 0, MaxAttempts: tries, Timeout: time.Second,
-			Objective: 500 * time.Millisecond, Deadline: 3 * time.Second, PerSecond: float64(random.IntN(20)), Body: 200,
+			Objective: 500 * time.Millisecond, Deadline: 3 * time.Second, RequestsPerSecond: float64(random.IntN(20)), Body: 200,
 		})
 	}
 	return plan
--- a/internal/testbed/trouble/trouble.go
+++ b/internal/testbed/trouble/trouble.go
@@ -51,7 +51,7 @@
 func NewRoute(mesh *testbed.Mesh, random *rand.Rand) {
 	mesh.Configure(func(routes []deployment.Route) []deployment.Route {
 		added := routes[random.IntN(len(routes))]
-		added.Prefix, added.PerSecond = added.Prefix+"new/", 0
+		added.Prefix, added.RequestsPerSecond = added.Prefix+"new/", 0
 		return append(routes, added)
 	})
 }
