--- a/internal/testbed/clock.go
+++ b/internal/testbed/clock.go
@@ -58,11 +58,11 @@
 	for _, machine := range machines {
 		machine.outOfRotation.Store(true)
 		machine.clock.suspend()
-		m.Network.Dark(machine.IP, true)
+		m.Network.SetIsolated(machine.IP, true)
 	}
 	m.ReportDisturbance(machines, span)
 	for _, machine := range machines {
-		m.Network.Dark(machine.IP, false)
+		m.Network.SetIsolated(machine.IP, false)
 		machine.clock.resume()
 		machine.outOfRotation.Store(false)
 	}
--- a/internal/testbed/fleet/keys_test.go
+++ b/internal/testbed/fleet/keys_test.go
@@ -79,8 +79,8 @@
 func TestKeysTakenAwayStayTaken(t *testing.T) {
 	cutFromStore := func(mesh *testbed.Mesh, machines []*testbed.Machine, cut bool) {
 		for _, machine := range machines {
-			mesh.Network.Cut(machine.IP, testbed.StoreHost, cut)
-			mesh.Network.Cut(testbed.StoreHost, machine.IP, cut)
+			mesh.Network.SetBlocked(machine.IP, testbed.StoreHost, cut)
+			mesh.Network.SetBlocked(testbed.StoreHost, machine.IP, cut)
 		}
 	}
 	for _, tc := range []struct {
--- a/internal/testbed/fleet/quota_test.go
+++ b/internal/testbed/fleet/quota_test.go
@@ -91,7 +91,7 @@
 	mesh := runMesh(t, plan, 20*time.Second, func(mesh *testbed.Mesh) {
 		time.Sleep(2 * time.Second)
 		for _, machine := range mesh.Machines[:3] {
-			mesh.Network.Dark(machine.IP, true)
+			mesh.Network.SetIsolated(machine.IP, true)
 			machine.RemoveFromRotation()
 			machine.Kill()
 		}
@@ -103,7 +103,7 @@
 		served, asked := mesh.Tally.Totals()
 		g.Expect(float64(served)/float64(asked)).To(BeNumerically(">", 0.9), "%v", mesh.Tally.Status)
 		for _, machine := range mesh.Machines[:3] {
-			mesh.Network.Dark(machine.IP, false)
+			mesh.Network.SetIsolated(machine.IP, false)
 		}
 	})
 	g.Expect(mesh.Judge.Broken()).To(BeEmpty())
--- a/internal/testbed/fleet/records_test.go
+++ b/internal/testbed/fleet/records_test.go
@@ -88,13 +88,13 @@
 		defer mesh.Close()
 		time.Sleep(testbed.StartupTime)
 		lost := mesh.Machines[:1]
-		mesh.Network.Dark(lost[0].IP, true)
+		mesh.Network.SetIsolated(lost[0].IP, true)
 		deleteNodeRecords(mesh, lost)
 		time.Sleep(4 * time.Second)
 		for _, machine := range mesh.Machines[1:] {
 			g.Expect(machine.Peers()).To(Equal(nodes-2), machine.IP)
 		}
-		mesh.Network.Dark(lost[0].IP, false)
+		mesh.Network.SetIsolated(lost[0].IP, false)
 		time.Sleep(4 * time.Second)
 		g.Expect(countNodeRecords(mesh)).To(Equal(nodes), "the node must rejoin when it learns that it was removed")
 		for _, machine := range mesh.Machines[1:] {
@@ -161,13 +161,13 @@
 		}},
 		{"followers are cut off from the store", func(mesh *testbed.Mesh, chosen []*testbed.Machine) {
 			for _, machine := range chosen {
-				mesh.Network.Cut(machine.IP, testbed.StoreHost, true)
-				mesh.Network.Cut(testbed.StoreHost, machine.IP, true)
+				mesh.Network.SetBlocked(machine.IP, testbed.StoreHost, true)
+				mesh.Network.SetBlocked(testbed.StoreHost, machine.IP, true)
 			}
 		}},
 		{"followers are unreachable", func(mesh *testbed.Mesh, chosen []*testbed.Machine) {
 			for _, machine := range chosen {
-				mesh.Network.Dark(machine.IP, true)
+				mesh.Network.SetIsolated(machine.IP, true)
 			}
 		}},
 		{"the store refuses one zone", func(mesh *testbed.Mesh, _ []*testbed.Machine) {
--- a/internal/testbed/memnet/memnet.go
+++ b/internal/testbed/memnet/memnet.go
@@ -168,17 +168,17 @@
 	return n.blockedLinks[direction{from, to}] || (from != to && (n.isolated[from] || n.isolated[to]))
 }
 
-// Cut blocks or unblocks the link from one host to another. Neither host gets an error; data
+// SetBlocked blocks or unblocks the link from one host to another. Neither host gets an error; data
 // in flight is delivered once the link is unblocked.
-func (n *Network) Cut(from, to string, cut bool) {
+func (n *Network) SetBlocked(from, to string, cut bool) {
 	n.mu.Lock()
 	n.blockedLinks[direction{from, to}] = cut
 	n.mu.Unlock()
 	n.wakeAll()
 }
 
-// Dark isolates a host from all others, as if it were suspended, or reconnects it.
-func (n *Network) Dark(host string, dark bool) {
+// SetIsolated isolates a host from all others, as if it were suspended, or reconnects it.
+func (n *Network) SetIsolated(host string, dark bool) {
 	n.mu.Lock()
 	n.isolated[host] = dark
 	n.mu.Unlock()
--- a/internal/testbed/trouble/trouble.go
+++ b/internal/testbed/trouble/trouble.go
@@ -71,11 +71,11 @@
 		{"node_freeze", 0.9, func(mesh *testbed.Mesh, random *rand.Rand) {
 			chosen := mesh.RandomMachines(random, 0.1)
 			for _, machine := range chosen {
-				mesh.Network.Dark(machine.IP, true)
+				mesh.Network.SetIsolated(machine.IP, true)
 			}
 			mesh.ReportDisturbance(chosen, 3*time.Second)
 			for _, machine := range chosen {
-				mesh.Network.Dark(machine.IP, false)
+				mesh.Network.SetIsolated(machine.IP, false)
 			}
 		}},
 		{"suspended", 0.9, func(mesh *testbed.Mesh, random *rand.Rand) {
@@ -87,13 +87,13 @@
 		{"core_cut", 0.99, func(mesh *testbed.Mesh, random *rand.Rand) {
 			chosen := mesh.RandomMachines(random, 0.2)
 			for _, machine := range chosen {
-				mesh.Network.Cut(machine.IP, testbed.StoreHost, true)
-				mesh.Network.Cut(testbed.StoreHost, machine.IP, true)
+				mesh.Network.SetBlocked(machine.IP, testbed.StoreHost, true)
+				mesh.Network.SetBlocked(testbed.StoreHost, machine.IP, true)
 			}
 			mesh.Judge.StoreTrouble(4 * time.Second)
 			for _, machine := range chosen {
-				mesh.Network.Cut(machine.IP, testbed.StoreHost, false)
-				mesh.Network.Cut(testbed.StoreHost, machine.IP, false)
+				mesh.Network.SetBlocked(machine.IP, testbed.StoreHost, false)
+				mesh.Network.SetBlocked(testbed.StoreHost, machine.IP, false)
 			}
 		}},
 		{"reset_conns", 0.9, func(mesh *testbed.Mesh, random *rand.Rand) {
@@ -181,8 +181,8 @@
 		for _, machine := range chosen {
 			for _, other := range mesh.Machines {
 				if other != machine {
-					mesh.Network.Cut(machine.IP, other.IP, cut)
-					mesh.Network.Cut(other.IP, machine.IP, cut)
+					mesh.Network.SetBlocked(machine.IP, other.IP, cut)
+					mesh.Network.SetBlocked(other.IP, machine.IP, cut)
 				}
 			}
 		}
