--- a/internal/testbed/fleet/crash_test.go
+++ b/internal/testbed/fleet/crash_test.go
@@ -72,9 +72,9 @@
 			trouble.CutFromOthers(mesh, mesh.RandomMachines(rand.New(rand.NewPCG(2, 2)), 0.3), 5*time.Second)
 		}},
 		{"writes of the store are lost, then all nodes are killed", []string{"/front/a"}, func(mesh *testbed.Mesh) {
-			mesh.Store.Set(func(s *store.Store) { s.LoseWrites = true })
+			mesh.Store.Set(func(s *store.Store) { s.DropTxnResponses = true })
 			time.Sleep(8 * time.Second)
-			mesh.Store.Set(func(s *store.Store) { s.LoseWrites = false })
+			mesh.Store.Set(func(s *store.Store) { s.DropTxnResponses = false })
 			testbed.KillAndRestart(all(mesh))
 		}},
 	} {
--- a/internal/testbed/fleet/judges_test.go
+++ b/internal/testbed/fleet/judges_test.go
@@ -41,7 +41,7 @@
 			cutDuringStop(mesh.Judge, 4)
 		}},
 		{"a configuration that no watch delivers", "CONFIG", func(mesh *testbed.Mesh) {
-			mesh.Store.Deafen()
+			mesh.Store.HideEvents()
 			mesh.Configure(nil)
 		}},
 	} {
--- a/internal/testbed/fleet/keys_test.go
+++ b/internal/testbed/fleet/keys_test.go
@@ -92,11 +92,11 @@
 		{"the store refuses some nodes", 0.7, func(mesh *testbed.Mesh, chosen []*testbed.Machine) {
 			mesh.Store.Set(func(s *store.Store) {
 				for _, machine := range chosen {
-					s.Refuse[machine.IP] = true
+					s.RateLimitedIPs[machine.IP] = true
 				}
 			})
 		}, func(mesh *testbed.Mesh, _ []*testbed.Machine) {
-			mesh.Store.Set(func(s *store.Store) { clear(s.Refuse) })
+			mesh.Store.Set(func(s *store.Store) { clear(s.RateLimitedIPs) })
 		}},
 		{
 			"some nodes are cut from the store", 0.7, func(mesh *testbed.Mesh, chosen []*testbed.Machine) { cutFromStore(mesh, chosen, true) },
@@ -107,7 +107,7 @@
 			trouble.CutFromOthers(mesh, chosen, 9*time.Second)
 		}, func(mesh *testbed.Mesh, chosen []*testbed.Machine) { cutFromStore(mesh, chosen, false) }},
 		{
-			"the store's watches deliver nothing", 0.7, func(mesh *testbed.Mesh, _ []*testbed.Machine) { mesh.Store.Deafen() },
+			"the store's watches deliver nothing", 0.7, func(mesh *testbed.Mesh, _ []*testbed.Machine) { mesh.Store.HideEvents() },
 			func(mesh *testbed.Mesh, _ []*testbed.Machine) { mesh.Store.Compact() },
 		},
 		{
--- a/internal/testbed/fleet/records_test.go
+++ b/internal/testbed/fleet/records_test.go
@@ -21,7 +21,7 @@
 	for _, machine := range machines {
 		keys = append(keys, platform.NodePrefix+"node-"+machine.IP)
 	}
-	m.Store.Revoke(keys)
+	m.Store.DeleteKeys(keys)
 }
 
 // recordRecoveryBound is how long nodes may take to write their records again.
@@ -45,12 +45,12 @@
 		{"records of machines that the store refuses deleted", func(mesh *testbed.Mesh, chosen []*testbed.Machine) {
 			mesh.Store.Set(func(s *store.Store) {
 				for _, machine := range chosen {
-					s.Refuse[machine.IP] = true
+					s.RateLimitedIPs[machine.IP] = true
 				}
 			})
 			deleteNodeRecords(mesh, chosen)
 			time.Sleep(9 * time.Second)
-			mesh.Store.Set(func(s *store.Store) { clear(s.Refuse) })
+			mesh.Store.Set(func(s *store.Store) { clear(s.RateLimitedIPs) })
 		}},
 		{"all restart after their records were deleted", func(mesh *testbed.Mesh, _ []*testbed.Machine) {
 			deleteNodeRecords(mesh, mesh.Machines)
@@ -174,11 +174,11 @@
 			mesh.Store.Set(func(s *store.Store) {
 				for _, machine := range mesh.Machines {
 					if machine.Zone == "a" {
-						s.Refuse[machine.IP] = true
+						s.RateLimitedIPs[machine.IP] = true
 					}
 				}
 			})
-			mesh.Store.CutWatches()
+			mesh.Store.AbortWatches()
 		}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
--- a/internal/testbed/fleet/scale_test.go
+++ b/internal/testbed/fleet/scale_test.go
@@ -70,12 +70,12 @@
 				g.Expect(err).NotTo(HaveOccurred())
 				defer mesh.Close()
 				time.Sleep(testbed.StartupTime)
-				mesh.Store.Set(func(s *store.Store) { s.Limited, s.Calls = 0, map[string]int{} })
+				mesh.Store.Set(func(s *store.Store) { s.RejectedReads, s.Calls = 0, map[string]int{} })
 				tc.disturb(mesh, rand.New(rand.NewPCG(1, 2)))
 				time.Sleep(applyBound)
 				mesh.Store.Set(func(s *store.Store) {
-					t.Logf("calls %v, limited %d", s.Calls, s.Limited)
-					g.Expect(s.Limited).To(BeZero())
+					t.Logf("calls %v, limited %d", s.Calls, s.RejectedReads)
+					g.Expect(s.RejectedReads).To(BeZero())
 				})
 				for _, m := range mesh.Machines {
 					g.Expect(m.Version()).To(Equal(uint64(mesh.Version())), m.IP)
--- a/internal/testbed/soak/troubles.go
+++ b/internal/testbed/soak/troubles.go
@@ -229,7 +229,7 @@
 	}},
 	{"store down", storeFault(func(s *store.Store) { s.Down = true }, func(s *store.Store) { s.Down = false })},
 	{"store slow", storeFault(func(s *store.Store) { s.Slow = 300 * time.Millisecond }, func(s *store.Store) { s.Slow = 0 })},
-	{"store loses responses", storeFault(func(s *store.Store) { s.LoseWrites = true }, func(s *store.Store) { s.LoseWrites = false })},
+	{"store loses responses", storeFault(func(s *store.Store) { s.DropTxnResponses = true }, func(s *store.Store) { s.DropTxnResponses = false })},
 	{"store compacted and leases expired", func(s *soak, _ *rand.Rand) { s.mesh.Store.Compact(); s.mesh.Store.EndLeases() }},
 	{"store unresponsive for some nodes", relayFault(0, 0.3, func(r *relay) { r.set(func(r *relay) { r.blockedDirs = [2]bool{true, true} }) }, func(r *relay) { r.blockedDirs = [2]bool{} })},
 	{"store responses blocked for some nodes", relayFault(0, 0.3, func(r *relay) { r.set(func(r *relay) { r.blockedDirs[toClient] = true }) }, func(r *relay) { r.blockedDirs = [2]bool{} })},
--- a/internal/testbed/store/store.go
+++ b/internal/testbed/store/store.go
@@ -31,15 +31,15 @@
 	Down bool
 	// Slow delays every response.
 	Slow time.Duration
-	// Refuse holds the client IPs whose calls fail with 429.
-	Refuse map[string]bool
-	// LoseWrites makes the store commit transactions and close the connection without a response.
-	LoseWrites bool
+	// RateLimitedIPs holds the client IPs whose calls fail with 429.
+	RateLimitedIPs map[string]bool
+	// DropTxnResponses makes the store commit transactions and close the connection without a response.
+	DropTxnResponses bool
 	// ReadsPerSecond limits the read requests served per second; 0 means no limit.
 	ReadsPerSecond int
 	// Calls counts calls by path; Limited counts reads rejected by ReadsPerSecond.
-	Calls   map[string]int
-	Limited int
+	Calls         map[string]int
+	RejectedReads int
 
 	readWindow int64
 	reads      int // reads in the current window
@@ -64,7 +64,7 @@
 func New() *Store {
 	return &Store{
 		items: map[string]*record{}, leases: map[int64]*lease{}, changed: make(chan struct{}), watchAbort: make(chan struct{}),
-		Refuse: map[string]bool{}, Calls: map[string]int{},
+		RateLimitedIPs: map[string]bool{}, Calls: map[string]int{},
 	}
 }
 
@@ -82,8 +82,8 @@
 	s.put(key, base64.StdEncoding.EncodeToString(value), 0)
 }
 
-// Deafen hides all events from watches until Compact is called.
-func (s *Store) Deafen() { s.Set(func(s *Store) { s.eventsHidden = true }) }
+// HideEvents hides all events from watches until Compact is called.
+func (s *Store) HideEvents() { s.Set(func(s *Store) { s.eventsHidden = true }) }
 
 // Compact discards the event history and aborts all watches.
 func (s *Store) Compact() {
@@ -96,8 +96,8 @@
 	s.watchAbort = make(chan struct{})
 }
 
-// CutWatches aborts the connections of all watches.
-func (s *Store) CutWatches() {
+// AbortWatches aborts the connections of all watches.
+func (s *Store) AbortWatches() {
 	s.Set(func(s *Store) {
 		close(s.watchAbort)
 		s.watchAbort = make(chan struct{})
@@ -167,7 +167,7 @@
 	s.Calls[callKey(r)]++
 	slow, down := s.Slow, s.Down
 	host, _, _ := strings.Cut(r.RemoteAddr, ":")
-	refused := s.Refuse[host] || s.exceedsReadLimit(r)
+	refused := s.RateLimitedIPs[host] || s.exceedsReadLimit(r)
 	s.expireLeases()
 	s.mu.Unlock()
 	time.Sleep(slow)
@@ -229,7 +229,7 @@
 	if s.reads <= s.ReadsPerSecond {
 		return false
 	}
-	s.Limited++
+	s.RejectedReads++
 	return true
 }
 
@@ -377,7 +377,7 @@
 	for _, key := range change.Remove {
 		s.remove(key)
 	}
-	if s.LoseWrites {
+	if s.DropTxnResponses {
 		panic(http.ErrAbortHandler)
 	}
 	writeJSON(w, http.StatusOK, map[string]any{"revision": s.revision})
@@ -427,8 +427,8 @@
 	return count
 }
 
-// Revoke deletes keys without ending their leases, so that the lease holders see no error.
-func (s *Store) Revoke(keys []string) {
+// DeleteKeys deletes keys without ending their leases, so that the lease holders see no error.
+func (s *Store) DeleteKeys(keys []string) {
 	s.Set(func(s *Store) {
 		for _, key := range keys {
 			s.remove(key)
--- a/internal/testbed/trouble/trouble.go
+++ b/internal/testbed/trouble/trouble.go
@@ -123,7 +123,7 @@
 		}},
 		{"platform_down", 0.99, withStoreFault(func(s *store.Store) { s.Down = true }, func(s *store.Store) { s.Down = false }, 4*time.Second)},
 		{"platform_slow", 0.99, withStoreFault(func(s *store.Store) { s.Slow = 300 * time.Millisecond }, func(s *store.Store) { s.Slow = 0 }, 4*time.Second)},
-		{"platform_lost", 0.99, withStoreFault(func(s *store.Store) { s.LoseWrites = true }, func(s *store.Store) { s.LoseWrites = false }, 4*time.Second)},
+		{"platform_lost", 0.99, withStoreFault(func(s *store.Store) { s.DropTxnResponses = true }, func(s *store.Store) { s.DropTxnResponses = false }, 4*time.Second)},
 		{"platform_down lapse", 0.99, func(mesh *testbed.Mesh, _ *rand.Rand) {
 			mesh.Store.Set(func(s *store.Store) { s.Down = true })
 			mesh.Judge.StoreTrouble(2 * time.Second)
@@ -131,7 +131,7 @@
 			mesh.Store.Set(func(s *store.Store) { s.Down = false })
 		}},
 		{"platform_compact", 0.99, func(mesh *testbed.Mesh, random *rand.Rand) {
-			mesh.Store.Deafen()
+			mesh.Store.HideEvents()
 			NewRoute(mesh, random)
 			mesh.Judge.StoreTrouble(time.Second)
 			mesh.Store.Compact()
@@ -140,12 +140,12 @@
 			chosen := mesh.RandomMachines(random, 0.3)
 			mesh.Store.Set(func(s *store.Store) {
 				for _, machine := range chosen {
-					s.Refuse[machine.IP] = true
+					s.RateLimitedIPs[machine.IP] = true
 				}
 			})
 			testbed.KillAndRestart(chosen)
 			mesh.Judge.StoreTrouble(4 * time.Second)
-			mesh.Store.Set(func(s *store.Store) { clear(s.Refuse) })
+			mesh.Store.Set(func(s *store.Store) { clear(s.RateLimitedIPs) })
 		}},
 		{"burst", 0.9, func(mesh *testbed.Mesh, _ *rand.Rand) {
 			mesh.Clients.SetRateFactor(2)
