--- a/internal/testbed/fleet/alone_test.go
+++ b/internal/testbed/fleet/alone_test.go
@@ -60,11 +60,11 @@
 			g := NewWithT(t)
 			mesh := runMesh(t, deployment.ThreeTier(), 10*time.Second, func(mesh *testbed.Mesh) {
 				time.Sleep(2 * time.Second)
-				kind.Play(mesh, rand.New(rand.NewPCG(1, 2)))
+				kind.Inject(mesh, rand.New(rand.NewPCG(1, 2)))
 			})
 			g.Expect(mesh.Judge.Broken()).To(BeEmpty())
 			for _, prefix := range []string{"/front/", "/order/"} {
-				g.Expect(mesh.Tally.Share(prefix)).To(BeNumerically(">=", kind.Least), "%s: %v", prefix, mesh.Tally.Status)
+				g.Expect(mesh.Tally.Share(prefix)).To(BeNumerically(">=", kind.MinServedShare), "%s: %v", prefix, mesh.Tally.Status)
 			}
 		})
 	}
--- a/internal/testbed/fleet/crash_test.go
+++ b/internal/testbed/fleet/crash_test.go
@@ -69,7 +69,7 @@
 		}},
 		{"some nodes are disconnected during the crashes", []string{"/front/a"}, func(mesh *testbed.Mesh) {
 			time.Sleep(3 * time.Second)
-			trouble.CutFromOthers(mesh, mesh.RandomMachines(rand.New(rand.NewPCG(2, 2)), 0.3), 5*time.Second)
+			trouble.Partition(mesh, mesh.RandomMachines(rand.New(rand.NewPCG(2, 2)), 0.3), 5*time.Second)
 		}},
 		{"writes of the store are lost, then all nodes are killed", []string{"/front/a"}, func(mesh *testbed.Mesh) {
 			mesh.Store.Set(func(s *store.Store) { s.DropTxnResponses = true })
--- a/internal/testbed/fleet/keys_test.go
+++ b/internal/testbed/fleet/keys_test.go
@@ -104,7 +104,7 @@
 		},
 		{"some nodes are cut from the store and their peers", 0, func(mesh *testbed.Mesh, chosen []*testbed.Machine) {
 			cutFromStore(mesh, chosen, true)
-			trouble.CutFromOthers(mesh, chosen, 9*time.Second)
+			trouble.Partition(mesh, chosen, 9*time.Second)
 		}, func(mesh *testbed.Mesh, chosen []*testbed.Machine) { cutFromStore(mesh, chosen, false) }},
 		{
 			"the store's watches deliver nothing", 0.7, func(mesh *testbed.Mesh, _ []*testbed.Machine) { mesh.Store.HideEvents() },
--- a/internal/testbed/fleet/quota_test.go
+++ b/internal/testbed/fleet/quota_test.go
@@ -42,13 +42,13 @@
 // The limit must hold under every fault, also when shard owners change, and tenants below their
 // limit must still be served.
 func TestLimitHoldsInTrouble(t *testing.T) {
-	for _, kind := range append(trouble.All(), trouble.Kind{Name: "all restart", Play: func(mesh *testbed.Mesh, _ *rand.Rand) { testbed.KillAndRestart(mesh.Machines) }}) {
+	for _, kind := range append(trouble.All(), trouble.Kind{Name: "all restart", Inject: func(mesh *testbed.Mesh, _ *rand.Rand) { testbed.KillAndRestart(mesh.Machines) }}) {
 		t.Run(kind.Name, func(t *testing.T) {
 			t.Parallel()
 			g := NewWithT(t)
 			mesh := runMesh(t, withOverLimitTenant(), 12*time.Second, func(mesh *testbed.Mesh) {
 				time.Sleep(2 * time.Second)
-				kind.Play(mesh, rand.New(rand.NewPCG(1, 2)))
+				kind.Inject(mesh, rand.New(rand.NewPCG(1, 2)))
 			})
 			g.Expect(mesh.Judge.Broken()).To(BeEmpty())
 			g.Expect(mesh.Judge.ShareOf("tenant1")).To(BeNumerically(">", 0.5), "%v", mesh.Tally.Status)
--- a/internal/testbed/fleet/randomdays_test.go
+++ b/internal/testbed/fleet/randomdays_test.go
@@ -20,7 +20,7 @@
 // Random faults in random deployments must not break any rule.
 func TestRandomDays(t *testing.T) {
 	for number := range *days {
-		day := trouble.Draw(*firstSeed + uint64(number))
+		day := trouble.GenerateScenario(*firstSeed + uint64(number))
 		t.Run(fmt.Sprintf("seed-%d", day.Seed), func(t *testing.T) {
 			t.Parallel()
 			mesh := runDay(t, day)
@@ -41,7 +41,7 @@
 }
 
 // runDay runs a scenario in virtual time and returns its final mesh.
-func runDay(t *testing.T, day trouble.Day) *testbed.Mesh {
+func runDay(t *testing.T, day trouble.Scenario) *testbed.Mesh {
 	t.Helper()
 	var result *testbed.Mesh
 	synctest.Test(t, func(t *testing.T) {
@@ -51,7 +51,7 @@
 		}
 		defer mesh.Close()
 		time.Sleep(testbed.StartupTime)
-		day.Play(mesh)
+		day.Run(mesh)
 		mesh.CheckFinal()
 		result = mesh
 	})
--- a/internal/testbed/fleet/scale_test.go
+++ b/internal/testbed/fleet/scale_test.go
@@ -47,19 +47,19 @@
 	}{
 		{"rapid configuration changes", func(mesh *testbed.Mesh, random *rand.Rand) {
 			for range 60 {
-				trouble.NewRoute(mesh, random)
+				trouble.AddUnusedRoute(mesh, random)
 				time.Sleep(60 * time.Millisecond)
 			}
 		}},
 		{"mass restart", func(mesh *testbed.Mesh, random *rand.Rand) {
 			testbed.KillAndRestart(mesh.RandomMachines(random, 0.6))
-			trouble.NewRoute(mesh, random)
+			trouble.AddUnusedRoute(mesh, random)
 		}},
 		{"all restart in turn", func(mesh *testbed.Mesh, random *rand.Rand) {
 			for _, m := range mesh.RandomMachines(random, 0.5) {
 				testbed.KillAndRestart([]*testbed.Machine{m})
 			}
-			trouble.NewRoute(mesh, random)
+			trouble.AddUnusedRoute(mesh, random)
 		}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
--- a/internal/testbed/soak/troubles.go
+++ b/internal/testbed/soak/troubles.go
@@ -220,10 +220,10 @@
 			}
 		}
 	}},
-	{"configuration", func(s *soak, random *rand.Rand) { trouble.NewRoute(s.mesh, random) }},
+	{"configuration", func(s *soak, random *rand.Rand) { trouble.AddUnusedRoute(s.mesh, random) }},
 	{"successive configurations", func(s *soak, random *rand.Rand) {
 		for range 10 {
-			trouble.NewRoute(s.mesh, random)
+			trouble.AddUnusedRoute(s.mesh, random)
 			time.Sleep(100 * time.Millisecond)
 		}
 	}},
@@ -245,9 +245,9 @@
 			_ = machine.Target.Start()
 		})
 	}},
-	{"targets lose responses", meshFault(trouble.Faulty(target.Faults{DropResponse: 0.1, TruncateResponse: 0.02, MalformedResponse: 0.02}, 0.5, 3*time.Second))},
-	{"targets slow", meshFault(trouble.Faulty(target.Faults{Slow: 5}, 0.2, 3*time.Second))},
-	{"targets decline", meshFault(trouble.Faulty(target.Faults{RejectRequest: 0.4}, 0.2, 3*time.Second))},
+	{"targets lose responses", meshFault(trouble.InjectTargetFaults(target.Faults{DropResponse: 0.1, TruncateResponse: 0.02, MalformedResponse: 0.02}, 0.5, 3*time.Second))},
+	{"targets slow", meshFault(trouble.InjectTargetFaults(target.Faults{Slow: 5}, 0.2, 3*time.Second))},
+	{"targets decline", meshFault(trouble.InjectTargetFaults(target.Faults{RejectRequest: 0.4}, 0.2, 3*time.Second))},
 	{"harmful request", func(s *soak, random *rand.Rand) {
 		route := s.mesh.Plan.Routes[[]int{0, 1, 3}[random.IntN(3)]]
 		path := fmt.Sprintf("%sharmful-%d", route.Prefix, random.IntN(1000))
--- a/internal/testbed/trouble/day.go
+++ b/internal/testbed/trouble/day.go
@@ -11,9 +11,9 @@
 	"github.com/landingmast/landingmast/internal/testbed/target"
 )
 
-// Day is a random deployment with a random fault schedule, generated from a seed. A seed
+// Scenario is a random deployment with a random fault schedule, generated from a seed. A seed
 // always generates the same scenario; runs of it can differ in goroutine scheduling.
-type Day struct {
+type Scenario struct {
 	Seed     uint64
 	Plan     deployment.Plan
 	Faults   []ScheduledFault
@@ -37,10 +37,10 @@
 
 const scenarioDuration = 14 * time.Second
 
-// Draw generates the scenario of a seed.
-func Draw(seed uint64) Day {
+// GenerateScenario generates the scenario of a seed.
+func GenerateScenario(seed uint64) Scenario {
 	random := rand.New(rand.NewPCG(seed, 7))
-	day := Day{Seed: seed, Plan: drawPlan(random), Duration: scenarioDuration}
+	day := Scenario{Seed: seed, Plan: drawPlan(random), Duration: scenarioDuration}
 	all := All()
 	for range 2 + random.IntN(5) {
 		day.Faults = append(day.Faults, ScheduledFault{
@@ -52,7 +52,7 @@
 }
 
 // drawHarmful generates zero to three harmful requests; two of five scenarios have none.
-func (d *Day) drawHarmful(random *rand.Rand) {
+func (d *Scenario) drawHarmful(random *rand.Rand) {
 	for range max(random.IntN(5)-1, 0) {
 		d.Harmful = append(d.Harmful, harmfulRequest{
 			route: random.IntN(len(d.Plan.Routes)), viaCall: random.IntN(3) == 0,
@@ -114,9 +114,9 @@
 	return plan
 }
 
-// Play runs the client load with the scheduled faults, one at a time, and the harmful
+// Run runs the client load with the scheduled faults, one at a time, and the harmful
 // requests. It returns when all have completed.
-func (d Day) Play(mesh *testbed.Mesh) {
+func (d Scenario) Run(mesh *testbed.Mesh) {
 	var group sync.WaitGroup
 	semaphore := make(chan struct{}, 1) // a mutex is not durably blocking in synctest and would stall the fake clock
 	for index, fault := range d.Faults {
@@ -124,7 +124,7 @@
 			time.Sleep(fault.Start)
 			semaphore <- struct{}{}
 			defer func() { <-semaphore }()
-			fault.Play(mesh, rand.New(rand.NewPCG(d.Seed, uint64(index))))
+			fault.Inject(mesh, rand.New(rand.NewPCG(d.Seed, uint64(index))))
 		})
 	}
 	for number, harmful := range d.Harmful {
@@ -135,7 +135,7 @@
 }
 
 // Describe returns a one-line summary of the deployment and its faults.
-func (d Day) Describe() string {
+func (d Scenario) Describe() string {
 	text := fmt.Sprintf("%d targets in %d services, %d zones:", d.Plan.Targets(), len(d.Plan.Services), len(d.Plan.Zones))
 	for _, fault := range d.Faults {
 		text += fmt.Sprintf(" %s at %.1fs;", fault.Name, fault.Start.Seconds())
--- a/internal/testbed/trouble/trouble.go
+++ b/internal/testbed/trouble/trouble.go
@@ -17,15 +17,15 @@
 // Kind is a type of fault.
 type Kind struct {
 	Name string
-	// Least is the minimum fraction of requests that must be served when this is the only fault; 0
+	// MinServedShare is the minimum fraction of requests that must be served when this is the only fault; 0
 	// if only the invariants are checked.
-	Least float64
-	// Play injects the fault and reverts it before returning.
-	Play func(mesh *testbed.Mesh, random *rand.Rand)
+	MinServedShare float64
+	// Inject injects the fault and reverts it before returning.
+	Inject func(mesh *testbed.Mesh, random *rand.Rand)
 }
 
-// Faulty injects target faults into a random share of the targets for the given time.
-func Faulty(faults target.Faults, share float64, span time.Duration) func(*testbed.Mesh, *rand.Rand) {
+// InjectTargetFaults injects target faults into a random share of the targets for the given time.
+func InjectTargetFaults(faults target.Faults, share float64, span time.Duration) func(*testbed.Mesh, *rand.Rand) {
 	return func(mesh *testbed.Mesh, random *rand.Rand) {
 		chosen := mesh.RandomMachines(random, share)
 		for _, machine := range chosen {
@@ -47,8 +47,8 @@
 	}
 }
 
-// NewRoute publishes a configuration with an additional, unused route.
-func NewRoute(mesh *testbed.Mesh, random *rand.Rand) {
+// AddUnusedRoute publishes a configuration with an additional, unused route.
+func AddUnusedRoute(mesh *testbed.Mesh, random *rand.Rand) {
 	mesh.Configure(func(routes []deployment.Route) []deployment.Route {
 		added := routes[random.IntN(len(routes))]
 		added.Prefix, added.RequestsPerSecond = added.Prefix+"new/", 0
@@ -82,7 +82,7 @@
 			mesh.Suspend(mesh.RandomMachines(random, 0.1), time.Duration(1+random.IntN(6))*time.Second)
 		}},
 		{"node_cut", 0.85, func(mesh *testbed.Mesh, random *rand.Rand) {
-			CutFromOthers(mesh, mesh.RandomMachines(random, 0.2), 3*time.Second)
+			Partition(mesh, mesh.RandomMachines(random, 0.2), 3*time.Second)
 		}},
 		{"core_cut", 0.99, func(mesh *testbed.Mesh, random *rand.Rand) {
 			chosen := mesh.RandomMachines(random, 0.2)
@@ -101,7 +101,7 @@
 				mesh.Network.Reset(machine.IP, func() bool { return random.IntN(2) == 0 })
 			}
 		}},
-		{"srv_slow", 0.97, Faulty(target.Faults{Slow: 5}, 0.15, 4*time.Second)},
+		{"srv_slow", 0.97, InjectTargetFaults(target.Faults{Slow: 5}, 0.15, 4*time.Second)},
 		{"srv_crash", 0.9, func(mesh *testbed.Mesh, random *rand.Rand) {
 			chosen := mesh.RandomMachines(random, 0.15)
 			for _, machine := range chosen {
@@ -112,10 +112,10 @@
 				_ = machine.Target.Start()
 			}
 		}},
-		{"srv_grey shed", 0.9, Faulty(target.Faults{RejectRequest: 0.45}, 0.15, 4*time.Second)},
-		{"answer_lost", 0.9, Faulty(target.Faults{DropResponse: 0.1}, 0.5, 3*time.Second)},
-		{"garble", 0.95, Faulty(target.Faults{TruncateResponse: 0.02, MalformedResponse: 0.02}, 0.5, 3*time.Second)},
-		{"garble extra late", 0.95, Faulty(target.Faults{DuplicateResponse: 0.2}, 0.6, 4*time.Second)},
+		{"srv_grey shed", 0.9, InjectTargetFaults(target.Faults{RejectRequest: 0.45}, 0.15, 4*time.Second)},
+		{"answer_lost", 0.9, InjectTargetFaults(target.Faults{DropResponse: 0.1}, 0.5, 3*time.Second)},
+		{"garble", 0.95, InjectTargetFaults(target.Faults{TruncateResponse: 0.02, MalformedResponse: 0.02}, 0.5, 3*time.Second)},
+		{"garble extra late", 0.95, InjectTargetFaults(target.Faults{DuplicateResponse: 0.2}, 0.6, 4*time.Second)},
 		{"scale_in", 0.98, func(mesh *testbed.Mesh, random *rand.Rand) {
 			target := mesh.RandomMachines(random, 0.05)[0].Target
 			target.Drain(testbed.DrainGracePeriod + time.Second)
@@ -132,7 +132,7 @@
 		}},
 		{"platform_compact", 0.99, func(mesh *testbed.Mesh, random *rand.Rand) {
 			mesh.Store.HideEvents()
-			NewRoute(mesh, random)
+			AddUnusedRoute(mesh, random)
 			mesh.Judge.StoreTrouble(time.Second)
 			mesh.Store.Compact()
 		}},
@@ -167,16 +167,16 @@
 		}},
 		{"config_storm", 0.99, func(mesh *testbed.Mesh, random *rand.Rand) {
 			for range 20 {
-				NewRoute(mesh, random)
+				AddUnusedRoute(mesh, random)
 				time.Sleep(100 * time.Millisecond)
 			}
 		}},
 	}
 }
 
-// CutFromOthers partitions machines from all others for the given time without resetting
+// Partition partitions machines from all others for the given time without resetting
 // connections.
-func CutFromOthers(mesh *testbed.Mesh, chosen []*testbed.Machine, span time.Duration) {
+func Partition(mesh *testbed.Mesh, chosen []*testbed.Machine, span time.Duration) {
 	set := func(cut bool) {
 		for _, machine := range chosen {
 			for _, other := range mesh.Machines {
