--- a/internal/testbed/client/client.go
+++ b/internal/testbed/client/client.go
@@ -126,13 +126,13 @@
 	}
 	ctx, cancel := context.WithDeadline(ctx, clientDeadline)
 	defer cancel()
-	c.Judge.Signed(id, tenant, key)
+	c.Judge.Authenticated(id, tenant, key)
 	status, header, content, err := c.roundTrip(ctx, origin, route, id, uri, key, deadline)
 	if err != nil {
 		if ctx.Err() == nil {
-			c.Judge.Cut(id, deadline)
+			c.Judge.ConnectionLost(id, deadline)
 		}
-		c.Judge.Left(id)
+		c.Judge.ClientDisconnected(id)
 		status = 0
 	} else {
 		c.Judge.Received(id, status, header.Get("X-Response-Signature"), content)
--- a/internal/testbed/client/keep.go
+++ b/internal/testbed/client/keep.go
@@ -45,7 +45,7 @@
 	}
 	_ = conn.SetDeadline(deadline)
 	if request.Write(conn) != nil {
-		c.Judge.Left(id)
+		c.Judge.ClientDisconnected(id)
 		return false
 	}
 	response, err := http.ReadResponse(reader, request)
@@ -54,8 +54,8 @@
 		content, err = io.ReadAll(response.Body)
 	}
 	if err != nil {
-		c.Judge.Cut(id, deadline)
-		c.Judge.Left(id)
+		c.Judge.ConnectionLost(id, deadline)
+		c.Judge.ClientDisconnected(id)
 		return false
 	}
 	c.Judge.Received(id, response.StatusCode, response.Header.Get("X-Response-Signature"), content)
--- a/internal/testbed/fleet/alone_test.go
+++ b/internal/testbed/fleet/alone_test.go
@@ -44,7 +44,7 @@
 	t.Parallel()
 	g := NewWithT(t)
 	mesh := runMesh(t, deployment.ThreeTier(), 10*time.Second, nil)
-	g.Expect(mesh.Judge.Broken()).To(BeEmpty())
+	g.Expect(mesh.Judge.Violations()).To(BeEmpty())
 	for _, prefix := range []string{"/front/", "/order/", "/deep/"} {
 		g.Expect(mesh.Tally.Share(prefix)).To(BeNumerically(">", 0.99), "%s: %v", prefix, mesh.Tally.Status)
 	}
@@ -62,7 +62,7 @@
 				time.Sleep(2 * time.Second)
 				kind.Inject(mesh, rand.New(rand.NewPCG(1, 2)))
 			})
-			g.Expect(mesh.Judge.Broken()).To(BeEmpty())
+			g.Expect(mesh.Judge.Violations()).To(BeEmpty())
 			for _, prefix := range []string{"/front/", "/order/"} {
 				g.Expect(mesh.Tally.Share(prefix)).To(BeNumerically(">=", kind.MinServedShare), "%s: %v", prefix, mesh.Tally.Status)
 			}
--- a/internal/testbed/fleet/crash_test.go
+++ b/internal/testbed/fleet/crash_test.go
@@ -30,8 +30,8 @@
 			g := NewWithT(t)
 			plan := deployment.ThreeTierWithSpares()
 			mesh := runMesh(t, plan, 30*time.Second, func(mesh *testbed.Mesh) { sendHarmfulRepeatedly(mesh, plan.Routes[tc.route], 7) })
-			g.Expect(mesh.Judge.Broken()).To(BeEmpty())
-			ended, falsePositives := mesh.Judge.HarmFigures()
+			g.Expect(mesh.Judge.Violations()).To(BeEmpty())
+			ended, falsePositives := mesh.Judge.HarmfulStats()
 			t.Logf("%d crashes by harmful requests, %d harmless requests rejected, %v", ended, falsePositives, mesh.Tally.Status)
 			g.Expect(falsePositives).To(BeZero())
 		})
@@ -90,8 +90,8 @@
 				group.Go(func() { tc.trouble(mesh) })
 				group.Wait()
 			})
-			g.Expect(mesh.Judge.Broken()).To(BeEmpty())
-			ended, falsePositives := mesh.Judge.HarmFigures()
+			g.Expect(mesh.Judge.Violations()).To(BeEmpty())
+			ended, falsePositives := mesh.Judge.HarmfulStats()
 			t.Logf("%d crashes by harmful requests, %d harmless requests rejected, %v", ended, falsePositives, mesh.Tally.Status)
 			g.Expect(falsePositives).To(BeZero())
 		})
@@ -116,8 +116,8 @@
 			}
 		}
 	})
-	g.Expect(mesh.Judge.Broken()).To(BeEmpty())
-	_, falsePositives := mesh.Judge.HarmFigures()
+	g.Expect(mesh.Judge.Violations()).To(BeEmpty())
+	_, falsePositives := mesh.Judge.HarmfulStats()
 	g.Expect(falsePositives).To(BeZero())
 	g.Expect(mesh.Tally.Share("/front/")).To(BeNumerically(">", 0.95), "%v", mesh.Tally.Status)
 }
@@ -146,7 +146,7 @@
 // storeOutage makes the store answer every request with 503 for a span.
 func storeOutage(m *testbed.Mesh, span time.Duration) {
 	m.Store.Set(func(s *store.Store) { s.Down = true })
-	m.Judge.StoreTrouble(span)
+	m.Judge.StoreFault(span)
 	m.Store.Set(func(s *store.Store) { s.Down = false })
 }
 
--- a/internal/testbed/fleet/held_test.go
+++ b/internal/testbed/fleet/held_test.go
@@ -81,7 +81,7 @@
 			status, header, text := sendRequest(mesh, machine, http.MethodPost, "/order/harmful", "bad")
 			g.Expect(status).To(Equal(http.StatusServiceUnavailable))
 			g.Expect(header.Get("Retry-After")).To(BeEmpty())
-			g.Expect(text).To(Equal(judge.HeldBackText))
+			g.Expect(text).To(Equal(judge.HeldBackReason))
 			for _, other := range []struct{ method, uri, body string }{
 				{http.MethodPost, "/order/harmful", "good"},
 				{http.MethodPost, "/order/other", "bad"},
@@ -119,7 +119,7 @@
 			status, _, _ := sendRequest(mesh, machine, http.MethodPost, "/order/harmful", "bad")
 			g.Expect(status).To(Equal(http.StatusOK))
 		}
-		g.Expect(mesh.Judge.Broken()).To(BeEmpty())
+		g.Expect(mesh.Judge.Violations()).To(BeEmpty())
 	})
 }
 
@@ -147,12 +147,12 @@
 				for range 3 { // in a large mesh a node's retry budget does not cover a retry
 					sendRequest(mesh, mesh.Machines[0], http.MethodGet, path, "")
 				}
-				time.Sleep(judge.Contact)
+				time.Sleep(judge.FaultRecovery)
 				t.Logf("%d nodes: %d store writes for three crashes", tc.nodes, mesh.Store.Writes()-before)
 				g.Expect(mesh.Store.Writes() - before).To(BeNumerically("<=", tc.most))
 				sent := 0
 				for _, machine := range mesh.Machines {
-					if _, _, text := sendRequest(mesh, machine, http.MethodGet, path, ""); text != judge.HeldBackText {
+					if _, _, text := sendRequest(mesh, machine, http.MethodGet, path, ""); text != judge.HeldBackReason {
 						sent++
 					}
 				}
--- a/internal/testbed/fleet/judges_test.go
+++ b/internal/testbed/fleet/judges_test.go
@@ -27,7 +27,7 @@
 		{"retries within the allowance", "", func(mesh *testbed.Mesh) { reportArrivals(mesh.Judge, 10, 4) }},
 		{"retries beyond the allowance", "BUDGET", func(mesh *testbed.Mesh) { reportArrivals(mesh.Judge, 10, 8) }},
 		{"well-formed requests denied", "DENIED", func(mesh *testbed.Mesh) {
-			for range judge.DeniedAtMost + 1 {
+			for range judge.MaxDenied + 1 {
 				mesh.Judge.Expect("r", "10.1.0.1", "/x", "deep", "front", false, 1)
 				mesh.Judge.Received("r", 404, "", nil)
 			}
@@ -37,7 +37,7 @@
 		{"three requests cut by a planned stop", "", func(mesh *testbed.Mesh) { cutDuringStop(mesh.Judge, 3) }},
 		{"four requests cut by a planned stop", "LOST", func(mesh *testbed.Mesh) { cutDuringStop(mesh.Judge, 4) }},
 		{"four requests cut where the node was killed", "", func(mesh *testbed.Mesh) {
-			mesh.Judge.Harmed("10.1.0.1")
+			mesh.Judge.MarkDisturbed("10.1.0.1")
 			cutDuringStop(mesh.Judge, 4)
 		}},
 		{"a configuration that no watch delivers", "CONFIG", func(mesh *testbed.Mesh) {
@@ -54,7 +54,7 @@
 				time.Sleep(testbed.StartupTime)
 				tc.inject(mesh)
 				mesh.CheckFinal()
-				violations := mesh.Judge.Broken()
+				violations := mesh.Judge.Violations()
 				if tc.rule == "" {
 					g.Expect(violations).To(BeEmpty())
 					return
@@ -72,13 +72,13 @@
 // judge.Contact.
 func sendAfterCrashes(j *judge.Judge, more int) {
 	j.ExpectHarmful("/deep/harmful", "")
-	for send := range judge.HarmKnownAfter + more {
-		if send == judge.HarmKnownAfter {
-			time.Sleep(judge.Contact + time.Millisecond)
+	for send := range judge.HarmfulThreshold + more {
+		if send == judge.HarmfulThreshold {
+			time.Sleep(judge.FaultRecovery + time.Millisecond)
 		}
 		id := "harmful-" + strconv.Itoa(send)
 		j.Expect(id, "10.1.0.2", "/deep/harmful", "deep", "front", false, 1)
-		j.Crashed(j.Ran(judge.Place{Service: "deep", IP: "10.1.0.1"}, newRequest("/deep/harmful", id), nil))
+		j.Crashed(j.RunStarted(judge.Endpoint{Service: "deep", IP: "10.1.0.1"}, newRequest("/deep/harmful", id), nil))
 	}
 }
 
@@ -94,8 +94,8 @@
 	for number := range requests {
 		id := "cut-" + strconv.Itoa(number)
 		j.Expect(id, "10.1.0.1", "/deep/x", "deep", "front", false, 1)
-		j.Ran(judge.Place{Service: "deep", IP: "10.1.0.2"}, newRequest("/deep/x", id), nil)
-		j.Cut(id, time.Now().Add(time.Second))
+		j.RunStarted(judge.Endpoint{Service: "deep", IP: "10.1.0.2"}, newRequest("/deep/x", id), nil)
+		j.ConnectionLost(id, time.Now().Add(time.Second))
 	}
 }
 
@@ -105,7 +105,7 @@
 		id := string(rune('a' + i))
 		j.Expect(id, "10.1.0.1", "/x", "deep", "front", false, times)
 		for range times {
-			j.Ran(judge.Place{Service: "deep", IP: "10.1.0.1"}, newRequest("/x", id), nil)
+			j.RunStarted(judge.Endpoint{Service: "deep", IP: "10.1.0.1"}, newRequest("/x", id), nil)
 		}
 	}
 }
--- a/internal/testbed/fleet/keys_test.go
+++ b/internal/testbed/fleet/keys_test.go
@@ -35,7 +35,7 @@
 	logs := &logBuffer{}
 	plan.LogOutput = logs
 	mesh := runMesh(t, plan, 8*time.Second, nil)
-	g.Expect(mesh.Judge.Broken()).To(BeEmpty())
+	g.Expect(mesh.Judge.Violations()).To(BeEmpty())
 	for _, prefix := range []string{"/front/", "/order/", "/deep/"} {
 		g.Expect(mesh.Tally.Share(prefix)).To(BeNumerically(">", 0.99), "%s: %v", prefix, mesh.Tally.Status)
 	}
@@ -70,7 +70,7 @@
 		time.Sleep(judge.RevokeBound)
 		g.Expect(statusWithKey(mesh, machine, "/deep/x", "key-tenant0-a")).To(Equal(http.StatusUnauthorized))
 		g.Expect(statusWithKey(mesh, machine, "/deep/x", "key-tenant0-b")).To(Equal(http.StatusOK))
-		g.Expect(mesh.Judge.Broken()).To(BeEmpty())
+		g.Expect(mesh.Judge.Violations()).To(BeEmpty())
 	})
 }
 
@@ -135,7 +135,7 @@
 				<-done
 				tc.end(mesh, chosen)
 			})
-			g.Expect(mesh.Judge.Broken()).To(BeEmpty())
+			g.Expect(mesh.Judge.Violations()).To(BeEmpty())
 			g.Expect(mesh.Tally.Share("/front/")).To(BeNumerically(">=", tc.least), fmt.Sprint(mesh.Tally.Status))
 		})
 	}
@@ -151,7 +151,7 @@
 		time.Sleep(3 * time.Second)
 		mesh.Store.Set(func(s *store.Store) { s.Down = false })
 	})
-	g.Expect(mesh.Judge.Broken()).To(BeEmpty())
+	g.Expect(mesh.Judge.Violations()).To(BeEmpty())
 	g.Expect(mesh.Tally.Share("/front/")).To(BeNumerically(">", 0.99), "%v", mesh.Tally.Status)
 }
 
--- a/internal/testbed/fleet/quota_test.go
+++ b/internal/testbed/fleet/quota_test.go
@@ -31,11 +31,11 @@
 	t.Parallel()
 	g := NewWithT(t)
 	mesh := runMesh(t, withOverLimitTenant(), 12*time.Second, nil)
-	g.Expect(mesh.Judge.Broken()).To(BeEmpty())
-	ran := mesh.Judge.RanOf("tenant0")
+	g.Expect(mesh.Judge.Violations()).To(BeEmpty())
+	ran := mesh.Judge.RunsOf("tenant0")
 	g.Expect(ran).To(BeNumerically(">", 0.9*40*12), "requests below the limit are admitted")
 	for _, other := range []string{"tenant1", "tenant2", "tenant3"} {
-		g.Expect(mesh.Judge.ShareOf(other)).To(BeNumerically(">", 0.97), other)
+		g.Expect(mesh.Judge.ServedShare(other)).To(BeNumerically(">", 0.97), other)
 	}
 }
 
@@ -50,8 +50,8 @@
 				time.Sleep(2 * time.Second)
 				kind.Inject(mesh, rand.New(rand.NewPCG(1, 2)))
 			})
-			g.Expect(mesh.Judge.Broken()).To(BeEmpty())
-			g.Expect(mesh.Judge.ShareOf("tenant1")).To(BeNumerically(">", 0.5), "%v", mesh.Tally.Status)
+			g.Expect(mesh.Judge.Violations()).To(BeEmpty())
+			g.Expect(mesh.Judge.ServedShare("tenant1")).To(BeNumerically(">", 0.5), "%v", mesh.Tally.Status)
 		})
 	}
 }
@@ -69,8 +69,8 @@
 		})
 		from = time.Now().Add(limitChangeBound)
 	})
-	g.Expect(mesh.Judge.Broken()).To(BeEmpty())
-	inWindow, late := mesh.Judge.RanSince("tenant0", from)
+	g.Expect(mesh.Judge.Violations()).To(BeEmpty())
+	inWindow, late := mesh.Judge.RunsSince("tenant0", from)
 	g.Expect(inWindow).To(BeNumerically("<=", int((10*judge.QuotaWindow.Seconds()+5)*(1+judge.QuotaOvershoot)+judge.QuotaSlack)))
 	g.Expect(late).To(BeNumerically(">", 50))
 }
@@ -106,7 +106,7 @@
 			mesh.Network.SetIsolated(machine.IP, false)
 		}
 	})
-	g.Expect(mesh.Judge.Broken()).To(BeEmpty())
+	g.Expect(mesh.Judge.Violations()).To(BeEmpty())
 }
 
 // Shard owners whose lease expired locally during a store outage must resume when the store comes
@@ -128,5 +128,5 @@
 		served, asked := mesh.Tally.Totals()
 		g.Expect(float64(served)/float64(asked)).To(BeNumerically(">", 0.9), "%v", mesh.Tally.Status)
 	})
-	g.Expect(mesh.Judge.Broken()).To(BeEmpty())
+	g.Expect(mesh.Judge.Violations()).To(BeEmpty())
 }
--- a/internal/testbed/fleet/randomdays_test.go
+++ b/internal/testbed/fleet/randomdays_test.go
@@ -31,9 +31,9 @@
 			for _, count := range mesh.Tally.Served {
 				served += count
 			}
-			ended, falsePositives := mesh.Judge.HarmFigures()
+			ended, falsePositives := mesh.Judge.HarmfulStats()
 			t.Logf("%d requests, served %.3f, %d crashes by harmful requests, %d harmless requests rejected; %s", asked, float64(served)/float64(max(asked, 1)), ended, falsePositives, day.Describe())
-			for _, violation := range mesh.Judge.Broken() {
+			for _, violation := range mesh.Judge.Violations() {
 				t.Error(violation)
 			}
 		})
--- a/internal/testbed/fleet/shortage_test.go
+++ b/internal/testbed/fleet/shortage_test.go
@@ -48,7 +48,7 @@
 			t.Parallel()
 			g := NewWithT(t)
 			mesh := runMesh(t, fanOutPlan(tc.lists), 12*time.Second, nil)
-			g.Expect(mesh.Judge.Broken()).To(BeEmpty())
+			g.Expect(mesh.Judge.Violations()).To(BeEmpty())
 			answers, refused := 0, mesh.Tally.Status[503]
 			for _, count := range mesh.Tally.Status {
 				answers += count
@@ -82,7 +82,7 @@
 		}
 	})
 	t.Logf("lists %.2f served, orders %.2f, answers %v", mesh.Tally.Share("/list/"), mesh.Tally.Share("/order/"), mesh.Tally.Status)
-	g.Expect(mesh.Judge.Broken()).To(BeEmpty())
+	g.Expect(mesh.Judge.Violations()).To(BeEmpty())
 	g.Expect(mesh.Tally.Share("/order/")).To(BeNumerically(">=", 0.15), "retries must go to whole chains by priority")
 }
 
@@ -105,6 +105,6 @@
 	}
 	failed := answers - refused - mesh.Tally.Status[200]
 	t.Logf("lists %.2f served, orders %.2f, answers %v", mesh.Tally.Share("/list/"), mesh.Tally.Share("/order/"), mesh.Tally.Status)
-	g.Expect(mesh.Judge.Broken()).To(BeEmpty())
+	g.Expect(mesh.Judge.Violations()).To(BeEmpty())
 	g.Expect(float64(failed) / float64(answers)).To(BeNumerically("<=", 0.1))
 }
--- a/internal/testbed/fleet/stop_test.go
+++ b/internal/testbed/fleet/stop_test.go
@@ -33,7 +33,7 @@
 		close(ended)
 		_ = machine.Start()
 	})
-	g.Expect(mesh.Judge.Broken()).To(BeEmpty())
+	g.Expect(mesh.Judge.Violations()).To(BeEmpty())
 	g.Expect(took).To(BeNumerically("<", 4*time.Second))
 }
 
@@ -55,6 +55,6 @@
 		}
 	})
 	t.Logf("served %.3f, answers %v", mesh.Tally.Share("/front/"), mesh.Tally.Status)
-	g.Expect(mesh.Judge.Broken()).To(BeEmpty())
+	g.Expect(mesh.Judge.Violations()).To(BeEmpty())
 	g.Expect(mesh.Tally.Share("/front/")).To(BeNumerically(">=", 0.88), "the target must stay reachable while its node stops")
 }
--- a/internal/testbed/fleet/story_test.go
+++ b/internal/testbed/fleet/story_test.go
@@ -176,7 +176,7 @@
 		time.Sleep(2 * time.Second)
 		testbed.KillAndRestart(mesh.RandomMachines(rand.New(rand.NewPCG(3, 4)), 1))
 	})
-	g.Expect(mesh.Judge.Broken()).To(BeEmpty())
+	g.Expect(mesh.Judge.Violations()).To(BeEmpty())
 	g.Expect(mesh.Tally.Share("/order/")).To(BeNumerically(">", 0.9))
 	g.Expect(mesh.Tally.Share("/front/")).To(BeNumerically(">", 0.2))
 }
--- a/internal/testbed/fleet/suspend_test.go
+++ b/internal/testbed/fleet/suspend_test.go
@@ -31,7 +31,7 @@
 				mesh.RevokeKey(0, 0)
 				mesh.Suspend([]*testbed.Machine{machine}, span)
 				g.Expect(statusWithKey(mesh, machine, "/front/x", "key-tenant0-a")).NotTo(Equal(http.StatusOK))
-				time.Sleep(judge.Contact)
+				time.Sleep(judge.FaultRecovery)
 				g.Expect(statusWithKey(mesh, machine, "/front/x", "key-tenant0-a")).To(Equal(http.StatusUnauthorized))
 				g.Expect(waitServed(mesh, machine, "key-tenant0-b", time.Second)).To(BeTrue())
 			})
--- a/internal/testbed/judge/harm.go
+++ b/internal/testbed/judge/harm.go
@@ -52,7 +52,7 @@
 	}
 	run.harm = harm
 	origin := run.request.origin
-	connected := now.Sub(j.disturbed[origin]) >= Contact && now.Sub(j.harm.restarted[origin]) >= Contact && now.Sub(j.harm.storeDisturbed) >= Contact
+	connected := now.Sub(j.disturbed[origin]) >= FaultRecovery && now.Sub(j.harm.restarted[origin]) >= FaultRecovery && now.Sub(j.harm.storeDisturbed) >= FaultRecovery
 	seen.runs = append(seen.runs, harmfulRun{at: now, connected: connected})
 }
 
@@ -65,9 +65,9 @@
 	}
 }
 
-// StoreTrouble marks the store as faulty for a span and returns at its end. Meanwhile no machine
+// StoreFault marks the store as faulty for a span and returns at its end. Meanwhile no machine
 // counts as connected.
-func (j *Judge) StoreTrouble(span time.Duration) {
+func (j *Judge) StoreFault(span time.Duration) {
 	for end := time.Now().Add(span); time.Now().Before(end); time.Sleep(min(100*time.Millisecond, time.Until(end))) {
 		j.mu.Lock()
 		j.harm.storeDisturbed = time.Now()
@@ -75,14 +75,14 @@
 	}
 }
 
-// HeldBackText is the prefix of the response to a request that is rejected because it crashed
+// HeldBackReason is the prefix of the response to a request that is rejected because it crashed
 // targets before.
-const HeldBackText = "ends_targets"
+const HeldBackReason = "ends_targets"
 
 // countFalsePositive counts a rejection of a request that crashes no target. Callers hold mu.
 func (j *Judge) countFalsePositive(req *request, content string) {
 	path, _, _ := strings.Cut(req.uri, "?")
-	if !strings.HasPrefix(content, HeldBackText) {
+	if !strings.HasPrefix(content, HeldBackReason) {
 		return
 	}
 	for _, seen := range j.harm.requests {
@@ -95,17 +95,17 @@
 
 // Limits for requests that crash their targets.
 const (
-	HarmKnownAfter  = 3 // crashes after which nodes must reject it
-	maxLateArrivals = 3 // arrivals allowed once Contact has passed since then
+	HarmfulThreshold = 3 // crashes after which nodes must reject it
+	maxLateArrivals  = 3 // arrivals allowed once Contact has passed since then
 )
 
 // checkHarmful checks the number of late arrivals of each harmful request. Callers hold mu.
 func (j *Judge) checkHarmful() {
 	for _, seen := range j.harm.requests {
-		if len(seen.crashes) < HarmKnownAfter {
+		if len(seen.crashes) < HarmfulThreshold {
 			continue
 		}
-		from, late := seen.crashes[HarmKnownAfter-1].Add(Contact), 0
+		from, late := seen.crashes[HarmfulThreshold-1].Add(FaultRecovery), 0
 		for _, run := range seen.runs {
 			if run.connected && run.at.After(from) {
 				late++
@@ -117,9 +117,9 @@
 	}
 }
 
-// HarmFigures returns the number of crashes caused by harmful requests and the number of harmless
+// HarmfulStats returns the number of crashes caused by harmful requests and the number of harmless
 // requests that were rejected as harmful.
-func (j *Judge) HarmFigures() (crashes, falsePositives int) {
+func (j *Judge) HarmfulStats() (crashes, falsePositives int) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	for _, seen := range j.harm.requests {
--- a/internal/testbed/judge/judge.go
+++ b/internal/testbed/judge/judge.go
@@ -20,8 +20,8 @@
 
 // Judge checks the observations of clients and targets. It is safe for concurrent use.
 type Judge struct {
-	Drain time.Duration // how long a draining target may still be reached after the acknowledgement
-	Late  time.Duration // added to time limits when nodes are real processes
+	Drain         time.Duration // how long a draining target may still be reached after the acknowledgement
+	LateTolerance time.Duration // added to time limits when nodes are real processes
 
 	mu           sync.Mutex
 	requests     map[string]*request
@@ -73,8 +73,8 @@
 	j.violations = append(j.violations, rule+": "+fmt.Sprintf(format, arguments...))
 }
 
-// Broken returns the violations in sorted order, each as the rule and a description.
-func (j *Judge) Broken() []string {
+// Violations returns the violations in sorted order, each as the rule and a description.
+func (j *Judge) Violations() []string {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	sort.Strings(j.violations)
@@ -90,8 +90,8 @@
 	j.requestTimes[service] = append(j.requestTimes[service], time.Now())
 }
 
-// Left records that the client of a request disconnected.
-func (j *Judge) Left(id string) {
+// ClientDisconnected records that the client of a request disconnected.
+func (j *Judge) ClientDisconnected(id string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if req := j.requests[id]; req != nil {
@@ -116,8 +116,8 @@
 // cancelSlack is how long a request may still reach a target after its client disconnected.
 const cancelSlack = 500 * time.Millisecond
 
-// Place identifies the target that received a request.
-type Place struct {
+// Endpoint identifies the target that received a request.
+type Endpoint struct {
 	Service  string
 	IP       string // of the machine
 	Instance string // of the target
@@ -132,8 +132,8 @@
 	}
 }
 
-// Ran records that a target starts to run a request, and checks the rules for it.
-func (j *Judge) Ran(at Place, r *http.Request, body []byte) *Run {
+// RunStarted records that a target starts to run a request, and checks the rules for it.
+func (j *Judge) RunStarted(at Endpoint, r *http.Request, body []byte) *Run {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	id := r.Header.Get("X-Request-Id")
@@ -170,20 +170,20 @@
 	if j.heldUp(req, at.IP) {
 		return began
 	}
-	if !req.canceledAt.IsZero() && now.Sub(req.canceledAt) > cancelSlack+j.Late {
+	if !req.canceledAt.IsZero() && now.Sub(req.canceledAt) > cancelSlack+j.LateTolerance {
 		j.violate("GONE", "request %s reaches a target %s after its client disconnected", id, now.Sub(req.canceledAt))
 	}
-	if ackedAt, draining := j.drained[at.Instance]; draining && now.Sub(ackedAt) > j.Drain+j.Late {
+	if ackedAt, draining := j.drained[at.Instance]; draining && now.Sub(ackedAt) > j.Drain+j.LateTolerance {
 		j.violate("DRAIN", "request %s reaches a draining target %s after the acknowledgement", id, now.Sub(ackedAt))
 	}
 	return began
 }
 
-// Contact is how long a machine is exempt from time limits after a fault.
-const Contact = 3 * time.Second
+// FaultRecovery is how long a machine is exempt from time limits after a fault.
+const FaultRecovery = 3 * time.Second
 
-// Harmed records that the links of a machine are faulty now or that its node is not running.
-func (j *Judge) Harmed(ip string) {
+// MarkDisturbed records that the links of a machine are faulty now or that its node is not running.
+func (j *Judge) MarkDisturbed(ip string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.disturbed[ip] = time.Now()
@@ -193,7 +193,7 @@
 // Callers hold mu.
 func (j *Judge) heldUp(req *request, targetIP string) bool {
 	for _, ip := range []string{req.origin, targetIP} {
-		if at, disturbed := j.disturbed[ip]; disturbed && time.Since(at) < Contact {
+		if at, disturbed := j.disturbed[ip]; disturbed && time.Since(at) < FaultRecovery {
 			return true
 		}
 	}
--- a/internal/testbed/judge/stops.go
+++ b/internal/testbed/judge/stops.go
@@ -24,9 +24,9 @@
 	j.stops.planned[ip] = time.Now()
 }
 
-// Cut records that a connection was closed before the response arrived. It counts only if the
+// ConnectionLost records that a connection was closed before the response arrived. It counts only if the
 // request has reached a target and its origin machine had a planned stop and no other fault.
-func (j *Judge) Cut(id string, deadline time.Time) {
+func (j *Judge) ConnectionLost(id string, deadline time.Time) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	req, now := j.requests[id], time.Now()
@@ -34,7 +34,7 @@
 		return
 	}
 	at, planned := j.stops.planned[req.origin]
-	if !planned || now.Sub(at) > StopGrace+StopAfter || now.Sub(j.disturbed[req.origin]) < Contact+now.Sub(at) {
+	if !planned || now.Sub(at) > StopGrace+StopAfter || now.Sub(j.disturbed[req.origin]) < FaultRecovery+now.Sub(at) {
 		return
 	}
 	j.stops.lost++
@@ -47,8 +47,8 @@
 	}
 }
 
-// LostAroundStops returns the number of requests that were cut by planned stops.
-func (j *Judge) LostAroundStops() int {
+// LostDuringStops returns the number of requests that were cut by planned stops.
+func (j *Judge) LostDuringStops() int {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.stops.lost
--- a/internal/testbed/judge/tenants.go
+++ b/internal/testbed/judge/tenants.go
@@ -59,8 +59,8 @@
 	}
 }
 
-// Signed records the key that a client's request carries.
-func (j *Judge) Signed(id, tenant, key string) {
+// Authenticated records the key that a client's request carries.
+func (j *Judge) Authenticated(id, tenant, key string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	req := j.requests[id]
@@ -120,15 +120,15 @@
 	return most
 }
 
-// RanOf returns the number of requests of a tenant that ran.
-func (j *Judge) RanOf(tenant string) int {
+// RunsOf returns the number of requests of a tenant that ran.
+func (j *Judge) RunsOf(tenant string) int {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return len(j.tenancy.runs[tenant])
 }
 
-// ShareOf returns the share of a tenant's requests that ran.
-func (j *Judge) ShareOf(tenant string) float64 {
+// ServedShare returns the share of a tenant's requests that ran.
+func (j *Judge) ServedShare(tenant string) float64 {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	sent, ran := 0, 0
@@ -144,9 +144,9 @@
 	return float64(ran) / float64(max(sent, 1))
 }
 
-// RanSince considers the requests of a tenant that were sent after a time and ran. It returns the
+// RunsSince considers the requests of a tenant that were sent after a time and ran. It returns the
 // highest number of them in one window and their total.
-func (j *Judge) RanSince(tenant string, from time.Time) (inWindow, all int) {
+func (j *Judge) RunsSince(tenant string, from time.Time) (inWindow, all int) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	var late []quotaRun
--- a/internal/testbed/mesh.go
+++ b/internal/testbed/mesh.go
@@ -178,7 +178,7 @@
 func (m *Mesh) ReportDisturbance(machines []*Machine, span time.Duration) {
 	for end := time.Now().Add(span); time.Now().Before(end); time.Sleep(disturbanceInterval) {
 		for _, machine := range machines {
-			m.Judge.Harmed(machine.IP)
+			m.Judge.MarkDisturbed(machine.IP)
 		}
 	}
 }
@@ -267,7 +267,7 @@
 // CheckFinal runs the final checks: the invariants over the whole run and, after
 // convergenceTimeout, that every node has activated the last configuration.
 func (m *Mesh) CheckFinal() {
-	m.Judge.CheckDay()
+	m.Judge.CheckRun()
 	time.Sleep(convergenceTimeout)
 	last := uint64(m.Version())
 	for _, machine := range m.Machines {
--- a/internal/testbed/soak/soak_test.go
+++ b/internal/testbed/soak/soak_test.go
@@ -76,7 +76,7 @@
 	}
 	defer closeAll()
 	soak.mesh = mesh
-	mesh.Judge.Late = lateTolerance
+	mesh.Judge.LateTolerance = lateTolerance
 	time.Sleep(testbed.StartupTime)
 	injected := soak.runFaults(*soakFor, seed, *soakActors)
 	if !soak.waitReady() {
@@ -84,10 +84,10 @@
 	}
 	served := soak.servedAfterRecovery()
 	mesh.CheckFinal()
-	crashes, falsePositives := mesh.Judge.HarmFigures()
-	t.Logf("seed %d: %s; responses %v; %.3f served after recovery; %d crashes by harmful requests, %d harmless requests rejected, %d cut by planned stops", seed, injected, mesh.Tally.Status, served, crashes, falsePositives, mesh.Judge.LostAroundStops())
+	crashes, falsePositives := mesh.Judge.HarmfulStats()
+	t.Logf("seed %d: %s; responses %v; %.3f served after recovery; %d crashes by harmful requests, %d harmless requests rejected, %d cut by planned stops", seed, injected, mesh.Tally.Status, served, crashes, falsePositives, mesh.Judge.LostDuringStops())
 	closeAll()
-	for _, violation := range append(mesh.Judge.Broken(), soak.crashes()...) {
+	for _, violation := range append(mesh.Judge.Violations(), soak.crashes()...) {
 		t.Error(violation)
 	}
 	if served < minServed {
--- a/internal/testbed/soak/troubles.go
+++ b/internal/testbed/soak/troubles.go
@@ -63,7 +63,7 @@
 func (s *soak) waitReady() bool {
 	for end := time.Now().Add(readyTimeout); time.Now().Before(end); time.Sleep(200 * time.Millisecond) {
 		if !slices.ContainsFunc(s.mesh.Machines, func(machine *testbed.Machine) bool { return !machine.Ready() }) {
-			time.Sleep(judge.Contact)
+			time.Sleep(judge.FaultRecovery)
 			return true
 		}
 	}
@@ -107,10 +107,10 @@
 	go func() {
 		defer close(done)
 		for {
-			s.mesh.Judge.Harmed(machine.IP)
+			s.mesh.Judge.MarkDisturbed(machine.IP)
 			select {
 			case <-ended:
-				s.mesh.Judge.Harmed(machine.IP)
+				s.mesh.Judge.MarkDisturbed(machine.IP)
 				return
 			case <-time.After(100 * time.Millisecond):
 			}
@@ -139,7 +139,7 @@
 func storeFault(begin, end func(s *store.Store)) func(s *soak, random *rand.Rand) {
 	return func(s *soak, random *rand.Rand) {
 		s.mesh.Store.Set(begin)
-		s.mesh.Judge.StoreTrouble(time.Duration(1+random.IntN(4)) * time.Second)
+		s.mesh.Judge.StoreFault(time.Duration(1+random.IntN(4)) * time.Second)
 		s.mesh.Store.Set(end)
 	}
 }
--- a/internal/testbed/target/serve.go
+++ b/internal/testbed/target/serve.go
@@ -80,7 +80,7 @@
 func (t *Target) run(conn net.Conn, reader *bufio.Reader, r *http.Request, body []byte, faults Faults, load string) bool {
 	id := r.Header.Get("X-Request-Id")
 	instance := t.Instance()
-	started := t.Judge.Ran(judge.Place{Service: t.Service, IP: hostIP(t.Address), Instance: instance}, r, body)
+	started := t.Judge.RunStarted(judge.Endpoint{Service: t.Service, IP: hostIP(t.Address), Instance: instance}, r, body)
 	t.mu.Lock()
 	t.running++
 	t.mu.Unlock()
--- a/internal/testbed/trouble/trouble.go
+++ b/internal/testbed/trouble/trouble.go
@@ -42,7 +42,7 @@
 func withStoreFault(begin, end func(s *store.Store), span time.Duration) func(*testbed.Mesh, *rand.Rand) {
 	return func(mesh *testbed.Mesh, _ *rand.Rand) {
 		mesh.Store.Set(begin)
-		mesh.Judge.StoreTrouble(span)
+		mesh.Judge.StoreFault(span)
 		mesh.Store.Set(end)
 	}
 }
@@ -90,7 +90,7 @@
 				mesh.Network.SetBlocked(machine.IP, testbed.StoreHost, true)
 				mesh.Network.SetBlocked(testbed.StoreHost, machine.IP, true)
 			}
-			mesh.Judge.StoreTrouble(4 * time.Second)
+			mesh.Judge.StoreFault(4 * time.Second)
 			for _, machine := range chosen {
 				mesh.Network.SetBlocked(machine.IP, testbed.StoreHost, false)
 				mesh.Network.SetBlocked(testbed.StoreHost, machine.IP, false)
@@ -126,14 +126,14 @@
 		{"platform_lost", 0.99, withStoreFault(func(s *store.Store) { s.DropTxnResponses = true }, func(s *store.Store) { s.DropTxnResponses = false }, 4*time.Second)},
 		{"platform_down lapse", 0.99, func(mesh *testbed.Mesh, _ *rand.Rand) {
 			mesh.Store.Set(func(s *store.Store) { s.Down = true })
-			mesh.Judge.StoreTrouble(2 * time.Second)
+			mesh.Judge.StoreFault(2 * time.Second)
 			mesh.Store.EndLeases()
 			mesh.Store.Set(func(s *store.Store) { s.Down = false })
 		}},
 		{"platform_compact", 0.99, func(mesh *testbed.Mesh, random *rand.Rand) {
 			mesh.Store.HideEvents()
 			AddUnusedRoute(mesh, random)
-			mesh.Judge.StoreTrouble(time.Second)
+			mesh.Judge.StoreFault(time.Second)
 			mesh.Store.Compact()
 		}},
 		{"store refuses some", 0.97, func(mesh *testbed.Mesh, random *rand.Rand) {
@@ -144,7 +144,7 @@
 				}
 			})
 			testbed.KillAndRestart(chosen)
-			mesh.Judge.StoreTrouble(4 * time.Second)
+			mesh.Judge.StoreFault(4 * time.Second)
 			mesh.Store.Set(func(s *store.Store) { clear(s.RateLimitedIPs) })
 		}},
 		{"burst", 0.9, func(mesh *testbed.Mesh, _ *rand.Rand) {
