--- a/internal/core/importance/importance.go
+++ b/internal/core/importance/importance.go
@@ -17,10 +17,10 @@
 
 // Weights of the components of the number, highest first.
 const (
-	Step        = 8 * tenantStep // between route priorities
-	tenantStep  = 64             // between tenant priorities
-	urgencyStep = 2              // between tiers
-	newWork     = 1              // added for a client's request, not for a call
+	PriorityStep = 8 * tenantStep // between route priorities
+	tenantStep   = 64             // between tenant priorities
+	urgencyStep  = 2              // between tiers
+	newWork      = 1              // added for a client's request, not for a call
 )
 
 // Timeouts are grouped into logarithmic tiers, two per doubling.
@@ -31,7 +31,7 @@
 )
 
 // maxTenantRank is the lowest tenant priority that is distinguished.
-const maxTenantRank = Step/tenantStep - 1
+const maxTenantRank = PriorityStep/tenantStep - 1
 
 // Of returns the importance of a client's request on a route. A timeout of 0 counts as the
 // shortest one. tenant is nil for a request without a tenant.
@@ -44,7 +44,7 @@
 	if timeout > shortestTimeout {
 		tier = min(int(math.Round(tiersPerDoubling*math.Log2(float64(timeout)/float64(shortestTimeout)))), maxTier)
 	}
-	return route.Priority*Step + rank*tenantStep + tier*urgencyStep + newWork
+	return route.Priority*PriorityStep + rank*tenantStep + tier*urgencyStep + newWork
 }
 
 // OfCall returns the importance of a call made for a request.
--- a/internal/sidecar/entry/send.go
+++ b/internal/sidecar/entry/send.go
@@ -102,7 +102,7 @@
 		priorities = current.LowestPriority() + 1
 	}
 	root, _, _ := strings.Cut(r.id, wire.CallSeparator)
-	return repeats.Rank(r.importance/importance.Step, priorities, xxhash.Sum64String(root))
+	return repeats.Rank(r.importance/importance.PriorityStep, priorities, xxhash.Sum64String(root))
 }
 
 // requirement returns what the balancer must satisfy: a response within the objective of the route
