--- a/cmd/landingmast/main.go
+++ b/cmd/landingmast/main.go
@@ -23,10 +23,10 @@
 	failure.BadInput:    2,
 	failure.Conflict:    3,
 	failure.Unavailable: 4,
-	failure.Limited:     4,
+	failure.RateLimited: 4,
 	failure.Uncertain:   5,
 	failure.Untrusted:   6,
-	failure.Missing:     7,
+	failure.NotFound:    7,
 }
 
 func main() {
--- a/internal/failure/failure.go
+++ b/internal/failure/failure.go
@@ -19,14 +19,14 @@
 	Conflict Kind = "conflict"
 	// Unavailable means that an external system cannot be reached at the moment.
 	Unavailable Kind = "unavailable"
-	// Limited means that an external system limits the request rate.
-	Limited Kind = "limited"
+	// RateLimited means that an external system limits the request rate.
+	RateLimited Kind = "limited"
 	// Uncertain means that the response to a change was lost; the change may have been applied.
 	Uncertain Kind = "uncertain"
 	// Untrusted means that a signature, signer or certificate could not be verified.
 	Untrusted Kind = "untrusted"
-	// Missing means that the requested object does not exist.
-	Missing Kind = "missing"
+	// NotFound means that the requested object does not exist.
+	NotFound Kind = "missing"
 	// Internal means a bug in landingmast.
 	Internal Kind = "internal"
 )
--- a/internal/logquery/logquery.go
+++ b/internal/logquery/logquery.go
@@ -113,7 +113,7 @@
 		fmt.Fprintf(output, "%s %s%-18s %s\n", line.Time.Format("15:04:05.000"), strings.Repeat("  ", depth), line.Node, describe(line))
 	}
 	if matched == 0 {
-		return failure.New(failure.Missing, "check the other nodes' logs, and `omitted` lines from the time of the request", "no log line for request %s", id)
+		return failure.New(failure.NotFound, "check the other nodes' logs, and `omitted` lines from the time of the request", "no log line for request %s", id)
 	}
 	return nil
 }
--- a/internal/mesh/adminapi/adminapi.go
+++ b/internal/mesh/adminapi/adminapi.go
@@ -41,7 +41,7 @@
 	if errors.As(err, &problem) {
 		kind := failure.BadInput
 		if problem.Name == "not_found" {
-			kind = failure.Missing
+			kind = failure.NotFound
 		}
 		return failure.New(kind, problem.Remedy, "%s", problem.Message)
 	}
--- a/internal/mesh/control/control.go
+++ b/internal/mesh/control/control.go
@@ -106,7 +106,7 @@
 	switch failure.KindOf(err) {
 	case failure.BadInput:
 		return http.StatusBadRequest
-	case failure.Missing:
+	case failure.NotFound:
 		return http.StatusNotFound
 	default:
 		return http.StatusInternalServerError
@@ -157,7 +157,7 @@
 func failureKind(status int) failure.Kind {
 	switch status {
 	case http.StatusNotFound:
-		return failure.Missing
+		return failure.NotFound
 	case http.StatusBadRequest:
 		return failure.BadInput
 	default:
--- a/internal/mesh/core/bundle/bundle_test.go
+++ b/internal/mesh/core/bundle/bundle_test.go
@@ -132,7 +132,7 @@
 	g.Expect(installed.Release.Sections).To(Equal(second.Sections))
 
 	_, err = Open(delta, ring, nil)
-	g.Expect(failure.Is(err, failure.Missing)).To(BeTrue())
+	g.Expect(failure.Is(err, failure.NotFound)).To(BeTrue())
 }
 
 func FuzzParse(f *testing.F) {
--- a/internal/mesh/core/bundle/release.go
+++ b/internal/mesh/core/bundle/release.go
@@ -182,7 +182,7 @@
 		return &full, nil
 	}
 	if base == nil || base.Release.Version != r.Base {
-		return nil, failure.New(failure.Missing, "request the full release", "delta to version %d requires version %d", r.Version, r.Base)
+		return nil, failure.New(failure.NotFound, "request the full release", "delta to version %d requires version %d", r.Version, r.Base)
 	}
 	byName := map[string]Section{}
 	for _, section := range base.Release.Sections {
--- a/internal/mesh/node/dissemination.go
+++ b/internal/mesh/node/dissemination.go
@@ -154,7 +154,7 @@
 	if err != nil {
 		return
 	}
-	if err := d.installRelease(release); failure.Is(err, failure.Missing) {
+	if err := d.installRelease(release); failure.Is(err, failure.NotFound) {
 		if release, err = d.node.controlClient.FetchBundle(ctx, address, 0); err == nil {
 			_ = d.installRelease(release)
 		}
--- a/internal/mesh/node/node.go
+++ b/internal/mesh/node/node.go
@@ -232,7 +232,7 @@
 		err = failure.New(failure.Untrusted, "roll the release in the mesh that it names", "release %d is for mesh %q", release.Version, opened.Bundle.Mesh)
 	}
 	if err != nil {
-		if !failure.Is(err, failure.Missing) {
+		if !failure.Is(err, failure.NotFound) {
 			n.metrics.BundlesRejected.Inc()
 			n.log.WithError(err).Warning("release refused")
 		}
--- a/internal/mesh/node/peer.go
+++ b/internal/mesh/node/peer.go
@@ -35,7 +35,7 @@
 	installed, previous := h.node.installed, h.node.previous
 	h.node.mu.Unlock()
 	if installed == nil {
-		return nil, failure.New(failure.Missing, "ask another node", "no bundle is in force on this node")
+		return nil, failure.New(failure.NotFound, "ask another node", "no bundle is in force on this node")
 	}
 	if previous != nil && previous.Version == request.Have {
 		return installed.Release.Delta(previous), nil
--- a/internal/mesh/platform/consul.go
+++ b/internal/mesh/platform/consul.go
@@ -131,9 +131,9 @@
 func classifyReadError(err error) error {
 	switch {
 	case hasErrorName(err, "limited"):
-		return failure.Wrap(err, failure.Limited, "retry later", "platform rate limit exceeded")
+		return failure.Wrap(err, failure.RateLimited, "retry later", "platform rate limit exceeded")
 	case hasErrorName(err, "missing"):
-		return failure.Wrap(err, failure.Missing, "create the key or session again", "key or session not found in the platform")
+		return failure.Wrap(err, failure.NotFound, "create the key or session again", "key or session not found in the platform")
 	case hasErrorName(err, "malformed"):
 		return failure.Wrap(err, failure.BadInput, "report this as a bug", "platform rejected the request as malformed")
 	default:
--- a/internal/mesh/platform/consul_test.go
+++ b/internal/mesh/platform/consul_test.go
@@ -52,7 +52,7 @@
 
 	service.SetFaults(standin.Faults{RateLimit: 0.001})
 	_, err = store.CompareAndSwap(ctx, "k", []byte("two"), entry.Index)
-	g.Expect(failure.Is(err, failure.Limited)).To(BeTrue())
+	g.Expect(failure.Is(err, failure.RateLimited)).To(BeTrue())
 }
 
 func TestMachines(t *testing.T) {
--- a/internal/operator/bundle.go
+++ b/internal/operator/bundle.go
@@ -147,7 +147,7 @@
 		return err
 	}
 	if record == nil {
-		return failure.New(failure.Missing, "roll the first version", "mesh %s has no release", parsed.Mesh)
+		return failure.New(failure.NotFound, "roll the first version", "mesh %s has no release", parsed.Mesh)
 	}
 	sections, err := bundle.Split(parsed)
 	if err != nil {
@@ -203,7 +203,7 @@
 		return err
 	}
 	if record == nil {
-		return failure.New(failure.Missing, "roll the first version", "mesh %s has no release", mesh)
+		return failure.New(failure.NotFound, "roll the first version", "mesh %s has no release", mesh)
 	}
 	return c.print(record.History, func(table *tabwriter.Writer) {
 		writeRow(table, "VERSION", "ROLLED AT", "SIGNER", "ROLL ID", "DIGEST")
--- a/internal/operator/held.go
+++ b/internal/operator/held.go
@@ -122,7 +122,7 @@
 		}
 		evidence, held := ledger.HeldBack()[content]
 		if !held {
-			return failure.New(failure.Missing, "list the digests with `landingmast held list`", "no held-back request has digest %s", digest)
+			return failure.New(failure.NotFound, "list the digests with `landingmast held list`", "no held-back request has digest %s", digest)
 		}
 		if !confirmed && !c.confirm(newHeldRequest(content, evidence)) {
 			return failure.New(failure.BadInput, "answer yes, or use --yes", "nothing was lifted")
