--- a/cmd/landingmast/main.go
+++ b/cmd/landingmast/main.go
@@ -38,7 +38,7 @@
 	application.Version(node.Version)
 	application.HelpFlag.Short('h')
 	commands := operator.Register(application, stdout, operator.Stores{
-		Open: func(address string) store.Store { return platform.NewStore(address, nil) }, CrashKey: platform.CrashKey, Input: os.Stdin,
+		Open: func(address string) store.Store { return platform.NewStore(address, nil) }, CrashKey: platform.CrashesKey, Input: os.Stdin,
 	})
 	selected, err := application.Parse(arguments)
 	if err != nil {
--- a/cmd/landingmastd/sidecar.go
+++ b/cmd/landingmastd/sidecar.go
@@ -73,9 +73,9 @@
 	node, err := sidecar.New(loaded, sidecar.Options{
 		Headers: platform.Headers(), Store: platform.NewStore(loaded.Store.Address, peer.DialKeepAlive),
 		ConfigurationKey: platform.ConfigurationKey, RecordPrefix: platform.RecordPrefix, NodePrefix: platform.NodePrefix,
-		QuotaPrefix: platform.QuotaPrefix, CrashKey: platform.CrashKey, ParseIntent: platform.ReadIntent,
-		Control: func(targets *sidecar.Targets) http.Handler { return platform.Heartbeats(targets) },
-		Ready:   platform.Readiness, Output: os.Stdout, Clock: source,
+		QuotaPrefix: platform.QuotaPrefix, CrashKey: platform.CrashesKey, ParseIntent: platform.ParseConfiguration,
+		Control: func(targets *sidecar.Targets) http.Handler { return platform.HeartbeatHandler(targets) },
+		Ready:   platform.ReadinessHandler, Output: os.Stdout, Clock: source,
 	})
 	if err != nil {
 		return err
--- a/internal/testbed/fleet/held_test.go
+++ b/internal/testbed/fleet/held_test.go
@@ -51,7 +51,7 @@
 		Open: func(address string) store.Store {
 			return platform.NewStore(address, m.Network.Dialer("10.0.0.2"))
 		},
-		CrashKey: platform.CrashKey, Input: strings.NewReader(input),
+		CrashKey: platform.CrashesKey, Input: strings.NewReader(input),
 	})
 	chosen, err := application.Parse(arguments)
 	g.Expect(err).NotTo(HaveOccurred())
--- a/internal/testbed/nodes.go
+++ b/internal/testbed/nodes.go
@@ -55,9 +55,9 @@
 	}
 	store := platform.NewStore(StoreAddress, p.network.Dialer(m.IP))
 	node, err := sidecar.New(chosen, sidecar.Options{
-		Headers: platform.Headers(), Store: store, ConfigurationKey: platform.ConfigurationKey, RecordPrefix: platform.RecordPrefix, NodePrefix: platform.NodePrefix, QuotaPrefix: platform.QuotaPrefix, CrashKey: platform.CrashKey,
-		ParseIntent: platform.ReadIntent, Control: func(targets *sidecar.Targets) http.Handler { return platform.Heartbeats(targets) },
-		Ready: platform.Readiness, Output: output, Listen: p.network.Listen, Dial: p.network.Dialer(m.IP), Clock: m.clock,
+		Headers: platform.Headers(), Store: store, ConfigurationKey: platform.ConfigurationKey, RecordPrefix: platform.RecordPrefix, NodePrefix: platform.NodePrefix, QuotaPrefix: platform.QuotaPrefix, CrashKey: platform.CrashesKey,
+		ParseIntent: platform.ParseConfiguration, Control: func(targets *sidecar.Targets) http.Handler { return platform.HeartbeatHandler(targets) },
+		Ready: platform.ReadinessHandler, Output: output, Listen: p.network.Listen, Dial: p.network.Dialer(m.IP), Clock: m.clock,
 	})
 	if err != nil {
 		return err
