--- a/internal/sidecar/configuration/configuration.go
+++ b/internal/sidecar/configuration/configuration.go
@@ -12,31 +12,31 @@
 
 // Values of the source field in log entries.
 const (
-	FromStore = "store"
-	FromPeer  = "peer"
+	SourceStore = "store"
+	SourcePeer  = "peer"
 )
 
-// Reader parses a configuration from the format that operators write. Its error names what to
+// ParseFunc parses a configuration from the format that operators write. Its error names what to
 // correct.
-type Reader func(data []byte) (*intent.Intent, error)
+type ParseFunc func(data []byte) (*intent.Intent, error)
 
-// InForce holds the active configuration. It is safe for concurrent use.
-type InForce struct {
-	parse   Reader
+// Active holds the active configuration. It is safe for concurrent use.
+type Active struct {
+	parse   ParseFunc
 	events  *eventlog.Log
 	current atomic.Pointer[intent.Intent]
 }
 
 // New returns an InForce without a configuration. Install parses with parse and logs to events.
-func New(parse Reader, events *eventlog.Log) *InForce {
-	return &InForce{parse: parse, events: events}
+func New(parse ParseFunc, events *eventlog.Log) *Active {
+	return &Active{parse: parse, events: events}
 }
 
 // Load returns the active configuration, or nil if there is none.
-func (c *InForce) Load() *intent.Intent { return c.current.Load() }
+func (c *Active) Load() *intent.Intent { return c.current.Load() }
 
 // Version returns the version of the active configuration, or 0 if there is none.
-func (c *InForce) Version() uint64 {
+func (c *Active) Version() uint64 {
 	if current := c.current.Load(); current != nil {
 		return current.Version
 	}
@@ -44,7 +44,7 @@
 }
 
 // Source returns the active configuration as received, or nil if there is none.
-func (c *InForce) Source() []byte {
+func (c *Active) Source() []byte {
 	if current := c.current.Load(); current != nil {
 		return current.Source
 	}
@@ -53,7 +53,7 @@
 
 // Install parses data and activates it unless the active version is the same or newer. It returns
 // the parsed version either way. source is FromStore or FromPeer.
-func (c *InForce) Install(data []byte, source string) (uint64, error) {
+func (c *Active) Install(data []byte, source string) (uint64, error) {
 	parsed, err := c.parse(data)
 	if err != nil {
 		c.events.Add(eventlog.Configuration{Previous: c.Version(), Source: source, Error: err.Error()}, eventlog.State)
--- a/internal/sidecar/follower/follower.go
+++ b/internal/sidecar/follower/follower.go
@@ -275,7 +275,7 @@
 	if record == nil {
 		return
 	}
-	m.LogChange(record, "forgotten", configuration.FromStore)
+	m.LogChange(record, "forgotten", configuration.SourceStore)
 	m.Remove(record)
 	f.mutex.Lock()
 	f.removed[name] = removedNode{record: *record, until: f.options.Now() + removalAnnounceTime}
--- a/internal/sidecar/follower/watch.go
+++ b/internal/sidecar/follower/watch.go
@@ -79,7 +79,7 @@
 	if record == nil {
 		return
 	}
-	f.options.Members.LogChange(record, "lapsed", configuration.FromStore)
+	f.options.Members.LogChange(record, "lapsed", configuration.SourceStore)
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.lapses.RecordMissing(f.options.Now(), name)
--- a/internal/sidecar/membership/exchange.go
+++ b/internal/sidecar/membership/exchange.go
@@ -104,7 +104,7 @@
 func (e *Exchanger) receive(message *wire.Exchange) {
 	e.members.Merge(message.Records)
 	if len(message.Configuration) > 0 {
-		_, _ = e.options.Configuration.Install(message.Configuration, configuration.FromPeer) // Install logs errors
+		_, _ = e.options.Configuration.Install(message.Configuration, configuration.SourcePeer) // Install logs errors
 	}
 }
 
--- a/internal/sidecar/membership/membership.go
+++ b/internal/sidecar/membership/membership.go
@@ -93,7 +93,7 @@
 	}
 	m.mutex.Unlock()
 	if newer {
-		m.LogChange(record, "learned", configuration.FromPeer)
+		m.LogChange(record, "learned", configuration.SourcePeer)
 	}
 	return newer
 }
@@ -150,7 +150,7 @@
 		if known == nil || isNewer(known, &records[i]) {
 			continue
 		}
-		m.LogChange(known, "forgotten", configuration.FromPeer)
+		m.LogChange(known, "forgotten", configuration.SourcePeer)
 		m.Remove(known)
 	}
 }
@@ -195,7 +195,7 @@
 	}
 	m.mutex.Unlock()
 	if newer {
-		m.LogChange(record, "learned", configuration.FromStore)
+		m.LogChange(record, "learned", configuration.SourceStore)
 	}
 }
 
--- a/internal/sidecar/membership/options.go
+++ b/internal/sidecar/membership/options.go
@@ -39,7 +39,7 @@
 	OnRecordLost  func()                                // called when the store has no record of this node
 	Routing       Routing
 	Follower      Follower
-	Configuration *configuration.InForce
+	Configuration *configuration.Active
 	Peers         *peer.Client
 	Events        *eventlog.Log
 }
--- a/internal/sidecar/node.go
+++ b/internal/sidecar/node.go
@@ -51,7 +51,7 @@
 	NodePrefix       string      // prefix of node records, below RecordPrefix
 	QuotaPrefix      string      // prefix of quota keepers, below RecordPrefix
 	CrashKey         string      // key of the crash evidence, below RecordPrefix
-	ParseIntent      configuration.Reader
+	ParseIntent      configuration.ParseFunc
 	Control          func(targets *Targets) http.Handler  // serves target heartbeats
 	Ready            func(ready func() bool) http.Handler // serves the readiness check
 	Output           io.Writer                            // destination of the log
@@ -72,7 +72,7 @@
 	events          *eventlog.Log
 	metrics         *metrics.Metrics
 	store           store.Store
-	configuration   *configuration.InForce
+	configuration   *configuration.Active
 	services        *services.Services
 	admission       *admission.Control
 	target          *target.Local
--- a/internal/sidecar/quotas/quotas.go
+++ b/internal/sidecar/quotas/quotas.go
@@ -35,7 +35,7 @@
 	Settings      func() *settings.Settings // current settings
 	Incarnation   string                    // unique id of this process
 	Now           func() time.Duration      // time since start, including suspensions of the machine
-	Configuration *configuration.InForce
+	Configuration *configuration.Active
 	Events        *eventlog.Log
 	Store         store.Store // nil if the node has no store
 	StoreHealth   *storehealth.Health
--- a/internal/sidecar/revalidation/revalidation.go
+++ b/internal/sidecar/revalidation/revalidation.go
@@ -59,7 +59,7 @@
 type Options struct {
 	Settings         func() *settings.Settings // current settings
 	Now              func() time.Duration      // time since start, including suspensions of the machine
-	Configuration    *configuration.InForce
+	Configuration    *configuration.Active
 	ConfigurationKey string // store key of the configuration
 	Events           *eventlog.Log
 	Store            store.Store // nil if the node has no store
@@ -146,7 +146,7 @@
 // InstallStored installs a configuration read from the store, unless a newer one is in force, and
 // returns its version. Install logs errors; they leave the configuration unchanged.
 func (r *Revalidator) InstallStored(item *store.Item) (uint64, error) {
-	version, err := r.options.Configuration.Install(item.Value, configuration.FromStore)
+	version, err := r.options.Configuration.Install(item.Value, configuration.SourceStore)
 	if err == nil {
 		r.recordStored(version, item.Revision)
 	}
