--- a/internal/sidecar/configuration.go
+++ b/internal/sidecar/configuration.go
@@ -23,13 +23,13 @@
 	if n.settings().FirstStart {
 		delay = configurationBootstrapDelay
 	}
-	for wait.For(ctx, delay); ctx.Err() == nil && n.configuration.Version() == 0; {
+	for wait.Sleep(ctx, delay); ctx.Err() == nil && n.configuration.Version() == 0; {
 		call, cancel := context.WithTimeout(ctx, storehealth.CallTimeout)
 		found := n.freshness.ReadStored(call, n.now())
 		cancel()
 		if found {
 			return
 		}
-		wait.For(ctx, configurationRetryInterval+time.Duration(rand.Int64N(int64(configurationRetryJitter))))
+		wait.Sleep(ctx, configurationRetryInterval+time.Duration(rand.Int64N(int64(configurationRetryJitter))))
 	}
 }
--- a/internal/sidecar/follower/follower.go
+++ b/internal/sidecar/follower/follower.go
@@ -127,7 +127,7 @@
 	stop := context.CancelFunc(func() {})
 	defer func() { stop() }()
 	lastHeartbeat := time.Duration(0)
-	for ; ctx.Err() == nil; wait.For(ctx, electionInterval) {
+	for ; ctx.Err() == nil; wait.Sleep(ctx, electionInterval) {
 		follows := f.IsFollower()
 		if follows != f.following {
 			f.following = follows
@@ -193,7 +193,7 @@
 		if !answers {
 			interval = probeRetryInterval
 		}
-		wait.For(ctx, interval)
+		wait.Sleep(ctx, interval)
 	}
 }
 
--- a/internal/sidecar/follower/watch.go
+++ b/internal/sidecar/follower/watch.go
@@ -104,7 +104,7 @@
 			f.options.Health.Record("read", err)
 			f.noteCall(prefix, err == nil)
 			if err != nil {
-				wait.For(ctx, retryMinDelay+time.Duration(rand.Int64N(int64(retryJitter))))
+				wait.Sleep(ctx, retryMinDelay+time.Duration(rand.Int64N(int64(retryJitter))))
 				continue
 			}
 			current = revision
@@ -120,12 +120,12 @@
 		case errors.Is(err, store.ErrCompacted):
 			current = -1
 		case err != nil:
-			wait.For(ctx, retryMinDelay+time.Duration(rand.Int64N(int64(retryJitter))))
+			wait.Sleep(ctx, retryMinDelay+time.Duration(rand.Int64N(int64(retryJitter))))
 		default:
 			current = max(current, revision)
 			handle(events, false, current)
 			if len(events) > 0 {
-				wait.For(ctx, max(interval, f.rateLimitInterval()))
+				wait.Sleep(ctx, max(interval, f.rateLimitInterval()))
 			}
 		}
 	}
--- a/internal/sidecar/heldback/exchange.go
+++ b/internal/sidecar/heldback/exchange.go
@@ -100,7 +100,7 @@
 // repairs missed broadcasts and restores the evidence of a restarted node.
 func (c *Control) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		wait.For(ctx, compareInterval/2+time.Duration(rand.Int64N(int64(compareInterval))))
+		wait.Sleep(ctx, compareInterval/2+time.Duration(rand.Int64N(int64(compareInterval))))
 		if c.empty() && c.options.Now() > startupComparePeriod {
 			continue
 		}
--- a/internal/sidecar/identify.go
+++ b/internal/sidecar/identify.go
@@ -58,9 +58,9 @@
 // discoverTarget identifies a target that kept running while the node restarted, as its next
 // heartbeat may be seconds away.
 func (n *Node) discoverTarget(ctx context.Context) {
-	wait.For(ctx, discoveryDelay)
+	wait.Sleep(ctx, discoveryDelay)
 	for n.configuration.Load() == nil && ctx.Err() == nil {
-		wait.For(ctx, configurationPollInterval)
+		wait.Sleep(ctx, configurationPollInterval)
 	}
 	for range discoveryAttempts {
 		if n.target.Current() != nil || ctx.Err() != nil {
@@ -73,6 +73,6 @@
 			n.target.SetIdentified(report)
 			return
 		}
-		wait.For(ctx, discoveryInterval)
+		wait.Sleep(ctx, discoveryInterval)
 	}
 }
--- a/internal/sidecar/membership/exchange.go
+++ b/internal/sidecar/membership/exchange.go
@@ -47,7 +47,7 @@
 // Run exchanges with random nodes at randomized intervals until ctx is done.
 func (e *Exchanger) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		wait.For(ctx, exchangeInterval/2+time.Duration(rand.Int64N(int64(exchangeInterval))))
+		wait.Sleep(ctx, exchangeInterval/2+time.Duration(rand.Int64N(int64(exchangeInterval))))
 		if address := e.members.RandomAddress(); address != "" {
 			e.Sync(ctx, address)
 		}
--- a/internal/sidecar/membership/membership_test.go
+++ b/internal/sidecar/membership/membership_test.go
@@ -43,7 +43,7 @@
 		Target:       func() (roster.Report, time.Duration) { return roster.Report{}, 0 },
 		Draining:     func() bool { return false },
 		Unresponsive: func(string) bool { return false },
-		OnRecordLost: func() { wait.Signal(n.recordLost) },
+		OnRecordLost: func() { wait.Notify(n.recordLost) },
 		Routing:      n.dependents, Follower: n.dependents,
 		Configuration: configuration.New(nil, nil), Peers: n.peers, Events: eventlog.New(name, io.Discard),
 	})
--- a/internal/sidecar/quotas/limiter.go
+++ b/internal/sidecar/quotas/limiter.go
@@ -152,5 +152,5 @@
 
 // requestNow makes Run send a request for a shard before the next interval.
 func (l *Limiter) requestNow(shard int) {
-	wait.Signal(l.wake[shard])
+	wait.Notify(l.wake[shard])
 }
--- a/internal/sidecar/quotas/requests.go
+++ b/internal/sidecar/quotas/requests.go
@@ -28,11 +28,11 @@
 		l.unreachable[shard].Store(failures > 1)
 		switch {
 		case failures == 1:
-			wait.For(ctx, firstRetryDelay)
+			wait.Sleep(ctx, firstRetryDelay)
 			continue
 		case failures > 1:
 			l.findKeeper(ctx, shard)
-			wait.For(ctx, retryDelay)
+			wait.Sleep(ctx, retryDelay)
 			continue
 		}
 		timer := time.NewTimer(requestInterval)
@@ -40,7 +40,7 @@
 		case <-ctx.Done():
 		case <-timer.C:
 		case <-l.wake[shard]:
-			wait.For(ctx, l.batchDelay(shard))
+			wait.Sleep(ctx, l.batchDelay(shard))
 		}
 		timer.Stop()
 	}
--- a/internal/sidecar/quotas/server.go
+++ b/internal/sidecar/quotas/server.go
@@ -82,7 +82,7 @@
 		if lease := s.activeLease(); lease != nil && !s.renew(ctx, lease) {
 			delay = renewRetryDelay
 		}
-		wait.For(ctx, delay)
+		wait.Sleep(ctx, delay)
 	}
 }
 
--- a/internal/sidecar/quotas/takeover.go
+++ b/internal/sidecar/quotas/takeover.go
@@ -61,7 +61,7 @@
 		return
 	}
 	rank := zoneRank(failed.Shard, s.options.Settings().Zone, s.options.Membership.ZoneNames())
-	wait.For(ctx, replaceStagger*time.Duration(rank))
+	wait.Sleep(ctx, replaceStagger*time.Duration(rank))
 	if known := s.keepers.Get(failed.Shard); known != nil && known.Revision == failed.Revision {
 		s.startTakeover(ctx, failed.Shard, failed)
 	}
@@ -70,7 +70,7 @@
 // probeHolders pings the holders that have not sent a full report to this keeper, until none
 // are left. If a holder refuses the connection, its process has ended and it has no shares.
 func (s *Server) probeHolders(ctx context.Context) {
-	for wait.For(ctx, probeDelay); ctx.Err() == nil; wait.For(ctx, probeInterval) {
+	for wait.Sleep(ctx, probeDelay); ctx.Err() == nil; wait.Sleep(ctx, probeInterval) {
 		unreported := s.unreportedHolders()
 		if len(unreported) == 0 {
 			return
--- a/internal/sidecar/registration/registration.go
+++ b/internal/sidecar/registration/registration.go
@@ -87,10 +87,10 @@
 }
 
 // MarkLost reports that the store has no record of this node. Run rewrites the record.
-func (r *Registration) MarkLost() { wait.Signal(r.recordLost) }
+func (r *Registration) MarkLost() { wait.Notify(r.recordLost) }
 
 // RenewNow makes Run renew the lease immediately. It does not wait for the renewal.
-func (r *Registration) RenewNow() { wait.Signal(r.renewNow) }
+func (r *Registration) RenewNow() { wait.Notify(r.renewNow) }
 
 // StoreUnreachable reports whether the store is unavailable to this node, according to its latest calls.
 func (r *Registration) StoreUnreachable() bool {
@@ -100,9 +100,9 @@
 // Run discovers the other nodes, then keeps the local record and its lease until ctx is done.
 func (r *Registration) Run(ctx context.Context) {
 	if r.options.Settings().FirstStart {
-		wait.For(ctx, time.Duration(rand.Int64N(int64(writeJitter))))
+		wait.Sleep(ctx, time.Duration(rand.Int64N(int64(writeJitter))))
 		r.register(ctx)
-		wait.For(ctx, time.Duration(rand.Int64N(int64(listJitter))))
+		wait.Sleep(ctx, time.Duration(rand.Int64N(int64(listJitter))))
 		r.discoverPeers(ctx)
 		r.options.OnListed()
 	} else {
@@ -175,7 +175,7 @@
 // waitForStore waits after a failed call until the store answers a probe or ctx is done.
 func (r *Registration) waitForStore(ctx context.Context) {
 	for ctx.Err() == nil {
-		wait.For(ctx, retryMinDelay+time.Duration(rand.Int64N(int64(retryJitter))))
+		wait.Sleep(ctx, retryMinDelay+time.Duration(rand.Int64N(int64(retryJitter))))
 		if ctx.Err() != nil || r.options.Probe(ctx) {
 			return
 		}
--- a/internal/sidecar/revalidation/revalidation.go
+++ b/internal/sidecar/revalidation/revalidation.go
@@ -113,7 +113,7 @@
 }
 
 // RevalidateNow makes Run refresh the evidence before the next interval.
-func (r *Revalidator) RevalidateNow() { wait.Signal(r.wake) }
+func (r *Revalidator) RevalidateNow() { wait.Notify(r.wake) }
 
 // Fresh reports whether the configuration is fresh enough to accept a key. It is always true if
 // keys.fail_closed is off.
@@ -171,7 +171,7 @@
 // Run refreshes the evidence until ctx is done. It starts with a random delay, so that nodes
 // started together do not poll at the same time.
 func (r *Revalidator) Run(ctx context.Context) {
-	wait.For(ctx, time.Duration(rand.Int64N(int64(pollInterval))))
+	wait.Sleep(ctx, time.Duration(rand.Int64N(int64(pollInterval))))
 	for ctx.Err() == nil {
 		delay := pollInterval
 		if r.needed() {
--- a/internal/sidecar/stop.go
+++ b/internal/sidecar/stop.go
@@ -53,12 +53,12 @@
 	if n.store != nil {
 		n.registration.Deregister()
 	}
-	wait.For(force, min(notReadyDelay, grace/2))
+	wait.Sleep(force, min(notReadyDelay, grace/2))
 	n.shutdown.rejectClients.Store(true)
 	waitForZero(force, &n.clients, start.Add(grace-drainReserve))
 	n.shutdown.leaving.Store(true)
 	n.membership.AnnounceLocalRecord()
-	wait.For(force, leaveNoticeDelay)
+	wait.Sleep(force, leaveNoticeDelay)
 	n.shutdown.rejectAll.Store(true)
 	waitForZero(force, &n.inFlight, deadline)
 	if force.Err() == nil {
@@ -76,7 +76,7 @@
 // waitForZero returns when count is zero, at the deadline or on cancellation.
 func waitForZero(force context.Context, count *atomic.Int64, deadline time.Time) {
 	for force.Err() == nil && time.Now().Before(deadline) && count.Load() > 0 {
-		wait.For(force, drainPollInterval)
+		wait.Sleep(force, drainPollInterval)
 	}
 }
 
--- a/internal/sidecar/suspend.go
+++ b/internal/sidecar/suspend.go
@@ -20,7 +20,7 @@
 // watchSuspensions detects suspensions of the machine until ctx is done.
 func (n *Node) watchSuspensions(ctx context.Context) {
 	suspended := n.suspendedTime()
-	for ; ctx.Err() == nil; wait.For(ctx, suspensionCheckInterval) {
+	for ; ctx.Err() == nil; wait.Sleep(ctx, suspensionCheckInterval) {
 		now := n.suspendedTime()
 		if now-suspended >= minSuspension {
 			n.handleResume(ctx, now-suspended)
--- a/internal/sidecar/wait/wait.go
+++ b/internal/sidecar/wait/wait.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// For sleeps for the given duration or until ctx is cancelled.
-func For(ctx context.Context, d time.Duration) {
+// Sleep sleeps for the given duration or until ctx is cancelled.
+func Sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -17,8 +17,8 @@
 	}
 }
 
-// Signal sends a signal without blocking; it has no effect if one is already pending.
-func Signal(signal chan struct{}) {
+// Notify sends a signal without blocking; it has no effect if one is already pending.
+func Notify(signal chan struct{}) {
 	select {
 	case signal <- struct{}{}:
 	default:
