--- a/internal/mesh/claims/manager.go
+++ b/internal/mesh/claims/manager.go
@@ -138,9 +138,9 @@
 	case full:
 		return m.countResult(claimResult(outcome.NotRun, outcome.ReasonClaimsFull))
 	case phase == claim.PhaseDone && answer != nil:
-		return m.countResult(dataplane.ClaimResult{StoredAnswer: answer, Reason: outcome.ReasonKept})
+		return m.countResult(dataplane.ClaimResult{StoredAnswer: answer, Reason: outcome.ReasonStoredResponse})
 	case phase == claim.PhaseDone:
-		return m.countResult(claimResult(outcome.Unknown, outcome.ReasonAnswerNotKept))
+		return m.countResult(claimResult(outcome.Unknown, outcome.ReasonResponseNotStored))
 	case phase == claim.PhaseUnknown:
 		return m.countResult(claimResult(outcome.Unknown, outcome.ReasonExecutorLost))
 	case phase != claim.PhaseAbsent:
@@ -188,7 +188,7 @@
 	case executor.Node == m.options.Self.Node: // a previous incarnation of this node, whose claims are lost
 		result.Outcome, result.Reason = outcome.Unknown, outcome.ReasonExecutorLost
 	default:
-		result.Outcome, result.Reason, result.Executor = outcome.Unknown, outcome.ReasonElsewhere, executor.Node
+		result.Outcome, result.Reason, result.Executor = outcome.Unknown, outcome.ReasonClaimedElsewhere, executor.Node
 	}
 	return result
 }
--- a/internal/mesh/core/limiter/limiter.go
+++ b/internal/mesh/core/limiter/limiter.go
@@ -132,7 +132,7 @@
 		return []Action{l.refuse(now, item, outcome.ReasonDraining)}
 	}
 	if now >= call.Deadline {
-		return []Action{l.refuse(now, item, outcome.ReasonExpired)}
+		return []Action{l.refuse(now, item, outcome.ReasonDeadlineExpired)}
 	}
 	actions := l.dropExpired(now)
 	if l.chainHoldsSlot(call) {
@@ -254,7 +254,7 @@
 	for _, item := range l.queue {
 		switch {
 		case now >= item.call.Deadline:
-			actions = append(actions, l.refuse(now, item, outcome.ReasonExpired))
+			actions = append(actions, l.refuse(now, item, outcome.ReasonDeadlineExpired))
 		case now-item.enqueuedAt > l.maxWait():
 			actions = append(actions, l.refuse(now, item, outcome.ReasonQueueTimeout))
 		default:
--- a/internal/mesh/core/limiter/limiter_test.go
+++ b/internal/mesh/core/limiter/limiter_test.go
@@ -96,8 +96,8 @@
 	actions := limiter.Finish(20*time.Millisecond, 1, time.Millisecond, true, false)
 	g.Expect(actions).To(HaveLen(1))
 	g.Expect(actions[0].Kind).To(Equal(Refuse))
-	g.Expect(actions[0].Reason).To(Equal(outcome.ReasonExpired))
-	g.Expect(New(smallConfig()).Arrive(time.Minute, Call{ID: 1, Deadline: time.Second})[0].Reason).To(Equal(outcome.ReasonExpired))
+	g.Expect(actions[0].Reason).To(Equal(outcome.ReasonDeadlineExpired))
+	g.Expect(New(smallConfig()).Arrive(time.Minute, Call{ID: 1, Deadline: time.Second})[0].Reason).To(Equal(outcome.ReasonDeadlineExpired))
 }
 
 func TestRunningBulkGivesWayToWaitingImportantWork(t *testing.T) {
--- a/internal/mesh/core/outcome/outcome.go
+++ b/internal/mesh/core/outcome/outcome.go
@@ -19,34 +19,34 @@
 type Reason string
 
 const (
-	ReasonNone            Reason = "none"
-	ReasonOverloadCursor  Reason = "overload_cursor"   // rank above the cursor of the target
-	ReasonQueueFull       Reason = "queue_full"        // queue full of calls at least as important
-	ReasonQueueTimeout    Reason = "queue_timeout"     // longest time in the queue exceeded
-	ReasonExpired         Reason = "deadline_expired"  // deadline passed before the call was sent to the target
-	ReasonDraining        Reason = "draining"          // target is draining
-	ReasonNoTarget        Reason = "no_target"         // no eligible target
-	ReasonNoClass         Reason = "no_class"          // no request class matches
-	ReasonNoKey           Reason = "no_key"            // at-most-once request without an idempotency key
-	ReasonNoBundle        Reason = "no_bundle"         // node has not received a bundle
-	ReasonUnreachable     Reason = "unreachable"       // connection could not be established
-	ReasonReset           Reason = "reset"             // connection broke after the call was sent
-	ReasonTimeout         Reason = "timeout"           // deadline passed after the call was sent
-	ReasonTargetShed      Reason = "target_shed"       // target declined the call without running it
-	ReasonTruncated       Reason = "truncated"         // incomplete response
-	ReasonPreempted       Reason = "preempted"         // cancelled in favor of a more important call
-	ReasonCancelled       Reason = "cancelled"         // caller disconnected
-	ReasonInProgress      Reason = "in_progress"       // a call with the same key is running
-	ReasonExecutorLost    Reason = "executor_lost"     // executor of the key cannot provide its response
-	ReasonNoQuorum        Reason = "no_quorum"         // no majority of the voters could be reached
-	ReasonClaimsFull      Reason = "claims_full"       // key limit of a voter or executor reached
-	ReasonTooDeep         Reason = "too_deep"          // depth limit of the bundle exceeded
-	ReasonKept            Reason = "kept_answer"       // stored response of an earlier call with the same key
-	ReasonGranted         Reason = "granted"           // claim on the key granted
-	ReasonElsewhere       Reason = "claimed_elsewhere" // key claimed by another node
-	ReasonAnswerNotKept   Reason = "answer_not_kept"   // executed, but the response was too large to store
-	ReasonUnknownService  Reason = "unknown_service"   // service not in the bundle
-	ReasonVersionMismatch Reason = "version_mismatch"  // unsupported protocol version
+	ReasonNone              Reason = "none"
+	ReasonOverloadCursor    Reason = "overload_cursor"   // rank above the cursor of the target
+	ReasonQueueFull         Reason = "queue_full"        // queue full of calls at least as important
+	ReasonQueueTimeout      Reason = "queue_timeout"     // longest time in the queue exceeded
+	ReasonDeadlineExpired   Reason = "deadline_expired"  // deadline passed before the call was sent to the target
+	ReasonDraining          Reason = "draining"          // target is draining
+	ReasonNoTarget          Reason = "no_target"         // no eligible target
+	ReasonNoClass           Reason = "no_class"          // no request class matches
+	ReasonNoKey             Reason = "no_key"            // at-most-once request without an idempotency key
+	ReasonNoBundle          Reason = "no_bundle"         // node has not received a bundle
+	ReasonUnreachable       Reason = "unreachable"       // connection could not be established
+	ReasonReset             Reason = "reset"             // connection broke after the call was sent
+	ReasonTimeout           Reason = "timeout"           // deadline passed after the call was sent
+	ReasonTargetShed        Reason = "target_shed"       // target declined the call without running it
+	ReasonTruncated         Reason = "truncated"         // incomplete response
+	ReasonPreempted         Reason = "preempted"         // cancelled in favor of a more important call
+	ReasonCancelled         Reason = "cancelled"         // caller disconnected
+	ReasonInProgress        Reason = "in_progress"       // a call with the same key is running
+	ReasonExecutorLost      Reason = "executor_lost"     // executor of the key cannot provide its response
+	ReasonNoQuorum          Reason = "no_quorum"         // no majority of the voters could be reached
+	ReasonClaimsFull        Reason = "claims_full"       // key limit of a voter or executor reached
+	ReasonTooDeep           Reason = "too_deep"          // depth limit of the bundle exceeded
+	ReasonStoredResponse    Reason = "kept_answer"       // stored response of an earlier call with the same key
+	ReasonGranted           Reason = "granted"           // claim on the key granted
+	ReasonClaimedElsewhere  Reason = "claimed_elsewhere" // key claimed by another node
+	ReasonResponseNotStored Reason = "answer_not_kept"   // executed, but the response was too large to store
+	ReasonUnknownService    Reason = "unknown_service"   // service not in the bundle
+	ReasonVersionMismatch   Reason = "version_mismatch"  // unsupported protocol version
 )
 
 // IsOverload reports whether the call was refused because of overload, which other
--- a/internal/mesh/dataplane/ingress.go
+++ b/internal/mesh/dataplane/ingress.go
@@ -150,15 +150,15 @@
 
 func (c *ingressCall) writeStoredAnswer(answer *claim.Answer) {
 	if answer == nil {
-		c.refuse(newRefusal(outcome.Unknown, outcome.ReasonAnswerNotKept), "")
+		c.refuse(newRefusal(outcome.Unknown, outcome.ReasonResponseNotStored), "")
 		return
 	}
-	c.plane.record(c.context, explain.Claim, string(outcome.ReasonKept), c.wire.Service, c.plane.node)
+	c.plane.record(c.context, explain.Claim, string(outcome.ReasonStoredResponse), c.wire.Service, c.plane.node)
 	header := c.writer.Header()
 	for name, values := range answer.Headers {
 		header[name] = values
 	}
-	c.writeHead(outcome.Answered, outcome.ReasonKept, answer.Status, int64(len(answer.Body)), 0, "")
+	c.writeHead(outcome.Answered, outcome.ReasonStoredResponse, answer.Status, int64(len(answer.Body)), 0, "")
 	sum, err := relay(c.writer, bytes.NewReader(answer.Body), -1, false, nil, func(bodySum) error { return nil })
 	c.writeTrailer(sum, err != nil)
 }
--- a/internal/mesh/dataplane/refusal.go
+++ b/internal/mesh/dataplane/refusal.go
@@ -30,7 +30,7 @@
 	switch reason {
 	case outcome.ReasonOverloadCursor, outcome.ReasonQueueFull, outcome.ReasonQueueTimeout, outcome.ReasonTargetShed:
 		retryAfter = retryAfterOverload
-	case outcome.ReasonNoKey, outcome.ReasonNoClass, outcome.ReasonUnknownService, outcome.ReasonTooDeep, outcome.ReasonAnswerNotKept, outcome.ReasonExecutorLost:
+	case outcome.ReasonNoKey, outcome.ReasonNoClass, outcome.ReasonUnknownService, outcome.ReasonTooDeep, outcome.ReasonResponseNotStored, outcome.ReasonExecutorLost:
 		retryAfter = 0 // a retry cannot succeed
 	}
 	if retryAfter > 0 {
@@ -48,9 +48,9 @@
 		return http.StatusNotFound
 	case outcome.ReasonTooDeep:
 		return http.StatusLoopDetected
-	case outcome.ReasonInProgress, outcome.ReasonAnswerNotKept:
+	case outcome.ReasonInProgress, outcome.ReasonResponseNotStored:
 		return http.StatusConflict
-	case outcome.ReasonTimeout, outcome.ReasonExpired:
+	case outcome.ReasonTimeout, outcome.ReasonDeadlineExpired:
 		return http.StatusGatewayTimeout
 	}
 	if r.outcome == outcome.Unknown {
@@ -60,13 +60,13 @@
 }
 
 var remedies = map[outcome.Reason]string{
-	outcome.ReasonNoKey:          "send the header with a key that is unique to this request",
-	outcome.ReasonNoClass:        "have an operator add a request class for this method and path to the bundle",
-	outcome.ReasonUnknownService: "name a service of the bundle in the Host header",
-	outcome.ReasonTooDeep:        "look for a loop in the calls, or raise max_depth in the bundle",
-	outcome.ReasonInProgress:     "send the same key again after the given time",
-	outcome.ReasonExecutorLost:   "ask the back end what became of the key; it will not run again",
-	outcome.ReasonAnswerNotKept:  "ask the back end for the result; it ran and will not run again",
+	outcome.ReasonNoKey:             "send the header with a key that is unique to this request",
+	outcome.ReasonNoClass:           "have an operator add a request class for this method and path to the bundle",
+	outcome.ReasonUnknownService:    "name a service of the bundle in the Host header",
+	outcome.ReasonTooDeep:           "look for a loop in the calls, or raise max_depth in the bundle",
+	outcome.ReasonInProgress:        "send the same key again after the given time",
+	outcome.ReasonExecutorLost:      "ask the back end what became of the key; it will not run again",
+	outcome.ReasonResponseNotStored: "ask the back end for the result; it ran and will not run again",
 }
 
 type refusalBody struct {
