--- a/internal/mesh/core/retry/retry.go
+++ b/internal/mesh/core/retry/retry.go
@@ -74,8 +74,8 @@
 	return l.held
 }
 
-// Verdict is the decision whether this hop retries a failed call.
-type Verdict struct {
+// Decision is the decision whether this hop retries a failed call.
+type Decision struct {
 	Retry  bool
 	Reason string
 }
@@ -92,17 +92,17 @@
 // regard to credits. Only the hop directly above a failure retries: for the hops
 // further up, the error response is a complete response. Overload is not retried,
 // since retries would add to it.
-func Decide(f Failure) Verdict {
+func Decide(f Failure) Decision {
 	switch {
 	case !f.TimeLeft:
-		return Verdict{Reason: "deadline"}
+		return Decision{Reason: "deadline"}
 	case f.Outcome != outcome.NotRun && !f.Repeatable:
-		return Verdict{Reason: "may_have_run"}
+		return Decision{Reason: "may_have_run"}
 	case f.Reason.IsOverload():
-		return Verdict{Reason: "overload"}
+		return Decision{Reason: "overload"}
 	case !f.Reason.IsTargetSpecific():
-		return Verdict{Reason: "not_of_one_target"}
+		return Decision{Reason: "not_of_one_target"}
 	default:
-		return Verdict{Retry: true, Reason: "hop_above_failure"}
+		return Decision{Retry: true, Reason: "hop_above_failure"}
 	}
 }
--- a/internal/mesh/dataplane/outbound.go
+++ b/internal/mesh/dataplane/outbound.go
@@ -218,10 +218,10 @@
 		Outcome: failed.outcome, Reason: failed.reason, Repeatable: c.class.Execution == bundle.Repeatable, TimeLeft: ctx.Err() == nil,
 	})
 	if verdict.Retry && !c.body.replayable() {
-		verdict = retry.Verdict{Reason: "body_not_kept"}
+		verdict = retry.Decision{Reason: "body_not_kept"}
 	}
 	if verdict.Retry && !c.context.ledger.spend() {
-		verdict = retry.Verdict{Reason: "no_credits"}
+		verdict = retry.Decision{Reason: "no_credits"}
 	}
 	action := explain.NoRetry
 	if verdict.Retry {
