--- a/internal/mesh/core/bundle/bundle_test.go
+++ b/internal/mesh/core/bundle/bundle_test.go
@@ -91,11 +91,11 @@
 	private, ring := signingKeys()
 	release, err := Sign(parseExample(t), "op", private)
 	g.Expect(err).NotTo(HaveOccurred())
-	installed, err := Open(release, ring, nil)
+	installed, err := Verify(release, ring, nil)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(installed.Bundle).To(Equal(parseExample(t)))
 
-	_, err = Open(release, Keyring{"other": ring["op"]}, nil)
+	_, err = Verify(release, Keyring{"other": ring["op"]}, nil)
 	g.Expect(failure.Is(err, failure.Untrusted)).To(BeTrue())
 
 	changes := map[string]func(*Release){
@@ -110,7 +110,7 @@
 		altered := *release
 		altered.Sections = append([]Section(nil), release.Sections...)
 		change(&altered)
-		_, err = Open(&altered, ring, nil)
+		_, err = Verify(&altered, ring, nil)
 		g.Expect(failure.Is(err, failure.Untrusted)).To(BeTrue(), name)
 	}
 }
@@ -119,19 +119,19 @@
 	g := NewWithT(t)
 	private, ring := signingKeys()
 	first, _ := Sign(parseExample(t), "op", private)
-	base, _ := Open(first, ring, nil)
+	base, _ := Verify(first, ring, nil)
 	next := parseExample(t)
 	next.Version = 4
 	next.Services[0].Targets[1].State = Active
 	second, _ := Sign(next, "op", private)
 	delta := second.Delta(first)
 	g.Expect(delta.Sections).To(HaveLen(2)) // the head, which holds the version, and the service
-	installed, err := Open(delta, ring, base)
+	installed, err := Verify(delta, ring, base)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(installed.Bundle).To(Equal(next))
 	g.Expect(installed.Release.Sections).To(Equal(second.Sections))
 
-	_, err = Open(delta, ring, nil)
+	_, err = Verify(delta, ring, nil)
 	g.Expect(failure.Is(err, failure.NotFound)).To(BeTrue())
 }
 
--- a/internal/mesh/core/bundle/release.go
+++ b/internal/mesh/core/bundle/release.go
@@ -141,9 +141,9 @@
 	Release *Release // full, never a delta
 }
 
-// Open verifies the signature of a release and decodes its bundle. base is the
+// Verify verifies the signature of a release and decodes its bundle. base is the
 // installed version that a delta applies to; it may be nil for a full release.
-func Open(release *Release, keyring Keyring, base *Installed) (*Installed, error) {
+func Verify(release *Release, keyring Keyring, base *Installed) (*Installed, error) {
 	full, err := release.expand(base)
 	if err != nil {
 		return nil, err
--- a/internal/mesh/node/node.go
+++ b/internal/mesh/node/node.go
@@ -227,7 +227,7 @@
 	if n.installed != nil && release.Version <= n.installed.Release.Version {
 		return nil
 	}
-	opened, err := bundle.Open(release, n.keyring, n.installed)
+	opened, err := bundle.Verify(release, n.keyring, n.installed)
 	if err == nil && opened.Bundle.Mesh != n.settings.Mesh {
 		err = failure.New(failure.Untrusted, "roll the release in the mesh that it names", "release %d is for mesh %q", release.Version, opened.Bundle.Mesh)
 	}
