--- a/internal/mesh/control/control.go
+++ b/internal/mesh/control/control.go
@@ -43,12 +43,12 @@
 // Handler handles requests from other nodes. Its methods are called concurrently; an error is
 // returned to the sender as an HTTP error status.
 type Handler interface {
-	ExchangeVersions(*wire.Tell) (*wire.Tell, error)
+	ExchangeVersions(*wire.VersionMessage) (*wire.VersionMessage, error)
 	FetchBundle(*wire.Fetch) (*bundle.Release, error)
 	FetchMachines(*wire.Fetch) (*wire.Machines, error)
-	Status() (*wire.JSON, error)
-	Explain(*wire.Query) (*wire.JSON, error)
-	Incarnation() (*wire.Query, error)
+	Status() (*wire.JSONDocument, error)
+	Explain(*wire.NameMessage) (*wire.JSONDocument, error)
+	Incarnation() (*wire.NameMessage, error)
 	Vote(*wire.Vote) (*claim.Reply, error)
 	Seal(*wire.SealRequest) (*wire.SealReply, error)
 	Install(*wire.InstallRequest) (*wire.SealReply, error)
@@ -58,17 +58,17 @@
 // NewServer returns an HTTP handler for the control protocol.
 func NewServer(handler Handler, metrics *telemetry.Metrics) http.Handler {
 	mux := http.NewServeMux()
-	empty := &wire.Query{}
-	mux.Handle(pathTell, serve(metrics, pathTell, wire.TellCodec, wire.TellCodec, handler.ExchangeVersions))
+	empty := &wire.NameMessage{}
+	mux.Handle(pathTell, serve(metrics, pathTell, wire.VersionCodec, wire.VersionCodec, handler.ExchangeVersions))
 	mux.Handle(pathBundle, serve(metrics, pathBundle, wire.FetchCodec, wire.ReleaseCodec, handler.FetchBundle))
 	mux.Handle(pathMachines, serve(metrics, pathMachines, wire.FetchCodec, wire.MachinesCodec, handler.FetchMachines))
-	mux.Handle(pathStatus, serve(metrics, pathStatus, wire.QueryCodec, wire.JSONCodec, func(*wire.Query) (*wire.JSON, error) { return handler.Status() }))
+	mux.Handle(pathStatus, serve(metrics, pathStatus, wire.QueryCodec, wire.JSONCodec, func(*wire.NameMessage) (*wire.JSONDocument, error) { return handler.Status() }))
 	mux.Handle(pathExplain, serve(metrics, pathExplain, wire.QueryCodec, wire.JSONCodec, handler.Explain))
-	mux.Handle(pathIncarnation, serve(metrics, pathIncarnation, wire.QueryCodec, wire.QueryCodec, func(*wire.Query) (*wire.Query, error) { return handler.Incarnation() }))
+	mux.Handle(pathIncarnation, serve(metrics, pathIncarnation, wire.QueryCodec, wire.QueryCodec, func(*wire.NameMessage) (*wire.NameMessage, error) { return handler.Incarnation() }))
 	mux.Handle(pathVote, serve(metrics, pathVote, wire.VoteCodec, wire.ReplyCodec, handler.Vote))
 	mux.Handle(pathSeal, serve(metrics, pathSeal, wire.SealCodec, wire.SealReplyCodec, handler.Seal))
 	mux.Handle(pathInstall, serve(metrics, pathInstall, wire.InstallCodec, wire.SealReplyCodec, handler.Install))
-	mux.Handle(pathVoterSet, serve(metrics, pathVoterSet, wire.NoticeCodec, wire.QueryCodec, func(n *wire.VoterSetNotice) (*wire.Query, error) { return empty, handler.NotifyVoterSet(n) }))
+	mux.Handle(pathVoterSet, serve(metrics, pathVoterSet, wire.NoticeCodec, wire.QueryCodec, func(n *wire.VoterSetNotice) (*wire.NameMessage, error) { return empty, handler.NotifyVoterSet(n) }))
 	return mux
 }
 
@@ -166,8 +166,8 @@
 }
 
 // ExchangeVersions sends the version of a topic to a node and returns the version of that node.
-func (c *Client) ExchangeVersions(ctx context.Context, address string, message *wire.Tell) (*wire.Tell, error) {
-	return send(ctx, c, address, pathTell, wire.TellCodec, wire.TellCodec, message)
+func (c *Client) ExchangeVersions(ctx context.Context, address string, message *wire.VersionMessage) (*wire.VersionMessage, error) {
+	return send(ctx, c, address, pathTell, wire.VersionCodec, wire.VersionCodec, message)
 }
 
 // FetchBundle requests the release in force on a node. The reply is a delta if the node has one
@@ -183,7 +183,7 @@
 
 // Status requests the status of a node, as JSON of the admin API.
 func (c *Client) Status(ctx context.Context, address string) ([]byte, error) {
-	reply, err := send(ctx, c, address, pathStatus, wire.QueryCodec, wire.JSONCodec, &wire.Query{})
+	reply, err := send(ctx, c, address, pathStatus, wire.QueryCodec, wire.JSONCodec, &wire.NameMessage{})
 	if err != nil {
 		return nil, err
 	}
@@ -192,7 +192,7 @@
 
 // Explain requests the decision records of a request, as JSON of the admin API.
 func (c *Client) Explain(ctx context.Context, address, requestID string) ([]byte, error) {
-	reply, err := send(ctx, c, address, pathExplain, wire.QueryCodec, wire.JSONCodec, &wire.Query{Name: requestID})
+	reply, err := send(ctx, c, address, pathExplain, wire.QueryCodec, wire.JSONCodec, &wire.NameMessage{Name: requestID})
 	if err != nil {
 		return nil, err
 	}
@@ -201,7 +201,7 @@
 
 // Incarnation requests the incarnation of a node, which changes at each start.
 func (c *Client) Incarnation(ctx context.Context, address string) (string, error) {
-	reply, err := send(ctx, c, address, pathIncarnation, wire.QueryCodec, wire.QueryCodec, &wire.Query{})
+	reply, err := send(ctx, c, address, pathIncarnation, wire.QueryCodec, wire.QueryCodec, &wire.NameMessage{})
 	if err != nil {
 		return "", err
 	}
--- a/internal/mesh/node/dissemination.go
+++ b/internal/mesh/node/dissemination.go
@@ -126,7 +126,7 @@
 	if address == "" {
 		return
 	}
-	reply, err := d.node.controlClient.ExchangeVersions(ctx, address, &wire.Tell{From: d.node.settings.Node, Incarnation: d.node.incarnation, Topic: topic, Version: action.Version})
+	reply, err := d.node.controlClient.ExchangeVersions(ctx, address, &wire.VersionMessage{From: d.node.settings.Node, Incarnation: d.node.incarnation, Topic: topic, Version: action.Version})
 	if err != nil {
 		return
 	}
--- a/internal/mesh/node/node_test.go
+++ b/internal/mesh/node/node_test.go
@@ -308,7 +308,7 @@
 		identity, err := security.LoadIdentity(peer.TLS.Certificate, peer.TLS.Key, peer.TLS.Authorities)
 		Expect(err).NotTo(HaveOccurred())
 		client := control.NewClient(&http.Transport{TLSClientConfig: identity.Client()}, telemetry.NewMetrics())
-		_, err = client.ExchangeVersions(context.Background(), m.settings["front-1"].Listen.Peers, &wire.Tell{From: "entry-1", Topic: wire.TopicBundle, Version: 1})
+		_, err = client.ExchangeVersions(context.Background(), m.settings["front-1"].Listen.Peers, &wire.VersionMessage{From: "entry-1", Topic: wire.TopicBundle, Version: 1})
 		Expect(err).NotTo(HaveOccurred())
 		Consistently(func() int64 {
 			status, err := m.admin("front-1").Status(context.Background())
--- a/internal/mesh/node/peer.go
+++ b/internal/mesh/node/peer.go
@@ -16,12 +16,12 @@
 type peerHandler struct{ node *Node }
 
 // ExchangeVersions implements control.Handler.
-func (h *peerHandler) ExchangeVersions(message *wire.Tell) (*wire.Tell, error) {
+func (h *peerHandler) ExchangeVersions(message *wire.VersionMessage) (*wire.VersionMessage, error) {
 	d := h.node.disseminator
 	if d.states[message.Topic] == nil {
 		return nil, failure.New(failure.BadInput, "run program versions that are at most one release apart", "unknown topic %q", message.Topic)
 	}
-	reply := &wire.Tell{From: h.node.settings.Node, Incarnation: h.node.incarnation, Topic: message.Topic, Version: d.version(message.Topic)}
+	reply := &wire.VersionMessage{From: h.node.settings.Node, Incarnation: h.node.incarnation, Topic: message.Topic, Version: d.version(message.Topic)}
 	if message.Version > reply.Version {
 		d.handleVersion(context.Background(), message.Topic, message.From, message.Version)
 	}
@@ -55,20 +55,20 @@
 }
 
 // Status implements control.Handler.
-func (h *peerHandler) Status() (*wire.JSON, error) {
+func (h *peerHandler) Status() (*wire.JSONDocument, error) {
 	body, err := json.Marshal(h.node.status())
-	return &wire.JSON{Body: body}, err
+	return &wire.JSONDocument{Body: body}, err
 }
 
 // Explain implements control.Handler.
-func (h *peerHandler) Explain(query *wire.Query) (*wire.JSON, error) {
+func (h *peerHandler) Explain(query *wire.NameMessage) (*wire.JSONDocument, error) {
 	body, err := json.Marshal(h.node.localDecisions(query.Name))
-	return &wire.JSON{Body: body}, err
+	return &wire.JSONDocument{Body: body}, err
 }
 
 // Incarnation implements control.Handler.
-func (h *peerHandler) Incarnation() (*wire.Query, error) {
-	return &wire.Query{Name: h.node.incarnation}, nil
+func (h *peerHandler) Incarnation() (*wire.NameMessage, error) {
+	return &wire.NameMessage{Name: h.node.incarnation}, nil
 }
 
 func (h *peerHandler) requireVoter() error {
--- a/internal/mesh/wire/control.go
+++ b/internal/mesh/wire/control.go
@@ -15,9 +15,9 @@
 	TopicMachines Topic = "machines" // machines marked as leaving in the platform's machine list
 )
 
-// Tell announces the sender's version of a topic. The response carries the
+// VersionMessage announces the sender's version of a topic. The response carries the
 // receiver's version.
-type Tell struct {
+type VersionMessage struct {
 	From        string `avro:"from"`
 	Incarnation string `avro:"incarnation"`
 	Topic       Topic  `avro:"topic"`
@@ -36,14 +36,14 @@
 	Leaving []string `avro:"leaving"`
 }
 
-// Query carries one name: the request ID of an explain request or the incarnation in an
+// NameMessage carries one name: the request ID of an explain request or the incarnation in an
 // identity reply. It is empty in status requests and acknowledgements.
-type Query struct {
+type NameMessage struct {
 	Name string `avro:"name"`
 }
 
-// JSON carries an admin API document between peers.
-type JSON struct {
+// JSONDocument carries an admin API document between peers.
+type JSONDocument struct {
 	Body []byte `avro:"body"`
 }
 
@@ -115,11 +115,11 @@
 
 // Codecs of the control messages.
 var (
-	TellCodec      = codec.New[Tell](maxSmallMessage, tellSchema)
+	VersionCodec   = codec.New[VersionMessage](maxSmallMessage, tellSchema)
 	FetchCodec     = codec.New[Fetch](maxSmallMessage, fetchSchema)
 	MachinesCodec  = codec.New[Machines](maxLargeMessage, machinesSchema)
-	QueryCodec     = codec.New[Query](maxSmallMessage, querySchema)
-	JSONCodec      = codec.New[JSON](maxLargeMessage, jsonSchema)
+	QueryCodec     = codec.New[NameMessage](maxSmallMessage, querySchema)
+	JSONCodec      = codec.New[JSONDocument](maxLargeMessage, jsonSchema)
 	ReleaseCodec   = codec.New[bundle.Release](maxLargeMessage, releaseSchema)
 	VoteCodec      = codec.New[Vote](maxSmallMessage, voteSchema)
 	ReplyCodec     = codec.New[claim.Reply](maxSmallMessage, replySchema)
--- a/internal/mesh/wire/wire_test.go
+++ b/internal/mesh/wire/wire_test.go
@@ -31,11 +31,11 @@
 func TestOlderWriterIsRead(t *testing.T) {
 	g := NewWithT(t)
 	older := `{"type":"record","name":"Query","fields":[]}`
-	reader := codec.New[Query](100, querySchema, older)
+	reader := codec.New[NameMessage](100, querySchema, older)
 	writer := codec.New[struct{}](100, older)
 	data, err := writer.Encode(&struct{}{})
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(reader.Decode(data)).To(Equal(&Query{}))
+	g.Expect(reader.Decode(data)).To(Equal(&NameMessage{}))
 }
 
 func FuzzDecodeMessages(f *testing.F) {
