--- a/internal/mesh/lab/bench/bench.go
+++ b/internal/mesh/lab/bench/bench.go
@@ -58,7 +58,7 @@
 	time.Sleep(2 * time.Second) // let the voter set form and the nodes become idle
 	result := &Result{}
 	for _, process := range running.Nodes {
-		result.Usages = append(result.Usages, Usage{Name: process.Name, ResidentIdle: cluster.Resident(running.Pid(process))})
+		result.Usages = append(result.Usages, Usage{Name: process.Name, ResidentIdle: cluster.ResidentMemory(running.Pid(process))})
 	}
 	result.measureLatency(ctx, running, options)
 	result.measureThroughput(ctx, running, options)
@@ -129,7 +129,7 @@
 	ping := &deployment.Traffic{Class: "ping", Service: "echo", Method: http.MethodGet, Path: "/ping"}
 	before := make([]time.Duration, len(running.Nodes))
 	for index, process := range running.Nodes {
-		before[index] = cluster.ProcessorTime(running.Pid(process))
+		before[index] = cluster.CPUTime(running.Pid(process))
 	}
 	counts := make([]int, options.Connections)
 	var group sync.WaitGroup
@@ -152,8 +152,8 @@
 	}
 	var used time.Duration
 	for index, process := range running.Nodes {
-		r.Usages[index].CPUTime = cluster.ProcessorTime(running.Pid(process)) - before[index]
-		r.Usages[index].ResidentLoad = cluster.Resident(running.Pid(process))
+		r.Usages[index].CPUTime = cluster.CPUTime(running.Pid(process)) - before[index]
+		r.Usages[index].ResidentLoad = cluster.ResidentMemory(running.Pid(process))
 		used += r.Usages[index].CPUTime
 	}
 	r.Throughput = float64(calls) / elapsed.Seconds()
--- a/internal/mesh/lab/cluster/usage.go
+++ b/internal/mesh/lab/cluster/usage.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// Resident returns the resident set size of a process in bytes, or 0 if the
+// ResidentMemory returns the resident set size of a process in bytes, or 0 if the
 // process has exited.
-func Resident(pid int) int64 {
+func ResidentMemory(pid int) int64 {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	if err != nil {
 		return 0
@@ -25,9 +25,9 @@
 // ticksPerSecond is USER_HZ, the unit of CPU times in /proc/PID/stat on Linux.
 const ticksPerSecond = 100
 
-// ProcessorTime returns the user and system CPU time of a process, or 0 if the
+// CPUTime returns the user and system CPU time of a process, or 0 if the
 // process has exited.
-func ProcessorTime(pid int) time.Duration {
+func CPUTime(pid int) time.Duration {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0
