--- a/internal/mesh/lab/cluster/cluster.go
+++ b/internal/mesh/lab/cluster/cluster.go
@@ -121,11 +121,11 @@
 	if err != nil {
 		return err
 	}
-	private, public, err := security.NewSigner()
+	private, public, err := security.GenerateSigningKey()
 	if err != nil {
 		return err
 	}
-	if c.SignerKey, err = security.ReadSigner(private); err != nil {
+	if c.SignerKey, err = security.ParseSigningKey(private); err != nil {
 		return err
 	}
 	if err := c.writeFile("authority.pem", authority.Certificate); err != nil {
--- a/internal/mesh/node/mesh_test.go
+++ b/internal/mesh/node/mesh_test.go
@@ -77,9 +77,9 @@
 	authority, err := security.NewAuthority("test")
 	Expect(err).NotTo(HaveOccurred())
 	Expect(os.WriteFile(m.path("authority.pem"), authority.Certificate, 0o600)).To(Succeed())
-	private, public, err := security.NewSigner()
+	private, public, err := security.GenerateSigningKey()
 	Expect(err).NotTo(HaveOccurred())
-	m.private, err = security.ReadSigner(private)
+	m.private, err = security.ParseSigningKey(private)
 	Expect(err).NotTo(HaveOccurred())
 	m.public = public
 	m.bundle = &bundle.Bundle{Mesh: "test", Version: 1, Levels: []string{"critical", "normal", "bulk"}, MaxDepth: 8, UserHeader: "X-User", Services: []bundle.Service{
@@ -127,7 +127,7 @@
 	m.settings[name] = settings
 }
 
-func (m *mesh) finishSettings(authority security.Pair) {
+func (m *mesh) finishSettings(authority security.KeyPair) {
 	for name, settings := range m.settings {
 		pair, err := security.NewNode(authority, name)
 		Expect(err).NotTo(HaveOccurred())
--- a/internal/mesh/security/security.go
+++ b/internal/mesh/security/security.go
@@ -30,14 +30,14 @@
 	clockSkew         = time.Hour // backdates NotBefore for peers with a slow clock
 )
 
-// Pair is a certificate and its private key, PEM-encoded.
-type Pair struct {
+// KeyPair is a certificate and its private key, PEM-encoded.
+type KeyPair struct {
 	Certificate []byte
 	Key         []byte
 }
 
 // NewAuthority generates a self-signed certificate authority for a mesh.
-func NewAuthority(mesh string) (Pair, error) {
+func NewAuthority(mesh string) (KeyPair, error) {
 	template := &x509.Certificate{
 		Subject: pkix.Name{CommonName: "landingmast authority " + mesh}, IsCA: true, BasicConstraintsValid: true,
 		KeyUsage: x509.KeyUsageCertSign, NotBefore: time.Now().Add(-clockSkew), NotAfter: time.Now().Add(authorityValidity),
@@ -46,7 +46,7 @@
 }
 
 // NewNode generates a node's key and issues its certificate.
-func NewNode(authority Pair, node string) (Pair, error) {
+func NewNode(authority KeyPair, node string) (KeyPair, error) {
 	template := &x509.Certificate{
 		Subject: pkix.Name{CommonName: node}, DNSNames: []string{PeerName}, KeyUsage: x509.KeyUsageDigitalSignature,
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth, x509.ExtKeyUsageServerAuth},
@@ -57,39 +57,39 @@
 
 // issueCertificate generates a key and signs its certificate with authority, or with the
 // key itself if authority is nil.
-func issueCertificate(template *x509.Certificate, authority *Pair) (Pair, error) {
+func issueCertificate(template *x509.Certificate, authority *KeyPair) (KeyPair, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return Pair{}, failure.Wrap(err, failure.Internal, "try again", "cannot generate a key")
+		return KeyPair{}, failure.Wrap(err, failure.Internal, "try again", "cannot generate a key")
 	}
 	template.SerialNumber, err = rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), 120))
 	if err != nil {
-		return Pair{}, failure.Wrap(err, failure.Internal, "try again", "cannot generate a serial number")
+		return KeyPair{}, failure.Wrap(err, failure.Internal, "try again", "cannot generate a serial number")
 	}
 	parent, signer := template, any(key)
 	if authority != nil {
 		loaded, err := tls.X509KeyPair(authority.Certificate, authority.Key)
 		if err != nil {
-			return Pair{}, failure.Wrap(err, failure.BadInput, "use the files written by `landingmast keys authority`", "cannot parse the authority's certificate and key")
+			return KeyPair{}, failure.Wrap(err, failure.BadInput, "use the files written by `landingmast keys authority`", "cannot parse the authority's certificate and key")
 		}
 		parent, signer = loaded.Leaf, loaded.PrivateKey
 	}
 	certificate, err := x509.CreateCertificate(rand.Reader, template, parent, &key.PublicKey, signer)
 	if err != nil {
-		return Pair{}, failure.Wrap(err, failure.Internal, "try again", "cannot create the certificate")
+		return KeyPair{}, failure.Wrap(err, failure.Internal, "try again", "cannot create the certificate")
 	}
 	private, err := x509.MarshalPKCS8PrivateKey(key)
 	if err != nil {
-		return Pair{}, failure.Wrap(err, failure.Internal, "try again", "cannot encode the private key")
+		return KeyPair{}, failure.Wrap(err, failure.Internal, "try again", "cannot encode the private key")
 	}
-	return Pair{
+	return KeyPair{
 		Certificate: pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: certificate}),
 		Key:         pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: private}),
 	}, nil
 }
 
-// NewSigner generates an operator's signing key. The private key is PEM-encoded PKCS #8.
-func NewSigner() (private []byte, public ed25519.PublicKey, err error) {
+// GenerateSigningKey generates an operator's signing key. The private key is PEM-encoded PKCS #8.
+func GenerateSigningKey() (private []byte, public ed25519.PublicKey, err error) {
 	public, key, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
 		return nil, nil, failure.Wrap(err, failure.Internal, "try again", "cannot generate a key")
@@ -101,8 +101,8 @@
 	return pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: encoded}), public, nil
 }
 
-// ReadSigner parses an operator's PEM-encoded private key.
-func ReadSigner(data []byte) (ed25519.PrivateKey, error) {
+// ParseSigningKey parses an operator's PEM-encoded private key.
+func ParseSigningKey(data []byte) (ed25519.PrivateKey, error) {
 	block, _ := pem.Decode(data)
 	if block == nil {
 		return nil, failure.New(failure.BadInput, "use the file written by `landingmast keys signer`", "signing key is not PEM-encoded")
--- a/internal/mesh/security/security_test.go
+++ b/internal/mesh/security/security_test.go
@@ -14,7 +14,7 @@
 )
 
 // newTestIdentity issues a node's certificate, writes its files into folder and loads them.
-func newTestIdentity(g *WithT, folder string, authority Pair, node string) *Identity {
+func newTestIdentity(g *WithT, folder string, authority KeyPair, node string) *Identity {
 	pair, err := NewNode(authority, node)
 	g.Expect(err).NotTo(HaveOccurred())
 	for name, data := range map[string][]byte{node + ".crt": pair.Certificate, node + ".key": pair.Key, node + "-authority.crt": authority.Certificate} {
@@ -97,15 +97,15 @@
 
 func TestReadSigner(t *testing.T) {
 	g := NewWithT(t)
-	private, public, err := NewSigner()
+	private, public, err := GenerateSigningKey()
 	g.Expect(err).NotTo(HaveOccurred())
-	key, err := ReadSigner(private)
+	key, err := ParseSigningKey(private)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(key.Public().(ed25519.PublicKey)).To(Equal(public))
 	authority, err := NewAuthority("m")
 	g.Expect(err).NotTo(HaveOccurred())
 	for _, data := range [][]byte{nil, []byte("x"), authority.Key} {
-		_, err := ReadSigner(data)
+		_, err := ParseSigningKey(data)
 		g.Expect(failure.Is(err, failure.BadInput)).To(BeTrue())
 	}
 }
--- a/internal/operator/bundle.go
+++ b/internal/operator/bundle.go
@@ -98,7 +98,7 @@
 	if err != nil {
 		return err
 	}
-	key, err := security.ReadSigner(data)
+	key, err := security.ParseSigningKey(data)
 	if err != nil {
 		return err
 	}
--- a/internal/operator/keys.go
+++ b/internal/operator/keys.go
@@ -44,14 +44,14 @@
 	if err != nil {
 		return err
 	}
-	pair, err := security.NewNode(security.Pair{Certificate: certificate, Key: key}, name)
+	pair, err := security.NewNode(security.KeyPair{Certificate: certificate, Key: key}, name)
 	if err != nil {
 		return err
 	}
 	return c.writePair(outputPrefix, pair)
 }
 
-func (c *cli) writePair(prefix string, pair security.Pair) error {
+func (c *cli) writePair(prefix string, pair security.KeyPair) error {
 	if err := writePrivate(prefix+".key", pair.Key); err != nil {
 		return err
 	}
@@ -76,7 +76,7 @@
 }
 
 func (c *cli) keysSigner(path string) error {
-	private, public, err := security.NewSigner()
+	private, public, err := security.GenerateSigningKey()
 	if err != nil {
 		return err
 	}
