--- a/internal/mesh/dataplane/attempt.go
+++ b/internal/mesh/dataplane/attempt.go
@@ -87,7 +87,7 @@
 	}
 	call := a.outbound
 	a.plane.metrics.LostCalls.WithLabelValues(call.service, string(a.reason), kind).Inc()
-	a.plane.record(call.context, explain.Lose, kind, call.service, a.choice.Target.Node,
+	a.plane.record(call.context, explain.Lost, kind, call.service, a.choice.Target.Node,
 		number("rested_ms", milliseconds(conn.IdleTime)), number("local_port", float64(localPort(conn.Conn))),
 		number("after_ms", milliseconds(a.plane.now()-a.started)))
 }
--- a/internal/mesh/explain/explain.go
+++ b/internal/mesh/explain/explain.go
@@ -17,7 +17,7 @@
 	Route   Action = "route"
 	Retry   Action = "retry"
 	NoRetry Action = "no_retry"
-	Lose    Action = "lose" // a call that was sent got no response
+	Lost    Action = "lose" // a call that was sent got no response
 	Claim   Action = "claim"
 	Answer  Action = "answer"
 )
