--- a/internal/mesh/adminapi/adminapi.go
+++ b/internal/mesh/adminapi/adminapi.go
@@ -84,8 +84,8 @@
 	return version, c.classifyError(err)
 }
 
-// DecisionLine formats a decision as a single line.
-func DecisionLine(decision *admin.Decision) string {
+// FormatDecision formats a decision as a single line.
+func FormatDecision(decision *admin.Decision) string {
 	names := make([]string, 0, len(decision.Numbers))
 	for name := range decision.Numbers {
 		names = append(names, name)
--- a/internal/mesh/lab/demo/demo.go
+++ b/internal/mesh/lab/demo/demo.go
@@ -203,7 +203,7 @@
 		}
 		r.ExplainedID = answers[index].RequestID
 		for _, decision := range decisions {
-			r.Explained = append(r.Explained, adminapi.DecisionLine(decision))
+			r.Explained = append(r.Explained, adminapi.FormatDecision(decision))
 		}
 		r.Checks = append(r.Checks, check.Check{Name: "a request can be explained at every hop", Passed: len(decisions) >= 6, Detail: fmt.Sprintf("%d decisions", len(decisions))})
 		return nil
--- a/internal/operator/nodes.go
+++ b/internal/operator/nodes.go
@@ -105,7 +105,7 @@
 	}
 	return c.print(decisions, func(table *tabwriter.Writer) {
 		for _, decision := range decisions {
-			writeRow(table, adminapi.DecisionLine(decision))
+			writeRow(table, adminapi.FormatDecision(decision))
 		}
 	})
 }
