--- a/internal/core/balancer/balancer_test.go
+++ b/internal/core/balancer/balancer_test.go
@@ -185,7 +185,7 @@
 
 // A newly started target reports no service time. It must not be assumed to be fast, or all
 // senders pick it at once.
-func TestTargetWithoutAHoldTimeIsNotTakenForFast(t *testing.T) {
+func TestTargetWithoutServiceTimeIsNotAssumedFast(t *testing.T) {
 	const slow = 200 * time.Millisecond
 	for _, tc := range []struct {
 		name   string
--- a/internal/core/crashes/print.go
+++ b/internal/core/crashes/print.go
@@ -42,7 +42,7 @@
 	Variant Variant
 }
 
-// Request holds the input of PrintOf.
+// Request holds the input of FingerprintOf.
 type Request struct {
 	Method, Host, Path, Query string
 	Body                      []byte // the whole body, or the beginning of a long one
--- a/internal/core/crashes/print_test.go
+++ b/internal/core/crashes/print_test.go
@@ -6,7 +6,7 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestPrintOfDistinguishesRequests(t *testing.T) {
+func TestFingerprintOfDistinguishesRequests(t *testing.T) {
 	base := Request{Method: "GET", Host: "h", Path: "/a/1", Query: "p=1", Body: []byte("b"), Length: 1, Caller: "c", Tenant: "t"}
 	for _, tc := range []struct {
 		name                     string
--- a/internal/core/freshness/freshness_test.go
+++ b/internal/core/freshness/freshness_test.go
@@ -41,7 +41,7 @@
 	g.Expect(age).To(Equal(time.Second))
 }
 
-func TestToldSubtractsAgeFromRequestStart(t *testing.T) {
+func TestObservedAtSubtractsAge(t *testing.T) {
 	g := NewWithT(t)
 	g.Expect(ObservedAt(10*time.Second, 2*time.Second)).To(Equal(8 * time.Second))
 	g.Expect(ObservedAt(10*time.Second, -time.Second)).To(Equal(10 * time.Second))
--- a/internal/core/outcome/outcome.go
+++ b/internal/core/outcome/outcome.go
@@ -1,7 +1,7 @@
 // Package outcome defines how attempts to send a request end, and why. The string values are
 // part of logs, metrics and messages between nodes and must not change. The package also
 // classifies the responses of targets and derives the final status of a request and what a
-// result implies for the choice of targets. Package resend decides on retries, package repeats
+// result implies for the choice of targets. Package retry decides on retries, package retrybudget
 // on their budgets. The package keeps no state.
 package outcome
 
--- a/internal/core/overload/window_test.go
+++ b/internal/core/overload/window_test.go
@@ -9,7 +9,7 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestWindowAtAStart(t *testing.T) {
+func TestWindowBeforeSamples(t *testing.T) {
 	for _, tc := range []struct {
 		name     string
 		ends     int // completed requests
--- a/internal/core/quota/quota.go
+++ b/internal/core/quota/quota.go
@@ -75,7 +75,7 @@
 	Waiting   int     // requests waiting for a token
 	Requested int     // tokens requested, including Need
 	Tokens    float64 // tokens in the local bucket
-	// Share is the share last granted, Grant its identifier and Left its remaining lifetime;
+	// Share is the share last granted, Grant its identifier and Remaining its remaining lifetime;
 	// Left is 0 if the process has no share.
 	Share     Share
 	Grant     GrantID
--- a/internal/core/lapse/lapse.go
+++ b/internal/core/recordloss/recordloss.go
@@ -1,10 +1,10 @@
-// Package lapse decides whether a node whose record is missing from the store is gone. While the
+// Package recordloss decides whether a node whose record is missing from the store is gone. While the
 // store is unavailable nothing is decided. Once it is available, a live node that reaches it
 // restores its record within the grace period; a node whose record is still missing then is
 // gone, even if something answers at its address. A node that reports that it alone can't
 // reach the store is kept for as long as it reports so. The package uses no locks, clocks or
 // sockets.
-package lapse
+package recordloss
 
 import "time"
 
--- a/internal/core/lapse/lapse_test.go
+++ b/internal/core/recordloss/recordloss_test.go
@@ -1,4 +1,4 @@
-package lapse
+package recordloss
 
 import (
 	"testing"
--- a/internal/core/resend/resend.go
+++ b/internal/core/retry/retry.go
@@ -1,8 +1,8 @@
-// Package resend decides whether a request is retried after a failed attempt, and which targets
+// Package retry decides whether a request is retried after a failed attempt, and which targets
 // may be used. It tracks the attempts of one request and uses no sockets, clock or budgets. It
 // distinguishes transparent retries, which need no budget because no target saw the request,
 // from retries that the caller must charge to the retry budgets.
-package resend
+package retry
 
 import "github.com/landingmast/landingmast/internal/core/outcome"
 
--- a/internal/core/resend/resend_test.go
+++ b/internal/core/retry/retry_test.go
@@ -1,4 +1,4 @@
-package resend
+package retry
 
 import (
 	"testing"
--- a/internal/core/retryafter/retryafter.go
+++ b/internal/core/retryafter/retryafter.go
@@ -26,7 +26,7 @@
 	quotaDivisor = 3
 )
 
-// Range is a range of delays from Least to Least+Spread.
+// Range is a range of delays from Min to Min+Spread.
 type Range struct {
 	Min, Spread time.Duration
 }
--- a/internal/core/retryafter/retryafter_test.go
+++ b/internal/core/retryafter/retryafter_test.go
@@ -9,7 +9,7 @@
 )
 
 // Covers a sender without a timeout, whose refusal once ended in a broken connection.
-func TestWhenARefusedSenderComesBack(t *testing.T) {
+func TestRetryAfterByReason(t *testing.T) {
 	const attemptTimeout = 1200 * time.Millisecond
 	for _, tc := range []struct {
 		name              string
--- a/internal/core/repeats/share_test.go
+++ b/internal/core/retrybudget/allowance_test.go
@@ -1,4 +1,4 @@
-package repeats
+package retrybudget
 
 import (
 	"testing"
--- a/internal/core/repeats/repeats.go
+++ b/internal/core/retrybudget/retrybudget.go
@@ -1,7 +1,7 @@
-// Package repeats implements retry budgets. In every window the retries of all nodes together
+// Package retrybudget implements retry budgets. In every window the retries of all nodes together
 // must not exceed a ratio of the requests plus an allowance. Each node enforces its own part of
 // that limit, so that no coordination is needed.
-package repeats
+package retrybudget
 
 import "time"
 
--- a/internal/core/slots/slots_test.go
+++ b/internal/core/slots/slots_test.go
@@ -72,7 +72,7 @@
 
 // A slow target completes few requests in time. Aborted requests must raise its mean service
 // time, or its queue fills with requests that cannot finish by their deadlines.
-func TestRunsThatAreCutOffTellHowSlowTheTargetIs(t *testing.T) {
+func TestAbortedRunsRaiseServiceTime(t *testing.T) {
 	const normal, slow = 50 * time.Millisecond, 700 * time.Millisecond
 	for _, tc := range []struct {
 		name     string
@@ -166,7 +166,7 @@
 
 // The first requests to finish are the shortest ones. Their service time must not be reported
 // before there are enough samples.
-func TestHoldTimeIsToldOnceItIsLearned(t *testing.T) {
+func TestServiceTimeIsReportedOnceKnown(t *testing.T) {
 	g := NewWithT(t)
 	gate := New(20)
 	const lasts = 200 * time.Millisecond
--- a/internal/duplex/duplex_test.go
+++ b/internal/duplex/duplex_test.go
@@ -38,7 +38,7 @@
 
 // A response sent before the request body was read must not close the connection unannounced:
 // the next request on it would fail, and the client could not tell whether it was executed.
-func TestNoConnectionClosesUnannouncedBehindAnAnswer(t *testing.T) {
+func TestConnectionCloseIsAnnounced(t *testing.T) {
 	for _, tc := range []struct {
 		name      string
 		body      string
@@ -74,7 +74,7 @@
 }
 
 // A client that stalls while sending a short body must be rejected without delay.
-func TestARefusalDoesNotWaitForABodyThatStalls(t *testing.T) {
+func TestDrainBodyDoesNotWaitForStalledBody(t *testing.T) {
 	g := NewWithT(t)
 	log, client := serve(t, func(w http.ResponseWriter, r *http.Request) {
 		writer, _ := Begin(w, r, nil)
@@ -96,7 +96,7 @@
 
 // closeAfter must be evaluated when the header is written: a shutdown that starts after the
 // request arrived would otherwise not be announced.
-func TestTheEndIsAskedForWithTheHead(t *testing.T) {
+func TestCloseAfterIsEvaluatedWithHeader(t *testing.T) {
 	g := NewWithT(t)
 	closing := false
 	_, client := serve(t, func(w http.ResponseWriter, r *http.Request) {
--- a/internal/mesh/core/bundle/bundle_test.go
+++ b/internal/mesh/core/bundle/bundle_test.go
@@ -84,9 +84,9 @@
 	}
 }
 
-// TestReleaseOpensOnlyWhole guards against accepting a release that was modified
+// TestVerifyRejectsModifiedReleases guards against accepting a release that was modified
 // after signing or that an unknown signer signed.
-func TestReleaseOpensOnlyWhole(t *testing.T) {
+func TestVerifyRejectsModifiedReleases(t *testing.T) {
 	g := NewWithT(t)
 	private, ring := signingKeys()
 	release, err := Sign(parseExample(t), "op", private)
--- a/internal/mesh/core/claim/claim_test.go
+++ b/internal/mesh/core/claim/claim_test.go
@@ -324,9 +324,9 @@
 	})
 }
 
-// TestWeakerProtocolsAreFound guards against a schedule generator that is too weak to
+// TestMutatedProtocolsRunKeyTwice guards against a schedule generator that is too weak to
 // find a violation: each mutation must run the key twice under some schedule.
-func TestWeakerProtocolsAreFound(t *testing.T) {
+func TestMutatedProtocolsRunKeyTwice(t *testing.T) {
 	for name, mut := range map[string]mutation{"no carry": {noCarry: true}, "no seal": {noSeal: true}, "rejoin": {rejoin: true}} {
 		t.Run(name, func(t *testing.T) {
 			maxRuns := 0
--- a/internal/mesh/dataplane/plane_test.go
+++ b/internal/mesh/dataplane/plane_test.go
@@ -15,7 +15,7 @@
 
 // A call sent on an idle connection that the stopping peer closes at the same moment would
 // have an unknown outcome.
-func TestNoConnectionForCallsThatRunOnceRestsAsLongAsAStopTakes(t *testing.T) {
+func TestAtMostOnceConnectionsCloseBeforeDrainGrace(t *testing.T) {
 	for _, tc := range []struct {
 		name       string
 		atMostOnce bool
--- a/internal/mesh/dataplane/relay_test.go
+++ b/internal/mesh/dataplane/relay_test.go
@@ -14,7 +14,7 @@
 
 const errCheck = errors.ConstError("digest does not match")
 
-func TestABodyThatDoesNotCheckNeverArrivesWhole(t *testing.T) {
+func TestRelayNeverDeliversUnverifiedBody(t *testing.T) {
 	g := NewWithT(t)
 	whole := bytes.Repeat([]byte("x"), 3*relayBufferSize)
 	for _, source := range []io.Reader{bytes.NewReader(whole), iotest.OneByteReader(bytes.NewReader(whole[:500]))} {
--- a/internal/servers/servers_test.go
+++ b/internal/servers/servers_test.go
@@ -14,7 +14,7 @@
 
 // An idle connection of one server must not use up the grace period of the others, which would cut
 // their requests in flight.
-func TestAConnectionOnWhichNothingComesCutsNoRequestOfAnotherServer(t *testing.T) {
+func TestIdleConnectionDoesNotCutOtherServers(t *testing.T) {
 	g := NewWithT(t)
 	var inFlight atomic.Int64
 	handling := make(chan struct{})
@@ -51,7 +51,7 @@
 
 // A client that sends its first request while the server is closing must get a response. If the
 // connection were cut, the client could not tell whether the request was executed.
-func TestTheFirstRequestOfAConnectionIsAwaited(t *testing.T) {
+func TestCloseAwaitsFirstRequest(t *testing.T) {
 	g := NewWithT(t)
 	server, address := serve(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "whole") })
 	conn, err := net.Dial("tcp", address)
--- a/internal/sidecar/arrival/crash.go
+++ b/internal/sidecar/arrival/crash.go
@@ -5,7 +5,7 @@
 
 	"github.com/landingmast/landingmast/internal/core/outcome"
 	"github.com/landingmast/landingmast/internal/sidecar/eventlog"
-	"github.com/landingmast/landingmast/internal/sidecar/heldback"
+	"github.com/landingmast/landingmast/internal/sidecar/quarantine"
 	"github.com/landingmast/landingmast/internal/sidecar/target"
 )
 
@@ -46,7 +46,7 @@
 
 func (r *request) unansweredRun(until time.Duration) target.UnansweredRun {
 	return target.UnansweredRun{
-		Run:     heldback.Run{Fingerprint: r.Fingerprint(), Isolated: r.exclusive, Route: r.Call.Route},
+		Run:     quarantine.Run{Fingerprint: r.Fingerprint(), Isolated: r.exclusive, Route: r.Call.Route},
 		Request: r.Call.RequestID, ExpiresAt: until,
 	}
 }
@@ -73,7 +73,7 @@
 		i.options.Metrics.Crashes.Inc()
 	}
 	i.options.Events.Add(event, eventlog.State)
-	crashed := make([]heldback.Run, 0, len(runs))
+	crashed := make([]quarantine.Run, 0, len(runs))
 	for _, run := range runs {
 		crashed = append(crashed, run.Run)
 	}
--- a/internal/sidecar/arrival/ingress.go
+++ b/internal/sidecar/arrival/ingress.go
@@ -13,7 +13,7 @@
 	"github.com/landingmast/landingmast/internal/core/slots"
 	"github.com/landingmast/landingmast/internal/sidecar/eventlog"
 	"github.com/landingmast/landingmast/internal/sidecar/headers"
-	"github.com/landingmast/landingmast/internal/sidecar/heldback"
+	"github.com/landingmast/landingmast/internal/sidecar/quarantine"
 	"github.com/landingmast/landingmast/internal/sidecar/reply"
 	"github.com/landingmast/landingmast/internal/sidecar/target"
 	"github.com/landingmast/landingmast/internal/wire"
@@ -149,7 +149,7 @@
 // admit waits for a slot and sends the request to the target. claimSend, if not nil, is called
 // right before sending and can deny it.
 func (i *Ingress) admit(ctx context.Context, call *wire.SidecarCall, header http.Header, body *reply.Payload, claimSend func() bool) *reply.Reply {
-	req := &request{Request: heldback.Request{Call: call, Body: body}, arrivedAt: i.options.Now()}
+	req := &request{Request: quarantine.Request{Call: call, Body: body}, arrivedAt: i.options.Now()}
 	response := i.passGate(ctx, req, header, claimSend)
 	i.recordRun(req, response)
 	return response
@@ -157,7 +157,7 @@
 
 // request is a request at the gate, with the fields of its log event.
 type request struct {
-	heldback.Request
+	quarantine.Request
 	arrivedAt time.Duration
 	instance  string
 	waited    time.Duration
--- a/internal/sidecar/arrival/options.go
+++ b/internal/sidecar/arrival/options.go
@@ -7,7 +7,7 @@
 // contents that crash targets, slot, at-most-once claim, target. A run without a response is
 // classified here, because the target may have crashed.
 //
-// Package target provides the gate and its connections, heldback the crash evidence, core/fence the
+// Package target provides the gate and its connections, quarantine the crash evidence, core/fence the
 // at-most-once ledger, and core/outcome the classification of responses. All exported types are
 // safe for concurrent use.
 package arrival
@@ -19,8 +19,8 @@
 	"github.com/landingmast/landingmast/internal/duplex"
 	"github.com/landingmast/landingmast/internal/sidecar/eventlog"
 	"github.com/landingmast/landingmast/internal/sidecar/headers"
-	"github.com/landingmast/landingmast/internal/sidecar/heldback"
 	"github.com/landingmast/landingmast/internal/sidecar/metrics"
+	"github.com/landingmast/landingmast/internal/sidecar/quarantine"
 	"github.com/landingmast/landingmast/internal/sidecar/target"
 )
 
@@ -34,10 +34,10 @@
 
 // HeldBack decides whether requests that may crash the target are sent, and collects the evidence.
 type HeldBack interface {
-	MaySend(r *heldback.Request) bool
-	IsSuspected(r *heldback.Request) bool
-	RecordSuccess(r *heldback.Request)
-	RecordCrash(instance, service string, runs []heldback.Run)
+	MaySend(r *quarantine.Request) bool
+	IsSuspected(r *quarantine.Request) bool
+	RecordSuccess(r *quarantine.Request)
+	RecordCrash(instance, service string, runs []quarantine.Run)
 }
 
 // Options holds the dependencies of an Ingress.
--- a/internal/sidecar/arrival/remaining_test.go
+++ b/internal/sidecar/arrival/remaining_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"github.com/landingmast/landingmast/internal/sidecar/heldback"
+	"github.com/landingmast/landingmast/internal/sidecar/quarantine"
 	"github.com/landingmast/landingmast/internal/wire"
 	. "github.com/onsi/gomega"
 )
@@ -26,7 +26,7 @@
 			g := NewWithT(t)
 			started := time.Now()
 			now := func() time.Duration { return time.Since(started) }
-			r := &request{Request: heldback.Request{Call: &wire.SidecarCall{Remaining: time.Second.Microseconds()}}, arrivedAt: now()}
+			r := &request{Request: quarantine.Request{Call: &wire.SidecarCall{Remaining: time.Second.Microseconds()}}, arrivedAt: now()}
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 			defer cancel()
 			g.Expect(r.remaining(ctx, now()+tc.suspended)).To(BeNumerically("~", tc.want, 50*time.Millisecond))
--- a/internal/sidecar/configuration/configuration.go
+++ b/internal/sidecar/configuration/configuration.go
@@ -27,7 +27,7 @@
 	current atomic.Pointer[intent.Intent]
 }
 
-// New returns an InForce without a configuration. Install parses with parse and logs to events.
+// New returns an Active without a configuration. Install parses with parse and logs to events.
 func New(parse ParseFunc, events *eventlog.Log) *Active {
 	return &Active{parse: parse, events: events}
 }
@@ -52,7 +52,7 @@
 }
 
 // Install parses data and activates it unless the active version is the same or newer. It returns
-// the parsed version either way. source is FromStore or FromPeer.
+// the parsed version either way. source is SourceStore or SourcePeer.
 func (c *Active) Install(data []byte, source string) (uint64, error) {
 	parsed, err := c.parse(data)
 	if err != nil {
--- a/internal/sidecar/entry/entry.go
+++ b/internal/sidecar/entry/entry.go
@@ -14,7 +14,7 @@
 	"github.com/landingmast/landingmast/internal/sidecar/admission"
 	"github.com/landingmast/landingmast/internal/sidecar/arrival"
 	"github.com/landingmast/landingmast/internal/sidecar/eventlog"
-	"github.com/landingmast/landingmast/internal/sidecar/heldback"
+	"github.com/landingmast/landingmast/internal/sidecar/quarantine"
 	"github.com/landingmast/landingmast/internal/sidecar/reply"
 	"github.com/landingmast/landingmast/internal/sidecar/settings"
 	"github.com/landingmast/landingmast/internal/wire"
@@ -126,9 +126,9 @@
 }
 
 // crashVerdict checks the request against the contents that are known to crash targets.
-func (r *request) crashVerdict() heldback.Verdict {
+func (r *request) crashVerdict() quarantine.Verdict {
 	call := &wire.SidecarCall{Method: r.incoming.Method, URI: requestURI(r.incoming), Host: r.incoming.Host, Caller: r.options.Caller(), Tenant: r.tenant}
-	return r.options.Quarantine.CheckAtEntry(&heldback.Request{Call: call, Body: r.body})
+	return r.options.Quarantine.CheckAtEntry(&quarantine.Request{Call: call, Body: r.body})
 }
 
 // countRequest credits the retry budgets for the request and its expected downstream calls. It
--- a/internal/sidecar/entry/options.go
+++ b/internal/sidecar/entry/options.go
@@ -4,7 +4,7 @@
 //
 // The package owns a request from its arrival to its response, and the weighted split of a route
 // across services. Policy lives in other packages: load shedding in admission and core/overload,
-// rate limits in quotas, target selection in services and core/balancer, retries in core/resend,
+// rate limits in quotas, target selection in services and core/balancer, retries in core/retry,
 // Retry-After values in core/retryafter and priorities in core/importance. Package arrival maps a
 // call of the local target to the request that made it; package peer connects to other nodes. All
 // exported types are safe for concurrent use.
@@ -21,9 +21,9 @@
 	"github.com/landingmast/landingmast/internal/sidecar/arrival"
 	"github.com/landingmast/landingmast/internal/sidecar/eventlog"
 	"github.com/landingmast/landingmast/internal/sidecar/headers"
-	"github.com/landingmast/landingmast/internal/sidecar/heldback"
 	"github.com/landingmast/landingmast/internal/sidecar/metrics"
 	"github.com/landingmast/landingmast/internal/sidecar/peer"
+	"github.com/landingmast/landingmast/internal/sidecar/quarantine"
 	"github.com/landingmast/landingmast/internal/sidecar/reply"
 	"github.com/landingmast/landingmast/internal/sidecar/services"
 	"github.com/landingmast/landingmast/internal/sidecar/settings"
@@ -42,7 +42,7 @@
 
 // HeldBack decides whether a request that crashed targets before may be sent again.
 type HeldBack interface {
-	CheckAtEntry(r *heldback.Request) heldback.Verdict
+	CheckAtEntry(r *quarantine.Request) quarantine.Verdict
 }
 
 // Quotas enforces the rate limits of tenants.
--- a/internal/sidecar/entry/send.go
+++ b/internal/sidecar/entry/send.go
@@ -12,8 +12,8 @@
 	"github.com/landingmast/landingmast/internal/core/balancer"
 	"github.com/landingmast/landingmast/internal/core/importance"
 	"github.com/landingmast/landingmast/internal/core/outcome"
-	"github.com/landingmast/landingmast/internal/core/repeats"
-	"github.com/landingmast/landingmast/internal/core/resend"
+	"github.com/landingmast/landingmast/internal/core/retry"
+	"github.com/landingmast/landingmast/internal/core/retrybudget"
 	"github.com/landingmast/landingmast/internal/sidecar/eventlog"
 	"github.com/landingmast/landingmast/internal/sidecar/peer"
 	"github.com/landingmast/landingmast/internal/sidecar/reply"
@@ -25,7 +25,7 @@
 // send tries targets until one responds or no further attempt is allowed.
 func (r *request) send(ctx context.Context) {
 	service := r.options.Services.Get(r.service)
-	attempts := resend.New(!r.options.PolicyOn(settings.Declined))
+	attempts := retry.New(!r.options.PolicyOn(settings.Declined))
 	last := reply.NotRun(outcome.ReasonNoTarget)
 	for ctx.Err() == nil && r.remaining(ctx) > 0 && attempts.CanContinue() {
 		choice := service.Pick(r.options.Now(), r.requirement(ctx, attempts), attempts.Excluded())
@@ -62,11 +62,11 @@
 
 // shouldRetry reports whether a failed attempt is followed by another. It deducts the next attempt
 // from the retry budgets if the rules charge it to them.
-func (r *request) shouldRetry(last *reply.Reply, attempts *resend.Attempts) bool {
+func (r *request) shouldRetry(last *reply.Reply, attempts *retry.Attempts) bool {
 	switch attempts.Decide(last.ResendEnd(), r.retryRules()) {
-	case resend.RetryTransparent:
+	case retry.RetryTransparent:
 		return true
-	case resend.RetryFromBudget:
+	case retry.RetryFromBudget:
 		return r.takeRetry(last.Reason.Declined())
 	}
 	return false
@@ -84,8 +84,8 @@
 }
 
 // retryRules returns the properties of the request that decide whether it may be retried.
-func (r *request) retryRules() resend.Request {
-	return resend.Request{
+func (r *request) retryRules() retry.Request {
+	return retry.Request{
 		Replayable: r.body.Replayable(), Idempotent: r.route.Kind.Repeatable(), IsRetry: r.parentIsRetry, Trial: r.trial, MaxTargets: r.maxTargets(),
 		NoQuarantine: !r.options.PolicyOn(settings.HoldBack), NoRetries: !r.options.PolicyOn(settings.Repeats),
 	}
@@ -102,12 +102,12 @@
 		priorities = current.LowestPriority() + 1
 	}
 	root, _, _ := strings.Cut(r.id, wire.CallSeparator)
-	return repeats.Rank(r.importance/importance.PriorityStep, priorities, xxhash.Sum64String(root))
+	return retrybudget.Rank(r.importance/importance.PriorityStep, priorities, xxhash.Sum64String(root))
 }
 
 // requirement returns what the balancer must satisfy: a response within the objective of the route
 // and before the timeout.
-func (r *request) requirement(ctx context.Context, attempts *resend.Attempts) balancer.Requirement {
+func (r *request) requirement(ctx context.Context, attempts *retry.Attempts) balancer.Requirement {
 	requirement := balancer.Requirement{Class: r.route.Name, Timeout: r.remaining(ctx), Allowed: attempts.AllowedTargets(r.maxTargets())}
 	if left := r.route.Objective - (r.options.Now() - r.started); left > 0 {
 		requirement.Timeout = min(requirement.Timeout, left)
--- a/internal/sidecar/follower/follower.go
+++ b/internal/sidecar/follower/follower.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"github.com/landingmast/landingmast/internal/core/election"
-	"github.com/landingmast/landingmast/internal/core/lapse"
+	"github.com/landingmast/landingmast/internal/core/recordloss"
 	"github.com/landingmast/landingmast/internal/sidecar/configuration"
 	"github.com/landingmast/landingmast/internal/sidecar/eventlog"
 	"github.com/landingmast/landingmast/internal/sidecar/peer"
@@ -26,8 +26,8 @@
 	options Options
 
 	mutex         sync.Mutex
-	election      *election.Election // nil until Begin
-	lapses        *lapse.Tracker
+	election      *election.Election // nil until JoinElection
+	lapses        *recordloss.Tracker
 	callSucceeded map[string]bool // result of the last call, by watched prefix or probeSource
 	removed       map[string]removedNode
 	following     bool          // used by Run only
@@ -35,9 +35,9 @@
 	healthyPeerAt time.Duration // when that heartbeat was received
 }
 
-// New returns a Follower that does not take part in the election until Begin is called.
+// New returns a Follower that does not take part in the election until JoinElection is called.
 func New(options Options) *Follower {
-	return &Follower{options: options, lapses: lapse.New(lapse.DefaultConfig()), callSucceeded: map[string]bool{}, removed: map[string]removedNode{}}
+	return &Follower{options: options, lapses: recordloss.New(recordloss.DefaultConfig()), callSucceeded: map[string]bool{}, removed: map[string]removedNode{}}
 }
 
 // removedNode is a removed node, which heartbeats list until the given time.
@@ -151,7 +151,7 @@
 func (f *Follower) start(ctx context.Context, wg *sync.WaitGroup) context.CancelFunc {
 	ctx, stop := context.WithCancel(ctx)
 	f.mutex.Lock()
-	f.lapses = lapse.New(lapse.DefaultConfig())
+	f.lapses = recordloss.New(recordloss.DefaultConfig())
 	f.callSucceeded = map[string]bool{}
 	f.mutex.Unlock()
 	wg.Go(func() { f.runWatches(ctx) })
@@ -287,12 +287,12 @@
 	ctx, cancel := context.WithTimeout(ctx, peer.PingTimeout)
 	defer cancel()
 	pong, err := f.options.Peers.Identify(ctx, record.Address)
-	answer := lapse.StoreReachable
+	answer := recordloss.StoreReachable
 	switch {
 	case err != nil || pong.Node != record.Node:
-		answer = lapse.NoAnswer
+		answer = recordloss.NoAnswer
 	case pong.StoreUnreachable:
-		answer = lapse.StoreUnreachable
+		answer = recordloss.StoreUnreachable
 	}
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
--- a/internal/sidecar/follower/options.go
+++ b/internal/sidecar/follower/options.go
@@ -6,7 +6,7 @@
 // and the nodes that have been removed. While the store does not answer, the follower only sends
 // probes to it.
 //
-// Package core/election implements the election and package core/lapse decides when to remove a
+// Package core/election implements the election and package core/recordloss decides when to remove a
 // node whose record is missing. Package membership holds the records and broadcasts the messages.
 package follower
 
--- a/internal/sidecar/metrics/metrics.go
+++ b/internal/sidecar/metrics/metrics.go
@@ -20,7 +20,7 @@
 	Attempts *prometheus.CounterVec
 	// Retries counts retries by service; Denied counts retries rejected by the retry budget.
 	Retries, RetriesDenied *prometheus.CounterVec
-	// SlotWait is the wait for a slot of the target, Held the time at the target, in seconds.
+	// SlotWait is the wait for a slot of the target, TargetDuration the time at the target, in seconds.
 	SlotWait, TargetDuration prometheus.Histogram
 	// Connections counts new connections to the target.
 	Connections prometheus.Counter
--- a/internal/sidecar/node.go
+++ b/internal/sidecar/node.go
@@ -16,7 +16,7 @@
 	"time"
 
 	"github.com/landingmast/landingmast/internal/clock"
-	"github.com/landingmast/landingmast/internal/core/repeats"
+	"github.com/landingmast/landingmast/internal/core/retrybudget"
 	"github.com/landingmast/landingmast/internal/failure"
 	"github.com/landingmast/landingmast/internal/servers"
 	"github.com/landingmast/landingmast/internal/sidecar/admission"
@@ -26,10 +26,10 @@
 	"github.com/landingmast/landingmast/internal/sidecar/eventlog"
 	"github.com/landingmast/landingmast/internal/sidecar/follower"
 	"github.com/landingmast/landingmast/internal/sidecar/headers"
-	"github.com/landingmast/landingmast/internal/sidecar/heldback"
 	"github.com/landingmast/landingmast/internal/sidecar/membership"
 	"github.com/landingmast/landingmast/internal/sidecar/metrics"
 	"github.com/landingmast/landingmast/internal/sidecar/peer"
+	"github.com/landingmast/landingmast/internal/sidecar/quarantine"
 	"github.com/landingmast/landingmast/internal/sidecar/quotas"
 	"github.com/landingmast/landingmast/internal/sidecar/registration"
 	"github.com/landingmast/landingmast/internal/sidecar/revalidation"
@@ -88,7 +88,7 @@
 	keepers         *quotas.Keepers
 	quotaServer     *quotas.Server
 	quotas          *quotas.Limiter
-	heldBack        *heldback.Control
+	heldBack        *quarantine.Control
 	liveness        *peer.Liveness
 	shutdown        shutdownState
 	inFlight        atomic.Int64 // requests of clients, the target and other nodes
@@ -128,7 +128,7 @@
 	n.freshness = revalidation.New(n.freshnessOptions())
 	n.quotaServer = quotas.NewServer(n.quotaOptions(), n.keepers)
 	n.quotas = quotas.NewLimiter(n.quotaOptions(), n.keepers, n.quotaServer)
-	n.heldBack = heldback.New(n.heldBackOptions())
+	n.heldBack = quarantine.New(n.heldBackOptions())
 	n.liveness = peer.NewLiveness(n.now, n.peers.PingPeer, peer.Events{Unresponsive: n.peerSilent, PingFailed: n.services.Suspect, Recovered: n.peerRecovered})
 	n.target = target.New(target.Options{
 		Now: n.now, OnChange: n.targetChanged, NewLink: n.newLink, Identify: n.identify, SkipDeadlineCheck: !n.policyOn(inTime),
@@ -172,8 +172,8 @@
 }
 
 // budget returns the retry budget in the settings.
-func budget(settings *settings.Settings) repeats.Config {
-	return repeats.Config{Ratio: settings.Retries.Ratio, Allowance: settings.Retries.Allowance, Window: time.Duration(settings.Retries.Window)}
+func budget(settings *settings.Settings) retrybudget.Config {
+	return retrybudget.Config{Ratio: settings.Retries.Ratio, Allowance: settings.Retries.Allowance, Window: time.Duration(settings.Retries.Window)}
 }
 
 // now returns the time used for all decisions. It includes suspended time, so that leases and
@@ -240,7 +240,7 @@
 	mux.Handle("POST "+membership.BroadcastPath, n.broadcaster)
 	mux.Handle("POST "+revalidation.Path, n.freshness)
 	mux.Handle("POST "+quotas.Path, n.quotaServer)
-	mux.Handle("POST "+heldback.Path, n.heldBack)
+	mux.Handle("POST "+quarantine.Path, n.heldBack)
 	mux.HandleFunc("GET "+peer.PingPath, n.servePing)
 	return mux
 }
--- a/internal/sidecar/node_test.go
+++ b/internal/sidecar/node_test.go
@@ -5,7 +5,7 @@
 	"net"
 	"time"
 
-	"github.com/landingmast/landingmast/internal/core/repeats"
+	"github.com/landingmast/landingmast/internal/core/retrybudget"
 	"github.com/landingmast/landingmast/internal/sidecar/arrival"
 	"github.com/landingmast/landingmast/internal/sidecar/configuration"
 	"github.com/landingmast/landingmast/internal/sidecar/eventlog"
@@ -23,7 +23,7 @@
 func newTestNode(name, incarnation string) *Node {
 	n := &Node{configuration: configuration.New(nil, nil), clock: steadyClock{}, incarnation: incarnation, events: eventlog.New(name, io.Discard)}
 	n.currentSettings.Store(&settings.Settings{Node: name, Zone: "a"})
-	n.services = services.New(services.Options{Node: name, Zone: "a", Now: n.now, Budget: repeats.Config{Ratio: 0.2, Allowance: 10, Window: 10 * time.Second}, FirstStart: true})
+	n.services = services.New(services.Options{Node: name, Zone: "a", Now: n.now, Budget: retrybudget.Config{Ratio: 0.2, Allowance: 10, Window: 10 * time.Second}, FirstStart: true})
 	n.target = target.New(target.Options{Now: n.now})
 	n.peers = peer.NewClient((&net.Dialer{}).DialContext, headers.Names{})
 	n.liveness = peer.NewLiveness(n.now, n.peers.PingPeer, peer.Events{Unresponsive: n.services.Suspect, PingFailed: n.services.Suspect, Recovered: n.services.ClearSuspicion})
--- a/internal/sidecar/options.go
+++ b/internal/sidecar/options.go
@@ -11,8 +11,8 @@
 	"github.com/landingmast/landingmast/internal/sidecar/arrival"
 	"github.com/landingmast/landingmast/internal/sidecar/entry"
 	"github.com/landingmast/landingmast/internal/sidecar/follower"
-	"github.com/landingmast/landingmast/internal/sidecar/heldback"
 	"github.com/landingmast/landingmast/internal/sidecar/membership"
+	"github.com/landingmast/landingmast/internal/sidecar/quarantine"
 	"github.com/landingmast/landingmast/internal/sidecar/quotas"
 	"github.com/landingmast/landingmast/internal/sidecar/registration"
 	"github.com/landingmast/landingmast/internal/sidecar/revalidation"
@@ -137,8 +137,8 @@
 	n.broadcaster.SendLocalRecord()
 }
 
-func (n *Node) heldBackOptions() heldback.Options {
-	return heldback.Options{
+func (n *Node) heldBackOptions() quarantine.Options {
+	return quarantine.Options{
 		Zone: n.settings().Zone, Enabled: func() bool { return n.policyOn(settings.HoldBack) }, Now: n.now,
 		Nodes: n.membership, Peers: n.peers, Events: n.events,
 		Store: n.store, Key: n.options.CrashKey, Health: n.storeHealth,
--- a/internal/sidecar/heldback/heldback.go
+++ b/internal/sidecar/quarantine/quarantine.go
@@ -1,4 +1,4 @@
-// Package heldback blocks poison requests: requests that crash the targets that process them.
+// Package quarantine blocks poison requests: requests that crash the targets that process them.
 //
 // A Control collects evidence, which records the requests in flight at a target when it
 // crashed, and remembers the requests that the local target has recently completed. From these
@@ -12,7 +12,7 @@
 //
 // The package relies on package broadcast for fan-out and on package peer for connections. All
 // types but Request are safe for concurrent use.
-package heldback
+package quarantine
 
 import (
 	"sync"
--- a/internal/sidecar/heldback/storage.go
+++ b/internal/sidecar/quarantine/storage.go
@@ -1,4 +1,4 @@
-package heldback
+package quarantine
 
 import (
 	"context"
--- a/internal/sidecar/quotas/quotas.go
+++ b/internal/sidecar/quotas/quotas.go
@@ -10,7 +10,7 @@
 //
 // The package relies on the leases of the store to ensure that there is one keeper at a time,
 // on Options.Now to include the time for which the machine was suspended, and on the zone's
-// follower to relay records from the store and to call Server.Fill. While the store is
+// follower to relay records from the store and to call Server.TakeOverAbsent. While the store is
 // unavailable, keepers allocate shares until their lease expires. While the keeper is
 // unreachable, a node admits what its shares still allow and rejects all other requests. All
 // types are safe for concurrent use.
--- a/internal/sidecar/registration/registration.go
+++ b/internal/sidecar/registration/registration.go
@@ -29,7 +29,7 @@
 	// writeJitter and listJitter spread the load on the store when many nodes start at once.
 	writeJitter = 300 * time.Millisecond
 	listJitter  = 700 * time.Millisecond
-	// revokeTimeout bounds the call that revokes the lease in Withdraw.
+	// revokeTimeout bounds the call that revokes the lease in Deregister.
 	revokeTimeout = 300 * time.Millisecond
 	// The delay after a failed call is retryMinDelay plus a random part of retryJitter. A missing
 	// record has to be rewritten within about two seconds after the store becomes available.
--- a/internal/sidecar/reply/reply.go
+++ b/internal/sidecar/reply/reply.go
@@ -13,7 +13,7 @@
 
 	"github.com/juju/errors"
 	"github.com/landingmast/landingmast/internal/core/outcome"
-	"github.com/landingmast/landingmast/internal/core/resend"
+	"github.com/landingmast/landingmast/internal/core/retry"
 	"github.com/landingmast/landingmast/internal/core/slots"
 	"github.com/landingmast/landingmast/internal/wire"
 )
@@ -66,8 +66,8 @@
 const serviceTimeDivisor = 4
 
 // ResendEnd returns the properties of the reply that decide whether the request may be resent.
-func (r *Reply) ResendEnd() resend.Result {
-	return resend.Result{Outcome: r.Outcome, Reason: r.Reason, ReachedTarget: r.Arrived}
+func (r *Reply) ResendEnd() retry.Result {
+	return retry.Result{Outcome: r.Outcome, Reason: r.Reason, ReachedTarget: r.Arrived}
 }
 
 // Close closes a streamed body. It may be called more than once.
--- a/internal/sidecar/services/budgets.go
+++ b/internal/sidecar/services/budgets.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/landingmast/landingmast/internal/core/repeats"
+	"github.com/landingmast/landingmast/internal/core/retrybudget"
 	"github.com/landingmast/landingmast/internal/sidecar/settings"
 	"github.com/landingmast/landingmast/internal/wire"
 )
@@ -85,7 +85,7 @@
 }
 
 // SetBudget changes the limits of retries.
-func (s *Services) SetBudget(config repeats.Config) {
+func (s *Services) SetBudget(config retrybudget.Config) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.config = config
--- a/internal/sidecar/services/liveness_test.go
+++ b/internal/sidecar/services/liveness_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/juju/errors"
 	"github.com/landingmast/landingmast/internal/core/balancer"
-	"github.com/landingmast/landingmast/internal/core/repeats"
+	"github.com/landingmast/landingmast/internal/core/retrybudget"
 	"github.com/landingmast/landingmast/internal/sidecar/peer"
 	. "github.com/onsi/gomega"
 )
@@ -30,7 +30,7 @@
 				g := NewWithT(t)
 				started := time.Now()
 				now := func() time.Duration { return time.Since(started) }
-				s := New(Options{Node: "me", Zone: "a", Now: now, Budget: repeats.Config{Window: 10 * time.Second}, FirstStart: true})
+				s := New(Options{Node: "me", Zone: "a", Now: now, Budget: retrybudget.Config{Window: 10 * time.Second}, FirstStart: true})
 				s.SetTargets(map[string][]balancer.Target{"s": {
 					{Node: "well", Address: "well:1", Zone: "b", Instance: "i-1", Slots: 10}, {Node: "silent", Address: "silent:1", Zone: "a", Instance: "i-2", Slots: 10},
 				}})
--- a/internal/sidecar/services/services.go
+++ b/internal/sidecar/services/services.go
@@ -2,7 +2,7 @@
 //
 // The package owns a balancer and a retry budget for each service, the node's share of the global
 // retry allowance, and the share of the retry budgets that the node retains for its own requests.
-// The algorithms are in core/balancer and core/repeats; core/outcome classifies the result of an
+// The algorithms are in core/balancer and core/retrybudget; core/outcome classifies the result of an
 // attempt. Callers supply the targets (Update), the number of nodes (Count) and the downstream
 // demand of routes. All exported types are safe for concurrent use.
 package services
@@ -14,7 +14,7 @@
 
 	"github.com/landingmast/landingmast/internal/core/balancer"
 	"github.com/landingmast/landingmast/internal/core/outcome"
-	"github.com/landingmast/landingmast/internal/core/repeats"
+	"github.com/landingmast/landingmast/internal/core/retrybudget"
 	"github.com/landingmast/landingmast/internal/sidecar/reply"
 	"github.com/landingmast/landingmast/internal/sidecar/settings"
 )
@@ -24,12 +24,12 @@
 	node   string
 	zone   string
 	now    func() time.Duration
-	config repeats.Config
+	config retrybudget.Config
 
 	mutex     sync.Mutex
 	byName    map[string]*Service
-	allowance *repeats.AllowanceShare // the node's share of the global retry allowance
-	retention repeats.Reserve         // the share of retry budgets that the node retains
+	allowance *retrybudget.AllowanceShare // the node's share of the global retry allowance
+	retention retrybudget.Reserve         // the share of retry budgets that the node retains
 	policy    settings.Policy
 }
 
@@ -37,8 +37,8 @@
 type Service struct {
 	mutex    sync.Mutex
 	balancer *balancer.Balancer
-	budget   *repeats.Budget
-	ration   repeats.RankLimiter // decides which chains may retry; guarded by Services.mutex
+	budget   *retrybudget.Budget
+	ration   retrybudget.RankLimiter // decides which chains may retry; guarded by Services.mutex
 }
 
 // globalRandom implements balancer.Random.
@@ -50,7 +50,7 @@
 type Options struct {
 	Node, Zone string
 	Now        func() time.Duration
-	Budget     repeats.Config
+	Budget     retrybudget.Config
 	FirstStart bool // whether this is the first process of the node
 	Policy     settings.Policy
 }
@@ -59,7 +59,7 @@
 func New(o Options) *Services {
 	return &Services{
 		node: o.Node, zone: o.Zone, now: o.Now, config: o.Budget, policy: o.Policy,
-		byName: map[string]*Service{}, allowance: repeats.NewAllowanceShare(o.Budget.Window, o.FirstStart),
+		byName: map[string]*Service{}, allowance: retrybudget.NewAllowanceShare(o.Budget.Window, o.FirstStart),
 	}
 }
 
@@ -75,7 +75,7 @@
 	if service == nil {
 		service = &Service{
 			balancer: balancer.New(s.balancerConfig(), s.node, s.zone, globalRandom{}),
-			budget:   repeats.New(s.config),
+			budget:   retrybudget.New(s.config),
 		}
 		s.byName[name] = service
 	}
--- a/internal/sidecar/services/services_test.go
+++ b/internal/sidecar/services/services_test.go
@@ -7,7 +7,7 @@
 	"github.com/landingmast/landingmast/internal/core/balancer"
 	"github.com/landingmast/landingmast/internal/core/outcome"
 	"github.com/landingmast/landingmast/internal/core/overload"
-	"github.com/landingmast/landingmast/internal/core/repeats"
+	"github.com/landingmast/landingmast/internal/core/retrybudget"
 	"github.com/landingmast/landingmast/internal/core/slots"
 	"github.com/landingmast/landingmast/internal/sidecar/reply"
 	. "github.com/onsi/gomega"
@@ -23,7 +23,7 @@
 	c := chain{needs: overload.New(overload.DefaultConfig())}
 	now := func() time.Duration { return 0 }
 	c.Services = New(Options{
-		Node: "me", Zone: "a", Now: now, Budget: repeats.Config{Ratio: 0.2, Allowance: allowance, Window: 10 * time.Second}, FirstStart: first,
+		Node: "me", Zone: "a", Now: now, Budget: retrybudget.Config{Ratio: 0.2, Allowance: allowance, Window: 10 * time.Second}, FirstStart: first,
 	})
 	if members > 0 {
 		c.SetNodeCount(members)
@@ -107,7 +107,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
 			now := time.Duration(0)
-			s := New(Options{Node: "me", Zone: "a", Now: func() time.Duration { return now }, Budget: repeats.Config{Window: 10 * time.Second}, FirstStart: true})
+			s := New(Options{Node: "me", Zone: "a", Now: func() time.Duration { return now }, Budget: retrybudget.Config{Window: 10 * time.Second}, FirstStart: true})
 			s.SetTargets(map[string][]balancer.Target{"s": {
 				{Node: "bad", Address: "bad:1", Zone: "a", Instance: "i-1", Slots: 40}, {Node: "other", Address: "other:1", Zone: "a", Instance: "i-2", Slots: 40},
 			}})
--- a/internal/sidecar/target/unanswered.go
+++ b/internal/sidecar/target/unanswered.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"github.com/juju/errors"
-	"github.com/landingmast/landingmast/internal/sidecar/heldback"
+	"github.com/landingmast/landingmast/internal/sidecar/quarantine"
 )
 
 const (
@@ -20,7 +20,7 @@
 
 // UnansweredRun is a run that ended without a response.
 type UnansweredRun struct {
-	heldback.Run
+	quarantine.Run
 	Request   string        // id of the request
 	ExpiresAt time.Duration // time of expiry
 }
--- a/internal/testbed/client/keep.go
+++ b/internal/testbed/client/persistent.go
@@ -11,7 +11,7 @@
 	"github.com/landingmast/landingmast/internal/testbed/deployment"
 )
 
-// Intervals of Keep.
+// Intervals of SendPersistent.
 const (
 	requestInterval = 5 * time.Millisecond  // between requests on a connection
 	reconnectDelay  = 50 * time.Millisecond // before a new connection is opened
--- a/internal/testbed/deployment/examples.go
+++ b/internal/testbed/deployment/examples.go
@@ -25,11 +25,11 @@
 	}
 }
 
-// reducedLoad scales the request rates of ThreeDeep in WithSpares, whose tests run longer
+// reducedLoad scales the request rates of ThreeTier in ThreeTierWithSpares, whose tests run longer
 // and depend on which requests crash targets rather than on the request rate.
 const reducedLoad = 0.25
 
-// ThreeTierWithSpares returns ThreeDeep with enough targets to lose some of each service and up to
+// ThreeTierWithSpares returns ThreeTier with enough targets to lose some of each service and up to
 // three attempts per request. Requests to /front/chain call /deep/harmful.
 func ThreeTierWithSpares() Plan {
 	plan := ThreeTier()
--- a/internal/testbed/mesh.go
+++ b/internal/testbed/mesh.go
@@ -1,7 +1,7 @@
 // Package testbed runs simulated deployments in tests: a fake metadata store, machines with a
 // real node and a simulated target each, clients, and a judge that checks what clients and
 // targets observe. New runs the nodes in this process on an in-memory network, where time can
-// be the fake clock of testing/synctest; NewIn runs them in a given Environment. Only tests
+// be the fake clock of testing/synctest; NewInEnvironment runs them in a given Environment. Only tests
 // import it.
 package testbed
 
--- a/internal/wire/callheader.go
+++ b/internal/wire/callheader.go
@@ -71,7 +71,7 @@
 }
 
 // parseGrant parses a granted fraction. A value that is missing, malformed or outside 0 to 1
-// yields GrantUnsaid: accepting a larger one would let the nodes exceed the retry budget.
+// yields DefaultGrant: accepting a larger one would let the nodes exceed the retry budget.
 func parseGrant(text string) float64 {
 	thousandths, err := strconv.Atoi(text)
 	if err != nil || thousandths < 0 || thousandths > grantScale {
--- a/internal/wire/callheader_test.go
+++ b/internal/wire/callheader_test.go
@@ -8,7 +8,7 @@
 )
 
 // A missing or invalid grant must not let a chain of nodes exceed the retry budget.
-func TestCallFromParsesGrant(t *testing.T) {
+func TestDecodeCallParsesGrant(t *testing.T) {
 	for _, tc := range []struct {
 		name, header string
 		want         float64
