--- a/internal/core/balancer/balancer.go
+++ b/internal/core/balancer/balancer.go
@@ -31,7 +31,7 @@
 	Noise float64
 	// ReportTTL is the age at which a load report is discarded.
 	ReportTTL time.Duration
-	// OccupancyTTL is the age at which a report is too old to prove a queue in Pressure, so
+	// OccupancyTTL is the age at which a report is too old to prove a queue in ServiceLoad, so
 	// that a past peak is not propagated.
 	OccupancyTTL time.Duration
 	// SuspectFor is how long an unresponsive target is avoided.
--- a/internal/core/intent/tenant.go
+++ b/internal/core/intent/tenant.go
@@ -12,7 +12,7 @@
 type Tenant struct {
 	Name        string
 	Keys        []string // unique to the tenant; must not be logged
-	Priority    int      // 0 is the highest priority; ignored unless Ranked
+	Priority    int      // 0 is the highest priority; ignored unless HasPriority
 	HasPriority bool     // the operators set Priority
 	Rate        float64  // requests per second over all nodes; 0: no limit
 	Burst       float64  // requests above the rate
--- a/internal/core/quota/quota.go
+++ b/internal/core/quota/quota.go
@@ -73,10 +73,10 @@
 	Tenant    string
 	Demand    float64 // arrival rate at the node, in requests per second
 	Waiting   int     // requests waiting for a token
-	Requested int     // tokens requested, including Need
+	Requested int     // tokens requested, including Waiting
 	Tokens    float64 // tokens in the local bucket
-	// Share is the share last granted, Grant its identifier and Remaining its remaining lifetime;
-	// Left is 0 if the process has no share.
+	// Share is the share last granted, Grant its identifier and Remaining its lifetime;
+	// Remaining is 0 if the process has no share.
 	Share     Share
 	Grant     GrantID
 	Remaining time.Duration
--- a/internal/mesh/core/claim/proposal.go
+++ b/internal/mesh/core/claim/proposal.go
@@ -21,8 +21,8 @@
 const MaxRetries = 8
 
 // Proposal is the Paxos proposer of one key. It proposes self and learns the chosen
-// executor. It does no I/O: the driver sends Request to all voters, calls Reply or
-// Lost for each, and follows the returned Step. It is not safe for concurrent use.
+// executor. It does no I/O: the driver sends Request to all voters, calls HandleReply or
+// HandleNoReply for each, and follows the returned Step. It is not safe for concurrent use.
 type Proposal struct {
 	key        string
 	voterCount int
--- a/internal/mesh/core/dissemination/dissemination.go
+++ b/internal/mesh/core/dissemination/dissemination.go
@@ -47,7 +47,7 @@
 const (
 	// ReadPlatform reads the current version from the platform.
 	ReadPlatform ActionKind = iota + 1
-	// SendVersion sends Version to the peer and passes the version in its reply to Heard.
+	// SendVersion sends Version to the peer and passes the version in its reply to HandleVersion.
 	SendVersion
 	// Fetch requests the peer's version, as a delta to Version where possible.
 	Fetch
@@ -198,7 +198,7 @@
 	return actions
 }
 
-// appendPush appends a Tell to a random neighbor, unless it is known to be up to date.
+// appendPush appends a SendVersion to a random neighbor, unless it is known to be up to date.
 func (s *State) appendPush(actions []Action) []Action {
 	peer := s.neighbors[s.random.IntN(len(s.neighbors))]
 	if s.peerVersions[peer] >= s.version {
--- a/internal/mesh/dataplane/plane.go
+++ b/internal/mesh/dataplane/plane.go
@@ -46,7 +46,7 @@
 	Complete(key string, answer *claim.Answer)
 }
 
-// ClaimResult is the result of Claims.Begin.
+// ClaimResult is the result of ClaimStore.Begin.
 type ClaimResult struct {
 	Granted      bool          // the caller may run the call
 	StoredAnswer *claim.Answer // stored answer of an earlier run
--- a/internal/sidecar/arrival/options.go
+++ b/internal/sidecar/arrival/options.go
@@ -32,8 +32,8 @@
 	MarkReplaced(instance string)
 }
 
-// HeldBack decides whether requests that may crash the target are sent, and collects the evidence.
-type HeldBack interface {
+// Quarantine decides whether requests that may crash the target are sent, and collects the evidence.
+type Quarantine interface {
 	MaySend(r *quarantine.Request) bool
 	IsSuspected(r *quarantine.Request) bool
 	RecordSuccess(r *quarantine.Request)
@@ -47,7 +47,7 @@
 	Headers     headers.Names
 	Version     func() uint64 // version of the configuration in force; 0 if none is known
 	Target      Target
-	Quarantine  HeldBack
+	Quarantine  Quarantine
 	Metrics     *metrics.Metrics
 	Events      *eventlog.Log
 	// Begin counts a request of another node as in flight until end is called. draining reports
--- a/internal/sidecar/entry/options.go
+++ b/internal/sidecar/entry/options.go
@@ -40,8 +40,8 @@
 	Serve(ctx context.Context, call *wire.SidecarCall, header http.Header, body *reply.Payload) *reply.Reply
 }
 
-// HeldBack decides whether a request that crashed targets before may be sent again.
-type HeldBack interface {
+// Quarantine decides whether a request that crashed targets before may be sent again.
+type Quarantine interface {
 	CheckAtEntry(r *quarantine.Request) quarantine.Verdict
 }
 
@@ -73,7 +73,7 @@
 	Configuration Configuration
 	ConfigFresh   func() bool // whether the configuration was revalidated recently enough to trust client keys
 	Ingress       Arrivals
-	Quarantine    HeldBack
+	Quarantine    Quarantine
 	Quotas        Quotas
 	Services      *services.Services
 	Admission     *admission.Control
--- a/internal/sidecar/metrics/metrics.go
+++ b/internal/sidecar/metrics/metrics.go
@@ -18,7 +18,7 @@
 	RequestDuration *prometheus.HistogramVec
 	// Attempts counts attempts by service, outcome and reason.
 	Attempts *prometheus.CounterVec
-	// Retries counts retries by service; Denied counts retries rejected by the retry budget.
+	// Retries counts retries by service; RetriesDenied counts retries rejected by the retry budget.
 	Retries, RetriesDenied *prometheus.CounterVec
 	// SlotWait is the wait for a slot of the target, TargetDuration the time at the target, in seconds.
 	SlotWait, TargetDuration prometheus.Histogram
--- a/internal/sidecar/registration/registration.go
+++ b/internal/sidecar/registration/registration.go
@@ -43,7 +43,7 @@
 type Registration struct {
 	options     Options
 	lease       atomic.Pointer[store.Lease] // nil if no lease is held
-	recordLost  chan struct{}               // signaled by Lost
+	recordLost  chan struct{}               // signaled by MarkLost
 	renewNow    chan struct{}               // signaled by RenewNow
 	writeFailed atomic.Bool                 // the last attempt to write the record failed
 }
@@ -196,7 +196,7 @@
 	}
 }
 
-// clearLost discards a signal of Lost that precedes the write of the record.
+// clearLost discards a signal of MarkLost that precedes the write of the record.
 func (r *Registration) clearLost() {
 	select {
 	case <-r.recordLost:
--- a/internal/sidecar/target/target.go
+++ b/internal/sidecar/target/target.go
@@ -74,7 +74,7 @@
 	}
 }
 
-// Acquire waits for a slot. The caller must call Leave if the decision is to send.
+// Acquire waits for a slot. The caller must call Release if the decision is to send.
 func (g *Gate) Acquire(ctx context.Context, request slots.Request) (uint64, slots.Decision) {
 	g.mu.Lock()
 	g.nextID++
--- a/internal/sidecar/targetlink/link_test.go
+++ b/internal/sidecar/targetlink/link_test.go
@@ -199,7 +199,7 @@
 	g.Expect(opened.Load()).To(Equal(int32(2)))
 }
 
-// Listens distinguishes a closed port, and the connection it opens serves the next request.
+// Probe distinguishes a closed port, and the connection it opens serves the next request.
 func TestProbe(t *testing.T) {
 	g := NewWithT(t)
 	link, opened := startTarget(t, func(conn net.Conn, reader *bufio.Reader) {
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -54,7 +54,7 @@
 )
 
 // Store is a key-value service. Methods return when their context is done. Get, List and
-// Unchanged are linearizable.
+// CheckRevision are linearizable.
 type Store interface {
 	// Get returns a key, or nil if it does not exist, and the revision of the store.
 	Get(ctx context.Context, key string) (*Item, int64, error)
--- a/internal/testbed/judge/harm.go
+++ b/internal/testbed/judge/harm.go
@@ -96,7 +96,7 @@
 // Limits for requests that crash their targets.
 const (
 	HarmfulThreshold = 3 // crashes after which nodes must reject it
-	maxLateArrivals  = 3 // arrivals allowed once Contact has passed since then
+	maxLateArrivals  = 3 // arrivals allowed once FaultRecovery has passed since then
 )
 
 // checkHarmful checks the number of late arrivals of each harmful request. Callers hold mu.
--- a/internal/testbed/store/store.go
+++ b/internal/testbed/store/store.go
@@ -37,7 +37,7 @@
 	DropTxnResponses bool
 	// ReadsPerSecond limits the read requests served per second; 0 means no limit.
 	ReadsPerSecond int
-	// Calls counts calls by path; Limited counts reads rejected by ReadsPerSecond.
+	// Calls counts calls by path; RejectedReads counts reads rejected by ReadsPerSecond.
 	Calls         map[string]int
 	RejectedReads int
 
--- a/internal/wire/callheader.go
+++ b/internal/wire/callheader.go
@@ -9,7 +9,7 @@
 // headers, so that nodes of the previous release can decode the call.
 const (
 	HeaderSidecarCall = "Landingmast-Sidecar-Call"
-	// headerGrant carries Granted in thousandths.
+	// headerGrant carries RetryGrant in thousandths.
 	headerGrant = "Landingmast-Grant"
 	// headerTenant carries Tenant.
 	headerTenant = "Landingmast-Tenant"
--- a/internal/wire/sidecar.go
+++ b/internal/wire/sidecar.go
@@ -191,7 +191,7 @@
 	Remaining int64   `avro:"left_us"` // remaining lifetime of the share
 }
 
-// QuotaResponse is the response of a keeper to QuotaAsk.
+// QuotaResponse is the response of a keeper to QuotaRequest.
 type QuotaResponse struct {
 	Keeps      bool             `avro:"keeps"`  // the responder is the keeper of the shard
 	Listed     bool             `avro:"listed"` // the requester may hold shares; otherwise it must ask again
