--- a/internal/core/election/election.go
+++ b/internal/core/election/election.go
@@ -68,7 +68,8 @@
 	}
 }
 
-// Beat records that another node follows the store; reachable reports whether that node reaches the store.
+// Beat records that another node follows the store; reachable reports whether that node reaches the
+// store.
 func (e *Election) Beat(now time.Duration, node string, reachable bool) {
 	if node == e.self {
 		return
--- a/internal/core/intent/tenant.go
+++ b/internal/core/intent/tenant.go
@@ -29,23 +29,23 @@
 }
 
 // build validates the tenants and fills the index. Errors never contain keys.
-func (x *tenantIndex) build(tenants []*Tenant) error {
-	x.byKey = make(map[string]*Tenant, len(tenants))
-	x.byName = make(map[string]*Tenant, len(tenants))
+func (t *tenantIndex) build(tenants []*Tenant) error {
+	t.byKey = make(map[string]*Tenant, len(tenants))
+	t.byName = make(map[string]*Tenant, len(tenants))
 	for _, tenant := range tenants {
 		if err := tenant.validate(); err != nil {
 			return err
 		}
-		if x.byName[tenant.Name] != nil {
+		if t.byName[tenant.Name] != nil {
 			return failure.New(failure.BadInput, "give each tenant a unique name", "tenant %s is listed twice", tenant.Name)
 		}
-		x.byName[tenant.Name] = tenant
-		x.hasLimits = x.hasLimits || tenant.HasRateLimit()
+		t.byName[tenant.Name] = tenant
+		t.hasLimits = t.hasLimits || tenant.HasRateLimit()
 		for _, key := range tenant.Keys {
-			if other := x.byKey[key]; other != nil {
+			if other := t.byKey[key]; other != nil {
 				return failure.New(failure.BadInput, "assign each key to only one tenant", "tenants %s and %s have the same key", other.Name, tenant.Name)
 			}
-			x.byKey[key] = tenant
+			t.byKey[key] = tenant
 		}
 	}
 	return nil
--- a/internal/core/quota/holder.go
+++ b/internal/core/quota/bucket.go
@@ -36,102 +36,102 @@
 }
 
 // SetLimit applies a new limit. If it is lower, the current share is scaled down in proportion.
-func (h *Bucket) SetLimit(now time.Duration, limit Limit) {
-	if limit == h.limit {
+func (b *Bucket) SetLimit(now time.Duration, limit Limit) {
+	if limit == b.limit {
 		return
 	}
-	h.refill(now)
-	if limit.Rate < h.limit.Rate {
-		h.share.Rate *= limit.Rate / h.limit.Rate
+	b.refill(now)
+	if limit.Rate < b.limit.Rate {
+		b.share.Rate *= limit.Rate / b.limit.Rate
 	}
-	if before, after := h.config.depth(h.limit), h.config.depth(limit); after < before {
-		h.share.Depth *= after / before
+	if before, after := b.config.depth(b.limit), b.config.depth(limit); after < before {
+		b.share.Depth *= after / before
 	}
-	h.tokens = min(h.tokens, h.share.Depth)
-	h.limit = limit
+	b.tokens = min(b.tokens, b.share.Depth)
+	b.limit = limit
 }
 
 // refill adds the tokens accrued since the last call. An expired share leaves an empty bucket.
-func (h *Bucket) refill(now time.Duration) {
-	if now >= h.expiresAt {
-		h.share, h.tokens, h.refilledAt = Share{}, 0, now
+func (b *Bucket) refill(now time.Duration) {
+	if now >= b.expiresAt {
+		b.share, b.tokens, b.refilledAt = Share{}, 0, now
 		return
 	}
-	h.tokens = min(h.tokens+h.share.Rate*(now-h.refilledAt).Seconds(), h.share.Depth)
-	h.refilledAt = now
+	b.tokens = min(b.tokens+b.share.Rate*(now-b.refilledAt).Seconds(), b.share.Depth)
+	b.refilledAt = now
 }
 
 // Arrive records a request and reports whether a local token admits it.
-func (h *Bucket) Arrive(now time.Duration) bool {
-	h.demand.record(now)
-	return h.Take(now)
+func (b *Bucket) Arrive(now time.Duration) bool {
+	b.demand.record(now)
+	return b.Take(now)
 }
 
 // Take consumes a token and reports whether there was one.
-func (h *Bucket) Take(now time.Duration) bool {
-	h.refill(now)
-	if h.tokens < 1 {
+func (b *Bucket) Take(now time.Duration) bool {
+	b.refill(now)
+	if b.tokens < 1 {
 		return false
 	}
-	h.tokens--
+	b.tokens--
 	return true
 }
 
 // Return returns the token of a request that did not run.
-func (h *Bucket) Return(now time.Duration) {
-	h.refill(now)
-	h.tokens = min(h.tokens+1, h.share.Depth)
+func (b *Bucket) Return(now time.Duration) {
+	b.refill(now)
+	b.tokens = min(b.tokens+1, b.share.Depth)
 }
 
 // CanRequest reports whether the backoff after a denial is over.
-func (h *Bucket) CanRequest(now time.Duration) bool { return now >= h.askAfter }
+func (b *Bucket) CanRequest(now time.Duration) bool { return now >= b.askAfter }
 
 // Idle reports that the share has expired and the tenant's demand is negligible.
-func (h *Bucket) Idle(now time.Duration) bool {
-	return now >= h.expiresAt && h.demand.rate(now) < minDemand
+func (b *Bucket) Idle(now time.Duration) bool {
+	return now >= b.expiresAt && b.demand.rate(now) < minDemand
 }
 
 // prefetchWindow is how far ahead of the current demand tokens are requested.
 const prefetchWindow = 500 * time.Millisecond
 
 // NeedsTokens reports that an active tenant's bucket is empty and the keeper may be asked for tokens.
-func (h *Bucket) NeedsTokens(now time.Duration) bool {
-	h.refill(now)
-	return h.tokens < 1 && now >= h.askAfter && h.demand.rate(now) >= minDemand
+func (b *Bucket) NeedsTokens(now time.Duration) bool {
+	b.refill(now)
+	return b.tokens < 1 && now >= b.askAfter && b.demand.rate(now) >= minDemand
 }
 
 // Report builds the request to the keeper; waiting is the number of requests waiting for a
 // token. Tokens are requested only when the bucket is empty or requests wait, and then for
 // prefetchWindow of demand: this saves messages without taking tokens that other nodes need.
-func (h *Bucket) Report(now time.Duration, tenant string, waiting int) Report {
-	h.refill(now)
-	report := Report{Tenant: tenant, Demand: h.demand.rate(now), Tokens: h.tokens, Share: h.share, Grant: h.grant, Remaining: max(h.expiresAt-now, 0)}
-	if now < h.askAfter {
+func (b *Bucket) Report(now time.Duration, tenant string, waiting int) Report {
+	b.refill(now)
+	report := Report{Tenant: tenant, Demand: b.demand.rate(now), Tokens: b.tokens, Share: b.share, Grant: b.grant, Remaining: max(b.expiresAt-now, 0)}
+	if now < b.askAfter {
 		return report
 	}
 	report.Waiting, report.Requested = waiting, waiting
-	if waiting > 0 || h.tokens < 1 {
+	if waiting > 0 || b.tokens < 1 {
 		ahead := 1 + report.Demand*prefetchWindow.Seconds()
-		report.Requested += int(max(min(ahead, h.share.Depth)-h.tokens, 0))
+		report.Requested += int(max(min(ahead, b.share.Depth)-b.tokens, 0))
 	}
 	return report
 }
 
 // Allot applies the keeper's response to a request started at asked and returns its tokens.
 // Tokens in flight for MaxTransit or longer are discarded, since the keeper no longer counts them.
-func (h *Bucket) Allot(now, asked time.Duration, given Allotment) (tokens int) {
-	h.refill(now)
+func (b *Bucket) Allot(now, asked time.Duration, given Allotment) (tokens int) {
+	b.refill(now)
 	if end := asked + given.TTL; end > now {
-		h.share, h.grant, h.expiresAt = given.Share, given.Grant, end
-		h.tokens = min(h.tokens, h.share.Depth)
+		b.share, b.grant, b.expiresAt = given.Share, given.Grant, end
+		b.tokens = min(b.tokens, b.share.Depth)
 	}
-	h.unsettled = given.Unsettled
-	h.exhausted = given.RetryAfter > 0
-	if h.exhausted {
-		h.retryAt = now + given.RetryAfter
+	b.unsettled = given.Unsettled
+	b.exhausted = given.RetryAfter > 0
+	if b.exhausted {
+		b.retryAt = now + given.RetryAfter
 	}
 	if given.RetryAfter > MaxQueueWait {
-		h.askAfter = now + min(given.RetryAfter, maxAskBackoff)
+		b.askAfter = now + min(given.RetryAfter, maxAskBackoff)
 	}
 	if now-asked >= MaxTransit {
 		return 0
@@ -141,23 +141,23 @@
 
 // LimitReached reports that the limit is reached: the last response had fewer tokens than waiting
 // requests although the keeper knew all shares.
-func (h *Bucket) LimitReached() bool { return h.exhausted && !h.unsettled }
+func (b *Bucket) LimitReached() bool { return b.exhausted && !b.unsettled }
 
 // Add adds unused tokens to the bucket, up to its depth.
-func (h *Bucket) Add(now time.Duration, tokens int) {
-	h.refill(now)
-	h.tokens = min(h.tokens+float64(tokens), h.share.Depth)
+func (b *Bucket) Add(now time.Duration, tokens int) {
+	b.refill(now)
+	b.tokens = min(b.tokens+float64(tokens), b.share.Depth)
 }
 
 // RetryAfter returns the Retry-After delay for a rejected request, at most most.
-func (h *Bucket) RetryAfter(now, most time.Duration) time.Duration {
-	return min(max(h.retryAt-now, minRetryAfter), most)
+func (b *Bucket) RetryAfter(now, most time.Duration) time.Duration {
+	return min(max(b.retryAt-now, minRetryAfter), most)
 }
 
 // Share returns the current share and its remaining lifetime.
-func (h *Bucket) Share(now time.Duration) (share Share, left time.Duration) {
-	h.refill(now)
-	return h.share, max(h.expiresAt-now, 0)
+func (b *Bucket) Share(now time.Duration) (share Share, left time.Duration) {
+	b.refill(now)
+	return b.share, max(b.expiresAt-now, 0)
 }
 
 // Parameters of the demand estimate.
--- a/internal/core/quota/keeper.go
+++ b/internal/core/quota/keeper.go
@@ -32,9 +32,9 @@
 	ExpiresAt   time.Duration // expiry of the last share
 }
 
-// MaxShareFraction returns the largest fraction of a limit that one share may have among the given number
-// of nodes. Nodes with more demand draw tokens from the pool. A smaller fraction reduces what a
-// new keeper withholds for nodes that have not reported.
+// MaxShareFraction returns the largest fraction of a limit that one share may have among the given
+// number of nodes. Nodes with more demand draw tokens from the pool. A smaller fraction reduces
+// what a new keeper withholds for nodes that have not reported.
 func MaxShareFraction(listed int) float64 { return min(maxEvenShares/float64(max(listed, 1)), 1) }
 
 // maxEvenShares is the size limit of a share, as a multiple of an even split.
--- a/internal/core/quota/quota_test.go
+++ b/internal/core/quota/quota_test.go
@@ -97,7 +97,8 @@
 	g.Expect(h.Take(4*time.Second + shareTTL)).To(BeFalse())
 }
 
-// A new keeper must not grant capacity that unreported nodes may hold; nodes keep the shares they report.
+// A new keeper must not grant capacity that unreported nodes may hold; nodes keep the shares they
+// report.
 func TestNewKeeperRespectsExistingShares(t *testing.T) {
 	g := NewWithT(t)
 	old, a, b := newKeeper(0), NewBucket(testConfig, testLimit, 0), NewBucket(testConfig, testLimit, 0)
--- a/internal/core/retry/retry.go
+++ b/internal/core/retry/retry.go
@@ -60,57 +60,57 @@
 func New(noReuse bool) *Attempts { return &Attempts{noReuse: noReuse, excluded: map[string]bool{}} }
 
 // Add records an attempt at a node.
-func (t *Attempts) Add(node string, end Result) {
+func (a *Attempts) Add(node string, end Result) {
 	if end.Reason.NoCapacity() {
-		t.noCapacity++
+		a.noCapacity++
 	}
 	if end.Reason == outcome.ReasonTargetEnded {
-		t.targetCrashes++
+		a.targetCrashes++
 	}
 	if !end.ReachedTarget {
-		t.unreached++
-		t.excluded[node] = true
+		a.unreached++
+		a.excluded[node] = true
 		return
 	}
-	if !t.declined[node] {
-		t.reachedTargets++
+	if !a.declined[node] {
+		a.reachedTargets++
 	}
-	if t.noReuse || end.Outcome != outcome.NotRun || !end.Reason.Declined() {
-		t.excluded[node] = true
-		delete(t.declined, node)
+	if a.noReuse || end.Outcome != outcome.NotRun || !end.Reason.Declined() {
+		a.excluded[node] = true
+		delete(a.declined, node)
 		return
 	}
-	t.declines++
-	if t.declined == nil {
-		t.declined = map[string]bool{}
+	a.declines++
+	if a.declined == nil {
+		a.declined = map[string]bool{}
 	}
-	t.declined[node] = true
+	a.declined[node] = true
 }
 
 // CanContinue reports whether the limits permit another attempt.
-func (t *Attempts) CanContinue() bool {
-	return t.unreached < maxUnreached && t.noCapacity < maxNoCapacity && t.declines < maxDeclines
+func (a *Attempts) CanContinue() bool {
+	return a.unreached < maxUnreached && a.noCapacity < maxNoCapacity && a.declines < maxDeclines
 }
 
 // Excluded returns the nodes that must not be picked again. The map must not be modified.
-func (t *Attempts) Excluded() map[string]bool { return t.excluded }
+func (a *Attempts) Excluded() map[string]bool { return a.excluded }
 
 // TargetCrashed reports whether a target crashed while running the request.
-func (t *Attempts) TargetCrashed() bool { return t.targetCrashes > 0 }
+func (a *Attempts) TargetCrashed() bool { return a.targetCrashes > 0 }
 
 // AllowedTargets returns the nodes that may be picked once the request has reached maxTargets targets:
 // those that declined it. nil means any.
-func (t *Attempts) AllowedTargets(maxTargets int) map[string]bool {
-	if t.reachedTargets < maxTargets {
+func (a *Attempts) AllowedTargets(maxTargets int) map[string]bool {
+	if a.reachedTargets < maxTargets {
 		return nil
 	}
-	return t.declined
+	return a.declined
 }
 
 // Decide returns the decision after a failed attempt that was recorded with Add. An attempt that
 // reached no target is retried without budget: the request did not run and added no load. A
 // request that may not run twice is retried only if the target reported that it did not run it.
-func (t *Attempts) Decide(last Result, r Request) Decision {
+func (a *Attempts) Decide(last Result, r Request) Decision {
 	switch {
 	case !r.Replayable, last.Reason == outcome.ReasonEndsTargets:
 		return GiveUp
@@ -118,21 +118,21 @@
 		return RetryTransparent
 	case last.Outcome == outcome.Unknown && !r.Idempotent:
 		return GiveUp
-	case last.Reason == outcome.ReasonTargetEnded && t.isCrashSuspect(r):
+	case last.Reason == outcome.ReasonTargetEnded && a.isCrashSuspect(r):
 		return GiveUp
-	case r.IsRetry, r.NoRetries, t.targetsExhausted(r.MaxTargets):
+	case r.IsRetry, r.NoRetries, a.targetsExhausted(r.MaxTargets):
 		return GiveUp
 	}
 	return RetryFromBudget
 }
 
 // isCrashSuspect reports whether the request is suspected of crashing its targets.
-func (t *Attempts) isCrashSuspect(r Request) bool {
-	return !r.NoQuarantine && (r.Trial || t.targetCrashes >= maxTargetCrashes)
+func (a *Attempts) isCrashSuspect(r Request) bool {
+	return !r.NoQuarantine && (r.Trial || a.targetCrashes >= maxTargetCrashes)
 }
 
 // targetsExhausted reports whether the request reached its maximum number of targets and none
 // of them declined it.
-func (t *Attempts) targetsExhausted(maxTargets int) bool {
-	return t.reachedTargets >= maxTargets && len(t.declined) == 0
+func (a *Attempts) targetsExhausted(maxTargets int) bool {
+	return a.reachedTargets >= maxTargets && len(a.declined) == 0
 }
--- a/internal/core/retryafter/retryafter.go
+++ b/internal/core/retryafter/retryafter.go
@@ -32,8 +32,8 @@
 }
 
 // Draw returns the delay for a random number in [0, 1]. A delay of 0 means no Retry-After.
-func (s Range) Draw(random float64) time.Duration {
-	return s.Min + time.Duration(random*float64(s.Spread))
+func (r Range) Draw(random float64) time.Duration {
+	return r.Min + time.Duration(random*float64(r.Spread))
 }
 
 // jittered returns a range from minDelay to twice minDelay.
--- a/internal/core/retrybudget/allowance.go
+++ b/internal/core/retrybudget/allowance.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// AllowanceShare determines a node's part of the deployment's allowance. The parts of all nodes must not
-// exceed the allowance in any window, even if processes restart and lose their counts:
+// AllowanceShare determines a node's part of the deployment's allowance. The parts of all nodes
+// must not exceed the allowance in any window, even if processes restart and lose their counts:
 //
 //   - a restarted process gets no part for one window, because its predecessor may have used it;
 //   - a node gets no part before it knows the number of members;
--- a/internal/core/retrybudget/reserve.go
+++ b/internal/core/retrybudget/reserve.go
@@ -19,11 +19,11 @@
 }
 
 // BudgetExhausted records a retry that was not made because a downstream budget was exhausted.
-func (k *Reserve) BudgetExhausted(now time.Duration) { k.raisedUntil = now + raisedDuration }
+func (r *Reserve) BudgetExhausted(now time.Duration) { r.raisedUntil = now + raisedDuration }
 
 // Fraction returns the fraction reserved now.
-func (k *Reserve) Fraction(now time.Duration) float64 {
-	if now < k.raisedUntil {
+func (r *Reserve) Fraction(now time.Duration) float64 {
+	if now < r.raisedUntil {
 		return raisedReserve
 	}
 	return baseReserve
--- a/internal/duplex/duplex.go
+++ b/internal/duplex/duplex.go
@@ -74,8 +74,8 @@
 	return io.Copy(w.ResponseWriter, src)
 }
 
-// ClosesConnection reports whether the response header carries "Connection: close". It returns false until
-// the header is written.
+// ClosesConnection reports whether the response header carries "Connection: close". It returns
+// false until the header is written.
 func (w *Writer) ClosesConnection() bool { return w.closes }
 
 func (w *Writer) mustClose() bool {
--- a/internal/mesh/core/limiter/owntime.go
+++ b/internal/mesh/core/limiter/selftime.go
@@ -12,31 +12,31 @@
 }
 
 // DownstreamStarted records the start of a nested call.
-func (o *SelfTime) DownstreamStarted(now time.Duration) {
-	o.hasNested = true
-	if o.inFlight == 0 {
-		o.openSince = now
+func (s *SelfTime) DownstreamStarted(now time.Duration) {
+	s.hasNested = true
+	if s.inFlight == 0 {
+		s.openSince = now
 	}
-	o.inFlight++
+	s.inFlight++
 }
 
 // DownstreamEnded records the end of a nested call.
-func (o *SelfTime) DownstreamEnded(now time.Duration) {
-	o.inFlight--
-	if o.inFlight == 0 {
-		o.nestedTime += now - o.openSince
+func (s *SelfTime) DownstreamEnded(now time.Duration) {
+	s.inFlight--
+	if s.inFlight == 0 {
+		s.nestedTime += now - s.openSince
 	}
 }
 
 // HasDownstream reports whether the target has made any nested call.
-func (o *SelfTime) HasDownstream() bool { return o.hasNested }
+func (s *SelfTime) HasDownstream() bool { return s.hasNested }
 
 // Elapsed returns the time between started and now in which no nested call was in
 // flight.
-func (o *SelfTime) Elapsed(started, now time.Duration) time.Duration {
-	nested := o.nestedTime
-	if o.inFlight > 0 {
-		nested += now - o.openSince
+func (s *SelfTime) Elapsed(started, now time.Duration) time.Duration {
+	nested := s.nestedTime
+	if s.inFlight > 0 {
+		nested += now - s.openSince
 	}
 	return max(now-started-nested, 0)
 }
--- a/internal/mesh/lab/experiment/demand.go
+++ b/internal/mesh/lab/experiment/demand.go
@@ -41,23 +41,23 @@
 	return now, nil
 }
 
-func (n *demand) apply(event Event) {
+func (d *demand) apply(event Event) {
 	switch event.Kind {
 	case "surge":
-		n.rate *= event.Factor
+		d.rate *= event.Factor
 	case "mix":
-		n.mix = mixWithShares(n.deployment, event.Mix)
+		d.mix = mixWithShares(d.deployment, event.Mix)
 	case "slow":
 		if event.Target == "" {
-			n.slowdown[event.Service] = event.Factor
+			d.slowdown[event.Service] = event.Factor
 		}
 	case "dead", "reset":
-		service := n.deployment.Service(event.Service)
-		n.slots[event.Service] *= float64(service.Targets-1) / float64(service.Targets)
+		service := d.deployment.Service(event.Service)
+		d.slots[event.Service] *= float64(service.Targets-1) / float64(service.Targets)
 	case "zone_lost":
-		zones := float64(len(n.deployment.Zones))
-		for name := range n.slots {
-			n.slots[name] *= (zones - 1) / zones
+		zones := float64(len(d.deployment.Zones))
+		for name := range d.slots {
+			d.slots[name] *= (zones - 1) / zones
 		}
 	}
 }
@@ -65,13 +65,13 @@
 // attainable returns the highest rate of user requests per second that can
 // complete, by class and in total, if slots are assigned in order of importance
 // and no work is wasted. Classes of one level are served in the order of the mix.
-func (n *demand) attainable() (byClass map[string]float64, total float64) {
+func (d *demand) attainable() (byClass map[string]float64, total float64) {
 	byClass = map[string]float64{}
 	shares := 0.0
 	levels := map[int][]deployment.Traffic{}
-	for _, traffic := range n.mix {
+	for _, traffic := range d.mix {
 		shares += traffic.Share
-		level := n.levelOf(traffic.Class)
+		level := d.levelOf(traffic.Class)
 		levels[level] = append(levels[level], traffic)
 	}
 	order := make([]int, 0, len(levels))
@@ -80,13 +80,13 @@
 	}
 	sort.Ints(order)
 	remaining := map[string]float64{}
-	for name, slots := range n.slots {
+	for name, slots := range d.slots {
 		remaining[name] = slots
 	}
 	for _, level := range order {
 		for _, traffic := range levels[level] {
-			rate := n.rate * traffic.Share / shares
-			served := rate * n.allocate(remaining, traffic, rate)
+			rate := d.rate * traffic.Share / shares
+			served := rate * d.allocate(remaining, traffic, rate)
 			byClass[traffic.Class] = served
 			total += served
 		}
@@ -94,24 +94,24 @@
 	return byClass, total
 }
 
-func (n *demand) levelOf(class string) int {
-	for _, known := range n.deployment.Classes {
+func (d *demand) levelOf(class string) int {
+	for _, known := range d.deployment.Classes {
 		if known.Name == class {
-			for index, level := range n.deployment.Levels {
+			for index, level := range d.deployment.Levels {
 				if level == known.Importance {
 					return index
 				}
 			}
 		}
 	}
-	return len(n.deployment.Levels)
+	return len(d.deployment.Levels)
 }
 
 // allocate returns the share of a class that fits into the remaining slots and
 // subtracts the slots it uses.
-func (n *demand) allocate(remaining map[string]float64, traffic deployment.Traffic, rate float64) float64 {
+func (d *demand) allocate(remaining map[string]float64, traffic deployment.Traffic, rate float64) float64 {
 	occupancy := map[string]float64{}
-	n.addOccupancy(occupancy, traffic.Service, traffic.Method, traffic.Path)
+	d.addOccupancy(occupancy, traffic.Service, traffic.Method, traffic.Path)
 	share := 1.0
 	for name, seconds := range occupancy {
 		share = min(share, remaining[name]/(rate*seconds))
@@ -124,18 +124,18 @@
 
 // roundTrip returns the mean network time of a downstream call in seconds, with
 // targets chosen uniformly from all zones. The caller's slot is occupied for it.
-func (n *demand) roundTrip() float64 {
-	zones := float64(len(n.deployment.Zones))
-	return 2 * n.deployment.ZoneDelay.Seconds() * (zones - 1) / zones
+func (d *demand) roundTrip() float64 {
+	zones := float64(len(d.deployment.Zones))
+	return 2 * d.deployment.ZoneDelay.Seconds() * (zones - 1) / zones
 }
 
 // addOccupancy adds the seconds for which a request occupies a slot, by service,
 // and returns the time of this call including its downstream calls.
-func (n *demand) addOccupancy(occupancy map[string]float64, service, method, path string) float64 {
-	route := n.deployment.Service(service).Route(method, path)
-	seconds := route.Mean.Seconds() * n.slowdown[service]
+func (d *demand) addOccupancy(occupancy map[string]float64, service, method, path string) float64 {
+	route := d.deployment.Service(service).Route(method, path)
+	seconds := route.Mean.Seconds() * d.slowdown[service]
 	for _, call := range route.Calls {
-		seconds += n.addOccupancy(occupancy, call.Service, call.Method, call.Path) + n.roundTrip()
+		seconds += d.addOccupancy(occupancy, call.Service, call.Method, call.Path) + d.roundTrip()
 	}
 	occupancy[service] += seconds
 	return seconds
--- a/internal/sidecar/configuration/configuration.go
+++ b/internal/sidecar/configuration/configuration.go
@@ -33,19 +33,19 @@
 }
 
 // Load returns the active configuration, or nil if there is none.
-func (c *Active) Load() *intent.Intent { return c.current.Load() }
+func (a *Active) Load() *intent.Intent { return a.current.Load() }
 
 // Version returns the version of the active configuration, or 0 if there is none.
-func (c *Active) Version() uint64 {
-	if current := c.current.Load(); current != nil {
+func (a *Active) Version() uint64 {
+	if current := a.current.Load(); current != nil {
 		return current.Version
 	}
 	return 0
 }
 
 // Source returns the active configuration as received, or nil if there is none.
-func (c *Active) Source() []byte {
-	if current := c.current.Load(); current != nil {
+func (a *Active) Source() []byte {
+	if current := a.current.Load(); current != nil {
 		return current.Source
 	}
 	return nil
@@ -53,24 +53,24 @@
 
 // Install parses data and activates it unless the active version is the same or newer. It returns
 // the parsed version either way. source is SourceStore or SourcePeer.
-func (c *Active) Install(data []byte, source string) (uint64, error) {
-	parsed, err := c.parse(data)
+func (a *Active) Install(data []byte, source string) (uint64, error) {
+	parsed, err := a.parse(data)
 	if err != nil {
-		c.events.Add(eventlog.Configuration{Previous: c.Version(), Source: source, Error: err.Error()}, eventlog.State)
+		a.events.Add(eventlog.Configuration{Previous: a.Version(), Source: source, Error: err.Error()}, eventlog.State)
 		return 0, err
 	}
 	parsed.Source = data
 	for {
-		current := c.current.Load()
+		current := a.current.Load()
 		if current != nil && current.Version >= parsed.Version {
 			return parsed.Version, nil
 		}
-		if c.current.CompareAndSwap(current, parsed) {
+		if a.current.CompareAndSwap(current, parsed) {
 			before := uint64(0)
 			if current != nil {
 				before = current.Version
 			}
-			c.events.Add(eventlog.Configuration{Version: parsed.Version, Previous: before, Routes: len(parsed.Routes), Tenants: len(parsed.Tenants), Source: source}, eventlog.State)
+			a.events.Add(eventlog.Configuration{Version: parsed.Version, Previous: before, Routes: len(parsed.Routes), Tenants: len(parsed.Tenants), Source: source}, eventlog.State)
 			return parsed.Version, nil
 		}
 	}
--- a/internal/sidecar/eventlog/eventlog_test.go
+++ b/internal/sidecar/eventlog/eventlog_test.go
@@ -59,8 +59,8 @@
 // blockedWriter blocks writes until release is closed.
 type blockedWriter struct{ release chan struct{} }
 
-func (s blockedWriter) Write(data []byte) (int, error) {
-	<-s.release
+func (w blockedWriter) Write(data []byte) (int, error) {
+	<-w.release
 	return len(data), nil
 }
 
@@ -101,8 +101,8 @@
 // recordingWriter records each write separately.
 type recordingWriter struct{ writes [][]byte }
 
-func (p *recordingWriter) Write(data []byte) (int, error) {
-	p.writes = append(p.writes, bytes.Clone(data))
+func (w *recordingWriter) Write(data []byte) (int, error) {
+	w.writes = append(w.writes, bytes.Clone(data))
 	return len(data), nil
 }
 
--- a/internal/sidecar/follower/follower.go
+++ b/internal/sidecar/follower/follower.go
@@ -74,8 +74,8 @@
 	}
 }
 
-// RecordHeartbeat records a heartbeat of another follower. well reports whether that follower can reach the
-// store.
+// RecordHeartbeat records a heartbeat of another follower. well reports whether that follower can
+// reach the store.
 func (f *Follower) RecordHeartbeat(name string, well bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -91,8 +91,8 @@
 // for the network delay.
 const healthyPeerTTL = 3*heartbeatInterval + 100*time.Millisecond
 
-// HealthyPeerAddress returns the address of another follower of the zone that can reach the store, or an
-// empty string if none is known.
+// HealthyPeerAddress returns the address of another follower of the zone that can reach the store,
+// or an empty string if none is known.
 func (f *Follower) HealthyPeerAddress() string {
 	f.mutex.Lock()
 	name, recent := f.healthyPeer, f.options.Now()-f.healthyPeerAt < healthyPeerTTL
--- a/internal/sidecar/membership/exchange.go
+++ b/internal/sidecar/membership/exchange.go
@@ -31,9 +31,9 @@
 	inFlight sync.Map // set of addresses with a running exchange of SyncInBackground
 }
 
-// SyncInBackground starts an exchange with the node at address in the background, unless an earlier call
-// for the same address is still running. Callers use it for nodes that appear to have lost their
-// state, such as nodes that restarted while the store is unreachable.
+// SyncInBackground starts an exchange with the node at address in the background, unless an earlier
+// call for the same address is still running. Callers use it for nodes that appear to have lost
+// their state, such as nodes that restarted while the store is unreachable.
 func (e *Exchanger) SyncInBackground(address string) {
 	if _, loaded := e.inFlight.LoadOrStore(address, true); loaded {
 		return
--- a/internal/sidecar/membership/membership.go
+++ b/internal/sidecar/membership/membership.go
@@ -46,8 +46,8 @@
 	return m, e, m.broadcaster
 }
 
-// AnnounceLocalRecord increments the sequence number of the local record, applies the change locally and
-// broadcasts the record.
+// AnnounceLocalRecord increments the sequence number of the local record, applies the change
+// locally and broadcasts the record.
 func (m *Members) AnnounceLocalRecord() {
 	m.mutex.Lock()
 	m.sequence++
--- a/internal/sidecar/registration/registration.go
+++ b/internal/sidecar/registration/registration.go
@@ -92,7 +92,8 @@
 // RenewNow makes Run renew the lease immediately. It does not wait for the renewal.
 func (r *Registration) RenewNow() { wait.Notify(r.renewNow) }
 
-// StoreUnreachable reports whether the store is unavailable to this node, according to its latest calls.
+// StoreUnreachable reports whether the store is unavailable to this node, according to its latest
+// calls.
 func (r *Registration) StoreUnreachable() bool {
 	return r.writeFailed.Load() || r.options.Health.Unavailable()
 }
--- a/internal/sidecar/settings/settings.go
+++ b/internal/sidecar/settings/settings.go
@@ -74,7 +74,8 @@
 
 // Bounds holds drain and shutdown times.
 type Bounds struct {
-	// Drain is how long a leaving target may still receive new requests after the acknowledgement; default 2s.
+	// Drain is how long a leaving target may still receive new requests after the acknowledgement;
+	// default 2s.
 	Drain units.Duration `yaml:"drain"`
 	// Grace is the time between SIGTERM and SIGKILL; default 6s.
 	Grace units.Duration `yaml:"grace"`
@@ -92,7 +93,8 @@
 
 // Keys limits how long a revoked key is accepted.
 type Keys struct {
-	// FailClosed rejects requests with keys while the node cannot confirm that its configuration is up to date; default false.
+	// FailClosed rejects requests with keys while the node cannot confirm that its configuration is
+	// up to date; default false.
 	FailClosed bool `yaml:"fail_closed"`
 	// Revoke is the maximum age of a configuration that counts as up to date; default 5s.
 	Revoke units.Duration `yaml:"revoke"`
@@ -120,7 +122,9 @@
 
 // Policy configures traffic management.
 type Policy struct {
-	// Off lists mechanisms to disable; default none. Accepted values: window, urgency, grants, ration, declined, repeats, samples, zones, losses, suspicion, in_time, tenant_order, hold_back.
+	// Off lists mechanisms to disable; default none. Accepted values: window, urgency, grants,
+	// ration, declined, repeats, samples, zones, losses, suspicion, in_time, tenant_order,
+	// hold_back.
 	Off []Mechanism `yaml:"off"`
 }
 
--- a/internal/sidecar/target/target.go
+++ b/internal/sidecar/target/target.go
@@ -22,7 +22,8 @@
 type Options struct {
 	Now     func() time.Duration    // clock that includes suspended time
 	NewLink func() *targetlink.Link // creates the connection pool of a target
-	// Identify queries the instance at the target's address; it returns false if the target does not respond.
+	// Identify queries the instance at the target's address; it returns false if the target does
+	// not respond.
 	Identify func(ctx context.Context) (roster.Report, bool)
 	// OnChange is called when the target is replaced, leaves or changes.
 	OnChange func()
--- a/internal/sidecar/targetlink/link.go
+++ b/internal/sidecar/targetlink/link.go
@@ -27,7 +27,8 @@
 	ErrNotSent = errors.ConstError("no connection to the target (remedy: check that it is listening)")
 	// ErrNoResponse means that the connection failed before a response: the request may have run.
 	ErrNoResponse = errors.ConstError("connection to the target failed before a response (remedy: none; the request may have run)")
-	// ErrInvalidResponse means that the response is invalid or not for this request: the request may have run.
+	// ErrInvalidResponse means that the response is invalid or not for this request: the request
+	// may have run.
 	ErrInvalidResponse = errors.ConstError("invalid response from the target (remedy: check the target)")
 )
 
--- a/internal/testbed/client/tally.go
+++ b/internal/testbed/client/stats.go
@@ -17,51 +17,51 @@
 	return &Stats{Sent: map[string]int{}, Served: map[string]int{}, InTime: map[string]int{}, Status: map[int]int{}}
 }
 
-func (t *Stats) count(counts map[string]int, key string) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+func (s *Stats) count(counts map[string]int, key string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	counts[key]++
 }
 
-func (t *Stats) countStatus(status int) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.Status[status]++
+func (s *Stats) countStatus(status int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.Status[status]++
 }
 
 // Share returns the fraction of a route's requests that were served, or 1 if none was sent.
-func (t *Stats) Share(prefix string) float64 {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.Sent[prefix] == 0 {
+func (s *Stats) Share(prefix string) float64 {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.Sent[prefix] == 0 {
 		return 1
 	}
-	return float64(t.Served[prefix]) / float64(t.Sent[prefix])
+	return float64(s.Served[prefix]) / float64(s.Sent[prefix])
 }
 
 // Reset resets the request and status counts.
-func (t *Stats) Reset() {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	clear(t.Sent)
-	clear(t.Served)
-	clear(t.Status)
+func (s *Stats) Reset() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	clear(s.Sent)
+	clear(s.Served)
+	clear(s.Status)
 }
 
 // Totals returns the requests served and sent on all routes.
-func (t *Stats) Totals() (served, sent int) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	for prefix := range t.Sent {
-		served, sent = served+t.Served[prefix], sent+t.Sent[prefix]
+func (s *Stats) Totals() (served, sent int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for prefix := range s.Sent {
+		served, sent = served+s.Served[prefix], sent+s.Sent[prefix]
 	}
 	return served, sent
 }
 
 // ResetRequests resets the request counts and keeps the status counts.
-func (t *Stats) ResetRequests() {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	clear(t.Sent)
-	clear(t.Served)
+func (s *Stats) ResetRequests() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	clear(s.Sent)
+	clear(s.Served)
 }
--- a/internal/testbed/fleet/story_test.go
+++ b/internal/testbed/fleet/story_test.go
@@ -24,17 +24,17 @@
 }
 
 // Write implements io.Writer.
-func (o *logBuffer) Write(data []byte) (int, error) {
-	o.mutex.Lock()
-	defer o.mutex.Unlock()
-	return o.Buffer.Write(data)
+func (b *logBuffer) Write(data []byte) (int, error) {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	return b.Buffer.Write(data)
 }
 
 // text returns the logs so far. It is safe to call during writes.
-func (o *logBuffer) text() string {
-	o.mutex.Lock()
-	defer o.mutex.Unlock()
-	return o.Buffer.String()
+func (b *logBuffer) text() string {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	return b.Buffer.String()
 }
 
 // collectLogs runs a mesh and returns the log lines of its nodes.
--- a/internal/testbed/judge/stops.go
+++ b/internal/testbed/judge/stops.go
@@ -24,8 +24,8 @@
 	j.stops.planned[ip] = time.Now()
 }
 
-// ConnectionLost records that a connection was closed before the response arrived. It counts only if the
-// request has reached a target and its origin machine had a planned stop and no other fault.
+// ConnectionLost records that a connection was closed before the response arrived. It counts only
+// if the request has reached a target and its origin machine had a planned stop and no other fault.
 func (j *Judge) ConnectionLost(id string, deadline time.Time) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
--- a/internal/testbed/target/harmful.go
+++ b/internal/testbed/target/crashset.go
@@ -23,17 +23,17 @@
 type harmfulRequest struct{ path, body string }
 
 // Close prevents further restarts of crashed targets.
-func (h *CrashSet) Close() {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.closed = true
+func (s *CrashSet) Close() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.closed = true
 }
 
 // restart starts a crashed target unless the set is closed.
-func (h *CrashSet) restart(t *Target) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if !h.closed {
+func (s *CrashSet) restart(t *Target) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if !s.closed {
 		_ = t.Start()
 	}
 }
@@ -44,42 +44,42 @@
 }
 
 // Add adds the requests with the given path and body.
-func (h *CrashSet) Add(path, body string) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.requests[harmfulRequest{path, body}] = true
+func (s *CrashSet) Add(path, body string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.requests[harmfulRequest{path, body}] = true
 }
 
 // Remove removes the requests with the given path and body, like a release that fixes the
 // crash.
-func (h *CrashSet) Remove(path, body string) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	delete(h.requests, harmfulRequest{path, body})
+func (s *CrashSet) Remove(path, body string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	delete(s.requests, harmfulRequest{path, body})
 }
 
 // SetRestartDelay sets the time from a crash to the restart of the target.
-func (h *CrashSet) SetRestartDelay(span time.Duration) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.restartDelay = span
+func (s *CrashSet) SetRestartDelay(span time.Duration) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.restartDelay = span
 }
 
 // currentRestartDelay returns the time from a crash to the restart of the target.
-func (h *CrashSet) currentRestartDelay() time.Duration {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.restartDelay
+func (s *CrashSet) currentRestartDelay() time.Duration {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.restartDelay
 }
 
 // matches reports whether a request is in the set. A nil set is empty.
-func (h *CrashSet) matches(r *http.Request, body []byte) bool {
-	if h == nil {
+func (s *CrashSet) matches(r *http.Request, body []byte) bool {
+	if s == nil {
 		return false
 	}
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.requests[harmfulRequest{r.URL.Path, string(body)}]
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.requests[harmfulRequest{r.URL.Path, string(body)}]
 }
 
 // Crash timing.
--- a/internal/testbed/trouble/day.go
+++ b/internal/testbed/trouble/scenario.go
@@ -52,18 +52,18 @@
 }
 
 // drawHarmful generates zero to three harmful requests; two of five scenarios have none.
-func (d *Scenario) drawHarmful(random *rand.Rand) {
+func (s *Scenario) drawHarmful(random *rand.Rand) {
 	for range max(random.IntN(5)-1, 0) {
-		d.Harmful = append(d.Harmful, harmfulRequest{
-			route: random.IntN(len(d.Plan.Routes)), viaCall: random.IntN(3) == 0,
+		s.Harmful = append(s.Harmful, harmfulRequest{
+			route: random.IntN(len(s.Plan.Routes)), viaCall: random.IntN(3) == 0,
 			interval: time.Duration(500+random.IntN(4000)) * time.Millisecond, concurrency: 1 + random.IntN(3),
 		})
 	}
 	// Requests to /s0/chain make the harmful call to the deepest service.
-	first, deepest := d.Plan.Services["s0"], len(d.Plan.Services)-1
+	first, deepest := s.Plan.Services["s0"], len(s.Plan.Services)-1
 	call := target.Call{Host: deployment.Host, Path: fmt.Sprintf("/s%d/harmful-call", deepest), Times: 1}
 	first.Works = append([]target.Work{{Prefix: "/s0/chain", Time: 5 * time.Millisecond, Bytes: 100, Calls: []target.Call{call}}}, first.Works...)
-	d.Plan.Services["s0"] = first
+	s.Plan.Services["s0"] = first
 }
 
 // sendHarmful repeatedly sends a harmful request for the given time.
@@ -116,29 +116,29 @@
 
 // Run runs the client load with the scheduled faults, one at a time, and the harmful
 // requests. It returns when all have completed.
-func (d Scenario) Run(mesh *testbed.Mesh) {
+func (s Scenario) Run(mesh *testbed.Mesh) {
 	var group sync.WaitGroup
 	semaphore := make(chan struct{}, 1) // a mutex is not durably blocking in synctest and would stall the fake clock
-	for index, fault := range d.Faults {
+	for index, fault := range s.Faults {
 		group.Go(func() {
 			time.Sleep(fault.Start)
 			semaphore <- struct{}{}
 			defer func() { <-semaphore }()
-			fault.Inject(mesh, rand.New(rand.NewPCG(d.Seed, uint64(index))))
+			fault.Inject(mesh, rand.New(rand.NewPCG(s.Seed, uint64(index))))
 		})
 	}
-	for number, harmful := range d.Harmful {
-		group.Go(func() { sendHarmful(mesh, number, harmful, d.Duration) })
+	for number, harmful := range s.Harmful {
+		group.Go(func() { sendHarmful(mesh, number, harmful, s.Duration) })
 	}
-	mesh.Load(d.Duration)
+	mesh.Load(s.Duration)
 	group.Wait()
 }
 
 // Describe returns a one-line summary of the deployment and its faults.
-func (d Scenario) Describe() string {
-	text := fmt.Sprintf("%d targets in %d services, %d zones:", d.Plan.Targets(), len(d.Plan.Services), len(d.Plan.Zones))
-	for _, fault := range d.Faults {
+func (s Scenario) Describe() string {
+	text := fmt.Sprintf("%d targets in %d services, %d zones:", s.Plan.Targets(), len(s.Plan.Services), len(s.Plan.Zones))
+	for _, fault := range s.Faults {
 		text += fmt.Sprintf(" %s at %.1fs;", fault.Name, fault.Start.Seconds())
 	}
-	return text + fmt.Sprintf(" %d harmful requests", len(d.Harmful))
+	return text + fmt.Sprintf(" %d harmful requests", len(s.Harmful))
 }
--- a/internal/testbed/trouble/trouble.go
+++ b/internal/testbed/trouble/trouble.go
@@ -17,8 +17,8 @@
 // Kind is a type of fault.
 type Kind struct {
 	Name string
-	// MinServedShare is the minimum fraction of requests that must be served when this is the only fault; 0
-	// if only the invariants are checked.
+	// MinServedShare is the minimum fraction of requests that must be served when this is the only
+	// fault; 0 if only the invariants are checked.
 	MinServedShare float64
 	// Inject injects the fault and reverts it before returning.
 	Inject func(mesh *testbed.Mesh, random *rand.Rand)
--- a/internal/wire/crashes.go
+++ b/internal/wire/crashes.go
@@ -51,9 +51,9 @@
 }
 
 // DecodeEvidence converts the evidence of the message to its internal form.
-func (m *Crashes) DecodeEvidence() []crashes.Evidence {
-	evidence := make([]crashes.Evidence, 0, len(m.Evidence))
-	for _, msg := range m.Evidence {
+func (c *Crashes) DecodeEvidence() []crashes.Evidence {
+	evidence := make([]crashes.Evidence, 0, len(c.Evidence))
+	for _, msg := range c.Evidence {
 		ev := crashes.Evidence{Instance: msg.Instance, Service: msg.Service, Route: msg.Route, CrashedAtMillis: msg.At, Cleared: msg.Cleared, Isolated: msg.Isolated}
 		copy(ev.Content[:], msg.Content)
 		ev.Query, ev.Variant = crashes.Query(msg.Query), crashes.Variant(msg.Variant)
