--- a/cmd/landingmast/main.go
+++ b/cmd/landingmast/main.go
@@ -23,10 +23,10 @@
 	failure.BadInput:    2,
 	failure.Conflict:    3,
 	failure.Unavailable: 4,
-	failure.Limited:     4,
+	failure.RateLimited: 4,
 	failure.Uncertain:   5,
 	failure.Untrusted:   6,
-	failure.Missing:     7,
+	failure.NotFound:    7,
 }
 
 func main() {
@@ -38,7 +38,7 @@
 	application.Version(node.Version)
 	application.HelpFlag.Short('h')
 	commands := operator.Register(application, stdout, operator.Stores{
-		Open: func(address string) store.Store { return platform.NewStore(address, nil) }, CrashKey: platform.CrashKey, Input: os.Stdin,
+		Open: func(address string) store.Store { return platform.NewStore(address, nil) }, CrashKey: platform.CrashesKey, Input: os.Stdin,
 	})
 	selected, err := application.Parse(arguments)
 	if err != nil {
--- a/internal/core/balancer/cost.go
+++ b/internal/core/balancer/cost.go
@@ -9,10 +9,10 @@
 type Requirement struct {
 	// Class groups requests with similar latency; empty: none.
 	Class string
-	// Limit is the time left for the request; 0: unknown.
-	Limit time.Duration
-	// Only restricts the choice to these nodes; nil: any.
-	Only map[string]bool
+	// Timeout is the time left for the request; 0: unknown.
+	Timeout time.Duration
+	// Allowed restricts the choice to these nodes; nil: any.
+	Allowed map[string]bool
 }
 
 // The cost of a target estimates the loss of value from sending a request there, where 1 is the
@@ -61,7 +61,7 @@
 }
 
 func (b *Balancer) profile(need Requirement) requestProfile {
-	p := requestProfile{class: need.Class, meanServiceTime: b.meanServiceTime(), timeout: float64(need.Limit), crossZoneCost: crossZoneCost}
+	p := requestProfile{class: need.Class, meanServiceTime: b.meanServiceTime(), timeout: float64(need.Timeout), crossZoneCost: crossZoneCost}
 	p.latency = float64(p.meanServiceTime)
 	if known := b.classes[need.Class]; known != nil {
 		if known.latency > 0 {
@@ -83,8 +83,8 @@
 func (b *Balancer) meanServiceTime() time.Duration {
 	sum, known := time.Duration(0), time.Duration(0)
 	for _, e := range b.order {
-		if e.report.Hold > 0 {
-			sum += e.report.Hold
+		if e.report.ServiceTime > 0 {
+			sum += e.report.ServiceTime
 			known++
 		}
 	}
@@ -98,7 +98,7 @@
 func (b *Balancer) cost(now time.Duration, e *Endpoint, p requestProfile) float64 {
 	utilization := b.utilization(now, e)
 	latency := e.expectedLatency(now, p) * (1 + (saturationFactor-1)*min(utilization, 1)) * (1 + b.config.Noise*b.random.Float64())
-	if now < e.Cold {
+	if now < e.ColdUntil {
 		latency *= coldFactor
 	}
 	if utilization > 1 {
@@ -175,10 +175,10 @@
 
 // relativeServiceTime returns the target's service time relative to the mean.
 func (e *Endpoint) relativeServiceTime(mean time.Duration) float64 {
-	if e.report.Hold <= 0 || mean <= 0 {
+	if e.report.ServiceTime <= 0 || mean <= 0 {
 		return 1
 	}
-	return float64(e.report.Hold) / float64(mean)
+	return float64(e.report.ServiceTime) / float64(mean)
 }
 
 // latenessCost estimates the probability of exceeding the timeout, given the expected latency as
--- a/internal/core/repeats/keep.go
+++ b/internal/core/retrybudget/reserve.go
@@ -1,4 +1,4 @@
-package repeats
+package retrybudget
 
 import "time"
 
@@ -11,19 +11,19 @@
 	raisedDuration = 2 * time.Second // after a retry that failed because a downstream budget was exhausted
 )
 
-// Keep determines which fraction of the downstream retry budgets a node reserves for retries of
+// Reserve determines which fraction of the downstream retry budgets a node reserves for retries of
 // requests that start at it. The fraction is raised while those budgets are exhausted, because
 // retrying such a request repeats all its downstream calls. It is not safe for concurrent use.
-type Keep struct {
+type Reserve struct {
 	raisedUntil time.Duration
 }
 
-// Short records a retry that was not made because a downstream budget was exhausted.
-func (k *Keep) Short(now time.Duration) { k.raisedUntil = now + raisedDuration }
+// BudgetExhausted records a retry that was not made because a downstream budget was exhausted.
+func (r *Reserve) BudgetExhausted(now time.Duration) { r.raisedUntil = now + raisedDuration }
 
-// Of returns the fraction reserved now.
-func (k *Keep) Of(now time.Duration) float64 {
-	if now < k.raisedUntil {
+// Fraction returns the fraction reserved now.
+func (r *Reserve) Fraction(now time.Duration) float64 {
+	if now < r.raisedUntil {
 		return raisedReserve
 	}
 	return baseReserve
--- a/internal/core/repeats/repeats.go
+++ b/internal/core/retrybudget/retrybudget.go
@@ -1,7 +1,7 @@
-// Package repeats implements retry budgets. In every window the retries of all nodes together
+// Package retrybudget implements retry budgets. In every window the retries of all nodes together
 // must not exceed a ratio of the requests plus an allowance. Each node enforces its own part of
 // that limit, so that no coordination is needed.
-package repeats
+package retrybudget
 
 import "time"
 
@@ -51,8 +51,8 @@
 	return int64(now / (b.config.Window / windowSlices))
 }
 
-// Request counts requests.
-func (b *Budget) Request(now time.Duration, count float64) { b.requests.add(b.slice(now), count) }
+// CountRequests counts requests.
+func (b *Budget) CountRequests(now time.Duration, count float64) { b.requests.add(b.slice(now), count) }
 
 // Allows reports whether the budget permits count more retries.
 func (b *Budget) Allows(now time.Duration, count float64) bool {
@@ -106,8 +106,8 @@
 	return least
 }
 
-// Spend counts retries.
-func (b *Budget) Spend(now time.Duration, count float64) { b.retries.add(b.slice(now), count) }
+// CountRetries counts retries.
+func (b *Budget) CountRetries(now time.Duration, count float64) { b.retries.add(b.slice(now), count) }
 
 func (s *sliceCounter) advance(slice int64) {
 	if slice-s.newest > historySlices {
--- a/internal/mesh/claims/manager.go
+++ b/internal/mesh/claims/manager.go
@@ -68,7 +68,7 @@
 	wake     chan struct{}
 }
 
-var _ dataplane.Claims = (*Manager)(nil)
+var _ dataplane.ClaimStore = (*Manager)(nil)
 
 // New returns a Manager without claims or voter set. Claims aren't persisted across restarts.
 func New(options Options) *Manager {
@@ -104,21 +104,21 @@
 func (m *Manager) Lookup(key string) (claim.Phase, *claim.Answer) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.table.Peek(key)
+	return m.table.Lookup(key)
 }
 
-// NotStarted implements dataplane.Claims.
-func (m *Manager) NotStarted(key string) {
+// Release implements dataplane.Claims.
+func (m *Manager) Release(key string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.table.NotStarted(key)
+	m.table.Release(key)
 }
 
-// Lose implements dataplane.Claims.
-func (m *Manager) Lose(key string) {
+// MarkUnknown implements dataplane.Claims.
+func (m *Manager) MarkUnknown(key string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.table.Lose(key)
+	m.table.MarkUnknown(key)
 }
 
 // Complete implements dataplane.Claims.
@@ -129,7 +129,7 @@
 }
 
 // Begin implements dataplane.Claims.
-func (m *Manager) Begin(ctx context.Context, key string) dataplane.Claimed {
+func (m *Manager) Begin(ctx context.Context, key string) dataplane.ClaimResult {
 	m.mu.Lock()
 	phase, answer, full := m.table.Begin(key)
 	set, service := m.voterSet, m.service
@@ -138,9 +138,9 @@
 	case full:
 		return m.countResult(claimResult(outcome.NotRun, outcome.ReasonClaimsFull))
 	case phase == claim.PhaseDone && answer != nil:
-		return m.countResult(dataplane.Claimed{Kept: answer, Reason: outcome.ReasonKept})
+		return m.countResult(dataplane.ClaimResult{StoredAnswer: answer, Reason: outcome.ReasonStoredResponse})
 	case phase == claim.PhaseDone:
-		return m.countResult(claimResult(outcome.Unknown, outcome.ReasonAnswerNotKept))
+		return m.countResult(claimResult(outcome.Unknown, outcome.ReasonResponseNotStored))
 	case phase == claim.PhaseUnknown:
 		return m.countResult(claimResult(outcome.Unknown, outcome.ReasonExecutorLost))
 	case phase != claim.PhaseAbsent:
@@ -149,18 +149,18 @@
 	return m.countResult(m.claimKey(ctx, key, service, set))
 }
 
-func claimResult(result outcome.Outcome, reason outcome.Reason) dataplane.Claimed {
-	return dataplane.Claimed{Outcome: result, Reason: reason}
+func claimResult(result outcome.Outcome, reason outcome.Reason) dataplane.ClaimResult {
+	return dataplane.ClaimResult{Outcome: result, Reason: reason}
 }
 
-func (m *Manager) countResult(result dataplane.Claimed) dataplane.Claimed {
+func (m *Manager) countResult(result dataplane.ClaimResult) dataplane.ClaimResult {
 	m.options.Metrics.Claims.WithLabelValues(string(result.Reason)).Inc()
 	return result
 }
 
 // claimKey has the voters choose the executor of the key and grants the key if this node is
 // chosen [Run]. Otherwise it releases the key locally.
-func (m *Manager) claimKey(ctx context.Context, key, service string, set *claim.VoterSet) dataplane.Claimed {
+func (m *Manager) claimKey(ctx context.Context, key, service string, set *claim.VoterSet) dataplane.ClaimResult {
 	started := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
@@ -172,13 +172,13 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if executor == m.options.Self && ctx.Err() == nil && m.table.Grant(key) {
-		return dataplane.Claimed{Run: true, Reason: outcome.ReasonGranted, Executor: executor.Node, Numbers: numbers}
+		return dataplane.ClaimResult{Granted: true, Reason: outcome.ReasonGranted, Executor: executor.Node, Numbers: numbers}
 	}
-	m.table.GiveUp(key)
+	m.table.Abandon(key)
 	result := claimResult(outcome.NotRun, outcome.ReasonNoQuorum)
 	result.Numbers = numbers
 	switch {
-	case executor == m.options.Self, executor.Zero():
+	case executor == m.options.Self, executor.IsZero():
 		if refusal == claim.RefusedFull {
 			result.Reason = outcome.ReasonClaimsFull
 		}
@@ -188,7 +188,7 @@
 	case executor.Node == m.options.Self.Node: // a previous incarnation of this node, whose claims are lost
 		result.Outcome, result.Reason = outcome.Unknown, outcome.ReasonExecutorLost
 	default:
-		result.Outcome, result.Reason, result.Executor = outcome.Unknown, outcome.ReasonElsewhere, executor.Node
+		result.Outcome, result.Reason, result.Executor = outcome.Unknown, outcome.ReasonClaimedElsewhere, executor.Node
 	}
 	return result
 }
@@ -232,9 +232,9 @@
 	for range set.Members {
 		step := claim.StepWait
 		if reply := <-replies; reply != nil {
-			step = proposal.Reply(*reply)
+			step = proposal.HandleReply(*reply)
 		} else {
-			step = proposal.Lost()
+			step = proposal.HandleNoReply()
 		}
 		if step != claim.StepWait {
 			return step
--- a/internal/mesh/dataplane/ingress.go
+++ b/internal/mesh/dataplane/ingress.go
@@ -150,15 +150,15 @@
 
 func (c *ingressCall) writeStoredAnswer(answer *claim.Answer) {
 	if answer == nil {
-		c.refuse(newRefusal(outcome.Unknown, outcome.ReasonAnswerNotKept), "")
+		c.refuse(newRefusal(outcome.Unknown, outcome.ReasonResponseNotStored), "")
 		return
 	}
-	c.plane.record(c.context, explain.Claim, string(outcome.ReasonKept), c.wire.Service, c.plane.node)
+	c.plane.record(c.context, explain.Claim, string(outcome.ReasonStoredResponse), c.wire.Service, c.plane.node)
 	header := c.writer.Header()
 	for name, values := range answer.Headers {
 		header[name] = values
 	}
-	c.writeHead(outcome.Answered, outcome.ReasonKept, answer.Status, int64(len(answer.Body)), 0, "")
+	c.writeHead(outcome.Answered, outcome.ReasonStoredResponse, answer.Status, int64(len(answer.Body)), 0, "")
 	sum, err := relay(c.writer, bytes.NewReader(answer.Body), -1, false, nil, func(bodySum) error { return nil })
 	c.writeTrailer(sum, err != nil)
 }
@@ -170,10 +170,10 @@
 		claimed := c.plane.claims.Begin(ctx, c.wire.Key)
 		c.plane.record(c.context, explain.Claim, string(claimed.Reason), c.wire.Service, claimed.Executor, claimed.Numbers...)
 		switch {
-		case claimed.Kept != nil:
-			c.writeStoredAnswer(claimed.Kept)
+		case claimed.StoredAnswer != nil:
+			c.writeStoredAnswer(claimed.StoredAnswer)
 			return runResult{}
-		case !claimed.Run:
+		case !claimed.Granted:
 			final := newRefusal(claimed.Outcome, claimed.Reason)
 			return runResult{final: &final, executor: claimed.Executor}
 		}
@@ -227,7 +227,7 @@
 // notStarted releases the claim of a call that the target did not start.
 func (c *ingressCall) notStarted(reason outcome.Reason) runResult {
 	if c.wire.AtMostOnce {
-		c.plane.claims.NotStarted(c.wire.Key)
+		c.plane.claims.Release(c.wire.Key)
 	}
 	final := newRefusal(outcome.NotRun, reason)
 	return runResult{final: &final}
@@ -236,7 +236,7 @@
 // noResponse handles a call that was sent to the target but got no response.
 func (c *ingressCall) noResponse(ctx context.Context, started time.Duration) runResult {
 	if c.wire.AtMostOnce {
-		c.plane.claims.Lose(c.wire.Key)
+		c.plane.claims.MarkUnknown(c.wire.Key)
 	}
 	reason := cancelReason(ctx, outcome.ReasonReset)
 	final := newRefusal(outcome.Unknown, reason)
@@ -277,7 +277,7 @@
 		reason = cancelReason(ctx, outcome.ReasonTruncated)
 	}
 	c.count(outcome.Answered, reason)
-	c.plane.metrics.Added.WithLabelValues(string(SideIngress)).Observe((started - c.started).Seconds())
+	c.plane.metrics.AddedLatency.WithLabelValues(string(SideIngress)).Observe((started - c.started).Seconds())
 	c.plane.record(c.context, explain.Answer, string(reason), c.wire.Service, c.plane.node, number("status", float64(response.StatusCode)),
 		number("bytes", float64(sum.length)), number("own_ms", milliseconds(own)), number("took_ms", milliseconds(c.plane.now()-started)))
 	return runResult{own: own, healthy: err == nil && response.StatusCode < http.StatusInternalServerError}
@@ -288,7 +288,7 @@
 
 func (c *ingressCall) storeAnswer(response *http.Response, stored *boundedCopy, relayErr error) {
 	if relayErr != nil && relayErr != errClientGone {
-		c.plane.claims.Lose(c.wire.Key)
+		c.plane.claims.MarkUnknown(c.wire.Key)
 		return
 	}
 	if relayErr != nil || stored.exceeded {
@@ -336,7 +336,7 @@
 	if final.reason == outcome.ReasonUnreachable || final.outcome == outcome.Unknown {
 		c.plane.record(c.context, explain.Refuse, string(final.reason), c.wire.Service, c.plane.node)
 	}
-	c.writer.ReadRest()
+	c.writer.DrainBody()
 	c.writeHead(final.outcome, final.reason, 0, 0, final.retryAfter, executor)
 	c.writeTrailer(bodySum{}, false)
 }
--- a/internal/mesh/lab/bench/bench.go
+++ b/internal/mesh/lab/bench/bench.go
@@ -58,7 +58,7 @@
 	time.Sleep(2 * time.Second) // let the voter set form and the nodes become idle
 	result := &Result{}
 	for _, process := range running.Nodes {
-		result.Usages = append(result.Usages, Usage{Name: process.Name, ResidentIdle: cluster.Resident(running.Pid(process))})
+		result.Usages = append(result.Usages, Usage{Name: process.Name, ResidentIdle: cluster.ResidentMemory(running.Pid(process))})
 	}
 	result.measureLatency(ctx, running, options)
 	result.measureThroughput(ctx, running, options)
@@ -95,18 +95,18 @@
 		address, traffic, key := target, ping, ""
 		switch kind {
 		case proxied:
-			address = running.Entries()[number%deployment.Entries]
+			address = running.Entries()[number%deployment.EntryCount]
 		case atMostOnce:
-			address, traffic, key = running.Entries()[number%deployment.Entries], keyed, "k"+strconv.Itoa(number)
+			address, traffic, key = running.Entries()[number%deployment.EntryCount], keyed, "k"+strconv.Itoa(number)
 		}
 		group.Go(func() {
 			answer := load.Send(ctx, client, address, traffic, "user", key, "t-"+strconv.Itoa(number)+"-0")
-			if !answer.Whole || answer.Sent.Before(warmUpEnd) {
+			if !answer.Complete || answer.Sent.Before(warmUpEnd) {
 				return
 			}
 			mutex.Lock()
 			defer mutex.Unlock()
-			_ = histograms[kind].RecordValue(int64(answer.Took / time.Microsecond))
+			_ = histograms[kind].RecordValue(int64(answer.Latency / time.Microsecond))
 		})
 	}
 	group.Wait()
@@ -129,16 +129,16 @@
 	ping := &deployment.Traffic{Class: "ping", Service: "echo", Method: http.MethodGet, Path: "/ping"}
 	before := make([]time.Duration, len(running.Nodes))
 	for index, process := range running.Nodes {
-		before[index] = cluster.ProcessorTime(running.Pid(process))
+		before[index] = cluster.CPUTime(running.Pid(process))
 	}
 	counts := make([]int, options.Connections)
 	var group sync.WaitGroup
 	start := time.Now()
 	for worker := range options.Connections {
 		group.Go(func() {
-			entry := running.Entries()[worker%deployment.Entries]
+			entry := running.Entries()[worker%deployment.EntryCount]
 			for time.Since(start) < throughputDuration && ctx.Err() == nil {
-				if load.Send(ctx, client, entry, ping, "u"+strconv.Itoa(worker), "", "t-1-0").Whole {
+				if load.Send(ctx, client, entry, ping, "u"+strconv.Itoa(worker), "", "t-1-0").Complete {
 					counts[worker]++
 				}
 			}
@@ -152,8 +152,8 @@
 	}
 	var used time.Duration
 	for index, process := range running.Nodes {
-		r.Usages[index].CPUTime = cluster.ProcessorTime(running.Pid(process)) - before[index]
-		r.Usages[index].ResidentLoad = cluster.Resident(running.Pid(process))
+		r.Usages[index].CPUTime = cluster.CPUTime(running.Pid(process)) - before[index]
+		r.Usages[index].ResidentLoad = cluster.ResidentMemory(running.Pid(process))
 		used += r.Usages[index].CPUTime
 	}
 	r.Throughput = float64(calls) / elapsed.Seconds()
--- a/internal/mesh/lab/cluster/usage.go
+++ b/internal/mesh/lab/cluster/usage.go
@@ -8,8 +8,9 @@
 	"time"
 )
 
-// Resident gives the resident memory of a process, in bytes; 0 when it is gone.
-func Resident(pid int) int64 {
+// ResidentMemory returns the resident set size of a process in bytes, or 0 if the
+// process has exited.
+func ResidentMemory(pid int) int64 {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	if err != nil {
 		return 0
@@ -21,11 +22,12 @@
 	return pages * int64(os.Getpagesize())
 }
 
-// ticksPerSecond is the unit of the processor times below /proc on Linux.
+// ticksPerSecond is USER_HZ, the unit of CPU times in /proc/PID/stat on Linux.
 const ticksPerSecond = 100
 
-// ProcessorTime gives the user and system time of a process.
-func ProcessorTime(pid int) time.Duration {
+// CPUTime returns the user and system CPU time of a process, or 0 if the
+// process has exited.
+func CPUTime(pid int) time.Duration {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0
--- a/internal/mesh/lab/demo/demo.go
+++ b/internal/mesh/lab/demo/demo.go
@@ -59,7 +59,7 @@
 	go func() { rolloutDone <- rollOutBundle(ctx, running, options.Duration/2, result) }()
 	answers := load.Run(ctx, load.Options{
 		Deployment: options.Cluster.Deployment, Entries: running.Entries(), Rate: options.Rate, Duration: options.Duration, Users: 200,
-		Resend: 1, Seed: options.Seed, Progress: options.Progress,
+		MaxRetries: 1, Seed: options.Seed, Progress: options.Progress,
 	})
 	if err := <-rolloutDone; err != nil {
 		result.Err = err
@@ -110,16 +110,16 @@
 	}
 	r.Checks = check.All(running.Deployment, answers, executions)
 	r.Checks = append(r.Checks, check.Check{
-		Name: "bundle in force everywhere within 5s", Held: r.RolloutDuration > 0 && r.RolloutDuration <= rolloutLimit, Detail: r.RolloutDuration.Round(time.Millisecond).String(),
+		Name: "bundle in force everywhere within 5s", Passed: r.RolloutDuration > 0 && r.RolloutDuration <= rolloutLimit, Detail: r.RolloutDuration.Round(time.Millisecond).String(),
 	})
 	whole := 0
 	for _, answer := range answers {
-		if answer.Whole {
+		if answer.Complete {
 			whole++
 		}
 	}
 	r.Checks = append(r.Checks, check.Check{
-		Name: "at least 99% of the answers are whole", Held: whole*100 >= len(answers)*99 && whole > 0, Detail: fmt.Sprintf("%d of %d", whole, len(answers)),
+		Name: "at least 99% of the answers are whole", Passed: whole*100 >= len(answers)*99 && whole > 0, Detail: fmt.Sprintf("%d of %d", whole, len(answers)),
 	})
 	r.buildRows(ctx, running, answers)
 	return r.explain(ctx, running, answers)
@@ -156,7 +156,7 @@
 	client := adminapi.New(running.Nodes[0].Admin)
 	for index := len(answers) - 1; index >= 0; index-- {
 		answer := answers[index]
-		if !answer.Whole || counts[answer.Class] >= maxSamples {
+		if !answer.Complete || counts[answer.Class] >= maxSamples {
 			continue
 		}
 		counts[answer.Class]++
@@ -194,7 +194,7 @@
 // explain reads the decision records of the last answered keyed request.
 func (r *Result) explain(ctx context.Context, running *cluster.Cluster, answers []load.Answer) error {
 	for index := len(answers) - 1; index >= 0; index-- {
-		if !answers[index].Whole || answers[index].Key == "" {
+		if !answers[index].Complete || answers[index].Key == "" {
 			continue
 		}
 		decisions, err := adminapi.New(running.Nodes[len(running.Nodes)-1].Admin).Explain(ctx, answers[index].RequestID)
@@ -203,9 +203,9 @@
 		}
 		r.ExplainedID = answers[index].RequestID
 		for _, decision := range decisions {
-			r.Explained = append(r.Explained, adminapi.DecisionLine(decision))
+			r.Explained = append(r.Explained, adminapi.FormatDecision(decision))
 		}
-		r.Checks = append(r.Checks, check.Check{Name: "a request can be explained at every hop", Held: len(decisions) >= 6, Detail: fmt.Sprintf("%d decisions", len(decisions))})
+		r.Checks = append(r.Checks, check.Check{Name: "a request can be explained at every hop", Passed: len(decisions) >= 6, Detail: fmt.Sprintf("%d decisions", len(decisions))})
 		return nil
 	}
 	return fmt.Errorf("no request with an idempotency key was answered")
--- a/internal/mesh/node/node.go
+++ b/internal/mesh/node/node.go
@@ -74,7 +74,7 @@
 	}
 	n := &Node{
 		settings: settings, keyring: keyring, incarnation: strconv.FormatUint(rand.Uint64(), 36), startTime: time.Now(),
-		log: telemetry.NewLog(settings.Log, settings.Node, output), metrics: telemetry.NewMetrics(),
+		log: telemetry.NewLogger(settings.Log, settings.Node, output), metrics: telemetry.NewMetrics(),
 		recorder: explain.NewRecorder(explain.DefaultRequests),
 	}
 	if settings.Platform.Address != "" {
@@ -88,7 +88,7 @@
 			Mesh: settings.Mesh, Self: claim.Executor{Node: settings.Node, Incarnation: n.incarnation}, Store: n.store, Peers: n.controlClient,
 			Metrics: n.metrics, Log: n.log,
 		})
-		options.Target, options.Connections, options.Claims = settings.Target.Address, settings.Target.Connections, n.claims
+		options.Target, options.MaxConnections, options.Claims = settings.Target.Address, settings.Target.Connections, n.claims
 	}
 	n.dataPlane = dataplane.New(options)
 	n.disseminator = newDisseminator(n)
@@ -188,7 +188,7 @@
 	}
 	drainCtx, cancel := context.WithTimeout(force, drainTimeout)
 	defer cancel()
-	for began := time.Now(); drainCtx.Err() == nil && n.drainPending(began) != drain.Nothing; {
+	for began := time.Now(); drainCtx.Err() == nil && n.drainPending(began) != drain.WaitNone; {
 		time.Sleep(drainPollInterval)
 	}
 	n.log.WithField("in_flight", n.dataPlane.InFlight()).Info("closing connections")
@@ -198,8 +198,8 @@
 }
 
 // drainPending returns what a shutdown that started at began still waits for.
-func (n *Node) drainPending(began time.Time) drain.Awaits {
-	return drain.For(drain.State{InFlight: n.dataPlane.InFlight(), Began: time.Since(began), Kept: n.dataPlane.SinceKept()})
+func (n *Node) drainPending(began time.Time) drain.WaitCondition {
+	return drain.NextWait(drain.State{InFlight: n.dataPlane.InFlight(), SinceStop: time.Since(began), SinceKeepAlive: n.dataPlane.SinceKeepAlive()})
 }
 
 // drain makes the node refuse new calls. Only the first call has an effect.
@@ -227,12 +227,12 @@
 	if n.installed != nil && release.Version <= n.installed.Release.Version {
 		return nil
 	}
-	opened, err := bundle.Open(release, n.keyring, n.installed)
+	opened, err := bundle.Verify(release, n.keyring, n.installed)
 	if err == nil && opened.Bundle.Mesh != n.settings.Mesh {
 		err = failure.New(failure.Untrusted, "roll the release in the mesh that it names", "release %d is for mesh %q", release.Version, opened.Bundle.Mesh)
 	}
 	if err != nil {
-		if !failure.Is(err, failure.Missing) {
+		if !failure.Is(err, failure.NotFound) {
 			n.metrics.BundlesRejected.Inc()
 			n.log.WithError(err).Warning("release refused")
 		}
--- a/internal/mesh/platform/consul_test.go
+++ b/internal/mesh/platform/consul_test.go
@@ -38,7 +38,7 @@
 	g := NewWithT(t)
 	service, store := newStore(t)
 	ctx := context.Background()
-	service.SetFaults(standin.Faults{LoseAnswers: true})
+	service.SetFaults(standin.Faults{DropResponses: true})
 	_, err := store.CompareAndSwap(ctx, "k", []byte("one"), 0)
 	g.Expect(failure.Is(err, failure.Uncertain)).To(BeTrue())
 	service.SetFaults(standin.Faults{})
@@ -52,7 +52,7 @@
 
 	service.SetFaults(standin.Faults{RateLimit: 0.001})
 	_, err = store.CompareAndSwap(ctx, "k", []byte("two"), entry.Index)
-	g.Expect(failure.Is(err, failure.Limited)).To(BeTrue())
+	g.Expect(failure.Is(err, failure.RateLimited)).To(BeTrue())
 }
 
 func TestMachines(t *testing.T) {
@@ -64,7 +64,7 @@
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(index).To(BeNumerically(">", 1))
 	g.Expect(machines).To(ConsistOf(platform.Machine{Node: "n-1"}, platform.Machine{Node: "n-2", Leaving: true}))
-	service.SetFaults(standin.Faults{MachineLag: time.Hour})
+	service.SetFaults(standin.Faults{CatalogLag: time.Hour})
 	machines, _, err = store.Machines(context.Background())
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(machines).To(BeEmpty())
--- a/internal/sidecar/arrival/crash.go
+++ b/internal/sidecar/arrival/crash.go
@@ -5,7 +5,7 @@
 
 	"github.com/landingmast/landingmast/internal/core/outcome"
 	"github.com/landingmast/landingmast/internal/sidecar/eventlog"
-	"github.com/landingmast/landingmast/internal/sidecar/heldback"
+	"github.com/landingmast/landingmast/internal/sidecar/quarantine"
 	"github.com/landingmast/landingmast/internal/sidecar/target"
 )
 
@@ -24,7 +24,7 @@
 func (i *Ingress) recordLost(gate *target.Gate, req *request) outcome.Reason {
 	now := i.options.Now()
 	gate.Unanswered.Add(now, req.unansweredRun(now+lostRunTTL))
-	if !gate.Unanswered.Ended(gate.Links.Listens) {
+	if !gate.Unanswered.TargetExited(gate.Link.Probe) {
 		return outcome.ReasonLost
 	}
 	i.recordCrash(gate)
@@ -39,45 +39,45 @@
 
 // handleUnreachable reports a crash if connections are refused while runs are unanswered.
 func (i *Ingress) handleUnreachable(gate *target.Gate, err error) {
-	if target.IsRefused(err) && gate.Unanswered.HoldsAny(i.options.Now()) {
+	if target.IsConnectionRefused(err) && gate.Unanswered.HasRuns(i.options.Now()) {
 		i.recordCrash(gate)
 	}
 }
 
 func (r *request) unansweredRun(until time.Duration) target.UnansweredRun {
 	return target.UnansweredRun{
-		Run:     heldback.Run{Fingerprint: r.Fingerprint(), Alone: r.exclusive, Route: r.Call.Route},
-		Request: r.Call.RequestID, Until: until,
+		Run:     quarantine.Run{Fingerprint: r.Fingerprint(), Isolated: r.exclusive, Route: r.Call.Route},
+		Request: r.Call.RequestID, ExpiresAt: until,
 	}
 }
 
 // InstanceReplaced reports a crash if another instance serves the target's address while runs are
 // unanswered and the previous instance did not announce its shutdown.
 func (i *Ingress) InstanceReplaced(gate *target.Gate) {
-	if gate.Unanswered.HoldsAny(i.options.Now()) {
+	if gate.Unanswered.HasRuns(i.options.Now()) {
 		i.recordCrash(gate)
 	}
 }
 
 // recordCrash records the requests that were in progress when the target crashed.
 func (i *Ingress) recordCrash(gate *target.Gate) {
-	runs, first := gate.Unanswered.Take(i.options.Now())
+	runs, first := gate.Unanswered.TakeRuns(i.options.Now())
 	if len(runs) == 0 {
 		return
 	}
 	event := eventlog.Crash{Instance: gate.Instance, Service: gate.Service, Requests: len(runs)}
 	for _, run := range runs[:min(len(runs), maxLoggedRuns)] {
-		event.Running = append(event.Running, eventlog.CrashRun{Request: run.Request, Route: run.Route, Digest: run.Fingerprint.Content.String()})
+		event.Runs = append(event.Runs, eventlog.CrashRun{Request: run.Request, Route: run.Route, Digest: run.Fingerprint.Content.String()})
 	}
 	if first {
 		i.options.Metrics.Crashes.Inc()
 	}
 	i.options.Events.Add(event, eventlog.State)
-	crashed := make([]heldback.Run, 0, len(runs))
+	crashed := make([]quarantine.Run, 0, len(runs))
 	for _, run := range runs {
 		crashed = append(crashed, run.Run)
 	}
-	i.options.HeldBack.TargetEnded(gate.Instance, gate.Service, crashed)
+	i.options.Quarantine.RecordCrash(gate.Instance, gate.Service, crashed)
 }
 
 // maxLoggedRuns limits the requests listed in one log event.
--- a/internal/sidecar/arrival/ingress.go
+++ b/internal/sidecar/arrival/ingress.go
@@ -13,7 +13,7 @@
 	"github.com/landingmast/landingmast/internal/core/slots"
 	"github.com/landingmast/landingmast/internal/sidecar/eventlog"
 	"github.com/landingmast/landingmast/internal/sidecar/headers"
-	"github.com/landingmast/landingmast/internal/sidecar/heldback"
+	"github.com/landingmast/landingmast/internal/sidecar/quarantine"
 	"github.com/landingmast/landingmast/internal/sidecar/reply"
 	"github.com/landingmast/landingmast/internal/sidecar/target"
 	"github.com/landingmast/landingmast/internal/wire"
@@ -21,15 +21,15 @@
 
 // Ingress is the HTTP handler for requests to the local target.
 type Ingress struct {
-	options Options
-	Running runningTable
-	Once    *onceHandler
+	options       Options
+	Running       runningTable
+	SettleHandler *onceHandler
 }
 
 // New returns the ingress handler of a node.
 func New(options Options) *Ingress {
 	i := &Ingress{options: options, Running: runningTable{requests: map[string]*Running{}}}
-	i.Once = newOnceHandler(i)
+	i.SettleHandler = newOnceHandler(i)
 	return i
 }
 
@@ -52,13 +52,13 @@
 	w, r, end, draining := i.options.Begin(writer, received)
 	defer end()
 	if draining {
-		w.ReadRest()
+		w.DrainBody()
 		i.write(w, reply.NotRun(outcome.ReasonStopping))
 		return
 	}
-	call, err := wire.CallFrom(r.Header)
+	call, err := wire.DecodeCall(r.Header)
 	if err != nil {
-		w.ReadRest()
+		w.DrainBody()
 		i.write(w, reply.NotRun(outcome.ReasonBadMessage))
 		return
 	}
@@ -138,18 +138,18 @@
 func (i *Ingress) Serve(ctx context.Context, call *wire.SidecarCall, header http.Header, body *reply.Payload) *reply.Reply {
 	switch {
 	case call.Incarnation != "" && call.Incarnation != i.options.Incarnation:
-		return reply.NotRun(outcome.ReasonIncarnation)
-	case call.Repeatable || call.Key == "":
+		return reply.NotRun(outcome.ReasonNodeRestarted)
+	case call.Idempotent || call.Key == "":
 		return i.admit(ctx, call, header, body, nil)
 	default:
-		return i.Once.serve(ctx, call, header, body)
+		return i.SettleHandler.serve(ctx, call, header, body)
 	}
 }
 
 // admit waits for a slot and sends the request to the target. claimSend, if not nil, is called
 // right before sending and can deny it.
 func (i *Ingress) admit(ctx context.Context, call *wire.SidecarCall, header http.Header, body *reply.Payload, claimSend func() bool) *reply.Reply {
-	req := &request{Request: heldback.Request{Call: call, Body: body}, arrivedAt: i.options.Now()}
+	req := &request{Request: quarantine.Request{Call: call, Body: body}, arrivedAt: i.options.Now()}
 	response := i.passGate(ctx, req, header, claimSend)
 	i.recordRun(req, response)
 	return response
@@ -157,7 +157,7 @@
 
 // request is a request at the gate, with the fields of its log event.
 type request struct {
-	heldback.Request
+	quarantine.Request
 	arrivedAt time.Duration
 	instance  string
 	waited    time.Duration
@@ -183,22 +183,22 @@
 		return reply.NotRun(outcome.ReasonWrongService)
 	}
 	req.instance = gate.Instance
-	heldBack := i.options.HeldBack
+	heldBack := i.options.Quarantine
 	switch {
 	case !heldBack.MaySend(&req.Request):
 		return reply.NotRun(outcome.ReasonEndsTargets)
-	case heldBack.Suspected(&req.Request):
-		if !gate.Unanswered.AcquireSingle(ctx) {
+	case heldBack.IsSuspected(&req.Request):
+		if !gate.Unanswered.AcquireSuspectSlot(ctx) {
 			return reply.NotRun(outcome.ReasonSuspectWaits)
 		}
-		if req.exclusive = heldBack.Suspected(&req.Request); req.exclusive {
-			defer gate.Unanswered.ReleaseSingle()
+		if req.exclusive = heldBack.IsSuspected(&req.Request); req.exclusive {
+			defer gate.Unanswered.ReleaseSuspectSlot()
 		} else {
-			gate.Unanswered.ReleaseSingle() // cleared of suspicion while waiting
+			gate.Unanswered.ReleaseSuspectSlot() // cleared of suspicion while waiting
 		}
 	}
 	now := i.options.Now()
-	id, decision := gate.Enter(ctx, slots.Request{Importance: call.Importance, Deadline: now + req.remaining(ctx, now), Class: call.Route})
+	id, decision := gate.Acquire(ctx, slots.Request{Importance: call.Importance, Deadline: now + req.remaining(ctx, now), Class: call.Route})
 	req.waited = decision.Waited
 	var response *reply.Reply
 	switch {
@@ -207,10 +207,10 @@
 	case !decision.Send:
 		response = reply.NotRun(outcome.Reason(decision.Reason))
 	case claimSend != nil && !claimSend():
-		gate.Leave(id, false)
+		gate.Release(id, false)
 		response = reply.NotRun(outcome.ReasonFenced)
 	case !heldBack.MaySend(&req.Request): // evidence may have arrived while waiting
-		gate.Leave(id, false)
+		gate.Release(id, false)
 		response = reply.NotRun(outcome.ReasonEndsTargets)
 	default:
 		response = i.run(ctx, gate, id, req, header)
@@ -223,19 +223,19 @@
 // run sends the request to the target and reads its response.
 func (i *Ingress) run(ctx context.Context, gate *target.Gate, id uint64, req *request, header http.Header) *reply.Reply {
 	call := req.Call
-	running := &Running{ID: call.RequestID, Context: ctx, Importance: call.Importance, IsRetry: call.Repeat, Tenant: call.Tenant, RetryGrant: call.Granted, needs: map[string]wire.Need{}}
+	running := &Running{ID: call.RequestID, Context: ctx, Importance: call.Importance, IsRetry: call.IsRetry, Tenant: call.Tenant, RetryGrant: call.RetryGrant, needs: map[string]wire.Need{}}
 	i.Running.add(call.RequestID, running)
 	response := i.sendToTarget(ctx, gate, req, header)
 	i.Running.remove(call.RequestID, running)
 	answered := response.Outcome == outcome.Answered
 	if response.Stream == nil {
-		gate.Leave(id, answered)
+		gate.Release(id, answered)
 		if response.Outcome == outcome.Answered {
-			i.options.HeldBack.EndedWell(&req.Request)
+			i.options.Quarantine.RecordSuccess(&req.Request)
 		}
 	} else {
 		response.Stream = &slotReader{ReadCloser: response.Stream, release: func(err error) {
-			gate.Leave(id, answered)
+			gate.Release(id, answered)
 			i.recordStreamEnd(ctx, gate, req, err)
 		}}
 	}
@@ -271,7 +271,7 @@
 func (i *Ingress) recordStreamEnd(ctx context.Context, gate *target.Gate, req *request, err error) {
 	switch {
 	case err == io.EOF:
-		i.options.HeldBack.EndedWell(&req.Request)
+		i.options.Quarantine.RecordSuccess(&req.Request)
 	case err == nil || ctx.Err() != nil:
 		i.recordCancelled(gate, req)
 	default:
@@ -283,19 +283,19 @@
 func (i *Ingress) recordRun(req *request, response *reply.Reply) {
 	waited, elapsed := req.waited, i.options.Now()-req.arrivedAt
 	if response.Arrived {
-		i.options.Metrics.Waited.Observe(waited.Seconds())
-		i.options.Metrics.Held.Observe((elapsed - waited).Seconds())
+		i.options.Metrics.SlotWait.Observe(waited.Seconds())
+		i.options.Metrics.TargetDuration.Observe((elapsed - waited).Seconds())
 	}
 	weight := eventlog.Success
 	if response.Outcome != outcome.Answered || response.Status >= http.StatusInternalServerError {
 		weight = eventlog.Failure
 	}
-	if !i.options.Events.Wants(eventlog.Run{}.Kind(), weight) {
+	if !i.options.Events.Allow(eventlog.Run{}.Kind(), weight) {
 		return
 	}
 	i.options.Events.Add(eventlog.Run{
 		Request: req.Call.RequestID, From: req.Call.From, Service: req.Call.Service, Instance: req.instance, Outcome: string(response.Outcome),
 		Reason: string(response.Reason), Status: response.Status, Importance: req.Call.Importance, WaitMS: eventlog.Milliseconds(waited), TookMS: eventlog.Milliseconds(elapsed),
-		LeftMS: float64(req.Call.Remaining) / 1000, Running: response.Load.Running, Waiting: response.Load.Waiting, Slots: response.Load.Slots, Repeat: req.Call.Repeat,
+		RemainingMS: float64(req.Call.Remaining) / 1000, Running: response.Load.Running, Waiting: response.Load.Waiting, Slots: response.Load.Slots, Retry: req.Call.IsRetry,
 	}, weight)
 }
--- a/internal/sidecar/arrival/options.go
+++ b/internal/sidecar/arrival/options.go
@@ -7,7 +7,7 @@
 // contents that crash targets, slot, at-most-once claim, target. A run without a response is
 // classified here, because the target may have crashed.
 //
-// Package target provides the gate and its connections, heldback the crash evidence, core/fence the
+// Package target provides the gate and its connections, quarantine the crash evidence, core/fence the
 // at-most-once ledger, and core/outcome the classification of responses. All exported types are
 // safe for concurrent use.
 package arrival
@@ -19,8 +19,8 @@
 	"github.com/landingmast/landingmast/internal/duplex"
 	"github.com/landingmast/landingmast/internal/sidecar/eventlog"
 	"github.com/landingmast/landingmast/internal/sidecar/headers"
-	"github.com/landingmast/landingmast/internal/sidecar/heldback"
 	"github.com/landingmast/landingmast/internal/sidecar/metrics"
+	"github.com/landingmast/landingmast/internal/sidecar/quarantine"
 	"github.com/landingmast/landingmast/internal/sidecar/target"
 )
 
@@ -28,16 +28,16 @@
 type Target interface {
 	// Current returns the gate of the target, or nil if no target is known.
 	Current() *target.Gate
-	// Replaced reports that another instance now serves the target's address.
-	Replaced(instance string)
+	// MarkReplaced reports that another instance now serves the target's address.
+	MarkReplaced(instance string)
 }
 
-// HeldBack decides whether requests that may crash the target are sent, and collects the evidence.
-type HeldBack interface {
-	MaySend(r *heldback.Request) bool
-	Suspected(r *heldback.Request) bool
-	EndedWell(r *heldback.Request)
-	TargetEnded(instance, service string, runs []heldback.Run)
+// Quarantine decides whether requests that may crash the target are sent, and collects the evidence.
+type Quarantine interface {
+	MaySend(r *quarantine.Request) bool
+	IsSuspected(r *quarantine.Request) bool
+	RecordSuccess(r *quarantine.Request)
+	RecordCrash(instance, service string, runs []quarantine.Run)
 }
 
 // Options holds the dependencies of an Ingress.
@@ -47,7 +47,7 @@
 	Headers     headers.Names
 	Version     func() uint64 // version of the configuration in force; 0 if none is known
 	Target      Target
-	HeldBack    HeldBack
+	Quarantine  Quarantine
 	Metrics     *metrics.Metrics
 	Events      *eventlog.Log
 	// Begin counts a request of another node as in flight until end is called. draining reports
--- a/internal/sidecar/arrival/send.go
+++ b/internal/sidecar/arrival/send.go
@@ -28,7 +28,7 @@
 	if call.Tenant != "" {
 		header.Set(names.Tenant, call.Tenant)
 	}
-	answer, err := gate.Links.Do(ctx, &targetlink.Request{
+	answer, err := gate.Link.Do(ctx, &targetlink.Request{
 		ID: call.RequestID, Method: call.Method, URI: call.URI, Host: call.Host, Header: header,
 		Body: body.Data, Stream: body.Stream, Length: body.Length,
 	})
@@ -46,20 +46,20 @@
 	case ctx.Err() != nil:
 		i.recordCancelled(gate, req)
 		return reply.Unknown(reply.CancelReason(ctx))
-	case errors.Is(err, targetlink.ErrSpoiled):
-		return reply.Unknown(outcome.ReasonSpoiled)
+	case errors.Is(err, targetlink.ErrInvalidResponse):
+		return reply.Unknown(outcome.ReasonInvalidResponse)
 	default:
 		return reply.Unknown(i.recordLost(gate, req))
 	}
 }
 
 // readAnswer classifies the target's response and reads its body if it is a valid one.
-func (i *Ingress) readAnswer(ctx context.Context, gate *target.Gate, req *request, answer *targetlink.Answer) *reply.Reply {
+func (i *Ingress) readAnswer(ctx context.Context, gate *target.Gate, req *request, answer *targetlink.Response) *reply.Reply {
 	names := i.options.Headers
-	result, reason := outcome.TargetAnswer{
+	result, reason := outcome.TargetResponse{
 		Status: answer.Status, NotRun: answer.Header.Get(names.NotRun) != "", Signed: answer.Header.Get(names.Signature) != "",
 		Encoded: answer.Header.Get("Content-Encoding") != "",
-	}.Judge()
+	}.Classify()
 	switch result {
 	case outcome.NotRun:
 		return i.handleDeclined(gate, answer, reason)
@@ -91,12 +91,12 @@
 // handleDeclined returns the reply to a request that the target declined. The body is drained so
 // that the connection can be reused. A response from another instance at the target's address means
 // that the previous instance is gone.
-func (i *Ingress) handleDeclined(gate *target.Gate, answer *targetlink.Answer, reason outcome.Reason) *reply.Reply {
+func (i *Ingress) handleDeclined(gate *target.Gate, answer *targetlink.Response, reason outcome.Reason) *reply.Reply {
 	_, _ = io.Copy(io.Discard, io.LimitReader(answer.Body, reply.MaxBuffered))
 	_ = answer.Body.Close()
 	if reason == outcome.ReasonMisdirected {
 		if other := answer.Header.Get(i.options.Headers.Instance); other != "" && other != gate.Instance {
-			i.options.Target.Replaced(gate.Instance)
+			i.options.Target.MarkReplaced(gate.Instance)
 		}
 	}
 	declined := reply.NotRun(reason)
--- a/internal/sidecar/configuration/configuration.go
+++ b/internal/sidecar/configuration/configuration.go
@@ -12,65 +12,65 @@
 
 // Values of the source field in log entries.
 const (
-	FromStore = "store"
-	FromPeer  = "peer"
+	SourceStore = "store"
+	SourcePeer  = "peer"
 )
 
-// Reader parses a configuration from the format that operators write. Its error names what to
+// ParseFunc parses a configuration from the format that operators write. Its error names what to
 // correct.
-type Reader func(data []byte) (*intent.Intent, error)
+type ParseFunc func(data []byte) (*intent.Intent, error)
 
-// InForce holds the active configuration. It is safe for concurrent use.
-type InForce struct {
-	parse   Reader
+// Active holds the active configuration. It is safe for concurrent use.
+type Active struct {
+	parse   ParseFunc
 	events  *eventlog.Log
 	current atomic.Pointer[intent.Intent]
 }
 
-// New returns an InForce without a configuration. Install parses with parse and logs to events.
-func New(parse Reader, events *eventlog.Log) *InForce {
-	return &InForce{parse: parse, events: events}
+// New returns an Active without a configuration. Install parses with parse and logs to events.
+func New(parse ParseFunc, events *eventlog.Log) *Active {
+	return &Active{parse: parse, events: events}
 }
 
 // Load returns the active configuration, or nil if there is none.
-func (c *InForce) Load() *intent.Intent { return c.current.Load() }
+func (a *Active) Load() *intent.Intent { return a.current.Load() }
 
 // Version returns the version of the active configuration, or 0 if there is none.
-func (c *InForce) Version() uint64 {
-	if current := c.current.Load(); current != nil {
+func (a *Active) Version() uint64 {
+	if current := a.current.Load(); current != nil {
 		return current.Version
 	}
 	return 0
 }
 
 // Source returns the active configuration as received, or nil if there is none.
-func (c *InForce) Source() []byte {
-	if current := c.current.Load(); current != nil {
+func (a *Active) Source() []byte {
+	if current := a.current.Load(); current != nil {
 		return current.Source
 	}
 	return nil
 }
 
 // Install parses data and activates it unless the active version is the same or newer. It returns
-// the parsed version either way. source is FromStore or FromPeer.
-func (c *InForce) Install(data []byte, source string) (uint64, error) {
-	parsed, err := c.parse(data)
+// the parsed version either way. source is SourceStore or SourcePeer.
+func (a *Active) Install(data []byte, source string) (uint64, error) {
+	parsed, err := a.parse(data)
 	if err != nil {
-		c.events.Add(eventlog.Configuration{Before: c.Version(), Source: source, Error: err.Error()}, eventlog.State)
+		a.events.Add(eventlog.Configuration{Previous: a.Version(), Source: source, Error: err.Error()}, eventlog.State)
 		return 0, err
 	}
 	parsed.Source = data
 	for {
-		current := c.current.Load()
+		current := a.current.Load()
 		if current != nil && current.Version >= parsed.Version {
 			return parsed.Version, nil
 		}
-		if c.current.CompareAndSwap(current, parsed) {
+		if a.current.CompareAndSwap(current, parsed) {
 			before := uint64(0)
 			if current != nil {
 				before = current.Version
 			}
-			c.events.Add(eventlog.Configuration{Version: parsed.Version, Before: before, Routes: len(parsed.Routes), Tenants: len(parsed.Tenants), Source: source}, eventlog.State)
+			a.events.Add(eventlog.Configuration{Version: parsed.Version, Previous: before, Routes: len(parsed.Routes), Tenants: len(parsed.Tenants), Source: source}, eventlog.State)
 			return parsed.Version, nil
 		}
 	}
--- a/internal/sidecar/entry/options.go
+++ b/internal/sidecar/entry/options.go
@@ -4,7 +4,7 @@
 //
 // The package owns a request from its arrival to its response, and the weighted split of a route
 // across services. Policy lives in other packages: load shedding in admission and core/overload,
-// rate limits in quotas, target selection in services and core/balancer, retries in core/resend,
+// rate limits in quotas, target selection in services and core/balancer, retries in core/retry,
 // Retry-After values in core/retryafter and priorities in core/importance. Package arrival maps a
 // call of the local target to the request that made it; package peer connects to other nodes. All
 // exported types are safe for concurrent use.
@@ -21,9 +21,9 @@
 	"github.com/landingmast/landingmast/internal/sidecar/arrival"
 	"github.com/landingmast/landingmast/internal/sidecar/eventlog"
 	"github.com/landingmast/landingmast/internal/sidecar/headers"
-	"github.com/landingmast/landingmast/internal/sidecar/heldback"
 	"github.com/landingmast/landingmast/internal/sidecar/metrics"
 	"github.com/landingmast/landingmast/internal/sidecar/peer"
+	"github.com/landingmast/landingmast/internal/sidecar/quarantine"
 	"github.com/landingmast/landingmast/internal/sidecar/reply"
 	"github.com/landingmast/landingmast/internal/sidecar/services"
 	"github.com/landingmast/landingmast/internal/sidecar/settings"
@@ -40,22 +40,22 @@
 	Serve(ctx context.Context, call *wire.SidecarCall, header http.Header, body *reply.Payload) *reply.Reply
 }
 
-// HeldBack decides whether a request that crashed targets before may be sent again.
-type HeldBack interface {
-	AtStart(r *heldback.Request) heldback.Verdict
+// Quarantine decides whether a request that crashed targets before may be sent again.
+type Quarantine interface {
+	CheckAtEntry(r *quarantine.Request) quarantine.Verdict
 }
 
 // Quotas enforces the rate limits of tenants.
 type Quotas interface {
 	Admit(ctx context.Context, tenant *intent.Tenant, wait time.Duration) bool
 	Refusal(tenant *intent.Tenant, most time.Duration) (limitReached bool, retryAfter time.Duration)
-	GiveBack(tenant *intent.Tenant)
+	ReturnToken(tenant *intent.Tenant)
 }
 
 // Members tracks the process incarnations of the other nodes.
 type Members interface {
 	Incarnation(node string) string
-	Restarted(node, incarnation string)
+	SetIncarnation(node, incarnation string)
 }
 
 // Configuration is the routing configuration in force.
@@ -71,16 +71,16 @@
 	Headers       headers.Names
 	Caller        func() string // service name of the local target
 	Configuration Configuration
-	Fresh         func() bool // whether the configuration was revalidated recently enough to trust client keys
-	Arrivals      Arrivals
-	HeldBack      HeldBack
+	ConfigFresh   func() bool // whether the configuration was revalidated recently enough to trust client keys
+	Ingress       Arrivals
+	Quarantine    Quarantine
 	Quotas        Quotas
 	Services      *services.Services
-	Overload      *admission.Control
+	Admission     *admission.Control
 	Liveness      *peer.Liveness
-	Peers         *peer.Client
+	PeerClient    *peer.Client
 	Members       Members
-	Exchange      func(address string)            // synchronizes with a node that has no configuration
+	SyncWith      func(address string)            // synchronizes with a node that has no configuration
 	PolicyOn      func(m settings.Mechanism) bool // whether a mechanism is enabled
 	Metrics       *metrics.Metrics
 	Events        *eventlog.Log
--- a/internal/sidecar/entry/quota.go
+++ b/internal/sidecar/entry/quota.go
@@ -20,19 +20,19 @@
 // checkQuota rejects a request over its tenant's rate limit: with 429 if the limit is reached, with
 // 503 if no node could decide.
 func (r *request) checkQuota() bool {
-	if r.keyTenant == nil || !r.keyTenant.Limited() {
+	if r.keyTenant == nil || !r.keyTenant.HasRateLimit() {
 		return true
 	}
 	quotas := r.options.Quotas
 	if quotas.Admit(r.ctx, r.keyTenant, r.tokenWait()) {
 		return true
 	}
-	limitReached, retryAfter := quotas.Refusal(r.keyTenant, retryafter.QuotaMost(r.clientTimeout()))
+	limitReached, retryAfter := quotas.Refusal(r.keyTenant, retryafter.MaxQuotaDelay(r.clientTimeout()))
 	if limitReached {
-		r.reject(http.StatusTooManyRequests, outcome.ReasonQuota, retryafter.Span{Least: retryAfter})
+		r.reject(http.StatusTooManyRequests, outcome.ReasonOverQuota, retryafter.Range{Min: retryAfter})
 		return false
 	}
-	r.reject(http.StatusServiceUnavailable, outcome.ReasonNoAllowance, retryafter.NoAllowance())
+	r.reject(http.StatusServiceUnavailable, outcome.ReasonNoAllowance, retryafter.QuotaUnavailable())
 	return false
 }
 
--- a/internal/sidecar/entry/send.go
+++ b/internal/sidecar/entry/send.go
@@ -12,8 +12,8 @@
 	"github.com/landingmast/landingmast/internal/core/balancer"
 	"github.com/landingmast/landingmast/internal/core/importance"
 	"github.com/landingmast/landingmast/internal/core/outcome"
-	"github.com/landingmast/landingmast/internal/core/repeats"
-	"github.com/landingmast/landingmast/internal/core/resend"
+	"github.com/landingmast/landingmast/internal/core/retry"
+	"github.com/landingmast/landingmast/internal/core/retrybudget"
 	"github.com/landingmast/landingmast/internal/sidecar/eventlog"
 	"github.com/landingmast/landingmast/internal/sidecar/peer"
 	"github.com/landingmast/landingmast/internal/sidecar/reply"
@@ -25,16 +25,16 @@
 // send tries targets until one responds or no further attempt is allowed.
 func (r *request) send(ctx context.Context) {
 	service := r.options.Services.Get(r.service)
-	attempts := resend.New(!r.options.PolicyOn(settings.Declined))
+	attempts := retry.New(!r.options.PolicyOn(settings.Declined))
 	last := reply.NotRun(outcome.ReasonNoTarget)
-	for ctx.Err() == nil && r.remaining(ctx) > 0 && attempts.MayGoOn() {
+	for ctx.Err() == nil && r.remaining(ctx) > 0 && attempts.CanContinue() {
 		choice := service.Pick(r.options.Now(), r.requirement(ctx, attempts), attempts.Excluded())
 		if choice == nil {
 			break
 		}
 		last.Close()
 		started := r.options.Now()
-		last = r.attempt(ctx, choice, attempts.Ended())
+		last = r.attempt(ctx, choice, attempts.TargetCrashed())
 		r.recordAttempt(choice, last, r.options.Now()-started)
 		choice.Done(r.options.Now(), last)
 		if last.Reason == outcome.ReasonUnreachable && last.Incarnation == "" && choice.Node != r.options.Node {
@@ -62,11 +62,11 @@
 
 // shouldRetry reports whether a failed attempt is followed by another. It deducts the next attempt
 // from the retry budgets if the rules charge it to them.
-func (r *request) shouldRetry(last *reply.Reply, attempts *resend.Tried) bool {
+func (r *request) shouldRetry(last *reply.Reply, attempts *retry.Attempts) bool {
 	switch attempts.Decide(last.ResendEnd(), r.retryRules()) {
-	case resend.Again:
+	case retry.RetryTransparent:
 		return true
-	case resend.FromBudget:
+	case retry.RetryFromBudget:
 		return r.takeRetry(last.Reason.Declined())
 	}
 	return false
@@ -75,19 +75,19 @@
 // takeRetry deducts a retry from the budgets. declined means that the target declined the previous
 // attempt.
 func (r *request) takeRetry(declined bool) bool {
-	if !r.options.Services.TakeRetry(r.service, r.options.Overload.Needs(r.route), r.retryRank(), declined) {
-		r.options.Metrics.Denied.WithLabelValues(r.service).Inc()
+	if !r.options.Services.TakeRetry(r.service, r.options.Admission.Needs(r.route), r.retryRank(), declined) {
+		r.options.Metrics.RetriesDenied.WithLabelValues(r.service).Inc()
 		return false
 	}
-	r.options.Metrics.Repeats.WithLabelValues(r.service).Inc()
+	r.options.Metrics.Retries.WithLabelValues(r.service).Inc()
 	return true
 }
 
 // retryRules returns the properties of the request that decide whether it may be retried.
-func (r *request) retryRules() resend.Request {
-	return resend.Request{
-		Replayable: r.body.Replayable(), Repeatable: r.route.Kind.Repeatable(), Repeat: r.parentIsRetry, Trial: r.trial, MostTargets: r.maxTargets(),
-		NoHoldBack: !r.options.PolicyOn(settings.HoldBack), NoRepeats: !r.options.PolicyOn(settings.Repeats),
+func (r *request) retryRules() retry.Request {
+	return retry.Request{
+		Replayable: r.body.Replayable(), Idempotent: r.route.Kind.Repeatable(), IsRetry: r.parentIsRetry, Trial: r.trial, MaxTargets: r.maxTargets(),
+		NoQuarantine: !r.options.PolicyOn(settings.HoldBack), NoRetries: !r.options.PolicyOn(settings.Repeats),
 	}
 }
 
@@ -99,18 +99,18 @@
 func (r *request) retryRank() float64 {
 	priorities := 1
 	if current := r.options.Configuration.Load(); current != nil {
-		priorities = current.LeastPriority() + 1
+		priorities = current.LowestPriority() + 1
 	}
 	root, _, _ := strings.Cut(r.id, wire.CallSeparator)
-	return repeats.Rank(r.importance/importance.Step, priorities, xxhash.Sum64String(root))
+	return retrybudget.Rank(r.importance/importance.PriorityStep, priorities, xxhash.Sum64String(root))
 }
 
 // requirement returns what the balancer must satisfy: a response within the objective of the route
 // and before the timeout.
-func (r *request) requirement(ctx context.Context, attempts *resend.Tried) balancer.Requirement {
-	requirement := balancer.Requirement{Class: r.route.Name, Limit: r.remaining(ctx), Only: attempts.Only(r.maxTargets())}
+func (r *request) requirement(ctx context.Context, attempts *retry.Attempts) balancer.Requirement {
+	requirement := balancer.Requirement{Class: r.route.Name, Timeout: r.remaining(ctx), Allowed: attempts.AllowedTargets(r.maxTargets())}
 	if left := r.route.Objective - (r.options.Now() - r.started); left > 0 {
-		requirement.Limit = min(requirement.Limit, left)
+		requirement.Timeout = min(requirement.Timeout, left)
 	}
 	return requirement
 }
@@ -120,12 +120,12 @@
 	repeatable := r.route.Kind.Repeatable()
 	call := &wire.SidecarCall{
 		RequestID: r.id, Method: r.incoming.Method, URI: requestURI(r.incoming), Host: r.incoming.Host, Service: r.service, Route: r.route.Name,
-		Caller: r.options.Caller(), From: r.options.Node, Importance: r.importance, Repeatable: repeatable,
-		Repeat: r.parentIsRetry || r.delivered > 0, Attempt: r.delivered, Remaining: r.remaining(ctx).Microseconds(),
-		Version: int64(r.intent.Version), Granted: r.retryGrant, Tenant: r.tenant, Suspect: suspect, Trial: r.trial,
+		Caller: r.options.Caller(), From: r.options.Node, Importance: r.importance, Idempotent: repeatable,
+		IsRetry: r.parentIsRetry || r.delivered > 0, Attempt: r.delivered, Remaining: r.remaining(ctx).Microseconds(),
+		Version: int64(r.intent.Version), RetryGrant: r.retryGrant, Tenant: r.tenant, Suspect: suspect, Trial: r.trial,
 	}
 	if choice.Node == r.options.Node {
-		return r.options.Arrivals.Serve(ctx, call, r.header.Clone(), r.body)
+		return r.options.Ingress.Serve(ctx, call, r.header.Clone(), r.body)
 	}
 	if repeatable {
 		return r.sendRepeatable(ctx, choice, call)
@@ -135,8 +135,8 @@
 
 // recordAttempt counts an attempt and keeps it for the log event.
 func (r *request) recordAttempt(choice *services.Choice, response *reply.Reply, elapsed time.Duration) {
-	r.options.Metrics.Sends.WithLabelValues(r.service, string(response.Outcome), string(response.Reason)).Inc()
-	r.attempts = append(r.attempts, eventlog.Send{
+	r.options.Metrics.Attempts.WithLabelValues(r.service, string(response.Outcome), string(response.Reason)).Inc()
+	r.attempts = append(r.attempts, eventlog.Attempt{
 		Node: choice.Node, Outcome: string(response.Outcome), Reason: string(response.Reason), Arrived: response.Arrived, Status: response.Status,
 		TookMS: eventlog.Milliseconds(elapsed), Occupancy: response.Load.Occupancy(),
 	})
@@ -145,7 +145,7 @@
 // syncIfUnconfigured synchronizes with a node that replied without having a configuration.
 func (r *request) syncIfUnconfigured(choice *services.Choice, response *reply.Reply) {
 	if response.Incarnation != "" && response.Version == 0 && choice.Node != r.options.Node {
-		r.options.Exchange(choice.Address)
+		r.options.SyncWith(choice.Address)
 	}
 }
 
@@ -154,7 +154,7 @@
 func (r *request) sendRepeatable(ctx context.Context, choice *services.Choice, call *wire.SidecarCall) *reply.Reply {
 	ctx, abandon := context.WithCancelCause(ctx)
 	watch := r.options.Liveness.Watch(choice.Node, choice.Address, abandon)
-	response := r.options.Peers.Call(ctx, choice.Address, call, r.header, r.body)
+	response := r.options.PeerClient.Call(ctx, choice.Address, call, r.header, r.body)
 	watch.End(response.Incarnation != "")
 	if response.Outcome == outcome.Unknown && errors.Is(context.Cause(ctx), peer.ErrUnresponsive) {
 		response.Reason = outcome.ReasonSilent
@@ -172,16 +172,16 @@
 	call.Incarnation = r.options.Members.Incarnation(choice.Node)
 	watch := r.options.Liveness.Watch(choice.Node, choice.Address, nil)
 	defer func() { watch.End(false) }()
-	response := r.options.Peers.Call(ctx, choice.Address, call, r.header, r.body)
+	response := r.options.PeerClient.Call(ctx, choice.Address, call, r.header, r.body)
 	for range maxSettleQueries {
 		if response.Outcome != outcome.Unknown || response.Reason != outcome.ReasonLost || call.Incarnation == "" || ctx.Err() != nil {
 			break
 		}
 		call.Remaining = r.remaining(ctx).Microseconds()
-		response = r.options.Peers.Settle(ctx, choice.Address, call)
+		response = r.options.PeerClient.Settle(ctx, choice.Address, call)
 	}
-	if response.Reason == outcome.ReasonIncarnation {
-		r.options.Members.Restarted(choice.Node, response.Incarnation)
+	if response.Reason == outcome.ReasonNodeRestarted {
+		r.options.Members.SetIncarnation(choice.Node, response.Incarnation)
 	}
 	return response
 }
--- a/internal/sidecar/entry/steps.go
+++ b/internal/sidecar/entry/steps.go
@@ -53,14 +53,14 @@
 // checkReady loads the configuration that applies to the request. Freshness is read first: a
 // configuration loaded afterwards is at least as new as the one that was revalidated.
 func (r *request) checkReady() bool {
-	r.configFresh = r.options.Fresh()
+	r.configFresh = r.options.ConfigFresh()
 	r.intent = r.options.Configuration.Load()
 	switch {
 	case r.draining:
-		r.reject(http.StatusServiceUnavailable, outcome.ReasonStopping, retryafter.Unready())
+		r.reject(http.StatusServiceUnavailable, outcome.ReasonStopping, retryafter.NotReady())
 		return false
 	case r.intent == nil:
-		r.reject(http.StatusServiceUnavailable, outcome.ReasonNoIntent, retryafter.Unready())
+		r.reject(http.StatusServiceUnavailable, outcome.ReasonNoConfiguration, retryafter.NotReady())
 		return false
 	}
 	return true
@@ -160,10 +160,10 @@
 		return true
 	}
 	var admitted bool
-	admitted, r.decision = r.options.Overload.Admit(r.route)
+	admitted, r.decision = r.options.Admission.Admit(r.route)
 	if !admitted {
-		r.options.Quotas.GiveBack(r.keyTenant)
-		r.reject(http.StatusServiceUnavailable, outcome.ReasonSheds, retryafter.Shed(r.clientTimeout()))
+		r.options.Quotas.ReturnToken(r.keyTenant)
+		r.reject(http.StatusServiceUnavailable, outcome.ReasonOverload, retryafter.Shed(r.clientTimeout()))
 		return false
 	}
 	r.onFinish(r.releaseWindow)
--- a/internal/sidecar/follower/follower.go
+++ b/internal/sidecar/follower/follower.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"github.com/landingmast/landingmast/internal/core/election"
-	"github.com/landingmast/landingmast/internal/core/lapse"
+	"github.com/landingmast/landingmast/internal/core/recordloss"
 	"github.com/landingmast/landingmast/internal/sidecar/configuration"
 	"github.com/landingmast/landingmast/internal/sidecar/eventlog"
 	"github.com/landingmast/landingmast/internal/sidecar/peer"
@@ -26,8 +26,8 @@
 	options Options
 
 	mutex         sync.Mutex
-	election      *election.Election // nil until Begin
-	lapses        *lapse.Tracker
+	election      *election.Election // nil until JoinElection
+	lapses        *recordloss.Tracker
 	callSucceeded map[string]bool // result of the last call, by watched prefix or probeSource
 	removed       map[string]removedNode
 	following     bool          // used by Run only
@@ -35,9 +35,9 @@
 	healthyPeerAt time.Duration // when that heartbeat was received
 }
 
-// New returns a Follower that does not take part in the election until Begin is called.
+// New returns a Follower that does not take part in the election until JoinElection is called.
 func New(options Options) *Follower {
-	return &Follower{options: options, lapses: lapse.New(lapse.DefaultConfig()), callSucceeded: map[string]bool{}, removed: map[string]removedNode{}}
+	return &Follower{options: options, lapses: recordloss.New(recordloss.DefaultConfig()), callSucceeded: map[string]bool{}, removed: map[string]removedNode{}}
 }
 
 // removedNode is a removed node, which heartbeats list until the given time.
@@ -46,8 +46,8 @@
 	until  time.Duration
 }
 
-// Begin makes the node take part in the election. It is called once the other nodes are known.
-func (f *Follower) Begin() {
+// JoinElection makes the node take part in the election. It is called once the other nodes are known.
+func (f *Follower) JoinElection() {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	if f.election == nil {
@@ -74,9 +74,9 @@
 	}
 }
 
-// Heard records a heartbeat of another follower. well reports whether that follower can reach the
-// store.
-func (f *Follower) Heard(name string, well bool) {
+// RecordHeartbeat records a heartbeat of another follower. well reports whether that follower can
+// reach the store.
+func (f *Follower) RecordHeartbeat(name string, well bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	if well {
@@ -91,9 +91,9 @@
 // for the network delay.
 const healthyPeerTTL = 3*heartbeatInterval + 100*time.Millisecond
 
-// Address returns the address of another follower of the zone that can reach the store, or an
-// empty string if none is known.
-func (f *Follower) Address() string {
+// HealthyPeerAddress returns the address of another follower of the zone that can reach the store,
+// or an empty string if none is known.
+func (f *Follower) HealthyPeerAddress() string {
 	f.mutex.Lock()
 	name, recent := f.healthyPeer, f.options.Now()-f.healthyPeerAt < healthyPeerTTL
 	f.mutex.Unlock()
@@ -106,18 +106,18 @@
 	return ""
 }
 
-// Reaches reports whether the node is an elected follower and the store answered its last probe.
-func (f *Follower) Reaches() bool {
+// StoreReachable reports whether the node is an elected follower and the store answered its last probe.
+func (f *Follower) StoreReachable() bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.election != nil && f.election.Follows(f.options.Now()) && f.callSucceeded[probeSource]
+	return f.election != nil && f.election.IsFollower(f.options.Now()) && f.callSucceeded[probeSource]
 }
 
-// Follows reports whether the node is currently elected as a follower of its zone.
-func (f *Follower) Follows() bool {
+// IsFollower reports whether the node is currently elected as a follower of its zone.
+func (f *Follower) IsFollower() bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.election != nil && f.election.Follows(f.options.Now())
+	return f.election != nil && f.election.IsFollower(f.options.Now())
 }
 
 // Run watches the store while the node is elected, until ctx is done.
@@ -127,8 +127,8 @@
 	stop := context.CancelFunc(func() {})
 	defer func() { stop() }()
 	lastHeartbeat := time.Duration(0)
-	for ; ctx.Err() == nil; wait.For(ctx, electionInterval) {
-		follows := f.Follows()
+	for ; ctx.Err() == nil; wait.Sleep(ctx, electionInterval) {
+		follows := f.IsFollower()
 		if follows != f.following {
 			f.following = follows
 			f.logRoleChange(follows)
@@ -141,7 +141,7 @@
 		if now := f.options.Now(); follows && now-lastHeartbeat >= heartbeatInterval {
 			lastHeartbeat = now
 			f.resolveMissing(ctx)
-			f.options.Heartbeat(ctx)
+			f.options.OnHeartbeat(ctx)
 			f.sendHeartbeat(ctx)
 		}
 	}
@@ -151,7 +151,7 @@
 func (f *Follower) start(ctx context.Context, wg *sync.WaitGroup) context.CancelFunc {
 	ctx, stop := context.WithCancel(ctx)
 	f.mutex.Lock()
-	f.lapses = lapse.New(lapse.DefaultConfig())
+	f.lapses = recordloss.New(recordloss.DefaultConfig())
 	f.callSucceeded = map[string]bool{}
 	f.mutex.Unlock()
 	wg.Go(func() { f.runWatches(ctx) })
@@ -193,7 +193,7 @@
 		if !answers {
 			interval = probeRetryInterval
 		}
-		wait.For(ctx, interval)
+		wait.Sleep(ctx, interval)
 	}
 }
 
@@ -210,8 +210,8 @@
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.callSucceeded[source] = succeeded
-	f.election.SetWell(f.storeHealthyLocked())
-	f.lapses.Store(f.options.Now(), f.storeHealthyLocked())
+	f.election.SetStoreReachable(f.storeHealthyLocked())
+	f.lapses.SetStoreAvailable(f.options.Now(), f.storeHealthyLocked())
 }
 
 // storeHealthyLocked reports whether the last call of every source succeeded and the node records
@@ -230,23 +230,23 @@
 // also runs an exchange with a node of another zone.
 func (f *Follower) sendHeartbeat(ctx context.Context) {
 	now := f.options.Now()
-	message := &wire.News{Beat: true, Follower: f.options.Settings().Node}
+	message := &wire.Broadcast{Heartbeat: true, Follower: f.options.Settings().Node}
 	f.mutex.Lock()
-	message.Well = f.storeHealthyLocked()
+	message.StoreReachable = f.storeHealthyLocked()
 	message.Missing = f.lapses.Missing()
 	for name, node := range f.removed {
 		if now >= node.until {
 			delete(f.removed, name)
 			continue
 		}
-		message.Gone = append(message.Gone, node.record)
+		message.Removed = append(message.Removed, node.record)
 	}
 	f.mutex.Unlock()
 	f.options.SendZone(message)
-	if message.Well {
+	if message.StoreReachable {
 		return
 	}
-	if address := f.options.Members.AddressElsewhere(); address != "" {
+	if address := f.options.Members.RemoteZoneAddress(); address != "" {
 		go f.options.Exchange(ctx, address)
 	}
 }
@@ -255,7 +255,7 @@
 // did not reply repeatedly or whose grace period has expired.
 func (f *Follower) resolveMissing(ctx context.Context) {
 	f.mutex.Lock()
-	query, dead := f.lapses.Due(f.options.Now())
+	query, dead := f.lapses.Poll(f.options.Now())
 	f.mutex.Unlock()
 	for _, name := range query {
 		if record := f.options.Members.Record(name); record != nil {
@@ -275,7 +275,7 @@
 	if record == nil {
 		return
 	}
-	m.LogChange(record, "forgotten", configuration.FromStore)
+	m.LogChange(record, "forgotten", configuration.SourceStore)
 	m.Remove(record)
 	f.mutex.Lock()
 	f.removed[name] = removedNode{record: *record, until: f.options.Now() + removalAnnounceTime}
@@ -286,17 +286,17 @@
 func (f *Follower) queryNode(ctx context.Context, record *wire.NodeRecord) {
 	ctx, cancel := context.WithTimeout(ctx, peer.PingTimeout)
 	defer cancel()
-	pong, err := f.options.Peers.Ask(ctx, record.Address)
-	answer := lapse.Reaches
+	pong, err := f.options.Peers.Identify(ctx, record.Address)
+	answer := recordloss.StoreReachable
 	switch {
 	case err != nil || pong.Node != record.Node:
-		answer = lapse.NoAnswer
-	case pong.TurnedAway:
-		answer = lapse.TurnedAway
+		answer = recordloss.NoAnswer
+	case pong.StoreUnreachable:
+		answer = recordloss.StoreUnreachable
 	}
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.lapses.Answered(f.options.Now(), record.Node, answer)
+	f.lapses.HandleProbe(f.options.Now(), record.Node, answer)
 }
 
 // logRoleChange logs that the node has become a follower of its zone or ceased to be one.
--- a/internal/sidecar/follower/options.go
+++ b/internal/sidecar/follower/options.go
@@ -6,7 +6,7 @@
 // and the nodes that have been removed. While the store does not answer, the follower only sends
 // probes to it.
 //
-// Package core/election implements the election and package core/lapse decides when to remove a
+// Package core/election implements the election and package core/recordloss decides when to remove a
 // node whose record is missing. Package membership holds the records and broadcasts the messages.
 package follower
 
@@ -28,7 +28,7 @@
 	PeerNames() []string
 	ZonePeers() []string // the other nodes in the zone
 	ZoneCount() int      // zones with at least one node
-	AddressElsewhere() string
+	RemoteZoneAddress() string
 	MergeStored(record *wire.NodeRecord)
 	Remove(record *wire.NodeRecord)
 	MarkStoreListed()
@@ -55,14 +55,14 @@
 	// InstallStored activates a configuration read from the store unless a newer one is active.
 	InstallStored func(item *store.Item) (uint64, error)
 	// SendZone sends a message to the nodes of the zone, SendAll to the nodes of all zones.
-	SendZone, SendAll func(message *wire.News)
+	SendZone, SendAll func(message *wire.Broadcast)
 	// Exchange runs an anti-entropy exchange with the node at address.
 	Exchange func(ctx context.Context, address string)
-	// RecordLost is called when the store has no record of this node.
-	RecordLost func()
-	// TakeStored is called with the changed items below RecordPrefix, or with all of them if
+	// OnRecordLost is called when the store has no record of this node.
+	OnRecordLost func()
+	// ApplyStored is called with the changed items below RecordPrefix, or with all of them if
 	// snapshot is set, as of the given store revision.
-	TakeStored func(items []store.Item, snapshot bool, revision int64)
-	// Heartbeat is called before each heartbeat that this node sends as a follower.
-	Heartbeat func(ctx context.Context)
+	ApplyStored func(items []store.Item, snapshot bool, revision int64)
+	// OnHeartbeat is called before each heartbeat that this node sends as a follower.
+	OnHeartbeat func(ctx context.Context)
 }
--- a/internal/sidecar/follower/watch.go
+++ b/internal/sidecar/follower/watch.go
@@ -31,7 +31,7 @@
 	prefix := f.options.NodePrefix
 	m := f.options.Members
 	f.followPrefix(ctx, f.options.RecordPrefix, recordWatchInterval, func(items []store.Item, snapshot bool, revision int64) {
-		f.options.TakeStored(items, snapshot, revision)
+		f.options.ApplyStored(items, snapshot, revision)
 		seen := map[string]bool{}
 		for _, item := range items {
 			name, found := strings.CutPrefix(item.Key, prefix)
@@ -39,7 +39,7 @@
 				continue
 			}
 			seen[name] = true
-			if item.Gone {
+			if item.Deleted {
 				f.recordMissing(name)
 				continue
 			}
@@ -62,7 +62,7 @@
 // recordFound handles a node record read from the store.
 func (f *Follower) recordFound(record *wire.NodeRecord) {
 	f.mutex.Lock()
-	f.lapses.Back(record.Node)
+	f.lapses.RecordRestored(record.Node)
 	delete(f.removed, record.Node)
 	f.mutex.Unlock()
 	f.options.Members.MergeStored(record)
@@ -72,17 +72,17 @@
 // is rewritten.
 func (f *Follower) recordMissing(name string) {
 	if name == f.options.Settings().Node {
-		f.options.RecordLost()
+		f.options.OnRecordLost()
 		return
 	}
 	record := f.options.Members.Record(name)
 	if record == nil {
 		return
 	}
-	f.options.Members.LogChange(record, "lapsed", configuration.FromStore)
+	f.options.Members.LogChange(record, "lapsed", configuration.SourceStore)
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.lapses.Lapsed(f.options.Now(), name)
+	f.lapses.RecordMissing(f.options.Now(), name)
 }
 
 // followPrefix lists all items below prefix and then watches it. It lists them again if the store
@@ -101,10 +101,10 @@
 			if ctx.Err() != nil {
 				return
 			}
-			f.options.Health.Note("read", err)
+			f.options.Health.Record("read", err)
 			f.noteCall(prefix, err == nil)
 			if err != nil {
-				wait.For(ctx, retryMinDelay+time.Duration(rand.Int64N(int64(retryJitter))))
+				wait.Sleep(ctx, retryMinDelay+time.Duration(rand.Int64N(int64(retryJitter))))
 				continue
 			}
 			current = revision
@@ -114,18 +114,18 @@
 		if ctx.Err() != nil {
 			return
 		}
-		f.options.Health.Note("watch", err)
+		f.options.Health.Record("watch", err)
 		f.noteCall(prefix, err == nil || errors.Is(err, store.ErrCompacted))
 		switch {
 		case errors.Is(err, store.ErrCompacted):
 			current = -1
 		case err != nil:
-			wait.For(ctx, retryMinDelay+time.Duration(rand.Int64N(int64(retryJitter))))
+			wait.Sleep(ctx, retryMinDelay+time.Duration(rand.Int64N(int64(retryJitter))))
 		default:
 			current = max(current, revision)
 			handle(events, false, current)
 			if len(events) > 0 {
-				wait.For(ctx, max(interval, f.rateLimitInterval()))
+				wait.Sleep(ctx, max(interval, f.rateLimitInterval()))
 			}
 		}
 	}
@@ -152,12 +152,12 @@
 	f.followPrefix(ctx, key, configurationWatchInterval, func(items []store.Item, _ bool, _ int64) {
 		before := f.options.Version()
 		for _, item := range items {
-			if item.Key == key && !item.Gone {
+			if item.Key == key && !item.Deleted {
 				_, _ = f.options.InstallStored(&item) // InstallStored logs errors
 			}
 		}
 		if f.options.Version() > before {
-			f.options.SendAll(&wire.News{})
+			f.options.SendAll(&wire.Broadcast{})
 		}
 	})
 }
--- a/internal/sidecar/membership/exchange.go
+++ b/internal/sidecar/membership/exchange.go
@@ -28,37 +28,37 @@
 type Exchanger struct {
 	options  Options
 	members  *Members
-	inFlight sync.Map // set of addresses with a running exchange of StartWith
+	inFlight sync.Map // set of addresses with a running exchange of SyncInBackground
 }
 
-// StartWith starts an exchange with the node at address in the background, unless an earlier call
-// for the same address is still running. Callers use it for nodes that appear to have lost their
-// state, such as nodes that restarted while the store is unreachable.
-func (e *Exchanger) StartWith(address string) {
+// SyncInBackground starts an exchange with the node at address in the background, unless an earlier
+// call for the same address is still running. Callers use it for nodes that appear to have lost
+// their state, such as nodes that restarted while the store is unreachable.
+func (e *Exchanger) SyncInBackground(address string) {
 	if _, loaded := e.inFlight.LoadOrStore(address, true); loaded {
 		return
 	}
 	go func() {
 		defer e.inFlight.Delete(address)
-		e.With(context.Background(), address)
+		e.Sync(context.Background(), address)
 	}()
 }
 
 // Run exchanges with random nodes at randomized intervals until ctx is done.
 func (e *Exchanger) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		wait.For(ctx, exchangeInterval/2+time.Duration(rand.Int64N(int64(exchangeInterval))))
-		if address := e.members.AnyAddress(); address != "" {
-			e.With(ctx, address)
+		wait.Sleep(ctx, exchangeInterval/2+time.Duration(rand.Int64N(int64(exchangeInterval))))
+		if address := e.members.RandomAddress(); address != "" {
+			e.Sync(ctx, address)
 		}
 	}
 }
 
-// With runs one exchange with the node at address. The first message carries the digest of all
+// Sync runs one exchange with the node at address. The first message carries the digest of all
 // records; if it differs, the other node replies with its bucket digests, and both nodes send the
 // records of the differing buckets. Errors are not logged: the next exchange repairs what a lost
 // message left out.
-func (e *Exchanger) With(ctx context.Context, address string) {
+func (e *Exchanger) Sync(ctx context.Context, address string) {
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
 	request, _ := e.newMessage()
@@ -66,8 +66,8 @@
 	if err != nil {
 		return
 	}
-	if answer.Gone {
-		e.options.RecordLost()
+	if answer.Removed {
+		e.options.OnRecordLost()
 	}
 	e.receive(answer)
 	reply, local := e.newMessage()
@@ -97,14 +97,14 @@
 }
 
 func (e *Exchanger) send(ctx context.Context, address string, message *wire.Exchange) (*wire.Exchange, error) {
-	return peer.Ask(ctx, e.options.Peers, address, ExchangePath, wire.ExchangeCodec, message, wire.ExchangeCodec)
+	return peer.RoundTrip(ctx, e.options.Peers, address, ExchangePath, wire.ExchangeCodec, message, wire.ExchangeCodec)
 }
 
 // receive applies the records and the configuration of a message.
 func (e *Exchanger) receive(message *wire.Exchange) {
 	e.members.Merge(message.Records)
 	if len(message.Configuration) > 0 {
-		_, _ = e.options.Configuration.Install(message.Configuration, configuration.FromPeer) // Install logs errors
+		_, _ = e.options.Configuration.Install(message.Configuration, configuration.SourcePeer) // Install logs errors
 	}
 }
 
@@ -116,7 +116,7 @@
 	}
 	e.receive(message)
 	answer, local := e.newMessage()
-	answer.Gone = e.members.isRemoved(message.From)
+	answer.Removed = e.members.isRemoved(message.From)
 	switch {
 	case message.Digest == answer.Digest:
 	case len(message.Buckets) == 0:
--- a/internal/sidecar/node.go
+++ b/internal/sidecar/node.go
@@ -16,7 +16,7 @@
 	"time"
 
 	"github.com/landingmast/landingmast/internal/clock"
-	"github.com/landingmast/landingmast/internal/core/repeats"
+	"github.com/landingmast/landingmast/internal/core/retrybudget"
 	"github.com/landingmast/landingmast/internal/failure"
 	"github.com/landingmast/landingmast/internal/servers"
 	"github.com/landingmast/landingmast/internal/sidecar/admission"
@@ -26,10 +26,10 @@
 	"github.com/landingmast/landingmast/internal/sidecar/eventlog"
 	"github.com/landingmast/landingmast/internal/sidecar/follower"
 	"github.com/landingmast/landingmast/internal/sidecar/headers"
-	"github.com/landingmast/landingmast/internal/sidecar/heldback"
 	"github.com/landingmast/landingmast/internal/sidecar/membership"
 	"github.com/landingmast/landingmast/internal/sidecar/metrics"
 	"github.com/landingmast/landingmast/internal/sidecar/peer"
+	"github.com/landingmast/landingmast/internal/sidecar/quarantine"
 	"github.com/landingmast/landingmast/internal/sidecar/quotas"
 	"github.com/landingmast/landingmast/internal/sidecar/registration"
 	"github.com/landingmast/landingmast/internal/sidecar/revalidation"
@@ -51,7 +51,7 @@
 	NodePrefix       string      // prefix of node records, below RecordPrefix
 	QuotaPrefix      string      // prefix of quota keepers, below RecordPrefix
 	CrashKey         string      // key of the crash evidence, below RecordPrefix
-	ReadIntent       configuration.Reader
+	ParseIntent      configuration.ParseFunc
 	Control          func(targets *Targets) http.Handler  // serves target heartbeats
 	Ready            func(ready func() bool) http.Handler // serves the readiness check
 	Output           io.Writer                            // destination of the log
@@ -72,7 +72,7 @@
 	events          *eventlog.Log
 	metrics         *metrics.Metrics
 	store           store.Store
-	configuration   *configuration.InForce
+	configuration   *configuration.Active
 	services        *services.Services
 	admission       *admission.Control
 	target          *target.Local
@@ -88,7 +88,7 @@
 	keepers         *quotas.Keepers
 	quotaServer     *quotas.Server
 	quotas          *quotas.Limiter
-	heldBack        *heldback.Control
+	heldBack        *quarantine.Control
 	liveness        *peer.Liveness
 	shutdown        shutdownState
 	inFlight        atomic.Int64 // requests of clients, the target and other nodes
@@ -102,7 +102,7 @@
 // New creates a node and opens its listeners.
 func New(settings *settings.Settings, options Options) (*Node, error) {
 	if options.Dial == nil {
-		options.Dial = (&net.Dialer{Control: peer.BoundSilence}).DialContext
+		options.Dial = (&net.Dialer{Control: peer.SetUserTimeout}).DialContext
 	}
 	if options.Listen == nil {
 		options.Listen = func(address string) (net.Listener, error) { return net.Listen("tcp", address) }
@@ -113,7 +113,7 @@
 	}
 	n.currentSettings.Store(settings)
 	n.events = eventlog.New(settings.Node, options.Output)
-	n.configuration = configuration.New(options.ReadIntent, n.events)
+	n.configuration = configuration.New(options.ParseIntent, n.events)
 	n.metrics = metrics.New(n.gauges())
 	n.storeHealth = storehealth.New(n.events, n.metrics.StoreCalls)
 	n.admission = admission.New(n.now, n.configuration, !n.policyOn(window))
@@ -128,8 +128,8 @@
 	n.freshness = revalidation.New(n.freshnessOptions())
 	n.quotaServer = quotas.NewServer(n.quotaOptions(), n.keepers)
 	n.quotas = quotas.NewLimiter(n.quotaOptions(), n.keepers, n.quotaServer)
-	n.heldBack = heldback.New(n.heldBackOptions())
-	n.liveness = peer.NewLiveness(n.now, n.peers.PingPeer, peer.Events{Lost: n.peerSilent, Still: n.services.Suspect, Back: n.peerRecovered})
+	n.heldBack = quarantine.New(n.heldBackOptions())
+	n.liveness = peer.NewLiveness(n.now, n.peers.PingPeer, peer.Events{Unresponsive: n.peerSilent, PingFailed: n.services.Suspect, Recovered: n.peerRecovered})
 	n.target = target.New(target.Options{
 		Now: n.now, OnChange: n.targetChanged, NewLink: n.newLink, Identify: n.identify, SkipDeadlineCheck: !n.policyOn(inTime),
 		OnReplaced: func(gate *target.Gate) { n.ingress.InstanceReplaced(gate) },
@@ -151,7 +151,7 @@
 // policyOn reports whether a mechanism is enabled.
 func (n *Node) policyOn(m settings.Mechanism) bool {
 	s := n.currentSettings.Load()
-	return s == nil || s.Policy.On(m)
+	return s == nil || s.Policy.Enabled(m)
 }
 
 // Reload applies changed settings. Node name, zone, listen addresses, store, first start and policy
@@ -163,7 +163,7 @@
 	n.currentSettings.Store(&merged)
 	n.services.SetBudget(budget(&merged))
 	n.events.Add(eventlog.Node{Change: "reloaded", Incarnation: n.incarnation}, eventlog.State)
-	n.membership.Changed()
+	n.membership.AnnounceLocalRecord()
 }
 
 // ReloadFailed logs that changed settings were rejected; the previous ones stay in effect.
@@ -172,8 +172,8 @@
 }
 
 // budget returns the retry budget in the settings.
-func budget(settings *settings.Settings) repeats.Config {
-	return repeats.Config{Ratio: settings.Retries.Ratio, Allowance: settings.Retries.Allowance, Window: time.Duration(settings.Retries.Window)}
+func budget(settings *settings.Settings) retrybudget.Config {
+	return retrybudget.Config{Ratio: settings.Retries.Ratio, Allowance: settings.Retries.Allowance, Window: time.Duration(settings.Retries.Window)}
 }
 
 // now returns the time used for all decisions. It includes suspended time, so that leases and
@@ -184,10 +184,10 @@
 func (n *Node) Version() uint64 { return n.configuration.Version() }
 
 // Peers returns the number of other known nodes.
-func (n *Node) Peers() int { return n.membership.Others() }
+func (n *Node) Peers() int { return n.membership.PeerCount() }
 
-// Follows reports whether the node reads the store on behalf of its zone.
-func (n *Node) Follows() bool { return n.follower.Follows() }
+// IsFollower reports whether the node reads the store on behalf of its zone.
+func (n *Node) IsFollower() bool { return n.follower.IsFollower() }
 
 // localService returns the service of the local target.
 func (n *Node) localService() string {
@@ -235,12 +235,12 @@
 func (n *Node) inbound() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("POST "+peer.CallPath, n.ingress)
-	mux.Handle("POST "+peer.SettlePath, n.ingress.Once)
+	mux.Handle("POST "+peer.SettlePath, n.ingress.SettleHandler)
 	mux.Handle("POST "+membership.ExchangePath, n.exchanger)
 	mux.Handle("POST "+membership.BroadcastPath, n.broadcaster)
 	mux.Handle("POST "+revalidation.Path, n.freshness)
 	mux.Handle("POST "+quotas.Path, n.quotaServer)
-	mux.Handle("POST "+heldback.Path, n.heldBack)
+	mux.Handle("POST "+quarantine.Path, n.heldBack)
 	mux.HandleFunc("GET "+peer.PingPath, n.servePing)
 	return mux
 }
@@ -248,7 +248,7 @@
 // servePing responds to a ping of another node.
 func (n *Node) servePing(w http.ResponseWriter, _ *http.Request) {
 	w.Header()["Date"] = nil
-	pong := &wire.Pong{Node: n.settings().Node, TurnedAway: n.registration.TurnedAway()}
+	pong := &wire.Pong{Node: n.settings().Node, StoreUnreachable: n.registration.StoreUnreachable()}
 	if head, err := wire.PongCodec.EncodeHeader(pong); err == nil {
 		w.Header().Set(wire.HeaderSidecarPong, head)
 	}
--- a/internal/sidecar/options.go
+++ b/internal/sidecar/options.go
@@ -11,8 +11,8 @@
 	"github.com/landingmast/landingmast/internal/sidecar/arrival"
 	"github.com/landingmast/landingmast/internal/sidecar/entry"
 	"github.com/landingmast/landingmast/internal/sidecar/follower"
-	"github.com/landingmast/landingmast/internal/sidecar/heldback"
 	"github.com/landingmast/landingmast/internal/sidecar/membership"
+	"github.com/landingmast/landingmast/internal/sidecar/quarantine"
 	"github.com/landingmast/landingmast/internal/sidecar/quotas"
 	"github.com/landingmast/landingmast/internal/sidecar/registration"
 	"github.com/landingmast/landingmast/internal/sidecar/revalidation"
@@ -46,7 +46,7 @@
 	return quotas.Options{
 		Settings: n.settings, Incarnation: n.incarnation, Now: n.now, Configuration: n.configuration, Events: n.events,
 		Store: n.store, StoreHealth: n.storeHealth, Peers: n.peers, Membership: n.membership, Follower: n.follower,
-		AskPeer:  func(ctx context.Context, address string) { n.freshness.AskPeer(ctx, address) },
+		PollPeer: func(ctx context.Context, address string) { n.freshness.PollPeer(ctx, address) },
 		Stopping: n.shutdown.stopping.Load,
 	}
 }
@@ -54,11 +54,11 @@
 func (n *Node) membershipOptions() membership.Options {
 	return membership.Options{
 		Settings: n.settings, Incarnation: n.incarnation, Now: n.now,
-		Target:     func() (roster.Report, time.Duration) { return n.target.Report() },
-		Leaving:    n.shutdown.leaving.Load,
-		Silent:     func(node string) bool { return n.liveness.Silent(node) },
-		RecordLost: func() { n.registration.Lost() },
-		Routing:    n.services, Follower: deferredFollower{n},
+		Target:       func() (roster.Report, time.Duration) { return n.target.Report() },
+		Draining:     n.shutdown.leaving.Load,
+		Unresponsive: func(node string) bool { return n.liveness.Unresponsive(node) },
+		OnRecordLost: func() { n.registration.MarkLost() },
+		Routing:      n.services, Follower: deferredFollower{n},
 		Configuration: n.configuration, Peers: n.peers, Events: n.events,
 	}
 }
@@ -69,8 +69,10 @@
 // SetMembers implements membership.Follower.
 func (f deferredFollower) SetMembers(names []string) { f.node.follower.SetMembers(names) }
 
-// Heard implements membership.Follower.
-func (f deferredFollower) Heard(name string, well bool) { f.node.follower.Heard(name, well) }
+// RecordHeartbeat implements membership.Follower.
+func (f deferredFollower) RecordHeartbeat(name string, well bool) {
+	f.node.follower.RecordHeartbeat(name, well)
+}
 
 func (n *Node) followerOptions() follower.Options {
 	return follower.Options{
@@ -78,18 +80,18 @@
 		RecordPrefix: n.options.RecordPrefix, NodePrefix: n.options.NodePrefix, ConfigurationKey: n.options.ConfigurationKey,
 		Version:       n.configuration.Version,
 		InstallStored: func(item *store.Item) (uint64, error) { return n.freshness.InstallStored(item) },
-		SendZone:      n.broadcaster.SendZone, SendAll: n.broadcaster.SendAll, Exchange: n.exchanger.With,
-		RecordLost: func() { n.registration.Lost() },
-		TakeStored: n.applyStoredItems, Heartbeat: n.followerHeartbeat,
+		SendZone:      n.broadcaster.SendZone, SendAll: n.broadcaster.SendAll, Exchange: n.exchanger.Sync,
+		OnRecordLost: func() { n.registration.MarkLost() },
+		ApplyStored:  n.applyStoredItems, OnHeartbeat: n.followerHeartbeat,
 	}
 }
 
 // applyStoredItems applies store items other than node records. If complete is set, items lists
 // all of them at the given revision.
 func (n *Node) applyStoredItems(items []store.Item, complete bool, revision int64) {
-	n.keepers.TakeStored(items)
+	n.keepers.ApplyStored(items)
 	if complete {
-		n.keepers.NoteAbsent(items, revision)
+		n.keepers.MarkMissing(items, revision)
 	}
 	for index := range items {
 		n.applyStoredItem(&items[index])
@@ -99,8 +101,8 @@
 // followerHeartbeat runs on each heartbeat while the node follows the store: it takes over quota
 // shards without a keeper and saves crash evidence.
 func (n *Node) followerHeartbeat(ctx context.Context) {
-	n.quotaServer.Fill(ctx)
-	if n.follower.Reaches() {
+	n.quotaServer.TakeOverAbsent(ctx)
+	if n.follower.StoreReachable() {
 		n.heldBack.Save(ctx)
 	}
 }
@@ -109,7 +111,7 @@
 	return registration.Options{
 		Settings: n.settings, Store: n.store, Health: n.storeHealth, Probe: func(ctx context.Context) bool { return n.storeHealth.Probe(ctx, n.store) },
 		RecordPrefix: n.options.RecordPrefix, NodePrefix: n.options.NodePrefix,
-		Members: n.membership, TakeOther: n.applyStoredItem, Meet: n.exchangeWithPeers, Listed: n.follower.Begin,
+		Members: n.membership, ApplyOther: n.applyStoredItem, SyncWithPeers: n.exchangeWithPeers, OnListed: n.follower.JoinElection,
 		TargetLeft: func() bool { return n.target.TargetLeft() },
 	}
 }
@@ -117,7 +119,7 @@
 // applyStoredItem applies the crash evidence and ignores other items.
 func (n *Node) applyStoredItem(item *store.Item) {
 	if item.Key == n.options.CrashKey {
-		n.heldBack.TakeStored(item)
+		n.heldBack.ApplyStored(item)
 	}
 }
 
@@ -127,16 +129,16 @@
 // exchangeWithPeers synchronizes state with a few nodes and sends this node's record to all.
 func (n *Node) exchangeWithPeers(ctx context.Context) {
 	for range exchangePeers {
-		if address := n.membership.AnyAddress(); address != "" {
-			go n.exchanger.With(ctx, address)
+		if address := n.membership.RandomAddress(); address != "" {
+			go n.exchanger.Sync(ctx, address)
 			go n.heldBack.Compare(ctx, address)
 		}
 	}
-	n.broadcaster.SendOwn()
+	n.broadcaster.SendLocalRecord()
 }
 
-func (n *Node) heldBackOptions() heldback.Options {
-	return heldback.Options{
+func (n *Node) heldBackOptions() quarantine.Options {
+	return quarantine.Options{
 		Zone: n.settings().Zone, Enabled: func() bool { return n.policyOn(settings.HoldBack) }, Now: n.now,
 		Nodes: n.membership, Peers: n.peers, Events: n.events,
 		Store: n.store, Key: n.options.CrashKey, Health: n.storeHealth,
@@ -146,7 +148,7 @@
 func (n *Node) arrivalOptions() arrival.Options {
 	return arrival.Options{
 		Incarnation: n.incarnation, Now: n.now, Headers: n.options.Headers, Version: n.configuration.Version,
-		Target: n.target, HeldBack: n.heldBack, Metrics: n.metrics, Events: n.events,
+		Target: n.target, Quarantine: n.heldBack, Metrics: n.metrics, Events: n.events,
 		Begin: func(w http.ResponseWriter, r *http.Request) (*duplex.Writer, *http.Request, func(), bool) {
 			return n.beginRequest(w, r, n.shutdown.leaving.Load, &n.shutdown.rejectAll)
 		},
@@ -155,9 +157,9 @@
 
 func (n *Node) entryOptions() entry.Options {
 	return entry.Options{
-		Node: n.settings().Node, Now: n.now, Headers: n.options.Headers, Caller: n.localService, Configuration: n.configuration, Fresh: n.freshness.Fresh,
-		Arrivals: n.ingress, HeldBack: n.heldBack, Quotas: n.quotas, Services: n.services, Overload: n.admission, Liveness: n.liveness,
-		Peers: n.peers, Members: n.membership, Exchange: n.exchanger.StartWith, PolicyOn: n.policyOn, Metrics: n.metrics, Events: n.events,
+		Node: n.settings().Node, Now: n.now, Headers: n.options.Headers, Caller: n.localService, Configuration: n.configuration, ConfigFresh: n.freshness.Fresh,
+		Ingress: n.ingress, Quarantine: n.heldBack, Quotas: n.quotas, Services: n.services, Admission: n.admission, Liveness: n.liveness,
+		PeerClient: n.peers, Members: n.membership, SyncWith: n.exchanger.SyncInBackground, PolicyOn: n.policyOn, Metrics: n.metrics, Events: n.events,
 		Begin: func(w http.ResponseWriter, r *http.Request) (*duplex.Writer, *http.Request, func(), bool) {
 			return n.beginRequest(w, r, n.shutdown.stopping.Load, &n.shutdown.rejectClients)
 		},
--- a/internal/sidecar/peer/client.go
+++ b/internal/sidecar/peer/client.go
@@ -88,7 +88,7 @@
 	})
 	hideIdempotencyKeys(request.Header)
 	c.names.RemoveCallHeaders(request.Header)
-	if err := call.SetHeaders(request.Header); err != nil {
+	if err := call.EncodeHeaders(request.Header); err != nil {
 		return reply.NotRun(outcome.ReasonBadMessage)
 	}
 	if _, present := request.Header["User-Agent"]; !present {
@@ -135,8 +135,8 @@
 	return content, nil
 }
 
-// BareAnswer keeps net/http from adding default headers to a response.
-func BareAnswer(w http.ResponseWriter) {
+// OmitDefaultHeaders keeps net/http from adding default headers to a response.
+func OmitDefaultHeaders(w http.ResponseWriter) {
 	w.Header()["Date"] = nil
 	w.Header()["Content-Type"] = nil
 }
--- a/internal/sidecar/heldback/exchange.go
+++ b/internal/sidecar/quarantine/exchange.go
@@ -1,4 +1,4 @@
-package heldback
+package quarantine
 
 import (
 	"context"
@@ -33,7 +33,7 @@
 // broadcastPending sends pending changes of the evidence to all nodes.
 func (c *Control) broadcastPending() {
 	c.mutex.Lock()
-	message := &wire.Crashes{Digest: int64(c.ledger.Digest()), Evidence: wire.CrashForms(c.pending)}
+	message := &wire.Crashes{Digest: int64(c.ledger.Digest()), Evidence: wire.EncodeEvidence(c.pending)}
 	c.pending, c.scheduled = nil, false
 	c.mutex.Unlock()
 	if len(message.Evidence) == 0 {
@@ -74,12 +74,12 @@
 	if !ok {
 		return
 	}
-	c.merge(message.Known())
-	if message.Asks {
+	c.merge(message.DecodeEvidence())
+	if message.WantReply {
 		peer.WriteMessage(w, wire.CrashesCodec, c.evidenceFor(message.Digest))
 		return
 	}
-	peer.BareAnswer(w)
+	peer.OmitDefaultHeaders(w)
 	w.Header().Set("Content-Length", "0")
 	broadcast.ToNodes(message.Forward, c.sender(message))
 }
@@ -91,7 +91,7 @@
 	defer c.mutex.Unlock()
 	message := &wire.Crashes{Digest: int64(c.ledger.Digest()), Evidence: []wire.CrashEvidence{}, Forward: []string{}}
 	if message.Digest != digest {
-		message.Evidence = wire.CrashForms(c.ledger.All())
+		message.Evidence = wire.EncodeEvidence(c.ledger.All())
 	}
 	return message
 }
@@ -100,11 +100,11 @@
 // repairs missed broadcasts and restores the evidence of a restarted node.
 func (c *Control) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		wait.For(ctx, compareInterval/2+time.Duration(rand.Int64N(int64(compareInterval))))
+		wait.Sleep(ctx, compareInterval/2+time.Duration(rand.Int64N(int64(compareInterval))))
 		if c.empty() && c.options.Now() > startupComparePeriod {
 			continue
 		}
-		if address := c.options.Nodes.AnyAddress(); address != "" {
+		if address := c.options.Nodes.RandomAddress(); address != "" {
 			c.Compare(ctx, address)
 		}
 	}
@@ -124,11 +124,11 @@
 	c.mutex.Lock()
 	own := int64(c.ledger.Digest())
 	c.mutex.Unlock()
-	answer, err := c.post(ctx, address, &wire.Crashes{Digest: own, Evidence: []wire.CrashEvidence{}, Forward: []string{}, Asks: true})
+	answer, err := c.post(ctx, address, &wire.Crashes{Digest: own, Evidence: []wire.CrashEvidence{}, Forward: []string{}, WantReply: true})
 	if err != nil || answer == nil || answer.Digest == own {
 		return
 	}
-	c.merge(answer.Known())
+	c.merge(answer.DecodeEvidence())
 	if missing := c.evidenceFor(answer.Digest); len(missing.Evidence) > 0 {
 		_, _ = c.post(ctx, address, missing)
 	}
--- a/internal/sidecar/heldback/heldback.go
+++ b/internal/sidecar/quarantine/quarantine.go
@@ -1,4 +1,4 @@
-// Package heldback blocks poison requests: requests that crash the targets that process them.
+// Package quarantine blocks poison requests: requests that crash the targets that process them.
 //
 // A Control collects evidence, which records the requests in flight at a target when it
 // crashed, and remembers the requests that the local target has recently completed. From these
@@ -12,7 +12,7 @@
 //
 // The package relies on package broadcast for fan-out and on package peer for connections. All
 // types but Request are safe for concurrent use.
-package heldback
+package quarantine
 
 import (
 	"sync"
@@ -45,12 +45,12 @@
 
 // Nodes provides the known nodes.
 type Nodes interface {
-	// IsFirstFor reports whether this node ranks first among all nodes for a key.
-	IsFirstFor(key []byte) bool
+	// RanksFirst reports whether this node ranks first among all nodes for a key.
+	RanksFirst(key []byte) bool
 	// Addresses returns the addresses of the other nodes by zone.
 	Addresses() map[string][]string
-	// AnyAddress returns the address of a random other node, or an empty string.
-	AnyAddress() string
+	// RandomAddress returns the address of a random other node, or an empty string.
+	RandomAddress() string
 }
 
 // Options configure a Control and connect it to the other parts of a node.
@@ -95,9 +95,9 @@
 	return true
 }
 
-// Suspected reports whether a request was in flight at a target that crashed, so that it must be
+// IsSuspected reports whether a request was in flight at a target that crashed, so that it must be
 // the only suspect at its target.
-func (c *Control) Suspected(r *Request) bool {
+func (c *Control) IsSuspected(r *Request) bool {
 	if r.Call.Suspect && c.options.Enabled() && !c.recent.contains(c.options.Now(), r.Fingerprint().Variant) {
 		return true
 	}
@@ -112,9 +112,9 @@
 	EndTrial func()
 }
 
-// AtStart decides on a request at the node where it enters. Recent successes are known only at
+// CheckAtEntry decides on a request at the node where it enters. Recent successes are known only at
 // the nodes of the targets, so a request that could be cleared by one is not refused here.
-func (c *Control) AtStart(r *Request) Verdict {
+func (c *Control) CheckAtEntry(r *Request) Verdict {
 	if !c.suspects.Load() || !c.options.Enabled() {
 		return Verdict{}
 	}
@@ -128,7 +128,7 @@
 		return Verdict{Refused: true}
 	case c.ledger.State(fingerprint, false) != crashes.Doubtful:
 		return Verdict{}
-	case c.trials[content] || !c.options.Nodes.IsFirstFor(content[:]):
+	case c.trials[content] || !c.options.Nodes.RanksFirst(content[:]):
 		return Verdict{Refused: own == crashes.Doubtful}
 	}
 	c.trials[content] = true
@@ -141,22 +141,22 @@
 	delete(c.trials, content)
 }
 
-// TargetEnded adds evidence against the requests that were in flight at the local target, an
+// RecordCrash adds evidence against the requests that were in flight at the local target, an
 // instance of a service, when it crashed. Requests that have recently succeeded are skipped.
-func (c *Control) TargetEnded(instance, service string, runs []Run) {
+func (c *Control) RecordCrash(instance, service string, runs []Run) {
 	at := time.Now().UnixMilli()
 	evidence := make([]crashes.Evidence, 0, len(runs))
 	for _, run := range runs {
 		if !c.recent.contains(c.options.Now(), run.Fingerprint.Variant) {
-			evidence = append(evidence, crashes.Evidence{Print: run.Fingerprint, Instance: instance, Service: service, Route: run.Route, At: at, Alone: run.Alone})
+			evidence = append(evidence, crashes.Evidence{Fingerprint: run.Fingerprint, Instance: instance, Service: service, Route: run.Route, CrashedAtMillis: at, Isolated: run.Isolated})
 		}
 	}
 	c.add(evidence)
 }
 
-// EndedWell records that the local target completed a request, and clears the evidence against
+// RecordSuccess records that the local target completed a request, and clears the evidence against
 // the request at all nodes.
-func (c *Control) EndedWell(r *Request) {
+func (c *Control) RecordSuccess(r *Request) {
 	if !c.options.Enabled() {
 		return
 	}
@@ -167,9 +167,9 @@
 	}
 }
 
-func (c *Control) clear(fingerprint crashes.Print) {
+func (c *Control) clear(fingerprint crashes.Fingerprint) {
 	c.mutex.Lock()
-	cleared := c.ledger.EndedWell(fingerprint)
+	cleared := c.ledger.RecordSuccess(fingerprint)
 	c.mutex.Unlock()
 	c.publish(cleared, clearBatchDelay)
 }
@@ -191,7 +191,7 @@
 	c.updateHeld(added)
 	for _, e := range added {
 		if !e.Cleared && c.recent.contains(c.options.Now(), e.Variant) {
-			c.clear(e.Print)
+			c.clear(e.Fingerprint)
 		}
 	}
 }
@@ -220,12 +220,12 @@
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.suspects.Store(c.ledger.Suspects())
-	held := c.ledger.Held()
+	c.suspects.Store(c.ledger.HasSuspects())
+	held := c.ledger.HeldBack()
 	for content, evidence := range held {
 		if !c.held[content] {
 			c.held[content] = true
-			c.options.Events.Add(eventlog.HeldBack{Change: "held back", Digest: content.String(), Service: evidence[0].Service, Route: evidence[0].Route, Ends: len(evidence)}, eventlog.State)
+			c.options.Events.Add(eventlog.HeldBack{Change: "held back", Digest: content.String(), Service: evidence[0].Service, Route: evidence[0].Route, Crashes: len(evidence)}, eventlog.State)
 		}
 	}
 	for content := range c.held {
--- a/internal/sidecar/heldback/storage.go
+++ b/internal/sidecar/quarantine/storage.go
@@ -1,4 +1,4 @@
-package heldback
+package quarantine
 
 import (
 	"context"
@@ -31,10 +31,10 @@
 	saveTimeout = 400 * time.Millisecond
 )
 
-// TakeStored adds the evidence in the store. If it cannot be decoded, the error is logged and
+// ApplyStored adds the evidence in the store. If it cannot be decoded, the error is logged and
 // the item is ignored.
-func (c *Control) TakeStored(item *store.Item) {
-	if item.Gone {
+func (c *Control) ApplyStored(item *store.Item) {
+	if item.Deleted {
 		c.mutex.Lock()
 		c.stored.revision, c.stored.digest = 0, 0
 		c.mutex.Unlock()
@@ -45,7 +45,7 @@
 		c.options.Events.Add(eventlog.HeldBack{Change: "not read", Error: err.Error()}, eventlog.State)
 		return
 	}
-	evidence := message.Known()
+	evidence := message.DecodeEvidence()
 	c.setStored(storedEvidence{revision: item.Revision, digest: crashes.DigestOf(evidence)})
 	c.add(evidence)
 }
@@ -65,7 +65,7 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	now, stored := c.options.Now(), &c.stored
-	lasting := c.ledger.Lasting()
+	lasting := c.ledger.Persistent()
 	switch {
 	case crashes.DigestOf(lasting) == stored.digest:
 		stored.dirtySince = 0
@@ -84,7 +84,7 @@
 	defer cancel()
 	written, err := c.put(ctx, lasting, revision)
 	if !errors.Is(err, store.ErrConflict) {
-		c.options.Health.Note("crashes", err)
+		c.options.Health.Record("crashes", err)
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -95,7 +95,7 @@
 }
 
 func (c *Control) put(ctx context.Context, lasting []crashes.Evidence, revision int64) (int64, error) {
-	value, err := wire.CrashesCodec.Encode(&wire.Crashes{Evidence: wire.CrashForms(lasting), Forward: []string{}})
+	value, err := wire.CrashesCodec.Encode(&wire.Crashes{Evidence: wire.EncodeEvidence(lasting), Forward: []string{}})
 	if err != nil {
 		return 0, err
 	}
--- a/internal/sidecar/quotas/holders.go
+++ b/internal/sidecar/quotas/holders.go
@@ -43,7 +43,7 @@
 		return // the next request of a joining node schedules another write
 	}
 	state.revision = revision
-	state.keeper.List(s.options.Now(), added)
+	state.keeper.AddListed(s.options.Now(), added)
 	for _, name := range added {
 		delete(state.joiningHolders, name)
 	}
@@ -62,7 +62,7 @@
 		return added, 0, errors.New("this node is no longer the keeper of the shard")
 	}
 	written, err = s.writeRecord(context.Background(), shard, lease.ID, append(current, added...), state.maxShare, revision)
-	if errors.Is(err, store.ErrUncertain) || errors.Is(err, store.ErrConflict) {
+	if errors.Is(err, store.ErrNoResponse) || errors.Is(err, store.ErrConflict) {
 		written, err = s.confirmHolders(shard, added)
 	}
 	return added, written, err
--- a/internal/sidecar/quotas/quotas.go
+++ b/internal/sidecar/quotas/quotas.go
@@ -10,7 +10,7 @@
 //
 // The package relies on the leases of the store to ensure that there is one keeper at a time,
 // on Options.Now to include the time for which the machine was suspended, and on the zone's
-// follower to relay records from the store and to call Server.Fill. While the store is
+// follower to relay records from the store and to call Server.TakeOverAbsent. While the store is
 // unavailable, keepers allocate shares until their lease expires. While the keeper is
 // unreachable, a node admits what its shares still allow and rejects all other requests. All
 // types are safe for concurrent use.
@@ -35,31 +35,31 @@
 	Settings      func() *settings.Settings // current settings
 	Incarnation   string                    // unique id of this process
 	Now           func() time.Duration      // time since start, including suspensions of the machine
-	Configuration *configuration.InForce
+	Configuration *configuration.Active
 	Events        *eventlog.Log
 	Store         store.Store // nil if the node has no store
 	StoreHealth   *storehealth.Health
 	Peers         *peer.Client
 	Membership    Membership
 	Follower      Follower
-	// AskPeer asks the node at an address for the keepers it knows. An empty address is a no-op.
-	AskPeer func(ctx context.Context, address string)
+	// PollPeer asks the node at an address for the keepers it knows. An empty address is a no-op.
+	PollPeer func(ctx context.Context, address string)
 	// Stopping reports whether a graceful shutdown has begun, after which no shard is taken over.
 	Stopping func() bool
 }
 
 // Membership provides the known nodes.
 type Membership interface {
-	All() []wire.NodeRecord   // including this node
-	Others() int              // number of other nodes
-	ZoneNames() []string      // sorted
-	AddressElsewhere() string // address of a node in another zone, or empty
+	Records() []wire.NodeRecord // including this node
+	PeerCount() int             // number of other nodes
+	ZoneNames() []string        // sorted
+	RemoteZoneAddress() string  // address of a node in another zone, or empty
 }
 
 // Follower provides the state of the zone's follower, the node elected to watch the store.
 type Follower interface {
-	Address() string // address of another follower in the zone that is connected to the store, or empty
-	Reaches() bool   // this node is a follower and the store answers
+	HealthyPeerAddress() string // address of another follower in the zone that is connected to the store, or empty
+	StoreReachable() bool       // this node is a follower and the store answers
 }
 
 // quotaConfig returns the bound on requests per window from the current settings.
@@ -71,5 +71,5 @@
 // anyTenantLimited reports whether the configuration limits any tenant.
 func (o *Options) anyTenantLimited() bool {
 	current := o.Configuration.Load()
-	return current != nil && current.Limited()
+	return current != nil && current.HasRateLimits()
 }
--- a/internal/sidecar/quotas/requests.go
+++ b/internal/sidecar/quotas/requests.go
@@ -28,11 +28,11 @@
 		l.unreachable[shard].Store(failures > 1)
 		switch {
 		case failures == 1:
-			wait.For(ctx, firstRetryDelay)
+			wait.Sleep(ctx, firstRetryDelay)
 			continue
 		case failures > 1:
 			l.findKeeper(ctx, shard)
-			wait.For(ctx, retryDelay)
+			wait.Sleep(ctx, retryDelay)
 			continue
 		}
 		timer := time.NewTimer(requestInterval)
@@ -40,7 +40,7 @@
 		case <-ctx.Done():
 		case <-timer.C:
 		case <-l.wake[shard]:
-			wait.For(ctx, l.batchDelay(shard))
+			wait.Sleep(ctx, l.batchDelay(shard))
 		}
 		timer.Stop()
 	}
@@ -49,7 +49,7 @@
 // batchDelay returns how long to collect waiters of a shard before requesting tokens for all
 // of them.
 func (l *Limiter) batchDelay(shard int) time.Duration {
-	delay := min(max(time.Duration(l.options.Membership.Others())*batchDelayPerNode, minBatchDelay), maxBatchDelay)
+	delay := min(max(time.Duration(l.options.Membership.PeerCount())*batchDelayPerNode, minBatchDelay), maxBatchDelay)
 	if l.shortage[shard].Load() {
 		delay = min(shortageFactor*delay, maxBatchDelay)
 	}
@@ -84,21 +84,21 @@
 
 // send sends a request to the keeper at address, calling the local server directly if the
 // address is this node's own.
-func (l *Limiter) send(ctx context.Context, address string, request *wire.QuotaAsk) (*wire.QuotaAnswer, error) {
+func (l *Limiter) send(ctx context.Context, address string, request *wire.QuotaRequest) (*wire.QuotaResponse, error) {
 	if address == l.options.Settings().Listen.Inbound {
 		return l.server.Answer(request), nil
 	}
-	return peer.Ask(ctx, l.options.Peers, address, Path, wire.QuotaAskCodec, request, wire.QuotaAnswerCodec)
+	return peer.RoundTrip(ctx, l.options.Peers, address, Path, wire.QuotaRequestCodec, request, wire.QuotaResponseCodec)
 }
 
 // newRequest builds the next request for a shard. It reports the tenants that need tokens or,
 // if a full report is due, all tenants. It returns nil if there is nothing to report, and
 // removes idle tenants.
-func (l *Limiter) newRequest(shard int) *wire.QuotaAsk {
+func (l *Limiter) newRequest(shard int) *wire.QuotaRequest {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	own, now, last := l.options.Settings(), l.options.Now(), l.lastFullReport[shard].sentAt
-	request := &wire.QuotaAsk{
+	request := &wire.QuotaRequest{
 		Holder: holderName(own.Node, own.Listen.Inbound), Incarnation: l.options.Incarnation, Shard: shard,
 		Complete: last == 0 || now-last >= fullReportInterval, Reports: []wire.QuotaReport{},
 	}
@@ -107,15 +107,15 @@
 		if shardOf(name) != shard {
 			continue
 		}
-		if tenant := current.Tenant(name); tenant != nil {
-			t.holder.SetLimit(now, quota.Limit{Rate: tenant.Rate, Burst: tenant.Burst})
+		if tenant := current.TenantByName(name); tenant != nil {
+			t.bucket.SetLimit(now, quota.Limit{Rate: tenant.Rate, Burst: tenant.Burst})
 		}
-		if t.holder.Idle(now) && len(t.waiters) == 0 {
+		if t.bucket.Idle(now) && len(t.waiters) == 0 {
 			delete(l.tenants, name)
 			continue
 		}
-		if request.Complete || len(t.waiters) > 0 || t.holder.Low(now) {
-			request.Reports = append(request.Reports, reportToWire(t.holder.Report(now, name, len(t.waiters))))
+		if request.Complete || len(t.waiters) > 0 || t.bucket.NeedsTokens(now) {
+			request.Reports = append(request.Reports, reportToWire(t.bucket.Report(now, name, len(t.waiters))))
 		}
 	}
 	if !request.Complete && len(request.Reports) == 0 {
@@ -125,11 +125,11 @@
 }
 
 // applyAnswer applies the keeper's answer to a request sent at sentAt.
-func (l *Limiter) applyAnswer(sentAt time.Duration, request *wire.QuotaAsk, answer *wire.QuotaAnswer) {
+func (l *Limiter) applyAnswer(sentAt time.Duration, request *wire.QuotaRequest, answer *wire.QuotaResponse) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.recordFullReportLocked(sentAt, request, answer.Epoch)
-	l.shortage[request.Shard].Store(slices.ContainsFunc(answer.Allotments, func(a wire.QuotaAllotment) bool { return a.Again > 0 }))
+	l.shortage[request.Shard].Store(slices.ContainsFunc(answer.Allotments, func(a wire.QuotaAllotment) bool { return a.RetryAfter > 0 }))
 	for i := range answer.Allotments {
 		allotment := allotmentFromWire(answer.Epoch, &answer.Allotments[i])
 		if t := l.tenants[allotment.Tenant]; t != nil {
@@ -140,7 +140,7 @@
 
 // recordFullReportLocked records which keeper received the last full report. If a different
 // keeper has answered a partial report, it schedules a full one immediately.
-func (l *Limiter) recordFullReportLocked(sentAt time.Duration, request *wire.QuotaAsk, epoch int64) {
+func (l *Limiter) recordFullReportLocked(sentAt time.Duration, request *wire.QuotaRequest, epoch int64) {
 	last := &l.lastFullReport[request.Shard]
 	if request.Complete {
 		last.sentAt, last.epoch = sentAt, epoch
@@ -157,18 +157,18 @@
 // are rejected otherwise.
 func (l *Limiter) applyAllotmentLocked(t *tenantState, sentAt time.Duration, allotment quota.Allotment) {
 	now := l.options.Now()
-	tokens := t.holder.Allot(now, sentAt, allotment)
-	for len(t.waiters) > 0 && (tokens > 0 || t.holder.Take(now)) {
+	tokens := t.bucket.Allot(now, sentAt, allotment)
+	for len(t.waiters) > 0 && (tokens > 0 || t.bucket.Take(now)) {
 		tokens = max(tokens-1, 0)
 		t.waiters[0] <- true
 		t.waiters = t.waiters[1:]
 	}
-	t.holder.Store(now, tokens)
+	t.bucket.Add(now, tokens)
 	if len(t.waiters) == 0 {
 		return
 	}
-	if t.holder.MayAsk(now) {
-		time.AfterFunc(allotment.Again, func() { l.requestNow(shardOf(allotment.Tenant)) })
+	if t.bucket.CanRequest(now) {
+		time.AfterFunc(allotment.RetryAfter, func() { l.requestNow(shardOf(allotment.Tenant)) })
 		return
 	}
 	for _, admitted := range t.waiters {
@@ -180,11 +180,11 @@
 // findKeeper asks the zone's follower, or a node in another zone, for the keepers it knows. If
 // the shard still has no known keeper, it reads the records from the store.
 func (l *Limiter) findKeeper(ctx context.Context, shard int) {
-	address := l.options.Follower.Address()
+	address := l.options.Follower.HealthyPeerAddress()
 	if address == "" {
-		address = l.options.Membership.AddressElsewhere()
+		address = l.options.Membership.RemoteZoneAddress()
 	}
-	l.options.AskPeer(ctx, address)
+	l.options.PollPeer(ctx, address)
 	if l.keepers.Get(shard) == nil {
 		l.listRecords(ctx)
 	}
@@ -199,9 +199,9 @@
 	call, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	items, _, err := l.options.Store.List(call, l.keepers.prefix)
-	l.options.StoreHealth.Note("read", err)
+	l.options.StoreHealth.Record("read", err)
 	if err == nil {
-		l.keepers.TakeStored(items)
+		l.keepers.ApplyStored(items)
 	}
 }
 
--- a/internal/sidecar/quotas/server.go
+++ b/internal/sidecar/quotas/server.go
@@ -82,7 +82,7 @@
 		if lease := s.activeLease(); lease != nil && !s.renew(ctx, lease) {
 			delay = renewRetryDelay
 		}
-		wait.For(ctx, delay)
+		wait.Sleep(ctx, delay)
 	}
 }
 
@@ -116,7 +116,7 @@
 	call, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	lease, err := s.options.Store.Grant(call, leaseTTL)
-	s.options.StoreHealth.Note("lease", err)
+	s.options.StoreHealth.Record("lease", err)
 	if err != nil {
 		return nil, err
 	}
@@ -160,14 +160,14 @@
 	began := s.options.Now()
 	call, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	err := s.options.Store.Keep(call, lease.ID)
-	s.options.StoreHealth.Note("lease", err)
+	err := s.options.Store.KeepAlive(call, lease.ID)
+	s.options.StoreHealth.Record("lease", err)
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	switch {
 	case err == nil && s.lease == lease:
 		s.leaseExpires = max(s.leaseExpires, began+lease.TTL)
-	case errors.Is(err, store.ErrLeaseGone) && s.lease == lease:
+	case errors.Is(err, store.ErrLeaseExpired) && s.lease == lease:
 		s.dropAllLocked("store no longer has the lease")
 	}
 	return err == nil
@@ -187,17 +187,17 @@
 
 // ServeHTTP answers a request from the limiter of another node.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	request, ok := peer.ReadMessage(w, r, wire.QuotaAskCodec)
+	request, ok := peer.ReadMessage(w, r, wire.QuotaRequestCodec)
 	if !ok {
 		return
 	}
-	peer.WriteMessage(w, wire.QuotaAnswerCodec, s.Answer(request))
+	peer.WriteMessage(w, wire.QuotaResponseCodec, s.Answer(request))
 }
 
 // Answer allocates shares and tokens to the node that sent the request. If the node is not yet
 // listed in the record, it is added and receives nothing.
-func (s *Server) Answer(request *wire.QuotaAsk) *wire.QuotaAnswer {
-	answer := &wire.QuotaAnswer{Allotments: []wire.QuotaAllotment{}}
+func (s *Server) Answer(request *wire.QuotaRequest) *wire.QuotaResponse {
+	answer := &wire.QuotaResponse{Allotments: []wire.QuotaAllotment{}}
 	current := s.options.Configuration.Load()
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -206,7 +206,7 @@
 		return answer
 	}
 	answer.Keeps = true
-	if !state.keeper.Lists(request.Holder) {
+	if !state.keeper.IsListed(request.Holder) {
 		s.addHolderLocked(request.Shard, state, request.Holder)
 		return answer
 	}
@@ -215,13 +215,13 @@
 	for i := range request.Reports {
 		report := reportFromWire(&request.Reports[i])
 		limit := quota.Limit{}
-		if tenant := current.Tenant(report.Tenant); tenant != nil {
+		if tenant := current.TenantByName(report.Tenant); tenant != nil {
 			limit = quota.Limit{Rate: tenant.Rate, Burst: tenant.Burst}
 		}
-		answer.Allotments = append(answer.Allotments, allotmentToWire(state.keeper.Answer(now, request.Holder, process, limit, report, remaining)))
+		answer.Allotments = append(answer.Allotments, allotmentToWire(state.keeper.Allocate(now, request.Holder, process, limit, report, remaining)))
 	}
 	if request.Complete {
-		state.keeper.Heard(now, request.Holder)
+		state.keeper.MarkReported(now, request.Holder)
 	}
 	return answer
 }
--- a/internal/sidecar/registration/registration.go
+++ b/internal/sidecar/registration/registration.go
@@ -29,7 +29,7 @@
 	// writeJitter and listJitter spread the load on the store when many nodes start at once.
 	writeJitter = 300 * time.Millisecond
 	listJitter  = 700 * time.Millisecond
-	// revokeTimeout bounds the call that revokes the lease in Withdraw.
+	// revokeTimeout bounds the call that revokes the lease in Deregister.
 	revokeTimeout = 300 * time.Millisecond
 	// The delay after a failed call is retryMinDelay plus a random part of retryJitter. A missing
 	// record has to be rewritten within about two seconds after the store becomes available.
@@ -43,7 +43,7 @@
 type Registration struct {
 	options     Options
 	lease       atomic.Pointer[store.Lease] // nil if no lease is held
-	recordLost  chan struct{}               // signaled by Lost
+	recordLost  chan struct{}               // signaled by MarkLost
 	renewNow    chan struct{}               // signaled by RenewNow
 	writeFailed atomic.Bool                 // the last attempt to write the record failed
 }
@@ -52,12 +52,12 @@
 type Members interface {
 	// LocalRecord returns the current record of this node.
 	LocalRecord() *wire.NodeRecord
-	// Changed broadcasts the local record to the other nodes with a new sequence number.
-	Changed()
+	// AnnounceLocalRecord broadcasts the local record to the other nodes with a new sequence number.
+	AnnounceLocalRecord()
 	// Supersede makes the local record newer than one of an earlier process of this node.
 	Supersede(record *wire.NodeRecord)
-	// Others returns the number of other known nodes.
-	Others() int
+	// PeerCount returns the number of other known nodes.
+	PeerCount() int
 	// MergeStored adds the record of another node that was read from the store.
 	MergeStored(record *wire.NodeRecord)
 	// MarkStoreListed records that all records of the store have been read.
@@ -68,17 +68,17 @@
 
 // Options holds the configuration and the dependencies of a Registration.
 type Options struct {
-	Settings     func() *settings.Settings // returns the current settings
-	Store        store.Store               // Run must not be called if nil
-	Health       *storehealth.Health
-	Probe        func(ctx context.Context) bool // reports whether the store answers
-	RecordPrefix string                         // key prefix of all data that nodes keep in the store
-	NodePrefix   string                         // key prefix of the node records; starts with RecordPrefix
-	Members      Members
-	TakeOther    func(item *store.Item)    // handles a listed item that is not a node record
-	Meet         func(ctx context.Context) // exchanges state with other nodes after they are known
-	Listed       func()                    // called once, after peer discovery
-	TargetLeft   func() bool               // reports whether the target has left permanently
+	Settings      func() *settings.Settings // returns the current settings
+	Store         store.Store               // Run must not be called if nil
+	Health        *storehealth.Health
+	Probe         func(ctx context.Context) bool // reports whether the store answers
+	RecordPrefix  string                         // key prefix of all data that nodes keep in the store
+	NodePrefix    string                         // key prefix of the node records; starts with RecordPrefix
+	Members       Members
+	ApplyOther    func(item *store.Item)    // handles a listed item that is not a node record
+	SyncWithPeers func(ctx context.Context) // exchanges state with other nodes after they are known
+	OnListed      func()                    // called once, after peer discovery
+	TargetLeft    func() bool               // reports whether the target has left permanently
 }
 
 // New returns a Registration that holds no lease yet.
@@ -86,26 +86,29 @@
 	return &Registration{options: options, recordLost: make(chan struct{}, 1), renewNow: make(chan struct{}, 1)}
 }
 
-// Lost reports that the store has no record of this node. Run rewrites the record.
-func (r *Registration) Lost() { wait.Signal(r.recordLost) }
+// MarkLost reports that the store has no record of this node. Run rewrites the record.
+func (r *Registration) MarkLost() { wait.Notify(r.recordLost) }
 
 // RenewNow makes Run renew the lease immediately. It does not wait for the renewal.
-func (r *Registration) RenewNow() { wait.Signal(r.renewNow) }
+func (r *Registration) RenewNow() { wait.Notify(r.renewNow) }
 
-// TurnedAway reports whether the store is unavailable to this node, according to its latest calls.
-func (r *Registration) TurnedAway() bool { return r.writeFailed.Load() || r.options.Health.Away() }
+// StoreUnreachable reports whether the store is unavailable to this node, according to its latest
+// calls.
+func (r *Registration) StoreUnreachable() bool {
+	return r.writeFailed.Load() || r.options.Health.Unavailable()
+}
 
 // Run discovers the other nodes, then keeps the local record and its lease until ctx is done.
 func (r *Registration) Run(ctx context.Context) {
 	if r.options.Settings().FirstStart {
-		wait.For(ctx, time.Duration(rand.Int64N(int64(writeJitter))))
+		wait.Sleep(ctx, time.Duration(rand.Int64N(int64(writeJitter))))
 		r.register(ctx)
-		wait.For(ctx, time.Duration(rand.Int64N(int64(listJitter))))
+		wait.Sleep(ctx, time.Duration(rand.Int64N(int64(listJitter))))
 		r.discoverPeers(ctx)
-		r.options.Listed()
+		r.options.OnListed()
 	} else {
 		r.discoverPeers(ctx)
-		r.options.Listed()
+		r.options.OnListed()
 		r.register(ctx)
 	}
 	for ctx.Err() == nil {
@@ -113,7 +116,7 @@
 			continue
 		}
 		r.lease.Store(nil)
-		r.options.Members.Changed()
+		r.options.Members.AnnounceLocalRecord()
 		r.register(ctx)
 	}
 }
@@ -121,11 +124,11 @@
 // discoverPeers lists the records of all nodes, unless other nodes are already known, and then
 // exchanges state with some of them.
 func (r *Registration) discoverPeers(ctx context.Context) {
-	for ctx.Err() == nil && r.options.Members.Others() == 0 {
+	for ctx.Err() == nil && r.options.Members.PeerCount() == 0 {
 		callCtx, cancel := context.WithTimeout(ctx, storehealth.CallTimeout)
 		items, _, err := r.options.Store.List(callCtx, r.options.RecordPrefix)
 		cancel()
-		r.options.Health.Note("read", err)
+		r.options.Health.Record("read", err)
 		if err != nil {
 			r.waitForStore(ctx)
 			continue
@@ -133,7 +136,7 @@
 		r.loadListed(items)
 		break
 	}
-	r.options.Meet(ctx)
+	r.options.SyncWithPeers(ctx)
 }
 
 // loadListed merges the records read from the store. If an earlier process of this node wrote one
@@ -143,7 +146,7 @@
 	for _, item := range items {
 		name, found := strings.CutPrefix(item.Key, r.options.NodePrefix)
 		if !found {
-			r.options.TakeOther(&item)
+			r.options.ApplyOther(&item)
 			continue
 		}
 		record, err := wire.NodeRecordCodec.Decode(item.Value)
@@ -173,7 +176,7 @@
 // waitForStore waits after a failed call until the store answers a probe or ctx is done.
 func (r *Registration) waitForStore(ctx context.Context) {
 	for ctx.Err() == nil {
-		wait.For(ctx, retryMinDelay+time.Duration(rand.Int64N(int64(retryJitter))))
+		wait.Sleep(ctx, retryMinDelay+time.Duration(rand.Int64N(int64(retryJitter))))
 		if ctx.Err() != nil || r.options.Probe(ctx) {
 			return
 		}
@@ -184,7 +187,7 @@
 func (r *Registration) register(ctx context.Context) {
 	for ctx.Err() == nil {
 		err := r.writeRecord(ctx)
-		r.options.Health.Note("record", err)
+		r.options.Health.Record("record", err)
 		r.writeFailed.Store(err != nil)
 		if err == nil {
 			r.clearLost()
@@ -194,7 +197,7 @@
 	}
 }
 
-// clearLost discards a signal of Lost that precedes the write of the record.
+// clearLost discards a signal of MarkLost that precedes the write of the record.
 func (r *Registration) clearLost() {
 	select {
 	case <-r.recordLost:
@@ -209,8 +212,8 @@
 	defer cancel()
 	s := r.options.Store
 	if lease := r.lease.Load(); lease != nil {
-		err := s.Keep(ctx, lease.ID)
-		if !errors.Is(err, store.ErrLeaseGone) {
+		err := s.KeepAlive(ctx, lease.ID)
+		if !errors.Is(err, store.ErrLeaseExpired) {
 			return err
 		}
 	}
@@ -245,19 +248,19 @@
 	}
 	callCtx, cancel := context.WithTimeout(ctx, storehealth.CallTimeout)
 	defer cancel()
-	err := r.options.Store.Keep(callCtx, lease.ID)
-	r.options.Health.Note("lease", err)
-	return !errors.Is(err, store.ErrLeaseGone)
+	err := r.options.Store.KeepAlive(callCtx, lease.ID)
+	r.options.Health.Record("lease", err)
+	return !errors.Is(err, store.ErrLeaseExpired)
 }
 
-// Withdraw revokes the lease, and thereby deletes the record, if the target has left permanently.
+// Deregister revokes the lease, and thereby deletes the record, if the target has left permanently.
 // The machine is then about to be shut down. If the call fails, the lease expires on its own.
-func (r *Registration) Withdraw() {
+func (r *Registration) Deregister() {
 	lease := r.lease.Load()
 	if lease == nil || !r.options.TargetLeft() {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), revokeTimeout)
 	defer cancel()
-	r.options.Health.Note("revoke", r.options.Store.Revoke(ctx, lease.ID))
+	r.options.Health.Record("revoke", r.options.Store.Revoke(ctx, lease.ID))
 }
--- a/internal/sidecar/reply/reply.go
+++ b/internal/sidecar/reply/reply.go
@@ -13,7 +13,7 @@
 
 	"github.com/juju/errors"
 	"github.com/landingmast/landingmast/internal/core/outcome"
-	"github.com/landingmast/landingmast/internal/core/resend"
+	"github.com/landingmast/landingmast/internal/core/retry"
 	"github.com/landingmast/landingmast/internal/core/slots"
 	"github.com/landingmast/landingmast/internal/wire"
 )
@@ -66,8 +66,8 @@
 const serviceTimeDivisor = 4
 
 // ResendEnd returns the properties of the reply that decide whether the request may be resent.
-func (r *Reply) ResendEnd() resend.End {
-	return resend.End{Outcome: r.Outcome, Reason: r.Reason, Arrived: r.Arrived}
+func (r *Reply) ResendEnd() retry.Result {
+	return retry.Result{Outcome: r.Outcome, Reason: r.Reason, ReachedTarget: r.Arrived}
 }
 
 // Close closes a streamed body. It may be called more than once.
@@ -86,8 +86,8 @@
 	Length int64
 }
 
-// Begin returns the buffered prefix of the body and the length of the body, or -1 if unknown.
-func (p *Payload) Begin() ([]byte, int64) {
+// Prefix returns the buffered prefix of the body and the length of the body, or -1 if unknown.
+func (p *Payload) Prefix() ([]byte, int64) {
 	if p.Stream != nil {
 		return p.Head, p.Length
 	}
@@ -134,7 +134,7 @@
 	return &wire.SidecarResult{
 		Outcome: string(r.Outcome), Reason: string(r.Reason), Arrived: r.Arrived, Status: r.Status, Length: length,
 		Incarnation: r.Incarnation, Version: int64(r.Version), Slots: r.Load.Slots, Running: r.Load.Running, Waiting: r.Load.Waiting,
-		Hold: r.Load.Hold.Microseconds(), Below: r.Needs,
+		Hold: r.Load.ServiceTime.Microseconds(), Downstream: r.Needs,
 	}
 }
 
@@ -142,8 +142,8 @@
 func FromResult(result *wire.SidecarResult) *Reply {
 	return &Reply{
 		Outcome: outcome.Outcome(result.Outcome), Reason: outcome.Reason(result.Reason), Arrived: result.Arrived, Status: result.Status,
-		Length: result.Length, Incarnation: result.Incarnation, Version: uint64(max(result.Version, 0)), Needs: result.Below,
-		Load: slots.Load{Slots: result.Slots, Running: result.Running, Waiting: result.Waiting, Hold: time.Duration(result.Hold) * time.Microsecond},
+		Length: result.Length, Incarnation: result.Incarnation, Version: uint64(max(result.Version, 0)), Needs: result.Downstream,
+		Load: slots.Load{Slots: result.Slots, Running: result.Running, Waiting: result.Waiting, ServiceTime: time.Duration(result.Hold) * time.Microsecond},
 	}
 }
 
--- a/internal/sidecar/revalidation/revalidation.go
+++ b/internal/sidecar/revalidation/revalidation.go
@@ -59,7 +59,7 @@
 type Options struct {
 	Settings         func() *settings.Settings // current settings
 	Now              func() time.Duration      // time since start, including suspensions of the machine
-	Configuration    *configuration.InForce
+	Configuration    *configuration.Active
 	ConfigurationKey string // store key of the configuration
 	Events           *eventlog.Log
 	Store            store.Store // nil if the node has no store
@@ -74,13 +74,13 @@
 
 // Membership provides the known nodes.
 type Membership interface {
-	AddressElsewhere() string // address of a node in another zone, or empty
+	RemoteZoneAddress() string // address of a node in another zone, or empty
 }
 
 // Follower provides the state of the zone's follower, the node elected to watch the store.
 type Follower interface {
-	Address() string // address of another follower in the zone that is connected to the store, or empty
-	Reaches() bool   // this node is a follower and the store answers
+	HealthyPeerAddress() string // address of another follower in the zone that is connected to the store, or empty
+	StoreReachable() bool       // this node is a follower and the store answers
 }
 
 // Keepers caches the keepers of quotas, which are included in freshness answers to save a
@@ -113,18 +113,18 @@
 }
 
 // RevalidateNow makes Run refresh the evidence before the next interval.
-func (r *Revalidator) RevalidateNow() { wait.Signal(r.wake) }
+func (r *Revalidator) RevalidateNow() { wait.Notify(r.wake) }
 
 // Fresh reports whether the configuration is fresh enough to accept a key. It is always true if
 // keys.fail_closed is off.
 func (r *Revalidator) Fresh() bool {
-	bound := r.options.Settings().Keys.Bound()
+	bound := r.options.Settings().Keys.MaxConfigurationAge()
 	if bound == 0 {
 		return true
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.evidence.Within(r.options.Now(), bound)
+	return r.evidence.YoungerThan(r.options.Now(), bound)
 }
 
 // Age returns the age of the evidence and the version that it confirms. known is false if there
@@ -146,7 +146,7 @@
 // InstallStored installs a configuration read from the store, unless a newer one is in force, and
 // returns its version. Install logs errors; they leave the configuration unchanged.
 func (r *Revalidator) InstallStored(item *store.Item) (uint64, error) {
-	version, err := r.options.Configuration.Install(item.Value, configuration.FromStore)
+	version, err := r.options.Configuration.Install(item.Value, configuration.SourceStore)
 	if err == nil {
 		r.recordStored(version, item.Revision)
 	}
@@ -165,13 +165,13 @@
 // needed reports whether evidence is required: there are tenants, and keys.fail_closed is on.
 func (r *Revalidator) needed() bool {
 	current := r.options.Configuration.Load()
-	return current != nil && len(current.Tenants) > 0 && r.options.Settings().Keys.Bound() > 0
+	return current != nil && len(current.Tenants) > 0 && r.options.Settings().Keys.MaxConfigurationAge() > 0
 }
 
 // Run refreshes the evidence until ctx is done. It starts with a random delay, so that nodes
 // started together do not poll at the same time.
 func (r *Revalidator) Run(ctx context.Context) {
-	wait.For(ctx, time.Duration(rand.Int64N(int64(pollInterval))))
+	wait.Sleep(ctx, time.Duration(rand.Int64N(int64(pollInterval))))
 	for ctx.Err() == nil {
 		delay := pollInterval
 		if r.needed() {
@@ -191,18 +191,18 @@
 // refresh obtains newer evidence, from the store if this node is a follower and otherwise from
 // other nodes, falling back to a direct read. It returns the delay until the next attempt.
 func (r *Revalidator) refresh(ctx context.Context) time.Duration {
-	followerAddress := r.options.Follower.Address()
+	followerAddress := r.options.Follower.HealthyPeerAddress()
 	switch {
-	case r.options.Follower.Reaches():
+	case r.options.Follower.StoreReachable():
 		if r.confirmAtStore(ctx) {
 			return confirmInterval
 		}
-	case r.AskPeer(ctx, followerAddress):
+	case r.PollPeer(ctx, followerAddress):
 		return pollInterval
 	}
 	age, _, known := r.Age()
 	if !known || age > crossZoneAge || followerAddress == "" {
-		if r.AskPeer(ctx, r.options.Membership.AddressElsewhere()) {
+		if r.PollPeer(ctx, r.options.Membership.RemoteZoneAddress()) {
 			return pollInterval
 		}
 	}
@@ -212,11 +212,11 @@
 	return pollInterval / 2
 }
 
-// AskPeer polls the node at address for the freshness of its configuration and the keepers it
+// PollPeer polls the node at address for the freshness of its configuration and the keepers it
 // knows. It reports whether the answer added evidence. If the other node has a newer
 // configuration, a fetch is started. Errors are not logged, since other nodes are polled next and
 // Run logs when the evidence becomes too old.
-func (r *Revalidator) AskPeer(ctx context.Context, address string) bool {
+func (r *Revalidator) PollPeer(ctx context.Context, address string) bool {
 	if address == "" {
 		return false
 	}
@@ -236,7 +236,7 @@
 	if uint64(answer.Version) > r.options.Configuration.Version() {
 		r.options.Fetch(address)
 	}
-	return r.confirm(freshness.Told(sentAt, time.Duration(answer.Age)*time.Microsecond), uint64(answer.Version))
+	return r.confirm(freshness.ObservedAt(sentAt, time.Duration(answer.Age)*time.Microsecond), uint64(answer.Version))
 }
 
 // confirmDirectly confirms the configuration with the store even though this node is not a
@@ -265,8 +265,8 @@
 	if revision == 0 || version != r.options.Configuration.Version() {
 		return r.ReadStored(call, sentAt)
 	}
-	newer, err := r.options.Store.Unchanged(call, r.options.ConfigurationKey, revision)
-	r.options.StoreHealth.Note("confirm", err)
+	newer, err := r.options.Store.CheckRevision(call, r.options.ConfigurationKey, revision)
+	r.options.StoreHealth.Record("confirm", err)
 	switch {
 	case err == nil:
 		return r.confirm(sentAt, version)
@@ -280,7 +280,7 @@
 // node that has just started need not poll first. sentAt is when the call began.
 func (r *Revalidator) ReadStored(ctx context.Context, sentAt time.Duration) bool {
 	item, _, err := r.options.Store.Get(ctx, r.options.ConfigurationKey)
-	r.options.StoreHealth.Note("read", err)
+	r.options.StoreHealth.Record("read", err)
 	if err != nil || item == nil {
 		return false
 	}
@@ -296,7 +296,7 @@
 
 // logChange logs when requests with keys start or stop being refused for lack of evidence.
 func (r *Revalidator) logChange() {
-	bound := r.options.Settings().Keys.Bound()
+	bound := r.options.Settings().Keys.MaxConfigurationAge()
 	age, version, known := r.Age()
 	unconfirmed := r.needed() && (!known || age >= bound)
 	if unconfirmed == r.unconfirmed {
@@ -310,7 +310,7 @@
 	r.options.Events.Add(eventlog.Freshness{Change: change, Version: version, AgeMS: eventlog.Milliseconds(age)}, eventlog.State)
 }
 
-// ServeHTTP answers AskPeer requests of other nodes.
+// ServeHTTP answers PollPeer requests of other nodes.
 func (r *Revalidator) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	age, version, known := r.Age()
 	peer.WriteMessage(w, wire.FreshnessCodec, &wire.Freshness{Known: known, Version: int64(version), Age: age.Microseconds(), Keepers: r.options.Keepers.All()})
--- a/internal/sidecar/services/budgets.go
+++ b/internal/sidecar/services/budgets.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/landingmast/landingmast/internal/core/repeats"
+	"github.com/landingmast/landingmast/internal/core/retrybudget"
 	"github.com/landingmast/landingmast/internal/sidecar/settings"
 	"github.com/landingmast/landingmast/internal/wire"
 )
@@ -30,10 +30,10 @@
 func (s *Services) retainedShare(now time.Duration) float64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if !s.policy.On(settings.Grants) {
-		return wire.GrantUnsaid
+	if !s.policy.Enabled(settings.Grants) {
+		return wire.DefaultGrant
 	}
-	return s.retention.Of(now)
+	return s.retention.Fraction(now)
 }
 
 // TakeRetry deducts a retry of a request from the budgets of all services it would reach, since the
@@ -47,14 +47,14 @@
 	defer s.mutex.Unlock()
 	now := s.now()
 	target := s.getLocked(service)
-	if s.policy.On(settings.Ration) && !target.ration.Allows(now, rank) {
+	if s.policy.Enabled(settings.Ration) && !target.ration.Allows(now, rank) {
 		return false
 	}
-	allowance := s.allowance.Of(now, s.config.Allowance)
+	allowance := s.allowance.Part(now, s.config.Allowance)
 	for name, calls := range needs {
 		if !s.getLocked(name).allows(now, calls, s.config.Ratio, allowance, declined && name == service) {
 			if name != service {
-				s.retention.Short(now)
+				s.retention.BudgetExhausted(now)
 			}
 			target.ration.Denied(now)
 			return false
@@ -81,11 +81,11 @@
 func (s *Service) spend(now time.Duration, calls float64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.budget.Spend(now, calls)
+	s.budget.CountRetries(now, calls)
 }
 
 // SetBudget changes the limits of retries.
-func (s *Services) SetBudget(config repeats.Config) {
+func (s *Services) SetBudget(config retrybudget.Config) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.config = config
--- a/internal/sidecar/services/services.go
+++ b/internal/sidecar/services/services.go
@@ -2,7 +2,7 @@
 //
 // The package owns a balancer and a retry budget for each service, the node's share of the global
 // retry allowance, and the share of the retry budgets that the node retains for its own requests.
-// The algorithms are in core/balancer and core/repeats; core/outcome classifies the result of an
+// The algorithms are in core/balancer and core/retrybudget; core/outcome classifies the result of an
 // attempt. Callers supply the targets (Update), the number of nodes (Count) and the downstream
 // demand of routes. All exported types are safe for concurrent use.
 package services
@@ -14,7 +14,7 @@
 
 	"github.com/landingmast/landingmast/internal/core/balancer"
 	"github.com/landingmast/landingmast/internal/core/outcome"
-	"github.com/landingmast/landingmast/internal/core/repeats"
+	"github.com/landingmast/landingmast/internal/core/retrybudget"
 	"github.com/landingmast/landingmast/internal/sidecar/reply"
 	"github.com/landingmast/landingmast/internal/sidecar/settings"
 )
@@ -24,12 +24,12 @@
 	node   string
 	zone   string
 	now    func() time.Duration
-	config repeats.Config
+	config retrybudget.Config
 
 	mutex     sync.Mutex
 	byName    map[string]*Service
-	allowance *repeats.Share // the node's share of the global retry allowance
-	retention repeats.Keep   // the share of retry budgets that the node retains
+	allowance *retrybudget.AllowanceShare // the node's share of the global retry allowance
+	retention retrybudget.Reserve         // the share of retry budgets that the node retains
 	policy    settings.Policy
 }
 
@@ -37,8 +37,8 @@
 type Service struct {
 	mutex    sync.Mutex
 	balancer *balancer.Balancer
-	budget   *repeats.Budget
-	ration   repeats.Ration // decides which chains may retry; guarded by Services.mutex
+	budget   *retrybudget.Budget
+	ration   retrybudget.RankLimiter // decides which chains may retry; guarded by Services.mutex
 }
 
 // globalRandom implements balancer.Random.
@@ -50,7 +50,7 @@
 type Options struct {
 	Node, Zone string
 	Now        func() time.Duration
-	Budget     repeats.Config
+	Budget     retrybudget.Config
 	FirstStart bool // whether this is the first process of the node
 	Policy     settings.Policy
 }
@@ -59,7 +59,7 @@
 func New(o Options) *Services {
 	return &Services{
 		node: o.Node, zone: o.Zone, now: o.Now, config: o.Budget, policy: o.Policy,
-		byName: map[string]*Service{}, allowance: repeats.NewShare(o.Budget.Window, o.FirstStart),
+		byName: map[string]*Service{}, allowance: retrybudget.NewAllowanceShare(o.Budget.Window, o.FirstStart),
 	}
 }
 
@@ -75,7 +75,7 @@
 	if service == nil {
 		service = &Service{
 			balancer: balancer.New(s.balancerConfig(), s.node, s.zone, globalRandom{}),
-			budget:   repeats.New(s.config),
+			budget:   retrybudget.New(s.config),
 		}
 		s.byName[name] = service
 	}
@@ -85,14 +85,14 @@
 // balancerConfig returns the balancer configuration under the current policy.
 func (s *Services) balancerConfig() balancer.Config {
 	config := balancer.DefaultConfig()
-	config.NoSamples = !s.policy.On(settings.Samples)
-	config.NoZones = !s.policy.On(settings.Zones)
-	config.NoLosses = !s.policy.On(settings.Losses)
+	config.NoSamples = !s.policy.Enabled(settings.Samples)
+	config.NoZones = !s.policy.Enabled(settings.Zones)
+	config.NoLosses = !s.policy.Enabled(settings.Losses)
 	return config
 }
 
-// Update replaces the targets of all services.
-func (s *Services) Update(targets map[string][]balancer.Target) {
+// SetTargets replaces the targets of all services.
+func (s *Services) SetTargets(targets map[string][]balancer.Target) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for name := range targets {
@@ -105,11 +105,11 @@
 	}
 }
 
-// Count sets the number of nodes, including this one.
-func (s *Services) Count(members int) {
+// SetNodeCount sets the number of nodes, including this one.
+func (s *Services) SetNodeCount(members int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.allowance.Count(s.now(), members)
+	s.allowance.SetMembers(s.now(), members)
 }
 
 // Choice is the target chosen for an attempt.
@@ -144,7 +144,7 @@
 		s.balancer.Report(now, c.endpoint, response.Load)
 	}
 	switch {
-	case outcome.Wasted(response.Outcome, response.Reason):
+	case outcome.ResponseLost(response.Outcome, response.Reason):
 		s.balancer.Lost(now, c.endpoint)
 	case response.Reason.Declined():
 		s.balancer.Declined(now, c.endpoint)
@@ -152,24 +152,24 @@
 		s.balancer.Answered(now, c.endpoint, c.class, response.Bytes(), response.ServiceTime(now-c.sentAt))
 	}
 	switch {
-	case response.Reason.Silent():
+	case response.Reason.NodeUnreachable():
 		s.balancer.Suspect(now, c.endpoint)
-	case response.Reason.TakesNoWork():
+	case response.Reason.TargetUnavailable():
 		s.balancer.Refused(now, c.endpoint)
 	}
 }
 
 // Suspect stops sending to the target of an unresponsive node.
 func (s *Services) Suspect(node string) {
-	if !s.policy.On(settings.Suspicion) {
+	if !s.policy.Enabled(settings.Suspicion) {
 		return
 	}
 	s.forEachEndpoint(node, func(b *balancer.Balancer, e *balancer.Endpoint) { b.Suspect(s.now(), e) })
 }
 
-// Trust resumes sending to the target of a node.
-func (s *Services) Trust(node string) {
-	s.forEachEndpoint(node, func(b *balancer.Balancer, e *balancer.Endpoint) { b.Trust(e) })
+// ClearSuspicion resumes sending to the target of a node.
+func (s *Services) ClearSuspicion(node string) {
+	s.forEachEndpoint(node, func(b *balancer.Balancer, e *balancer.Endpoint) { b.ClearSuspicion(e) })
 }
 
 // forEachEndpoint calls f for the target of a node in every service that includes it.
@@ -186,14 +186,14 @@
 }
 
 // Pressure returns the load of the service, or false if it is unknown.
-func (s *Service) Pressure(now time.Duration) (balancer.Pressure, bool) {
+func (s *Service) Pressure(now time.Duration) (balancer.ServiceLoad, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.balancer.Pressure(now)
+	return s.balancer.ServiceLoad(now)
 }
 
 func (s *Service) recordRequests(now time.Duration, requests float64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.budget.Request(now, requests)
+	s.budget.CountRequests(now, requests)
 }
--- a/internal/sidecar/services/services_test.go
+++ b/internal/sidecar/services/services_test.go
@@ -7,7 +7,7 @@
 	"github.com/landingmast/landingmast/internal/core/balancer"
 	"github.com/landingmast/landingmast/internal/core/outcome"
 	"github.com/landingmast/landingmast/internal/core/overload"
-	"github.com/landingmast/landingmast/internal/core/repeats"
+	"github.com/landingmast/landingmast/internal/core/retrybudget"
 	"github.com/landingmast/landingmast/internal/core/slots"
 	"github.com/landingmast/landingmast/internal/sidecar/reply"
 	. "github.com/onsi/gomega"
@@ -23,21 +23,21 @@
 	c := chain{needs: overload.New(overload.DefaultConfig())}
 	now := func() time.Duration { return 0 }
 	c.Services = New(Options{
-		Node: "me", Zone: "a", Now: now, Budget: repeats.Config{Ratio: 0.2, Allowance: allowance, Window: 10 * time.Second}, FirstStart: first,
+		Node: "me", Zone: "a", Now: now, Budget: retrybudget.Config{Ratio: 0.2, Allowance: allowance, Window: 10 * time.Second}, FirstStart: first,
 	})
 	if members > 0 {
-		c.Count(members)
+		c.SetNodeCount(members)
 	}
 	return c
 }
 
-func (c chain) recordNeeds(needs ...overload.Need) { c.needs.Learn(0, "read", needs, true) }
+func (c chain) recordNeeds(needs ...overload.Need) { c.needs.ObserveCalls(0, "read", needs, true) }
 
 func (c chain) recordRequest() float64 {
-	return c.RecordRequest("front", 1, func(f func(name string, calls float64)) { c.needs.EachNeed("read", f) })
+	return c.RecordRequest("front", 1, func(f func(name string, calls float64)) { c.needs.ForEachService("read", f) })
 }
 
-func (c chain) takeRetry() bool { return c.TakeRetry("front", c.needs.Needs("read"), 0, false) }
+func (c chain) takeRetry() bool { return c.TakeRetry("front", c.needs.MeanCalls("read"), 0, false) }
 
 // Guards against denied retries at the node where a call chain starts: it calls the downstream
 // services only indirectly, and must still earn retry budget there.
@@ -92,7 +92,7 @@
 
 // Only lost responses count against a target; timeouts do not.
 func TestOnlyLostResponsesPenalizeTarget(t *testing.T) {
-	load := slots.Load{Slots: 40, Running: 20, Hold: 700 * time.Millisecond}
+	load := slots.Load{Slots: 40, Running: 20, ServiceTime: 700 * time.Millisecond}
 	for _, tc := range []struct {
 		name      string
 		reply     *reply.Reply // result of an attempt at the bad target
@@ -107,8 +107,8 @@
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
 			now := time.Duration(0)
-			s := New(Options{Node: "me", Zone: "a", Now: func() time.Duration { return now }, Budget: repeats.Config{Window: 10 * time.Second}, FirstStart: true})
-			s.Update(map[string][]balancer.Target{"s": {
+			s := New(Options{Node: "me", Zone: "a", Now: func() time.Duration { return now }, Budget: retrybudget.Config{Window: 10 * time.Second}, FirstStart: true})
+			s.SetTargets(map[string][]balancer.Target{"s": {
 				{Node: "bad", Address: "bad:1", Zone: "a", Instance: "i-1", Slots: 40}, {Node: "other", Address: "other:1", Zone: "a", Instance: "i-2", Slots: 40},
 			}})
 			toBad := 0
@@ -117,11 +117,11 @@
 				picked := s.Get("s").Pick(now, balancer.Requirement{}, nil)
 				if picked.Node == "bad" {
 					toBad++
-					picked.Done(now+load.Hold, tc.reply)
+					picked.Done(now+load.ServiceTime, tc.reply)
 					continue
 				}
 				const hold = 800 * time.Millisecond
-				picked.Done(now+hold, &reply.Reply{Outcome: outcome.Answered, Reason: outcome.ReasonNone, Arrived: true, Status: 200, Load: slots.Load{Slots: 40, Running: 20, Hold: hold}})
+				picked.Done(now+hold, &reply.Reply{Outcome: outcome.Answered, Reason: outcome.ReasonNone, Arrived: true, Status: 200, Load: slots.Load{Slots: 40, Running: 20, ServiceTime: hold}})
 			}
 			if tc.penalized {
 				g.Expect(toBad).To(BeNumerically("<", 40))
--- a/internal/sidecar/settings/settings.go
+++ b/internal/sidecar/settings/settings.go
@@ -74,7 +74,8 @@
 
 // Bounds holds drain and shutdown times.
 type Bounds struct {
-	// Drain is how long a leaving target may still receive new requests after the acknowledgement; default 2s.
+	// Drain is how long a leaving target may still receive new requests after the acknowledgement;
+	// default 2s.
 	Drain units.Duration `yaml:"drain"`
 	// Grace is the time between SIGTERM and SIGKILL; default 6s.
 	Grace units.Duration `yaml:"grace"`
@@ -92,15 +93,16 @@
 
 // Keys limits how long a revoked key is accepted.
 type Keys struct {
-	// FailClosed rejects requests with keys while the node cannot confirm that its configuration is up to date; default false.
+	// FailClosed rejects requests with keys while the node cannot confirm that its configuration is
+	// up to date; default false.
 	FailClosed bool `yaml:"fail_closed"`
 	// Revoke is the maximum age of a configuration that counts as up to date; default 5s.
 	Revoke units.Duration `yaml:"revoke"`
 }
 
-// Bound returns the maximum age of a configuration used to authenticate keys, or 0 if
+// MaxConfigurationAge returns the maximum age of a configuration used to authenticate keys, or 0 if
 // there is no limit.
-func (k Keys) Bound() time.Duration {
+func (k Keys) MaxConfigurationAge() time.Duration {
 	if !k.FailClosed {
 		return 0
 	}
@@ -120,22 +122,24 @@
 
 // Policy configures traffic management.
 type Policy struct {
-	// Off lists mechanisms to disable; default none. Accepted values: window, urgency, grants, ration, declined, repeats, samples, zones, losses, suspicion, in_time, tenant_order, hold_back.
+	// Off lists mechanisms to disable; default none. Accepted values: window, urgency, grants,
+	// ration, declined, repeats, samples, zones, losses, suspicion, in_time, tenant_order,
+	// hold_back.
 	Off []Mechanism `yaml:"off"`
 }
 
 // Default values.
 const (
-	DefaultLease          = 30 * time.Second
-	DefaultDrain          = 2 * time.Second
-	DefaultGrace          = 6 * time.Second
-	DefaultRatio          = 0.2
-	DefaultAllowance      = 50
-	DefaultWindow         = 10 * time.Second
-	DefaultRevoke         = 5 * time.Second
-	DefaultQuotaWindow    = 5 * time.Second
-	DefaultQuotaOvershoot = 0.1
-	DefaultQuotaSlack     = 20
+	DefaultLease               = 30 * time.Second
+	DefaultDrain               = 2 * time.Second
+	DefaultGrace               = 6 * time.Second
+	DefaultRetryRatio          = 0.2
+	DefaultRetryAllowance      = 50
+	DefaultRetryWindow         = 10 * time.Second
+	DefaultMaxConfigurationAge = 5 * time.Second
+	DefaultQuotaWindow         = 5 * time.Second
+	DefaultQuotaOvershoot      = 0.1
+	DefaultQuotaSlack          = 20
 )
 
 // Load reads and validates a settings file.
@@ -174,8 +178,8 @@
 	setDefaultDuration(&s.Store.Lease, DefaultLease)
 	setDefaultDuration(&s.Bounds.Drain, DefaultDrain)
 	setDefaultDuration(&s.Bounds.Grace, DefaultGrace)
-	setDefaultDuration(&s.Retries.Window, DefaultWindow)
-	setDefaultDuration(&s.Keys.Revoke, DefaultRevoke)
+	setDefaultDuration(&s.Retries.Window, DefaultRetryWindow)
+	setDefaultDuration(&s.Keys.Revoke, DefaultMaxConfigurationAge)
 	setDefaultDuration(&s.Quotas.Window, DefaultQuotaWindow)
 	if s.Quotas.Overshoot == 0 {
 		s.Quotas.Overshoot = DefaultQuotaOvershoot
@@ -184,10 +188,10 @@
 		s.Quotas.Slack = DefaultQuotaSlack
 	}
 	if s.Retries.Ratio == 0 {
-		s.Retries.Ratio = DefaultRatio
+		s.Retries.Ratio = DefaultRetryRatio
 	}
 	if s.Retries.Allowance == 0 {
-		s.Retries.Allowance = DefaultAllowance
+		s.Retries.Allowance = DefaultRetryAllowance
 	}
 }
 
--- a/internal/sidecar/storehealth/storehealth.go
+++ b/internal/sidecar/storehealth/storehealth.go
@@ -42,24 +42,24 @@
 	return time.Since(h.lastSuccess)
 }
 
-// Away reports whether the last call failed.
-func (h *Health) Away() bool {
+// Unavailable reports whether the last call failed.
+func (h *Health) Unavailable() bool {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	return !h.failedSince.IsZero()
 }
 
-// Note records the result of a store call. It logs the first failure in a row and the first
+// Record records the result of a store call. It logs the first failure in a row and the first
 // success after failures.
-func (h *Health) Note(call string, err error) {
+func (h *Health) Record(call string, err error) {
 	h.calls.WithLabelValues(call, resultLabel(err)).Inc()
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	now := time.Now()
-	if err == nil || errors.Is(err, store.ErrCompacted) || errors.Is(err, store.ErrLeaseGone) {
+	if err == nil || errors.Is(err, store.ErrCompacted) || errors.Is(err, store.ErrLeaseExpired) {
 		h.lastSuccess = now
 		if !h.failedSince.IsZero() {
-			h.events.Add(eventlog.Store{Change: "regained", Call: call, AwayMS: eventlog.Milliseconds(now.Sub(h.failedSince))}, eventlog.State)
+			h.events.Add(eventlog.Store{Change: "regained", Call: call, OutageMS: eventlog.Milliseconds(now.Sub(h.failedSince))}, eventlog.State)
 			h.failedSince = time.Time{}
 		}
 		return
@@ -69,7 +69,7 @@
 	}
 	h.failedSince = now
 	change := "lost"
-	if errors.Is(err, store.ErrLimited) {
+	if errors.Is(err, store.ErrRateLimited) {
 		change = "limited"
 	}
 	h.events.Add(eventlog.Store{Change: change, Call: call, Error: err.Error()}, eventlog.State)
@@ -82,11 +82,11 @@
 		label string
 	}{
 		{store.ErrCompacted, "compacted"},
-		{store.ErrLeaseGone, "lease_gone"},
-		{store.ErrLimited, "limited"},
+		{store.ErrLeaseExpired, "lease_gone"},
+		{store.ErrRateLimited, "limited"},
 		{store.ErrUnavailable, "unavailable"},
 		{store.ErrConflict, "conflict"},
-		{store.ErrRefused, "refused"},
+		{store.ErrInvalidCall, "refused"},
 	} {
 		if errors.Is(err, r.err) {
 			return r.label
@@ -106,6 +106,6 @@
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	err := s.Probe(ctx)
-	h.Note("probe", err)
+	h.Record("probe", err)
 	return err == nil
 }
--- a/internal/sidecar/target/target.go
+++ b/internal/sidecar/target/target.go
@@ -22,7 +22,8 @@
 type Options struct {
 	Now     func() time.Duration    // clock that includes suspended time
 	NewLink func() *targetlink.Link // creates the connection pool of a target
-	// Identify queries the instance at the target's address; it returns false if the target does not respond.
+	// Identify queries the instance at the target's address; it returns false if the target does
+	// not respond.
 	Identify func(ctx context.Context) (roster.Report, bool)
 	// OnChange is called when the target is replaced, leaves or changes.
 	OnChange func()
@@ -53,7 +54,7 @@
 	now      func() time.Duration
 	Instance string           // instance of the target
 	Service  string           // service of the target
-	Links    *targetlink.Link // connections to the target
+	Link     *targetlink.Link // connections to the target
 
 	mu          sync.Mutex
 	core        *slots.Gate
@@ -69,19 +70,19 @@
 
 func newGate(now func() time.Duration, report roster.Report, link *targetlink.Link) *Gate {
 	return &Gate{
-		now: now, Instance: report.Instance, Service: report.Service, Links: link,
+		now: now, Instance: report.Instance, Service: report.Service, Link: link,
 		core: slots.New(report.Slots), waiting: map[uint64]chan slots.Decision{}, Unanswered: Unanswered{suspectSlot: make(chan struct{}, 1)},
 	}
 }
 
-// Enter waits for a slot. The caller must call Leave if the decision is to send.
-func (g *Gate) Enter(ctx context.Context, request slots.Request) (uint64, slots.Decision) {
+// Acquire waits for a slot. The caller must call Release if the decision is to send.
+func (g *Gate) Acquire(ctx context.Context, request slots.Request) (uint64, slots.Decision) {
 	g.mu.Lock()
 	g.nextID++
 	request.ID = g.nextID
 	result := make(chan slots.Decision, 1)
 	g.waiting[request.ID] = result
-	g.apply(g.core.Arrive(g.now(), request))
+	g.apply(g.core.Submit(g.now(), request))
 	g.mu.Unlock()
 	select {
 	case decision := <-result:
@@ -97,7 +98,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	delete(g.waiting, id)
-	if !g.core.Withdraw(id) {
+	if !g.core.Cancel(id) {
 		select {
 		case decision := <-result:
 			if decision.Send {
@@ -109,9 +110,9 @@
 	return slots.Decision{ID: id, Reason: slots.ReasonExpired}
 }
 
-// Leave releases the slot of an admitted request. If learn is set, its duration updates the
+// Release releases the slot of an admitted request. If learn is set, its duration updates the
 // estimate of the hold time.
-func (g *Gate) Leave(id uint64, learn bool) {
+func (g *Gate) Release(id uint64, learn bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.apply(g.core.Finish(g.now(), id, learn))
@@ -154,7 +155,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.timerActive = false
-	g.apply(g.core.Tick(g.now()))
+	g.apply(g.core.Expire(g.now()))
 }
 
 // Current returns the gate of the current target, or nil if there is none.
@@ -175,7 +176,7 @@
 func (l *Local) TargetLeft() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.roster.Empty()
+	return l.roster.Vacated()
 }
 
 // IdentifyTimeout limits an identification request; the acknowledgement of a heartbeat may
@@ -191,7 +192,7 @@
 func (l *Local) Heartbeat(report roster.Report) error {
 	l.mu.Lock()
 	verdict := l.roster.Heartbeat(report)
-	if verdict == roster.Doubtful {
+	if verdict == roster.Conflict {
 		l.mu.Unlock()
 		return l.resolveInstance(report)
 	}
@@ -229,7 +230,7 @@
 // SetIdentified sets the target from an identification response if no heartbeat has arrived yet.
 func (l *Local) SetIdentified(report roster.Report) {
 	l.mu.Lock()
-	if l.roster.Current().Instance != "" || l.roster.Gone(report.Instance) {
+	if l.roster.Current().Instance != "" || l.roster.HasDeparted(report.Instance) {
 		l.mu.Unlock()
 		return
 	}
@@ -243,10 +244,10 @@
 // Leave records that an instance leaves permanently.
 func (l *Local) Leave(instance string) error {
 	l.mu.Lock()
-	left := l.roster.Left(instance)
+	left := l.roster.Depart(instance)
 	if left && l.gate != nil {
 		l.gate.drain()
-		l.gate.Links.Close()
+		l.gate.Link.Close()
 		l.gate = nil
 	}
 	l.mu.Unlock()
@@ -261,12 +262,12 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.gate != nil {
-		l.gate.Links.Close()
+		l.gate.Link.Close()
 	}
 }
 
-// Replaced records that another instance holds the target's address.
-func (l *Local) Replaced(instance string) {
+// MarkReplaced records that another instance holds the target's address.
+func (l *Local) MarkReplaced(instance string) {
 	l.mu.Lock()
 	if l.gate != nil && l.gate.Instance == instance {
 		l.notifyReplaced()
@@ -285,16 +286,16 @@
 // updateGate creates or updates the gate to match the roster. mu must be held.
 func (l *Local) updateGate() {
 	report := l.roster.Current()
-	l.coldUntil = l.options.Now() + report.Cold
+	l.coldUntil = l.options.Now() + report.WarmupRemaining
 	if l.gate == nil || l.gate.Instance != report.Instance || l.gate.Service != report.Service {
 		if l.gate != nil {
 			l.gate.drain()
-			l.gate.Links.Close()
+			l.gate.Link.Close()
 			l.notifyReplaced()
 		}
 		l.gate = newGate(l.options.Now, report, l.options.NewLink())
 		if l.options.SkipDeadlineCheck {
-			l.gate.core.BeginAll()
+			l.gate.core.SkipDeadlineCheck()
 		}
 	}
 	l.gate.setSlots(report.Slots)
--- a/internal/testbed/client/client.go
+++ b/internal/testbed/client/client.go
@@ -29,7 +29,7 @@
 // Clients generates load on the nodes of a deployment.
 type Clients struct {
 	Judge *judge.Judge
-	Tally *Tally
+	Tally *Stats
 	// Dialer returns the dial function of a host.
 	Dialer func(from string) func(ctx context.Context, network, to string) (net.Conn, error)
 	// PickOrigin returns a machine that is in rotation.
@@ -41,12 +41,12 @@
 	abandonAfter atomic.Int64 // nanoseconds after which some clients disconnect; 0 disables this
 }
 
-// SetBurst multiplies the route rates by factor; 0 and 1 leave them unchanged.
-func (c *Clients) SetBurst(factor int64) { c.rateFactor.Store(factor) }
+// SetRateFactor multiplies the route rates by factor; 0 and 1 leave them unchanged.
+func (c *Clients) SetRateFactor(factor int64) { c.rateFactor.Store(factor) }
 
-// SetGiveUp makes one in abandonOneIn clients disconnect after the given time; 0 disables
+// SetAbandonAfter makes one in abandonOneIn clients disconnect after the given time; 0 disables
 // this.
-func (c *Clients) SetGiveUp(after time.Duration) { c.abandonAfter.Store(int64(after)) }
+func (c *Clients) SetAbandonAfter(after time.Duration) { c.abandonAfter.Store(int64(after)) }
 
 // KeyScheme is the Authorization scheme of API keys.
 const KeyScheme = "Bearer "
@@ -57,13 +57,13 @@
 	var requests sync.WaitGroup
 	var senders sync.WaitGroup
 	for _, route := range routes {
-		if route.PerSecond <= 0 {
+		if route.RequestsPerSecond <= 0 {
 			continue
 		}
 		senders.Go(func() {
 			end := time.Now().Add(span)
 			for time.Now().Before(end) && ctx.Err() == nil {
-				time.Sleep(time.Duration(rand.ExpFloat64() / route.PerSecond / float64(max(c.rateFactor.Load(), 1)) * float64(time.Second)))
+				time.Sleep(time.Duration(rand.ExpFloat64() / route.RequestsPerSecond / float64(max(c.rateFactor.Load(), 1)) * float64(time.Second)))
 				origin := c.PickOrigin()
 				requests.Go(func() { c.request(ctx, origin, route) })
 			}
@@ -77,7 +77,7 @@
 func (c *Clients) request(ctx context.Context, origin Origin, route deployment.Route) {
 	began := time.Now()
 	deadline := began.Add(route.Deadline)
-	c.Tally.count(c.Tally.Asked, route.Prefix)
+	c.Tally.count(c.Tally.Sent, route.Prefix)
 	tenant, key := c.PickCredentials()
 	uri := route.Prefix + randomPathSuffix()
 	for attempt := range 2 {
@@ -126,13 +126,13 @@
 	}
 	ctx, cancel := context.WithDeadline(ctx, clientDeadline)
 	defer cancel()
-	c.Judge.Signed(id, tenant, key)
+	c.Judge.Authenticated(id, tenant, key)
 	status, header, content, err := c.roundTrip(ctx, origin, route, id, uri, key, deadline)
 	if err != nil {
 		if ctx.Err() == nil {
-			c.Judge.Cut(id, deadline)
+			c.Judge.ConnectionLost(id, deadline)
 		}
-		c.Judge.Left(id)
+		c.Judge.ClientDisconnected(id)
 		status = 0
 	} else {
 		c.Judge.Received(id, status, header.Get("X-Response-Signature"), content)
@@ -196,8 +196,8 @@
 	request.Header["x_tenant"] = []string{"claimed"}
 }
 
-// SendHarmful sends a request that crashes its target and retries it once on another machine.
-func (c *Clients) SendHarmful(ctx context.Context, origin Origin, route deployment.Route, path string) {
+// SendCrashing sends a request that crashes its target and retries it once on another machine.
+func (c *Clients) SendCrashing(ctx context.Context, origin Origin, route deployment.Route, path string) {
 	deadline := time.Now().Add(route.Deadline)
 	for range 2 {
 		tenant, key := c.PickCredentials()
--- a/internal/testbed/client/keep.go
+++ b/internal/testbed/client/persistent.go
@@ -11,15 +11,15 @@
 	"github.com/landingmast/landingmast/internal/testbed/deployment"
 )
 
-// Intervals of Keep.
+// Intervals of SendPersistent.
 const (
 	requestInterval = 5 * time.Millisecond  // between requests on a connection
 	reconnectDelay  = 50 * time.Millisecond // before a new connection is opened
 )
 
-// Keep sends sequential requests on a persistent connection until ctx is done. When the
+// SendPersistent sends sequential requests on a persistent connection until ctx is done. When the
 // connection closes, it connects to another machine.
-func (c *Clients) Keep(ctx context.Context, route deployment.Route) {
+func (c *Clients) SendPersistent(ctx context.Context, route deployment.Route) {
 	for ctx.Err() == nil {
 		origin := c.PickOrigin()
 		if conn, err := c.Dialer(origin.IP)(ctx, "tcp", origin.Outbound); err == nil {
@@ -45,7 +45,7 @@
 	}
 	_ = conn.SetDeadline(deadline)
 	if request.Write(conn) != nil {
-		c.Judge.Left(id)
+		c.Judge.ClientDisconnected(id)
 		return false
 	}
 	response, err := http.ReadResponse(reader, request)
@@ -54,8 +54,8 @@
 		content, err = io.ReadAll(response.Body)
 	}
 	if err != nil {
-		c.Judge.Cut(id, deadline)
-		c.Judge.Left(id)
+		c.Judge.ConnectionLost(id, deadline)
+		c.Judge.ClientDisconnected(id)
 		return false
 	}
 	c.Judge.Received(id, response.StatusCode, response.Header.Get("X-Response-Signature"), content)
--- a/internal/testbed/mesh.go
+++ b/internal/testbed/mesh.go
@@ -1,7 +1,7 @@
 // Package testbed runs simulated deployments in tests: a fake metadata store, machines with a
 // real node and a simulated target each, clients, and a judge that checks what clients and
 // targets observe. New runs the nodes in this process on an in-memory network, where time can
-// be the fake clock of testing/synctest; NewIn runs them in a given Environment. Only tests
+// be the fake clock of testing/synctest; NewInEnvironment runs them in a given Environment. Only tests
 // import it.
 package testbed
 
@@ -28,9 +28,9 @@
 	Network  *memnet.Network // nil unless the deployment runs in memory
 	Store    *store.Store
 	Judge    *judge.Judge
-	Harmful  *target.Harmful
+	CrashSet *target.CrashSet
 	Machines []*Machine
-	Tally    *client.Tally
+	Tally    *client.Stats
 	Clients  *client.Clients
 
 	mu          sync.Mutex   // guards version and the routes and tenants of Plan
@@ -49,8 +49,8 @@
 // StoreAddress is the listen address of the in-memory store.
 const StoreAddress = StoreHost + ":80"
 
-// Settle is the startup time of a deployment before the load begins.
-const Settle = 3 * time.Second
+// StartupTime is the startup time of a deployment before the load begins.
+const StartupTime = 3 * time.Second
 
 // DrainGracePeriod is how long a draining target may still receive requests after its
 // heartbeat is acknowledged.
@@ -66,7 +66,7 @@
 		return plan.Delay
 	})
 	machineIP := func(number int) string { return fmt.Sprintf("10.1.%d.%d", number/200, number%200+1) }
-	nodes := &inProcess{network: network, output: plan.Output}
+	nodes := &inProcess{network: network, output: plan.LogOutput}
 	m := newMesh(plan, Environment{Network: network, StoreAddress: StoreAddress, MachineIP: machineIP, Nodes: nodes})
 	m.Network = network
 	for _, machine := range m.Machines {
@@ -75,8 +75,8 @@
 	return m, m.start()
 }
 
-// NewIn starts a deployment in an environment. On success the caller must call Close.
-func NewIn(plan deployment.Plan, env Environment) (*Mesh, error) {
+// NewInEnvironment starts a deployment in an environment. On success the caller must call Close.
+func NewInEnvironment(plan deployment.Plan, env Environment) (*Mesh, error) {
 	m := newMesh(plan, env)
 	return m, m.start()
 }
@@ -85,11 +85,11 @@
 func newMesh(plan deployment.Plan, env Environment) *Mesh {
 	ctx, cancel := context.WithCancel(context.Background())
 	m := &Mesh{
-		Plan: plan, Store: store.New(), Judge: judge.New(DrainGracePeriod), Harmful: target.NewHarmful(), ctx: ctx, cancel: cancel,
+		Plan: plan, Store: store.New(), Judge: judge.New(DrainGracePeriod), CrashSet: target.NewCrashSet(), ctx: ctx, cancel: cancel,
 		Tally: client.NewTally(), env: env,
 	}
 	m.Store.ReadsPerSecond = plan.ReadsPerSecond
-	m.Clients = &client.Clients{Judge: m.Judge, Tally: m.Tally, Dialer: env.Network.Dialer, PickCredentials: m.pickCredentials, PickOrigin: func() client.Origin { return m.Any().origin() }}
+	m.Clients = &client.Clients{Judge: m.Judge, Tally: m.Tally, Dialer: env.Network.Dialer, PickCredentials: m.pickCredentials, PickOrigin: func() client.Origin { return m.RandomMachine().origin() }}
 	m.server = &http.Server{Handler: m.Store}
 	m.placeTargets()
 	for _, tenant := range plan.Tenants {
@@ -120,8 +120,8 @@
 	return nil
 }
 
-// Any returns a random machine in rotation, or any machine if none is.
-func (m *Mesh) Any() *Machine {
+// RandomMachine returns a random machine in rotation, or any machine if none is.
+func (m *Mesh) RandomMachine() *Machine {
 	candidates := make([]*Machine, 0, len(m.Machines))
 	for _, machine := range m.Machines {
 		if !machine.outOfRotation.Load() {
@@ -148,20 +148,20 @@
 	m.Clients.Attempt(m.ctx, machine.origin(), route, uri, "", "", deadline)
 }
 
-// SendHarmful sends a request that crashes its target and retries it once on another machine.
-func (m *Mesh) SendHarmful(machine *Machine, route deployment.Route, path string) {
-	m.Clients.SendHarmful(m.ctx, machine.origin(), route, path)
+// SendCrashing sends a request that crashes its target and retries it once on another machine.
+func (m *Mesh) SendCrashing(machine *Machine, route deployment.Route, path string) {
+	m.Clients.SendCrashing(m.ctx, machine.origin(), route, path)
 }
 
-// AddHarmful makes requests with the given path on a route crash their targets.
-func (m *Mesh) AddHarmful(route deployment.Route, path string) {
+// AddCrashing makes requests with the given path on a route crash their targets.
+func (m *Mesh) AddCrashing(route deployment.Route, path string) {
 	body := client.RequestBody(route)
 	m.Judge.ExpectHarmful(path, body)
-	m.Harmful.Add(path, body)
+	m.CrashSet.Add(path, body)
 }
 
-// Some returns a random share of the machines, at least one.
-func (m *Mesh) Some(random *rand.Rand, share float64) []*Machine {
+// RandomMachines returns a random share of the machines, at least one.
+func (m *Mesh) RandomMachines(random *rand.Rand, share float64) []*Machine {
 	count := max(int(share*float64(len(m.Machines))+0.5), 1)
 	chosen := make([]*Machine, 0, count)
 	for _, index := range random.Perm(len(m.Machines))[:count] {
@@ -178,7 +178,7 @@
 func (m *Mesh) ReportDisturbance(machines []*Machine, span time.Duration) {
 	for end := time.Now().Add(span); time.Now().Before(end); time.Sleep(disturbanceInterval) {
 		for _, machine := range machines {
-			m.Judge.Harmed(machine.IP)
+			m.Judge.MarkDisturbed(machine.IP)
 		}
 	}
 }
@@ -206,7 +206,7 @@
 			}
 			m.Machines = append(m.Machines, &Machine{mesh: m, IP: ip, Zone: zone, firstStart: true, clock: newMachineClock(), Target: &target.Target{
 				Service: name, Address: ip + ":" + portTarget, Outbound: ip + ":" + portOutbound, Control: ip + ":" + portControl,
-				Zone: zone, Slots: service.Slots, Speed: speed, Works: service.Works, Judge: m.Judge, Harmful: m.Harmful,
+				Zone: zone, Slots: service.Slots, Speed: speed, Works: service.Works, Judge: m.Judge, CrashSet: m.CrashSet,
 				Dial: m.env.Network.Dialer(ip), Listen: m.env.Network.Listen,
 			}})
 		}
@@ -232,7 +232,7 @@
 // Close stops clients, targets, nodes and the store.
 func (m *Mesh) Close() {
 	m.cancel()
-	m.Harmful.Close()
+	m.CrashSet.Close()
 	for _, machine := range m.Machines {
 		machine.Target.Stop()
 		machine.Kill()
@@ -252,7 +252,7 @@
 func (m *Mesh) Followers() (found []*Machine) {
 	for _, machine := range m.Machines {
 		machine.mu.Lock()
-		if machine.node.Follows() {
+		if machine.node.IsFollower() {
 			found = append(found, machine)
 		}
 		machine.mu.Unlock()
@@ -264,10 +264,10 @@
 // 2 s, plus 5 s for recovery from store faults.
 const convergenceTimeout = 7 * time.Second
 
-// CheckEnd runs the final checks: the invariants over the whole run and, after
+// CheckFinal runs the final checks: the invariants over the whole run and, after
 // convergenceTimeout, that every node has activated the last configuration.
-func (m *Mesh) CheckEnd() {
-	m.Judge.CheckDay()
+func (m *Mesh) CheckFinal() {
+	m.Judge.CheckRun()
 	time.Sleep(convergenceTimeout)
 	last := uint64(m.Version())
 	for _, machine := range m.Machines {
--- a/internal/testbed/trouble/day.go
+++ b/internal/testbed/trouble/scenario.go
@@ -11,9 +11,9 @@
 	"github.com/landingmast/landingmast/internal/testbed/target"
 )
 
-// Day is a random deployment with a random fault schedule, generated from a seed. A seed
+// Scenario is a random deployment with a random fault schedule, generated from a seed. A seed
 // always generates the same scenario; runs of it can differ in goroutine scheduling.
-type Day struct {
+type Scenario struct {
 	Seed     uint64
 	Plan     deployment.Plan
 	Faults   []ScheduledFault
@@ -37,10 +37,10 @@
 
 const scenarioDuration = 14 * time.Second
 
-// Draw generates the scenario of a seed.
-func Draw(seed uint64) Day {
+// GenerateScenario generates the scenario of a seed.
+func GenerateScenario(seed uint64) Scenario {
 	random := rand.New(rand.NewPCG(seed, 7))
-	day := Day{Seed: seed, Plan: drawPlan(random), Duration: scenarioDuration}
+	day := Scenario{Seed: seed, Plan: drawPlan(random), Duration: scenarioDuration}
 	all := All()
 	for range 2 + random.IntN(5) {
 		day.Faults = append(day.Faults, ScheduledFault{
@@ -52,18 +52,18 @@
 }
 
 // drawHarmful generates zero to three harmful requests; two of five scenarios have none.
-func (d *Day) drawHarmful(random *rand.Rand) {
+func (s *Scenario) drawHarmful(random *rand.Rand) {
 	for range max(random.IntN(5)-1, 0) {
-		d.Harmful = append(d.Harmful, harmfulRequest{
-			route: random.IntN(len(d.Plan.Routes)), viaCall: random.IntN(3) == 0,
+		s.Harmful = append(s.Harmful, harmfulRequest{
+			route: random.IntN(len(s.Plan.Routes)), viaCall: random.IntN(3) == 0,
 			interval: time.Duration(500+random.IntN(4000)) * time.Millisecond, concurrency: 1 + random.IntN(3),
 		})
 	}
 	// Requests to /s0/chain make the harmful call to the deepest service.
-	first, deepest := d.Plan.Services["s0"], len(d.Plan.Services)-1
+	first, deepest := s.Plan.Services["s0"], len(s.Plan.Services)-1
 	call := target.Call{Host: deployment.Host, Path: fmt.Sprintf("/s%d/harmful-call", deepest), Times: 1}
 	first.Works = append([]target.Work{{Prefix: "/s0/chain", Time: 5 * time.Millisecond, Bytes: 100, Calls: []target.Call{call}}}, first.Works...)
-	d.Plan.Services["s0"] = first
+	s.Plan.Services["s0"] = first
 }
 
 // sendHarmful repeatedly sends a harmful request for the given time.
@@ -75,10 +75,10 @@
 		route = m.Plan.Routes[0]
 		harmful, sent = fmt.Sprintf("/s%d/harmful-call", deepest), "/s0/chain"
 	}
-	m.AddHarmful(route, harmful)
+	m.AddCrashing(route, harmful)
 	for end := time.Now().Add(span); time.Now().Before(end); time.Sleep(req.interval) {
 		for range req.concurrency {
-			m.Go(func() { m.SendHarmful(m.Any(), route, sent) })
+			m.Go(func() { m.SendCrashing(m.RandomMachine(), route, sent) })
 		}
 	}
 }
@@ -105,40 +105,40 @@
 		tries := 1 + random.IntN(3)
 		plan.Routes = append(plan.Routes, deployment.Route{
 			Prefix: read.Prefix, Kind: deployment.Safe, Service: name, Priority: random.IntN(3), MaxAttempts: tries, Timeout: time.Second,
-			Objective: 500 * time.Millisecond, Deadline: 3 * time.Second, PerSecond: float64(random.IntN(60)),
+			Objective: 500 * time.Millisecond, Deadline: 3 * time.Second, RequestsPerSecond: float64(random.IntN(60)),
 		}, deployment.Route{
 			Prefix: order.Prefix, Kind: deployment.Unsafe, Service: name, Priority: 0, MaxAttempts: tries, Timeout: time.Second,
-			Objective: 500 * time.Millisecond, Deadline: 3 * time.Second, PerSecond: float64(random.IntN(20)), Body: 200,
+			Objective: 500 * time.Millisecond, Deadline: 3 * time.Second, RequestsPerSecond: float64(random.IntN(20)), Body: 200,
 		})
 	}
 	return plan
 }
 
-// Play runs the client load with the scheduled faults, one at a time, and the harmful
+// Run runs the client load with the scheduled faults, one at a time, and the harmful
 // requests. It returns when all have completed.
-func (d Day) Play(mesh *testbed.Mesh) {
+func (s Scenario) Run(mesh *testbed.Mesh) {
 	var group sync.WaitGroup
 	semaphore := make(chan struct{}, 1) // a mutex is not durably blocking in synctest and would stall the fake clock
-	for index, fault := range d.Faults {
+	for index, fault := range s.Faults {
 		group.Go(func() {
 			time.Sleep(fault.Start)
 			semaphore <- struct{}{}
 			defer func() { <-semaphore }()
-			fault.Play(mesh, rand.New(rand.NewPCG(d.Seed, uint64(index))))
+			fault.Inject(mesh, rand.New(rand.NewPCG(s.Seed, uint64(index))))
 		})
 	}
-	for number, harmful := range d.Harmful {
-		group.Go(func() { sendHarmful(mesh, number, harmful, d.Duration) })
+	for number, harmful := range s.Harmful {
+		group.Go(func() { sendHarmful(mesh, number, harmful, s.Duration) })
 	}
-	mesh.Load(d.Duration)
+	mesh.Load(s.Duration)
 	group.Wait()
 }
 
 // Describe returns a one-line summary of the deployment and its faults.
-func (d Day) Describe() string {
-	text := fmt.Sprintf("%d targets in %d services, %d zones:", d.Plan.Targets(), len(d.Plan.Services), len(d.Plan.Zones))
-	for _, fault := range d.Faults {
+func (s Scenario) Describe() string {
+	text := fmt.Sprintf("%d targets in %d services, %d zones:", s.Plan.Targets(), len(s.Plan.Services), len(s.Plan.Zones))
+	for _, fault := range s.Faults {
 		text += fmt.Sprintf(" %s at %.1fs;", fault.Name, fault.Start.Seconds())
 	}
-	return text + fmt.Sprintf(" %d harmful requests", len(d.Harmful))
+	return text + fmt.Sprintf(" %d harmful requests", len(s.Harmful))
 }
--- a/internal/testbed/trouble/trouble.go
+++ b/internal/testbed/trouble/trouble.go
@@ -17,17 +17,17 @@
 // Kind is a type of fault.
 type Kind struct {
 	Name string
-	// Least is the minimum fraction of requests that must be served when this is the only fault; 0
-	// if only the invariants are checked.
-	Least float64
-	// Play injects the fault and reverts it before returning.
-	Play func(mesh *testbed.Mesh, random *rand.Rand)
+	// MinServedShare is the minimum fraction of requests that must be served when this is the only
+	// fault; 0 if only the invariants are checked.
+	MinServedShare float64
+	// Inject injects the fault and reverts it before returning.
+	Inject func(mesh *testbed.Mesh, random *rand.Rand)
 }
 
-// Faulty injects target faults into a random share of the targets for the given time.
-func Faulty(faults target.Faults, share float64, span time.Duration) func(*testbed.Mesh, *rand.Rand) {
+// InjectTargetFaults injects target faults into a random share of the targets for the given time.
+func InjectTargetFaults(faults target.Faults, share float64, span time.Duration) func(*testbed.Mesh, *rand.Rand) {
 	return func(mesh *testbed.Mesh, random *rand.Rand) {
-		chosen := mesh.Some(random, share)
+		chosen := mesh.RandomMachines(random, share)
 		for _, machine := range chosen {
 			machine.Target.SetFaults(faults)
 		}
@@ -42,16 +42,16 @@
 func withStoreFault(begin, end func(s *store.Store), span time.Duration) func(*testbed.Mesh, *rand.Rand) {
 	return func(mesh *testbed.Mesh, _ *rand.Rand) {
 		mesh.Store.Set(begin)
-		mesh.Judge.StoreTrouble(span)
+		mesh.Judge.StoreFault(span)
 		mesh.Store.Set(end)
 	}
 }
 
-// NewRoute publishes a configuration with an additional, unused route.
-func NewRoute(mesh *testbed.Mesh, random *rand.Rand) {
+// AddUnusedRoute publishes a configuration with an additional, unused route.
+func AddUnusedRoute(mesh *testbed.Mesh, random *rand.Rand) {
 	mesh.Configure(func(routes []deployment.Route) []deployment.Route {
 		added := routes[random.IntN(len(routes))]
-		added.Prefix, added.PerSecond = added.Prefix+"new/", 0
+		added.Prefix, added.RequestsPerSecond = added.Prefix+"new/", 0
 		return append(routes, added)
 	})
 }
@@ -59,51 +59,51 @@
 // All returns all types of faults. The platform's names are used where it has one.
 func All() []Kind {
 	return []Kind{
-		{"node_kill", 0.97, func(mesh *testbed.Mesh, random *rand.Rand) { testbed.KillAndRestart(mesh.Some(random, 0.1)) }},
-		{"herd_kill", 0.85, func(mesh *testbed.Mesh, random *rand.Rand) { testbed.KillAndRestart(mesh.Some(random, 0.6)) }},
+		{"node_kill", 0.97, func(mesh *testbed.Mesh, random *rand.Rand) { testbed.KillAndRestart(mesh.RandomMachines(random, 0.1)) }},
+		{"herd_kill", 0.85, func(mesh *testbed.Mesh, random *rand.Rand) { testbed.KillAndRestart(mesh.RandomMachines(random, 0.6)) }},
 		{"roll_term", 0.98, func(mesh *testbed.Mesh, random *rand.Rand) {
-			for _, machine := range mesh.Some(random, 0.4) {
+			for _, machine := range mesh.RandomMachines(random, 0.4) {
 				machine.Stop()
 				time.Sleep(testbed.RestartAfter)
 				_ = machine.Start()
 			}
 		}},
 		{"node_freeze", 0.9, func(mesh *testbed.Mesh, random *rand.Rand) {
-			chosen := mesh.Some(random, 0.1)
+			chosen := mesh.RandomMachines(random, 0.1)
 			for _, machine := range chosen {
-				mesh.Network.Dark(machine.IP, true)
+				mesh.Network.SetIsolated(machine.IP, true)
 			}
 			mesh.ReportDisturbance(chosen, 3*time.Second)
 			for _, machine := range chosen {
-				mesh.Network.Dark(machine.IP, false)
+				mesh.Network.SetIsolated(machine.IP, false)
 			}
 		}},
 		{"suspended", 0.9, func(mesh *testbed.Mesh, random *rand.Rand) {
-			mesh.Suspend(mesh.Some(random, 0.1), time.Duration(1+random.IntN(6))*time.Second)
+			mesh.Suspend(mesh.RandomMachines(random, 0.1), time.Duration(1+random.IntN(6))*time.Second)
 		}},
 		{"node_cut", 0.85, func(mesh *testbed.Mesh, random *rand.Rand) {
-			CutFromOthers(mesh, mesh.Some(random, 0.2), 3*time.Second)
+			Partition(mesh, mesh.RandomMachines(random, 0.2), 3*time.Second)
 		}},
 		{"core_cut", 0.99, func(mesh *testbed.Mesh, random *rand.Rand) {
-			chosen := mesh.Some(random, 0.2)
+			chosen := mesh.RandomMachines(random, 0.2)
 			for _, machine := range chosen {
-				mesh.Network.Cut(machine.IP, testbed.StoreHost, true)
-				mesh.Network.Cut(testbed.StoreHost, machine.IP, true)
+				mesh.Network.SetBlocked(machine.IP, testbed.StoreHost, true)
+				mesh.Network.SetBlocked(testbed.StoreHost, machine.IP, true)
 			}
-			mesh.Judge.StoreTrouble(4 * time.Second)
+			mesh.Judge.StoreFault(4 * time.Second)
 			for _, machine := range chosen {
-				mesh.Network.Cut(machine.IP, testbed.StoreHost, false)
-				mesh.Network.Cut(testbed.StoreHost, machine.IP, false)
+				mesh.Network.SetBlocked(machine.IP, testbed.StoreHost, false)
+				mesh.Network.SetBlocked(testbed.StoreHost, machine.IP, false)
 			}
 		}},
 		{"reset_conns", 0.9, func(mesh *testbed.Mesh, random *rand.Rand) {
-			for _, machine := range mesh.Some(random, 0.4) {
+			for _, machine := range mesh.RandomMachines(random, 0.4) {
 				mesh.Network.Reset(machine.IP, func() bool { return random.IntN(2) == 0 })
 			}
 		}},
-		{"srv_slow", 0.97, Faulty(target.Faults{Slow: 5}, 0.15, 4*time.Second)},
+		{"srv_slow", 0.97, InjectTargetFaults(target.Faults{Slow: 5}, 0.15, 4*time.Second)},
 		{"srv_crash", 0.9, func(mesh *testbed.Mesh, random *rand.Rand) {
-			chosen := mesh.Some(random, 0.15)
+			chosen := mesh.RandomMachines(random, 0.15)
 			for _, machine := range chosen {
 				machine.Target.Stop()
 			}
@@ -112,77 +112,77 @@
 				_ = machine.Target.Start()
 			}
 		}},
-		{"srv_grey shed", 0.9, Faulty(target.Faults{Decline: 0.45}, 0.15, 4*time.Second)},
-		{"answer_lost", 0.9, Faulty(target.Faults{LoseAnswer: 0.1}, 0.5, 3*time.Second)},
-		{"garble", 0.95, Faulty(target.Faults{CutShort: 0.02, Garbage: 0.02}, 0.5, 3*time.Second)},
-		{"garble extra late", 0.95, Faulty(target.Faults{DuplicateResponse: 0.2}, 0.6, 4*time.Second)},
+		{"srv_grey shed", 0.9, InjectTargetFaults(target.Faults{RejectRequest: 0.45}, 0.15, 4*time.Second)},
+		{"answer_lost", 0.9, InjectTargetFaults(target.Faults{DropResponse: 0.1}, 0.5, 3*time.Second)},
+		{"garble", 0.95, InjectTargetFaults(target.Faults{TruncateResponse: 0.02, MalformedResponse: 0.02}, 0.5, 3*time.Second)},
+		{"garble extra late", 0.95, InjectTargetFaults(target.Faults{DuplicateResponse: 0.2}, 0.6, 4*time.Second)},
 		{"scale_in", 0.98, func(mesh *testbed.Mesh, random *rand.Rand) {
-			target := mesh.Some(random, 0.05)[0].Target
+			target := mesh.RandomMachines(random, 0.05)[0].Target
 			target.Drain(testbed.DrainGracePeriod + time.Second)
 			_ = target.Start()
 		}},
 		{"platform_down", 0.99, withStoreFault(func(s *store.Store) { s.Down = true }, func(s *store.Store) { s.Down = false }, 4*time.Second)},
 		{"platform_slow", 0.99, withStoreFault(func(s *store.Store) { s.Slow = 300 * time.Millisecond }, func(s *store.Store) { s.Slow = 0 }, 4*time.Second)},
-		{"platform_lost", 0.99, withStoreFault(func(s *store.Store) { s.LoseWrites = true }, func(s *store.Store) { s.LoseWrites = false }, 4*time.Second)},
+		{"platform_lost", 0.99, withStoreFault(func(s *store.Store) { s.DropTxnResponses = true }, func(s *store.Store) { s.DropTxnResponses = false }, 4*time.Second)},
 		{"platform_down lapse", 0.99, func(mesh *testbed.Mesh, _ *rand.Rand) {
 			mesh.Store.Set(func(s *store.Store) { s.Down = true })
-			mesh.Judge.StoreTrouble(2 * time.Second)
+			mesh.Judge.StoreFault(2 * time.Second)
 			mesh.Store.EndLeases()
 			mesh.Store.Set(func(s *store.Store) { s.Down = false })
 		}},
 		{"platform_compact", 0.99, func(mesh *testbed.Mesh, random *rand.Rand) {
-			mesh.Store.Deafen()
-			NewRoute(mesh, random)
-			mesh.Judge.StoreTrouble(time.Second)
+			mesh.Store.HideEvents()
+			AddUnusedRoute(mesh, random)
+			mesh.Judge.StoreFault(time.Second)
 			mesh.Store.Compact()
 		}},
 		{"store refuses some", 0.97, func(mesh *testbed.Mesh, random *rand.Rand) {
-			chosen := mesh.Some(random, 0.3)
+			chosen := mesh.RandomMachines(random, 0.3)
 			mesh.Store.Set(func(s *store.Store) {
 				for _, machine := range chosen {
-					s.Refuse[machine.IP] = true
+					s.RateLimitedIPs[machine.IP] = true
 				}
 			})
 			testbed.KillAndRestart(chosen)
-			mesh.Judge.StoreTrouble(4 * time.Second)
-			mesh.Store.Set(func(s *store.Store) { clear(s.Refuse) })
+			mesh.Judge.StoreFault(4 * time.Second)
+			mesh.Store.Set(func(s *store.Store) { clear(s.RateLimitedIPs) })
 		}},
 		{"burst", 0.9, func(mesh *testbed.Mesh, _ *rand.Rand) {
-			mesh.Clients.SetBurst(2)
+			mesh.Clients.SetRateFactor(2)
 			time.Sleep(3 * time.Second)
-			mesh.Clients.SetBurst(0)
+			mesh.Clients.SetRateFactor(0)
 		}},
 		// Abandoned requests are not served; the judge checks that none is executed after the client
 		// has left.
 		{"give_up", 0, func(mesh *testbed.Mesh, _ *rand.Rand) {
-			mesh.Clients.SetGiveUp(20 * time.Millisecond)
+			mesh.Clients.SetAbandonAfter(20 * time.Millisecond)
 			time.Sleep(4 * time.Second)
-			mesh.Clients.SetGiveUp(0)
+			mesh.Clients.SetAbandonAfter(0)
 		}},
 		{"hup", 0.99, func(mesh *testbed.Mesh, random *rand.Rand) {
-			for _, machine := range mesh.Some(random, 0.5) {
+			for _, machine := range mesh.RandomMachines(random, 0.5) {
 				machine.Reload(func(s *settings.Settings) { s.Retries.Allowance = 40 })
 				time.Sleep(200 * time.Millisecond)
 			}
 		}},
 		{"config_storm", 0.99, func(mesh *testbed.Mesh, random *rand.Rand) {
 			for range 20 {
-				NewRoute(mesh, random)
+				AddUnusedRoute(mesh, random)
 				time.Sleep(100 * time.Millisecond)
 			}
 		}},
 	}
 }
 
-// CutFromOthers partitions machines from all others for the given time without resetting
+// Partition partitions machines from all others for the given time without resetting
 // connections.
-func CutFromOthers(mesh *testbed.Mesh, chosen []*testbed.Machine, span time.Duration) {
+func Partition(mesh *testbed.Mesh, chosen []*testbed.Machine, span time.Duration) {
 	set := func(cut bool) {
 		for _, machine := range chosen {
 			for _, other := range mesh.Machines {
 				if other != machine {
-					mesh.Network.Cut(machine.IP, other.IP, cut)
-					mesh.Network.Cut(other.IP, machine.IP, cut)
+					mesh.Network.SetBlocked(machine.IP, other.IP, cut)
+					mesh.Network.SetBlocked(other.IP, machine.IP, cut)
 				}
 			}
 		}
